--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -174,7 +174,7 @@
 		note(f, fmt.Sprintf("settings of host %s in hall %s", v.Host, v.Hall), err)
 	}
 	for _, f := range c.Deploy {
-		v, err := platform.LoadDeploy(f)
+		v, err := platform.LoadDeployment(f)
 		note(f, fmt.Sprintf("deploy file with %d roles", len(v.Roles)), err)
 	}
 	for _, f := range c.Operators {
--- a/node/config.go
+++ b/node/config.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// Config implements [platform.Jobs].
+// Config implements [platform.JobService].
 func (n *Node) Config() (*platform.Config, bool) {
 	k := n.configs.get()
 	return k.config, k.config != nil
@@ -147,7 +147,7 @@
 	return v == c.now.version && c.told <= v && !c.heard.IsZero() && now.Sub(c.heard) <= within
 }
 
-// ConfigIsCurrent implements [platform.Jobs].
+// ConfigIsCurrent implements [platform.JobService].
 func (n *Node) ConfigIsCurrent(v spoolsill.Version) bool {
 	return n.configs.current(v, n.clock.Now(), cmp.Or(n.settings.Bounds.ConfigInForce, configInForce))
 }
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -50,16 +50,16 @@
 	retryAfter = time.Second
 )
 
-// RetryAfter implements [platform.Jobs].
+// RetryAfter implements [platform.JobService].
 func (n *Node) RetryAfter() time.Duration {
 	return retryAfter
 }
 
-// Submit implements [platform.Jobs]: it keeps a job in the store, or has the
+// Submit implements [platform.JobService]: it keeps a job in the store, or has the
 // leader keep it when the store turns this host away.
 func (n *Node) Submit(ctx context.Context, j sched.Job) (platform.Outcome, error) {
 	if err := n.refuse(); err != nil {
-		return platform.Unable, err
+		return platform.Unavailable, err
 	}
 	ctx, cancel := shareOf(ctx, submitShare)
 	defer cancel()
@@ -74,7 +74,7 @@
 		switch o {
 		case jobstore.Accepted, jobstore.Known:
 			n.log.WithFields(logrus.Fields{
-				"request": platform.RequestOf(ctx),
+				"request": platform.RequestID(ctx),
 				"job":     string(j.ID),
 				"queue":   string(j.Queue),
 				"outcome": o.String(),
@@ -145,7 +145,7 @@
 	now := n.clock.Now()
 	leader, answers := n.leaderHost()
 	n.log.WithError(err).WithFields(logrus.Fields{
-		"request":          platform.RequestOf(ctx),
+		"request":          platform.RequestID(ctx),
 		"job":              string(j.ID),
 		"may_be_kept":      maybe,
 		"tries":            tries,
@@ -161,7 +161,7 @@
 	if maybe {
 		return platform.Unknown
 	}
-	return platform.Unable
+	return platform.Unavailable
 }
 
 func (n *Node) submitOnce(ctx context.Context, j sched.Job) (jobstore.Outcome, error) {
@@ -223,7 +223,7 @@
 // errManyFinds is returned for what would take too many reads just now.
 var errManyFinds = errors.New("node: too many jobs are being looked for in the store")
 
-// State implements [platform.Jobs]: the leader knows, and the store does when
+// State implements [platform.JobService]: the leader knows, and the store does when
 // the leader does not or is not there.
 func (n *Node) State(ctx context.Context, id spoolsill.JobID) (sched.JobStatus, platform.Outcome, error) {
 	if r, err := n.askState(ctx, id); err == nil && (r.Known || r.Sure) {
@@ -234,18 +234,18 @@
 		}, stateOutcome(r.Known), nil
 	}
 	if !n.health.tryable(n.clock.Now()) {
-		return sched.JobStatus{}, platform.Unable, errStoreAway
+		return sched.JobStatus{}, platform.Unavailable, errStoreAway
 	}
 	if !n.finding.TryAcquire(1) {
-		return sched.JobStatus{}, platform.Unable, errManyFinds
+		return sched.JobStatus{}, platform.Unavailable, errManyFinds
 	}
 	defer n.finding.Release(1)
 	s, known, err := jobstore.State(ctx, n.store, id)
 	switch {
 	case err != nil:
-		return s, platform.Unable, err
+		return s, platform.Unavailable, err
 	case !known:
-		return s, platform.NoSuch, nil
+		return s, platform.NotFound, nil
 	default:
 		return s, platform.Done, nil
 	}
@@ -255,7 +255,7 @@
 	if known {
 		return platform.Done
 	}
-	return platform.NoSuch
+	return platform.NotFound
 }
 
 // askState asks the leader for a job's state.
@@ -279,13 +279,13 @@
 	return r, err
 }
 
-// Cancel implements [platform.Jobs].
+// Cancel implements [platform.JobService].
 func (n *Node) Cancel(ctx context.Context, c platform.Caller, id spoolsill.JobID) (platform.Outcome, error) {
 	var last error
 	for ctx.Err() == nil {
 		o, err := n.cancelOnce(ctx, c, id)
 		if err == nil && o == platform.Done {
-			n.log.WithField("request", platform.RequestOf(ctx)).WithField("job", string(id)).Info("job cancelled")
+			n.log.WithField("request", platform.RequestID(ctx)).WithField("job", string(id)).Info("job cancelled")
 		}
 		if err == nil {
 			return o, nil
@@ -299,7 +299,7 @@
 	return platform.Unknown, last
 }
 
-// cancelOnce returns Done, NoSuch, Foreign or an error.
+// cancelOnce returns Done, NotFound, Forbidden or an error.
 func (n *Node) cancelOnce(ctx context.Context, c platform.Caller, id spoolsill.JobID) (platform.Outcome, error) {
 	if n.health.tryable(n.clock.Now()) {
 		o, err := n.cancelHere(ctx, c, id)
@@ -321,21 +321,21 @@
 	case err != nil:
 		return platform.Unknown, err
 	case r.Foreign:
-		return platform.Foreign, nil
+		return platform.Forbidden, nil
 	default:
 		return stateOutcome(r.Known), nil
 	}
 }
 
 // cancelHere marks a job as cancelled in the store, if there is such a job and a
-// caller may cancel it. The outcome is Done, NoSuch or Foreign if there is no error.
+// caller may cancel it. The outcome is Done, NotFound or Forbidden if there is no error.
 func (n *Node) cancelHere(ctx context.Context, c platform.Caller, id spoolsill.JobID) (platform.Outcome, error) {
 	s, o, err := n.State(ctx, id)
 	if o != platform.Done {
 		return o, err
 	}
-	if !c.Owns(s) {
-		return platform.Foreign, nil
+	if !c.CanAccess(s) {
+		return platform.Forbidden, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.health.writeTimeout())
 	defer cancel()
@@ -351,15 +351,15 @@
 	return platform.Done, nil
 }
 
-// Waiting implements [platform.Jobs].
-func (n *Node) Waiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
+// CountWaiting implements [platform.JobService].
+func (n *Node) CountWaiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
 	if l := n.leaderHere(); l != nil {
 		w, ok := l.Waiting(q)
 		return w, knownOutcome(ok), nil
 	}
 	h, ok := n.leaderHost()
 	if !ok {
-		return 0, platform.Unable, errNotLeading
+		return 0, platform.Unavailable, errNotLeading
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -373,5 +373,5 @@
 	if ok {
 		return platform.Done
 	}
-	return platform.Unable
+	return platform.Unavailable
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -303,8 +303,8 @@
 func (n *Node) cancelAsked(ctx context.Context, _ peer.Caller, q cancelRequest) (cancelReply, error) {
 	o, err := n.cancelHere(ctx, q.Caller, q.Job)
 	return cancelReply{
-		Known:   o != platform.NoSuch,
-		Foreign: o == platform.Foreign,
+		Known:   o != platform.NotFound,
+		Foreign: o == platform.Forbidden,
 	}, err
 }
 
