--- a/internal/cellfake/store.go
+++ b/internal/cellfake/store.go
@@ -183,21 +183,21 @@
 	if err := spend(ctx, took); err != nil {
 		// A call that its caller gave up is on its way all the same.
 		time.AfterFunc(took-time.Since(begun), func() { s.apply(t) })
-		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknown, err)
+		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
 	switch s.fate(t) {
 	case StoreRefuse:
 		return store.Result{}, store.ErrRefused
 	case StoreBreak:
-		return store.Result{}, fmt.Errorf("%w: connection reset", store.ErrUnknown)
+		return store.Result{}, fmt.Errorf("%w: connection reset", store.ErrUnknownOutcome)
 	case StoreLose:
 		s.apply(t)
 		<-ctx.Done()
-		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknown, ctx.Err())
+		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, ctx.Err())
 	case StoreLate:
 		time.AfterFunc(lateBy, func() { s.apply(t) })
 		<-ctx.Done()
-		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknown, ctx.Err())
+		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, ctx.Err())
 	default:
 		return s.apply(t), nil
 	}
@@ -253,7 +253,7 @@
 // List implements [store.Store].
 func (s *Store) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
 	if err := spend(ctx, callTime+s.listDelay(table)); err != nil {
-		return store.Page{}, fmt.Errorf("%w: %w", store.ErrUnknown, err)
+		return store.Page{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
 	if s.turnsAway() {
 		return store.Page{}, store.ErrRefused
@@ -282,7 +282,7 @@
 // Partitions implements [store.Store].
 func (s *Store) Partitions(ctx context.Context, table string) ([]string, error) {
 	if err := spend(ctx, callTime); err != nil {
-		return nil, fmt.Errorf("%w: %w", store.ErrUnknown, err)
+		return nil, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -302,7 +302,7 @@
 func (s *Store) Feed(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	end := time.Now().Add(wait)
 	if err := spend(ctx, callTime); err != nil {
-		return store.Changes{}, fmt.Errorf("%w: %w", store.ErrUnknown, err)
+		return store.Changes{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
 	for {
 		if s.turnsAway() {
@@ -318,7 +318,7 @@
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
-			return store.Changes{}, fmt.Errorf("%w: %w", store.ErrUnknown, ctx.Err())
+			return store.Changes{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, ctx.Err())
 		}
 		t.Stop()
 	}
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Row returns the row that a host keeps a job in.
-func Row(partition string, j sched.Job) (store.Row, error) {
+// JobRow returns the row that a host keeps a job in.
+func JobRow(partition string, j sched.Job) (store.Row, error) {
 	v, err := EncodeJob(j)
 	return store.Row{
 		Key:   jobKey(partition, j.ID),
@@ -64,8 +64,8 @@
 	}
 }
 
-// Cancelled returns the job that a row of the jobs table marks as cancelled.
-func Cancelled(name string) (spoolsill.JobID, bool) {
+// CancelledJob returns the job that a row of the jobs table marks as cancelled.
+func CancelledJob(name string) (spoolsill.JobID, bool) {
 	id, ok := strings.CutSuffix(name, cancelSuffix)
 	return spoolsill.JobID(id), ok
 }
@@ -93,12 +93,12 @@
 
 // The outcomes.
 const (
-	Accepted Outcome = iota // it is kept
-	Known                   // the same job was accepted before
-	Conflict                // another job has its id
-	Refused                 // certainly nothing was written this time
-	Unknown                 // it may be kept
-	TooLarge                // the store can't keep it or its progress
+	Accepted  Outcome = iota // it is kept
+	Duplicate                // the same job was accepted before
+	Conflict                 // another job has its id
+	Refused                  // certainly nothing was written this time
+	Unknown                  // it may be kept
+	TooLarge                 // the store can't keep it or its progress
 )
 
 var outcomeNames = [...]string{"accepted", "known", "conflict", "refused", "unknown", "too large"}
@@ -131,7 +131,7 @@
 	if !bytes.Equal(v, kept) {
 		return Conflict, nil
 	}
-	return Known, nil
+	return Duplicate, nil
 }
 
 // Cancel marks a job as cancelled, in a host's own partition. The caller knows
@@ -159,10 +159,10 @@
 	}
 }
 
-// State reads a job's state from the store. It returns false when there is no
+// ReadState reads a job's state from the store. It returns false when there is no
 // such job. A job that has begun costs one read, others one for each
 // partition.
-func State(ctx context.Context, s store.Store, id spoolsill.JobID) (sched.JobStatus, bool, error) {
+func ReadState(ctx context.Context, s store.Store, id spoolsill.JobID) (sched.JobStatus, bool, error) {
 	st := sched.JobStatus{
 		ID: id,
 	}
@@ -191,8 +191,8 @@
 // ErrNoJob is returned when a partition does not have a job.
 var ErrNoJob = errors.New("jobstore: no such job")
 
-// Read returns the job that a partition keeps.
-func Read(ctx context.Context, s store.Store, partition string, id spoolsill.JobID) (sched.Job, error) {
+// ReadJob returns the job that a partition keeps.
+func ReadJob(ctx context.Context, s store.Store, partition string, id spoolsill.JobID) (sched.Job, error) {
 	r, err := store.Get(ctx, s, jobKey(partition, id))
 	if err != nil {
 		return sched.Job{}, err
--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -54,7 +54,7 @@
 		c.Assert(o, qt.Equals, jobstore.Accepted)
 		pause.For(ctx, time.Second)
 		o, _ = w.Accept(ctx, job("j", "s"))
-		c.Assert(o, qt.Equals, jobstore.Known)
+		c.Assert(o, qt.Equals, jobstore.Duplicate)
 		o, _ = w.Accept(ctx, job("j", "other"))
 		c.Assert(o, qt.Equals, jobstore.Conflict)
 	})
@@ -140,17 +140,17 @@
 
 func TestStateFromTheStore(t *testing.T) {
 	with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
-		_, known, err := jobstore.State(ctx, s, "j")
+		_, known, err := jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
 		c.Assert(known, qt.IsFalse)
 		_, err = w.Accept(ctx, job("j", "s"))
 		c.Assert(err, qt.IsNil)
-		x, known, err := jobstore.State(ctx, s, "j")
+		x, known, err := jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
 		c.Assert(known, qt.IsTrue)
 		c.Assert(x.State, qt.Equals, sched.Pending)
 		c.Assert(jobstore.Cancel(ctx, s, "another host", "j"), qt.IsNil)
-		x, _, err = jobstore.State(ctx, s, "j")
+		x, _, err = jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
 		c.Assert(x.State, qt.Equals, sched.Cancelled)
 	})
@@ -164,9 +164,9 @@
 		kept, again spoolsill.TeamID
 		want        jobstore.Outcome
 	}{
-		{"the same team", "a", "a", jobstore.Known},
-		{"kept by a host of the former release", "", "a", jobstore.Known},
-		{"handed on by a host of the former release", "a", "", jobstore.Known},
+		{"the same team", "a", "a", jobstore.Duplicate},
+		{"kept by a host of the former release", "", "a", jobstore.Duplicate},
+		{"handed on by a host of the former release", "a", "", jobstore.Duplicate},
 		{"another team", "a", "b", jobstore.Conflict},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -192,7 +192,7 @@
 		j.Team = "a"
 		_, err := w.Accept(ctx, j)
 		c.Assert(err, qt.IsNil)
-		x, _, err := jobstore.State(ctx, s, "j")
+		x, _, err := jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
 		c.Check(x.Team, qt.Equals, spoolsill.TeamID("a"))
 		v, err := sched.EncodeProgress(sched.Progress{
@@ -209,7 +209,7 @@
 			},
 		})
 		c.Assert(err, qt.IsNil)
-		x, _, err = jobstore.State(ctx, s, "k")
+		x, _, err = jobstore.ReadState(ctx, s, "k")
 		c.Assert(err, qt.IsNil)
 		c.Check(x.Team, qt.Equals, spoolsill.TeamID("a"))
 		c.Check(x.State, qt.Equals, sched.Completed)
@@ -251,7 +251,7 @@
 		j := usualJob()
 		b, err := msgpack.Marshal(&j)
 		c.Assert(err, qt.IsNil)
-		row, err := jobstore.Row(w.Partition, j)
+		row, err := jobstore.JobRow(w.Partition, j)
 		c.Assert(err, qt.IsNil)
 		s.Put(store.Put{
 			Key:   row.Key,
@@ -259,7 +259,7 @@
 		})
 		o, err := w.Accept(ctx, j)
 		c.Assert(err, qt.IsNil)
-		c.Assert(o, qt.Equals, jobstore.Known)
+		c.Assert(o, qt.Equals, jobstore.Duplicate)
 		j.Spec = "y"
 		o, _ = w.Accept(ctx, j)
 		c.Assert(o, qt.Equals, jobstore.Conflict)
--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -158,10 +158,10 @@
 	t := w.transaction(batch)
 	c, cancel := context.WithTimeout(ctx, writeWithin)
 	defer cancel()
-	r, _, err := store.CommitPatiently(c, w.Store, t, store.Patience{
-		First: w.Timeout(),
-		Most:  writeWithin,
-		Tries: triesAtOnce,
+	r, _, err := store.CommitHedged(c, w.Store, t, store.HedgePolicy{
+		First:    w.Timeout(),
+		Max:      writeWithin,
+		Attempts: triesAtOnce,
 	})
 	switch {
 	case errors.Is(err, store.ErrRefused):
--- a/leader/chain.go
+++ b/leader/chain.go
@@ -199,10 +199,10 @@
 func (c *Chain) try(ctx context.Context, t store.Transaction) (store.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, tryWithin)
 	defer cancel()
-	r, took, err := store.CommitPatiently(ctx, c.store, t, store.Patience{
-		First: min(max(tryFirst, 4*c.usual), tryMost),
-		Most:  tryMost,
-		Tries: triesAtOnce,
+	r, took, err := store.CommitHedged(ctx, c.store, t, store.HedgePolicy{
+		First:    min(max(tryFirst, 4*c.usual), tryMost),
+		Max:      tryMost,
+		Attempts: triesAtOnce,
 	})
 	if err == nil {
 		c.learn(took)
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -103,7 +103,7 @@
 	inTouch  atomic.Int64                // workers that are kept in touch with
 	unclear  map[spoolsill.WorkerID]bool // entries that can't be understood
 	gauges   gauges
-	pace     *store.Pace
+	pace     *store.ReadLimiter
 	rows     map[spoolsill.JobID][]byte
 
 	version   spoolsill.Version // of the queues and teams
@@ -118,7 +118,7 @@
 	// following is set once the progress is read, and the tables are followed by
 	// feeds; loaded once all jobs are known.
 	following bool
-	feeds     []*store.Follower
+	feeds     []*store.Watcher
 	feedsTold time.Time // when the log last told of feeds that are old
 	loaded    bool
 
@@ -176,7 +176,7 @@
 	}
 	l := &Leader{
 		config:   c,
-		pace:     store.NewPace(c.ReadBytes),
+		pace:     store.NewReadLimiter(c.ReadBytes),
 		events:   make(chan event, eventBuffer),
 		renewers: map[spoolsill.Life]*renewer{},
 		wanted:   map[spoolsill.Life]bool{},
--- a/leader/load.go
+++ b/leader/load.go
@@ -18,7 +18,7 @@
 // keeps the leader's row changing: others would else take over from each leader
 // that needs longer to read than they wait, and none would come to its end.
 func (l *Leader) loadProgress(ctx context.Context) {
-	list := store.Listing{
+	list := store.PartitionReader{
 		Store:     l.config.Store,
 		Table:     jobstore.ProgressTable,
 		Partition: jobstore.CellPartition,
@@ -104,12 +104,12 @@
 	// Of two rows of one job the older one counts.
 	slices.SortStableFunc(rows, func(a, b store.Row) int { return cmp.Compare(a.Version, b.Version) })
 	for _, r := range rows {
-		if _, ok := jobstore.Cancelled(r.Key.Name); !ok {
+		if _, ok := jobstore.CancelledJob(r.Key.Name); !ok {
 			l.takeJob(now, r)
 		}
 	}
 	for _, r := range rows {
-		if _, ok := jobstore.Cancelled(r.Key.Name); ok {
+		if _, ok := jobstore.CancelledJob(r.Key.Name); ok {
 			l.takeJob(now, r)
 		}
 	}
@@ -148,7 +148,7 @@
 	if r.Deleted || !l.following {
 		return
 	}
-	if id, ok := jobstore.Cancelled(r.Key.Name); ok {
+	if id, ok := jobstore.CancelledJob(r.Key.Name); ok {
 		l.sweeper.locate(id, r.Key)
 		l.state.CancelJob(now, id)
 		l.sweepEnded(id)
@@ -198,7 +198,7 @@
 }
 
 func (l *Leader) follow(ctx context.Context) {
-	l.feeds = []*store.Follower{
+	l.feeds = []*store.Watcher{
 		{
 			Store: l.config.Store,
 			Table: jobstore.JobsTable,
@@ -214,7 +214,7 @@
 				})
 			},
 			Pause:  jobsPause,
-			Heard:  l.hearJobs,
+			Synced: l.hearJobs,
 			Failed: l.reportFeed(jobstore.JobsTable),
 		},
 		{
@@ -232,7 +232,7 @@
 					row: r,
 				})
 			},
-			Heard: func(sent time.Time) {
+			Synced: func(sent time.Time) {
 				l.send(workersHeard{
 					sent: sent,
 				})
--- a/leader/sweeper.go
+++ b/leader/sweeper.go
@@ -54,7 +54,7 @@
 // keeper returns the partition that keeps a job; empty when none is known.
 func (s *sweeper) keeper(id spoolsill.JobID) string {
 	for _, k := range s.keys[id] {
-		if _, mark := jobstore.Cancelled(k.Name); !mark {
+		if _, mark := jobstore.CancelledJob(k.Name); !mark {
 			return k.Partition
 		}
 	}
--- a/node/config.go
+++ b/node/config.go
@@ -159,12 +159,12 @@
 			n.configs.setMisread(!n.takeConfig(r.Value, "store"))
 		}
 	}
-	f := store.Follower{
-		Store: n.store,
-		Table: platform.OperatorTable,
-		Wait:  configWait,
-		Heard: n.configs.hear,
-		Clock: n.clock,
+	f := store.Watcher{
+		Store:  n.store,
+		Table:  platform.OperatorTable,
+		Wait:   configWait,
+		Synced: n.configs.hear,
+		Clock:  n.clock,
 		Listed: func(rows []store.Row) {
 			n.log.WithField("rows", len(rows)).Info("configuration table listed")
 			for _, r := range rows {
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -72,7 +72,7 @@
 		last = err
 		tries++
 		switch o {
-		case jobstore.Accepted, jobstore.Known:
+		case jobstore.Accepted, jobstore.Duplicate:
 			n.log.WithFields(logrus.Fields{
 				"request": platform.RequestID(ctx),
 				"job":     string(j.ID),
@@ -108,7 +108,7 @@
 	if n.leaderLoads() {
 		return // its listing has the job, or the feed after it
 	}
-	row, err := jobstore.Row(n.partition(), j)
+	row, err := jobstore.JobRow(n.partition(), j)
 	if err != nil {
 		n.log.WithError(err).WithField("job", string(j.ID)).Error("job can't be told of")
 		return
@@ -212,7 +212,7 @@
 	}
 	if r.Outcome == jobstore.Accepted {
 		// Kept by the leader's host, which knows of it.
-		return jobstore.Known, true
+		return jobstore.Duplicate, true
 	}
 	return r.Outcome, true
 }
@@ -240,7 +240,7 @@
 		return sched.JobStatus{}, platform.Unavailable, errManyFinds
 	}
 	defer n.finding.Release(1)
-	s, known, err := jobstore.State(ctx, n.store, id)
+	s, known, err := jobstore.ReadState(ctx, n.store, id)
 	switch {
 	case err != nil:
 		return s, platform.Unavailable, err
--- a/node/specs_test.go
+++ b/node/specs_test.go
@@ -121,7 +121,7 @@
 
 // keepWide has the store hold a wide gang that a host of a former life accepted.
 func (x *cell) keepWide(host, i int) {
-	row, err := jobstore.Row(hostName(host), sched.Job{
+	row, err := jobstore.JobRow(hostName(host), sched.Job{
 		ID:    spoolsill.JobID(jobID(i)),
 		Queue: "q",
 		Spec:  longSpec(i),
--- a/node/storehealth.go
+++ b/node/storehealth.go
@@ -223,7 +223,7 @@
 	if errors.Is(err, context.Canceled) {
 		return r, err // another try was answered, which says nothing of this one
 	}
-	if err == nil || errors.Is(err, store.ErrUnknown) {
+	if err == nil || errors.Is(err, store.ErrUnknownOutcome) {
 		s.health.took(s.clock.Since(begun), err == nil)
 	}
 	s.health.wrote(begun, errors.Is(err, store.ErrRefused))
--- a/store/connection_test.go
+++ b/store/connection_test.go
@@ -44,7 +44,7 @@
 func (s *pooledStore) Commit(ctx context.Context, t store.Transaction) (store.Result, error) {
 	if !s.open(ctx) {
 		<-ctx.Done()
-		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknown, ctx.Err())
+		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, ctx.Err())
 	}
 	return s.Store.Commit(ctx, t)
 }
@@ -52,7 +52,7 @@
 func (s *pooledStore) Feed(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	if !s.open(ctx) {
 		pause.For(ctx, s.limit)
-		return store.Changes{}, store.ErrUnknown
+		return store.Changes{}, store.ErrUnknownOutcome
 	}
 	return s.Store.Feed(ctx, table, after, wait)
 }
@@ -64,14 +64,14 @@
 		s := &pooledStore{
 			Store: cellfake.NewStore(),
 		}
-		_, _, err := store.CommitPatiently(t.Context(), s, put("a"), patience)
+		_, _, err := store.CommitHedged(t.Context(), s, put("a"), patience)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, s.opened, qt.Equals, 0)
 		s.silent = 8
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
 		begun := time.Now()
-		r, _, err := store.CommitPatiently(ctx, s, put("b"), patience)
+		r, _, err := store.CommitHedged(ctx, s, put("b"), patience)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, r.Applied, qt.IsTrue)
 		qt.Check(t, time.Since(begun) < 2*patience.First, qt.IsTrue, qt.Commentf("written after %s", time.Since(begun)))
@@ -94,7 +94,7 @@
 			limit: limit,
 		}
 		var oldest time.Duration
-		f := store.Follower{
+		f := store.Watcher{
 			Store:   s,
 			Table:   table,
 			Wait:    wait,
--- a/store/follow.go
+++ b/store/follow.go
@@ -25,9 +25,9 @@
 	listEvery = 250 * time.Millisecond
 )
 
-// A Follower keeps up with a table: it lists its partitions and then takes in
+// A Watcher keeps up with a table: it lists its partitions and then takes in
 // the changes, anew whenever the store has forgotten the history.
-type Follower struct {
+type Watcher struct {
 	Store Store
 	Table string
 	// Wait is how long one call of the feed waits for a change; a feed that
@@ -36,15 +36,15 @@
 	// Pause is between two calls that tell of changes; 0 means DefaultPause.
 	Pause time.Duration
 	// Pace bounds what a listing reads at once; nil bounds nothing.
-	Pace *Pace
+	Pace *ReadLimiter
 	// Listed takes in all rows of the partitions.
 	Listed func(rows []Row)
 	// Changed takes in one changed row. A row may come more than once.
 	Changed func(r Row)
-	// Heard is told of each answer, with the time when the call was sent: what
+	// Synced is told of each answer, with the time when the call was sent: what
 	// was written before has been taken in. A listing that has a page from
 	// before its first answer is no such answer. May be nil.
-	Heard func(sent time.Time)
+	Synced func(sent time.Time)
 	// Failed takes in a failed call, and nil when calls work again; may be nil.
 	// Of a call that does not end it tells nothing, see Age.
 	Failed func(err error)
@@ -58,7 +58,7 @@
 // Age returns how old what has been taken in is: how long ago the call was sent
 // that was answered last, or Run was called when none has been. It is safe for
 // concurrent use; before Run it is zero.
-func (f *Follower) Age(now time.Time) time.Duration {
+func (f *Watcher) Age(now time.Time) time.Duration {
 	at := f.answered.Load()
 	if at == nil {
 		return 0
@@ -85,7 +85,7 @@
 }
 
 // Run follows the table until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	begun := f.Clock.Now()
 	f.answered.Store(&begun)
 	p := &pursuit{
@@ -94,7 +94,7 @@
 	}
 	for ctx.Err() == nil {
 		o, err := f.call(ctx, p)
-		p.silent = errors.Is(err, ErrUnknown)
+		p.silent = errors.Is(err, ErrUnknownOutcome)
 		switch {
 		case err == nil:
 			f.succeed(p, o)
@@ -108,7 +108,7 @@
 }
 
 // call makes the next call, or goes on with a listing.
-func (f *Follower) call(ctx context.Context, p *pursuit) (outcome, error) {
+func (f *Watcher) call(ctx context.Context, p *pursuit) (outcome, error) {
 	if p.silent {
 		ctx = withNewConnection(ctx)
 	}
@@ -118,10 +118,10 @@
 	return f.step(ctx, p)
 }
 
-func (f *Follower) succeed(p *pursuit, o outcome) {
+func (f *Watcher) succeed(p *pursuit, o outcome) {
 	f.answered.Store(&o.sent)
-	if o.complete && f.Heard != nil {
-		f.Heard(o.sent)
+	if o.complete && f.Synced != nil {
+		f.Synced(o.sent)
 	}
 	if p.failing {
 		f.report(nil)
@@ -130,7 +130,7 @@
 	p.delay = retryFirst
 }
 
-func (f *Follower) fail(ctx context.Context, p *pursuit, err error) {
+func (f *Watcher) fail(ctx context.Context, p *pursuit, err error) {
 	if !p.failing {
 		f.report(err)
 	}
@@ -139,7 +139,7 @@
 	p.delay = min(2*p.delay, retryMost)
 }
 
-func (f *Follower) report(err error) {
+func (f *Watcher) report(err error) {
 	if f.Failed != nil {
 		f.Failed(err)
 	}
@@ -147,7 +147,7 @@
 
 // list reads the whole table, or what of it an earlier call could not. What came
 // since it began is for the feed to tell.
-func (f *Follower) list(ctx context.Context, p *pursuit) (outcome, error) {
+func (f *Watcher) list(ctx context.Context, p *pursuit) (outcome, error) {
 	t := p.listing
 	rows, at, err := t.readAll(ctx)
 	p.listed = t.began
@@ -164,7 +164,7 @@
 }
 
 // step takes in what has changed.
-func (f *Follower) step(ctx context.Context, p *pursuit) (outcome, error) {
+func (f *Watcher) step(ctx context.Context, p *pursuit) (outcome, error) {
 	wait := f.Wait
 	if p.failing {
 		wait = 0 // to learn at once that calls work again
--- a/store/list.go
+++ b/store/list.go
@@ -14,14 +14,14 @@
 // listsAtOnce bounds the partitions that are read side by side.
 const listsAtOnce = 8
 
-// A Listing reads a partition page by page. After a failed call it goes on where
+// A PartitionReader reads a partition page by page. After a failed call it goes on where
 // it was: a store that refuses some calls would else never be read to the end.
-type Listing struct {
+type PartitionReader struct {
 	Store     Store
 	Table     string
 	Partition string
 	// Pace bounds what is read at once; nil bounds nothing.
-	Pace *Pace
+	Pace *ReadLimiter
 
 	rows  []Row
 	least Version // of the pages
@@ -34,7 +34,7 @@
 // page was read: a feed that goes on from it misses no change, also when the
 // store answers a later call with an older state. It may be called again after
 // an error, not by several goroutines at once.
-func (l *Listing) ReadAll(ctx context.Context) ([]Row, Version, error) {
+func (l *PartitionReader) ReadAll(ctx context.Context) ([]Row, Version, error) {
 	for !l.done {
 		p, err := l.page(ctx)
 		if err != nil {
@@ -46,7 +46,7 @@
 }
 
 // page reads the next page.
-func (l *Listing) page(ctx context.Context) (Page, error) {
+func (l *PartitionReader) page(ctx context.Context) (Page, error) {
 	limit, err := l.Pace.enter(ctx)
 	if err != nil {
 		return Page{}, err
@@ -56,7 +56,7 @@
 	return p, err
 }
 
-func (l *Listing) take(p Page) {
+func (l *PartitionReader) take(p Page) {
 	if !l.begun {
 		l.begun = true
 		l.least = p.Version
@@ -70,28 +70,28 @@
 	l.from = p.Rows[len(p.Rows)-1].Key.Name + "\x00"
 }
 
-// A tableListing reads all partitions of a table. Like a [Listing] it goes on
+// A tableListing reads all partitions of a table. Like a [PartitionReader] it goes on
 // after an error.
 type tableListing struct {
 	store Store
 	table string
 	clock *clock.Clock
-	pace  *Pace
+	pace  *ReadLimiter
 	// first was read before all rows, so that a feed that goes on from it
 	// misses no change of partitions that are made meanwhile.
 	first Version
 	begun bool
 	began time.Time // when the first call was sent
-	parts map[string]*Listing
+	parts map[string]*PartitionReader
 }
 
-func newTableListing(s Store, table string, c *clock.Clock, p *Pace) *tableListing {
+func newTableListing(s Store, table string, c *clock.Clock, p *ReadLimiter) *tableListing {
 	return &tableListing{
 		store: s,
 		table: table,
 		clock: c,
 		pace:  p,
-		parts: map[string]*Listing{},
+		parts: map[string]*PartitionReader{},
 	}
 }
 
@@ -139,10 +139,10 @@
 	return slices.Concat(pages...), at, nil
 }
 
-func (t *tableListing) part(name string) *Listing {
+func (t *tableListing) part(name string) *PartitionReader {
 	l := t.parts[name]
 	if l == nil {
-		l = &Listing{
+		l = &PartitionReader{
 			Store:     t.store,
 			Table:     t.table,
 			Partition: name,
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -71,7 +71,7 @@
 		}
 		seen := map[string]bool{}
 		listings := 0
-		f := store.Follower{
+		f := store.Watcher{
 			Store: s,
 			Table: table,
 			Wait:  time.Second,
@@ -118,7 +118,7 @@
 		written := map[string]time.Time{}
 		seen := map[string]bool{}
 		var missed []string
-		f := store.Follower{
+		f := store.Watcher{
 			Store: &crowdedStore{
 				Store:   inner,
 				refuses: 5,
@@ -131,7 +131,7 @@
 				}
 			},
 			Changed: func(r store.Row) { seen[r.Key.Name] = true },
-			Heard: func(sent time.Time) {
+			Synced: func(sent time.Time) {
 				mu.Lock()
 				defer mu.Unlock()
 				for name, at := range written {
@@ -186,7 +186,7 @@
 			Store:   inner,
 			refuses: 2,
 		}
-		l := store.Listing{
+		l := store.PartitionReader{
 			Store:     s,
 			Table:     table,
 			Partition: "cell",
@@ -252,7 +252,7 @@
 		pause.For(ctx, time.Millisecond)
 		seen := map[string]bool{}
 		early := 0
-		f := store.Follower{
+		f := store.Watcher{
 			Store: &behindStore{
 				Store: inner,
 				old: map[string]store.Page{
@@ -267,7 +267,7 @@
 				}
 			},
 			Changed: func(r store.Row) { seen[r.Key.Name] = true },
-			Heard: func(sent time.Time) {
+			Synced: func(sent time.Time) {
 				if written.Before(sent) && !seen["came-since"] {
 					early++
 				}
@@ -307,7 +307,7 @@
 			},
 		},
 	}
-	l := store.Listing{
+	l := store.PartitionReader{
 		Store:     &s,
 		Table:     table,
 		Partition: "cell",
@@ -371,7 +371,7 @@
 			Store: inner,
 		}
 		failed := 0
-		f := store.Follower{
+		f := store.Watcher{
 			Store:   s,
 			Table:   table,
 			Wait:    wait,
@@ -439,7 +439,7 @@
 		}
 		var last time.Time
 		longest := time.Duration(0)
-		f := store.Follower{
+		f := store.Watcher{
 			Store: s,
 			Table: table,
 			Wait:  time.Second,
--- a/store/pace.go
+++ b/store/pace.go
@@ -18,12 +18,12 @@
 	wireBytes = 4
 )
 
-// A Pace bounds how much listings have under way together. The load that it
+// A ReadLimiter bounds how much listings have under way together. The load that it
 // answers: a host reads thousands of rows over a small link, and what is urgent
 // on it waits behind them; eight pages of a partition each kept a link of 2
 // Mbit/s busy for a second and a half. It is safe for concurrent use; nil bounds
 // nothing.
-type Pace struct {
+type ReadLimiter struct {
 	calls chan struct{}
 	call  int // bytes that a call brings, about
 
@@ -32,14 +32,14 @@
 	bytes int // that they took
 }
 
-// NewPace returns a pace at which about so many bytes are under way at a time;
+// NewReadLimiter returns a pace at which about so many bytes are under way at a time;
 // nil for 0 or less.
-func NewPace(bytes int) *Pace {
+func NewReadLimiter(bytes int) *ReadLimiter {
 	if bytes <= 0 {
 		return nil
 	}
 	n := min(max(bytes/paceCall, 1), listsAtOnce)
-	return &Pace{
+	return &ReadLimiter{
 		calls: make(chan struct{}, n),
 		call:  bytes / n,
 	}
@@ -47,7 +47,7 @@
 
 // enter waits for the turn of a call, and returns how many rows it may ask for;
 // 0 leaves that to the store. leave ends the call.
-func (p *Pace) enter(ctx context.Context) (limit int, err error) {
+func (p *ReadLimiter) enter(ctx context.Context) (limit int, err error) {
 	if p == nil {
 		return 0, nil
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-func (p *Pace) limit() int {
+func (p *ReadLimiter) limit() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	row := paceRow
@@ -70,7 +70,7 @@
 }
 
 // leave ends a call that has brought rows.
-func (p *Pace) leave(rows []Row) {
+func (p *ReadLimiter) leave(rows []Row) {
 	if p == nil {
 		return
 	}
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -77,11 +77,11 @@
 			rate:  250_000,
 		}
 		listed := make(chan int, 1)
-		f := &store.Follower{
+		f := &store.Watcher{
 			Store:  s,
 			Table:  "jobs",
 			Wait:   time.Second,
-			Pace:   store.NewPace(pace),
+			Pace:   store.NewReadLimiter(pace),
 			Listed: func(rows []store.Row) { listed <- len(rows) },
 		}
 		var running sync.WaitGroup
@@ -128,5 +128,5 @@
 }
 
 func TestAPaceOfNothingBoundsNothing(t *testing.T) {
-	qt.Assert(t, store.NewPace(0), qt.IsNil)
+	qt.Assert(t, store.NewReadLimiter(0), qt.IsNil)
 }
--- a/store/patience.go
+++ b/store/patience.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Patience says how a transaction is sent again while its answer is overdue.
-type Patience struct {
+// HedgePolicy says how a transaction is sent again while its answer is overdue.
+type HedgePolicy struct {
 	// First is how long the first try is waited for before another one is sent;
 	// the pause doubles from then on, up to Most.
 	First time.Duration
-	Most  time.Duration
-	// Tries is how many are sent in all.
-	Tries int
+	Max   time.Duration
+	// Attempts is how many are sent in all.
+	Attempts int
 }
 
 // An attempt is one try of a transaction that has ended.
@@ -24,7 +24,7 @@
 	err    error
 }
 
-// CommitPatiently applies a transaction. While the answer is overdue it is sent
+// CommitHedged applies a transaction. While the answer is overdue it is sent
 // again, and the earlier tries are still waited for: of a store that is slow the
 // first one is answered first, and to give it up would only make the store do it
 // once more; of a store that loses answers a later one is, which therefore goes
@@ -33,11 +33,11 @@
 //
 // The tries are the same transaction, and the store may apply each of them, so
 // that its conditions must let only one be applied. When none is answered the
-// error is [ErrRefused] if certainly nothing was done, else [ErrUnknown].
-func CommitPatiently(ctx context.Context, s Store, t Transaction, p Patience) (Result, time.Duration, error) {
+// error is [ErrRefused] if certainly nothing was done, else [ErrUnknownOutcome].
+func CommitHedged(ctx context.Context, s Store, t Transaction, p HedgePolicy) (Result, time.Duration, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan attempt, max(p.Tries, 1))
+	ended := make(chan attempt, max(p.Attempts, 1))
 	send := func(ctx context.Context) {
 		begun := time.Now() //nolint:forbidigo // how long a try takes, of which a suspension is no part
 		r, err := s.Commit(ctx, t)
@@ -63,13 +63,13 @@
 			}
 			failure = worse(failure, a.err)
 		case <-overdue.C:
-			if sent >= p.Tries {
+			if sent >= p.Attempts {
 				continue
 			}
 			go send(withNewConnection(ctx))
 			underWay++
 			sent++
-			wait = min(2*wait, p.Most)
+			wait = min(2*wait, p.Max)
 			overdue.Reset(wait)
 		}
 	}
--- a/store/patience_test.go
+++ b/store/patience_test.go
@@ -34,10 +34,10 @@
 	}
 }
 
-var patience = store.Patience{
-	First: 150 * time.Millisecond,
-	Most:  time.Second,
-	Tries: 4,
+var patience = store.HedgePolicy{
+	First:    150 * time.Millisecond,
+	Max:      time.Second,
+	Attempts: 4,
 }
 
 // The first try of a store that is slow is not given up: its answer is taken, and
@@ -47,7 +47,7 @@
 		s := cellfake.NewStore()
 		s.Slow(800 * time.Millisecond)
 		begun := time.Now()
-		r, took, err := store.CommitPatiently(t.Context(), s, put("a"), patience)
+		r, took, err := store.CommitHedged(t.Context(), s, put("a"), patience)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, r.Applied, qt.IsTrue)
 		qt.Assert(t, took, qt.Equals, time.Since(begun))
@@ -68,7 +68,7 @@
 			}
 			return cellfake.StoreWell
 		})
-		r, took, err := store.CommitPatiently(t.Context(), s, put("a"), patience)
+		r, took, err := store.CommitHedged(t.Context(), s, put("a"), patience)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, r.Applied, qt.IsFalse)
 		qt.Assert(t, string(r.Current[0].Value), qt.Equals, "x")
@@ -83,8 +83,8 @@
 		want   error
 	}{
 		"refused":            {[]cellfake.StoreFault{cellfake.StoreRefuse}, store.ErrRefused},
-		"broken":             {[]cellfake.StoreFault{cellfake.StoreBreak}, store.ErrUnknown},
-		"lost, then refused": {[]cellfake.StoreFault{cellfake.StoreLose, cellfake.StoreRefuse, cellfake.StoreRefuse, cellfake.StoreRefuse}, store.ErrUnknown},
+		"broken":             {[]cellfake.StoreFault{cellfake.StoreBreak}, store.ErrUnknownOutcome},
+		"lost, then refused": {[]cellfake.StoreFault{cellfake.StoreLose, cellfake.StoreRefuse, cellfake.StoreRefuse, cellfake.StoreRefuse}, store.ErrUnknownOutcome},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s := cellfake.NewStore()
@@ -94,7 +94,7 @@
 			})
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
-			_, _, err := store.CommitPatiently(ctx, s, put("a"), patience)
+			_, _, err := store.CommitHedged(ctx, s, put("a"), patience)
 			qt.Assert(t, err, qt.ErrorIs, test.want, qt.Commentf("%s", name))
 			qt.Assert(t, int(tries.Load()), qt.Equals, len(test.faults), qt.Commentf("%s", name))
 		})
--- a/store/store.go
+++ b/store/store.go
@@ -4,7 +4,7 @@
 //
 // The package moves no data. It declares what a client of the store offers
 // ([Store]) and what its failures mean. The difference that callers live by is
-// between [ErrRefused], a call that certainly had no effect, and [ErrUnknown],
+// between [ErrRefused], a call that certainly had no effect, and [ErrUnknownOutcome],
 // a call that may have taken effect or may still do so seconds later if its
 // conditions still hold then.
 package store
@@ -19,9 +19,9 @@
 var (
 	// ErrRefused is returned when the call certainly had no effect.
 	ErrRefused = errors.New("store: call refused")
-	// ErrUnknown is returned when no answer came: the call may have taken
+	// ErrUnknownOutcome is returned when no answer came: the call may have taken
 	// effect, or may do so later.
-	ErrUnknown = errors.New("store: no answer")
+	ErrUnknownOutcome = errors.New("store: no answer")
 	// ErrHistoryGone is returned by a feed whose position the store no longer
 	// remembers. The caller lists the rows anew.
 	ErrHistoryGone = errors.New("store: history is gone")
