--- a/jobstore/fuzz_test.go
+++ b/jobstore/fuzz_test.go
@@ -13,7 +13,7 @@
 // Whatever a row of the jobs table holds, a leader that takes it in goes on: what is
 // decoded is taken in and looked at, with a progress that may not belong to it.
 func FuzzDecodeJob(f *testing.F) {
-	for _, j := range strangeJobs() {
+	for _, j := range invalidJobs() {
 		b, err := jobstore.EncodeJob(j)
 		qt.Assert(f, err, qt.IsNil)
 		f.Add(b, []byte{0x92, 1, 0x90})
@@ -47,8 +47,8 @@
 	})
 }
 
-// strangeJobs are jobs that no host accepts.
-func strangeJobs() []sched.Job {
+// invalidJobs are jobs that no host accepts.
+func invalidJobs() []sched.Job {
 	steps := func(s ...sched.Step) sched.Job {
 		return sched.Job{
 			ID:    "j",
@@ -84,7 +84,7 @@
 
 // A row that is no job is refused, with a reason.
 func TestStrangeJobsAreNotTakenIn(t *testing.T) {
-	for _, j := range strangeJobs() {
+	for _, j := range invalidJobs() {
 		b, err := jobstore.EncodeJob(j)
 		qt.Assert(t, err, qt.IsNil)
 		_, err = jobstore.DecodeJob(b)
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -108,10 +108,10 @@
 	return outcomeNames[o]
 }
 
-// compare tells whether a kept job is the one that was handed in again; when
+// compareStored tells whether a kept job is the one that was handed in again; when
 // it was handed in does not matter, nor whose it is where either does not say: hosts of
 // the release before teams keep and hand on jobs of nobody.
-func compare(j sched.Job, kept []byte) (Outcome, error) {
+func compareStored(j sched.Job, kept []byte) (Outcome, error) {
 	o, err := DecodeJob(kept)
 	if err != nil {
 		return Conflict, err
@@ -176,7 +176,7 @@
 		st.Team = p.Team
 		return st, true, err
 	}
-	f, err := find(ctx, s, id)
+	f, err := findJob(ctx, s, id)
 	if err != nil || f.job.Version == 0 {
 		return st, false, err
 	}
@@ -203,30 +203,30 @@
 	return DecodeJob(r.Value)
 }
 
-// found is what the partitions have of a job: the row that counts, of version 0 if
+// storedJob is what the partitions have of a job: the row that counts, of version 0 if
 // there is none, and whether any marks it as cancelled.
-type found struct {
+type storedJob struct {
 	job       store.Row
 	cancelled bool
 }
 
-func (f *found) take(r store.Row, id spoolsill.JobID) {
+func (f *storedJob) add(r store.Row, id spoolsill.JobID) {
 	if r.Key.Name == string(id) && (f.job.Version == 0 || r.Version < f.job.Version) {
 		f.job = r
 	}
 	f.cancelled = f.cancelled || r.Key.Name == string(id)+cancelSuffix
 }
 
-// find looks for a job and its mark in all partitions.
-func find(ctx context.Context, s store.Store, id spoolsill.JobID) (found, error) {
-	var f found
+// findJob looks for a job and its mark in all partitions.
+func findJob(ctx context.Context, s store.Store, id spoolsill.JobID) (storedJob, error) {
+	var f storedJob
 	parts, err := s.Partitions(ctx, JobsTable)
 	if err != nil {
 		return f, err
 	}
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(readsAtOnce)
+	g.SetLimit(maxConcurrentReads)
 	for _, part := range parts {
 		g.Go(func() error {
 			p, err := s.List(ctx, JobsTable, part, string(id), 2)
@@ -236,7 +236,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, r := range p.Rows {
-				f.take(r, id)
+				f.add(r, id)
 			}
 			return nil
 		})
@@ -245,5 +245,5 @@
 	return f, err
 }
 
-// readsAtOnce bounds the reads that one look-up has under way.
-const readsAtOnce = 8
+// maxConcurrentReads bounds the reads that one look-up has under way.
+const maxConcurrentReads = 8
--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -20,8 +20,8 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// with runs f with a writer on a store in memory, on virtual time.
-func with(t *testing.T, f func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer)) {
+// withWriter runs f withWriter a writer on a store in memory, on virtual time.
+func withWriter(t *testing.T, f func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := cellfake.NewStore()
@@ -49,7 +49,7 @@
 }
 
 func TestSameJobIsKeptOnce(t *testing.T) {
-	with(t, func(ctx context.Context, c *qt.C, _ *cellfake.Store, w *jobstore.Writer) {
+	withWriter(t, func(ctx context.Context, c *qt.C, _ *cellfake.Store, w *jobstore.Writer) {
 		o, _ := w.Accept(ctx, job("j", "s"))
 		c.Assert(o, qt.Equals, jobstore.Accepted)
 		pause.For(ctx, time.Second)
@@ -63,7 +63,7 @@
 // A write whose answer is lost is made again and found done.
 func TestLostAnswersAreNotLostJobs(t *testing.T) {
 	for _, f := range []cellfake.StoreFault{cellfake.StoreLose, cellfake.StoreLate} {
-		with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
+		withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 			var calls atomic.Int32
 			s.SetFault(func(store.Transaction) cellfake.StoreFault {
 				if calls.Add(1) == 1 {
@@ -83,7 +83,7 @@
 
 // Jobs that come while a write is under way share the next one.
 func TestJobsShareWrites(t *testing.T) {
-	with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
+	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		var writes atomic.Int32
 		s.SetFault(func(store.Transaction) cellfake.StoreFault {
 			writes.Add(1)
@@ -105,7 +105,7 @@
 // Refused is said only when nothing was written; a client that leaves learns
 // nothing.
 func TestRefusedAndUnknown(t *testing.T) {
-	with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
+	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		s.TurnAway(true)
 		o, _ := w.Accept(ctx, job("j", "s"))
 		c.Assert(o, qt.Equals, jobstore.Refused)
@@ -121,7 +121,7 @@
 // A store that breaks all connections is not called as fast as it does so: each
 // call costs, and all hosts make them at once.
 func TestBrokenConnectionsAreNotTriedAtOnce(t *testing.T) {
-	with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
+	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		var writes atomic.Int32
 		s.SetFault(func(store.Transaction) cellfake.StoreFault {
 			writes.Add(1)
@@ -139,7 +139,7 @@
 }
 
 func TestStateFromTheStore(t *testing.T) {
-	with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
+	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		_, known, err := jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
 		c.Assert(known, qt.IsFalse)
@@ -170,7 +170,7 @@
 		{"another team", "a", "b", jobstore.Conflict},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			with(t, func(ctx context.Context, c *qt.C, _ *cellfake.Store, w *jobstore.Writer) {
+			withWriter(t, func(ctx context.Context, c *qt.C, _ *cellfake.Store, w *jobstore.Writer) {
 				j := job("j", "s")
 				j.Team = x.kept
 				o, _ := w.Accept(ctx, j)
@@ -187,7 +187,7 @@
 
 // Whose a job is can be read from the store as long as it can be asked about.
 func TestTeamFromTheStore(t *testing.T) {
-	with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
+	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		j := job("j", "s")
 		j.Team = "a"
 		_, err := w.Accept(ctx, j)
@@ -216,8 +216,8 @@
 	})
 }
 
-// A usualJob is like most that clients hand in, with a short spec.
-func usualJob() sched.Job {
+// A typicalJob is like most that clients hand in, with a short spec.
+func typicalJob() sched.Job {
 	return sched.Job{
 		ID:       "5c0e7a21d94b36f8",
 		Queue:    "r-xft2ez8",
@@ -239,7 +239,7 @@
 // Guards against rows that are mostly names of fields that are zero: at a take-over the
 // leader reads a row of each job over its link, and later those of all new ones.
 func TestRowsOfJobsAreShort(t *testing.T) {
-	b, err := jobstore.EncodeJob(usualJob())
+	b, err := jobstore.EncodeJob(typicalJob())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, len(b) < 180, qt.IsTrue, qt.Commentf("%d bytes", len(b)))
 }
@@ -247,8 +247,8 @@
 // Guards against a client's retry that is taken for another job since the row was written
 // by a host of the release before.
 func TestRowOfTheReleaseBeforeIsTheSameJob(t *testing.T) {
-	with(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
-		j := usualJob()
+	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
+		j := typicalJob()
 		b, err := msgpack.Marshal(&j)
 		c.Assert(err, qt.IsNil)
 		row, err := jobstore.JobRow(w.Partition, j)
--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// batchMost is how many jobs one transaction keeps: each is a condition
+	// maxBatchJobs is how many jobs one transaction keeps: each is a condition
 	// and a row, and the store takes 100 of both together.
-	batchMost = 48
-	// batchBytes bounds the rows of a transaction; the store takes 1 MB, and
+	maxBatchJobs = 48
+	// maxBatchBytes bounds the rows of a transaction; the store takes 1 MB, and
 	// base64 adds a third.
-	batchBytes = 600 << 10
-	// queueMost bounds the jobs that wait for their write.
-	queueMost = 2048
-	// pauseFirst is between tries that the store refused, or whose connection
+	maxBatchBytes = 600 << 10
+	// maxQueuedJobs bounds the jobs that wait for their write.
+	maxQueuedJobs = 2048
+	// minRetryDelay is between tries that the store refused, or whose connection
 	// broke: some usual writes. It doubles up to pauseMost while they go on
 	// failing, which is how much later than the store a host is back.
-	pauseFirst = 40 * time.Millisecond
-	pauseMost  = 250 * time.Millisecond
-	// triesAtOnce is how many tries of a write are waited for side by side, and
+	minRetryDelay = 40 * time.Millisecond
+	maxRetryDelay = 250 * time.Millisecond
+	// maxAttempts is how many tries of a write are waited for side by side, and
 	// writeWithin for how long: two thirds of what clients wait in all.
-	triesAtOnce = 3
-	writeWithin = 2 * time.Second
+	maxAttempts  = 3
+	writeTimeout = 2 * time.Second
 )
 
 // A Writer keeps jobs in a host's own partition, so that hosts do not wait for
@@ -45,17 +45,17 @@
 	// another one is sent.
 	Timeout func() time.Duration
 
-	queue chan *entry
-	delay time.Duration // before the next try after one that failed
+	queue      chan *pendingJob
+	retryDelay time.Duration // before the next try after one that failed
 }
 
-// An entry is a job that is to be kept.
-type entry struct {
-	ctx   context.Context //nolint:containedctx // of the client's call, which the write outlives
-	job   sched.Job
-	value []byte
-	tried bool
-	done  chan result
+// An pendingJob is a job that is to be kept.
+type pendingJob struct {
+	ctx       context.Context //nolint:containedctx // of the client's call, which the write outlives
+	job       sched.Job
+	value     []byte
+	attempted bool
+	done      chan result
 }
 
 type result struct {
@@ -65,7 +65,7 @@
 
 // NewWriter returns a writer; Run must be called.
 func NewWriter(w Writer) *Writer {
-	w.queue = make(chan *entry, queueMost)
+	w.queue = make(chan *pendingJob, maxQueuedJobs)
 	return &w
 }
 
@@ -80,7 +80,7 @@
 		// It would be refused, and with it all that share its write.
 		return TooLarge, nil
 	}
-	e := &entry{
+	e := &pendingJob{
 		ctx:   ctx,
 		job:   j,
 		value: v,
@@ -102,7 +102,7 @@
 
 // Run writes until ctx ends.
 func (w *Writer) Run(ctx context.Context) {
-	var batch []*entry
+	var batch []*pendingJob
 	for {
 		if len(batch) == 0 {
 			select {
@@ -112,7 +112,7 @@
 				return
 			}
 		}
-		batch = dropLeft(w.fill(batch))
+		batch = dropAbandoned(w.fillBatch(batch))
 		if len(batch) == 0 {
 			continue
 		}
@@ -123,13 +123,13 @@
 	}
 }
 
-// fill adds what waits to a batch.
-func (w *Writer) fill(batch []*entry) []*entry {
+// fillBatch adds what waits to a batch.
+func (w *Writer) fillBatch(batch []*pendingJob) []*pendingJob {
 	size := 0
 	for _, e := range batch {
 		size += len(e.value)
 	}
-	for len(batch) < batchMost && size < batchBytes {
+	for len(batch) < maxBatchJobs && size < maxBatchBytes {
 		select {
 		case e := <-w.queue:
 			batch = append(batch, e)
@@ -141,8 +141,8 @@
 	return batch
 }
 
-// dropLeft drops the jobs whose clients no longer wait for an answer.
-func dropLeft(batch []*entry) []*entry {
+// dropAbandoned drops the jobs whose clients no longer wait for an answer.
+func dropAbandoned(batch []*pendingJob) []*pendingJob {
 	kept := batch[:0]
 	for _, e := range batch {
 		if e.ctx.Err() == nil {
@@ -153,62 +153,62 @@
 }
 
 // write tries to keep a batch, and returns the jobs that are still to be kept.
-func (w *Writer) write(ctx context.Context, batch []*entry) []*entry {
-	batch = unique(batch)
+func (w *Writer) write(ctx context.Context, batch []*pendingJob) []*pendingJob {
+	batch = dropDuplicates(batch)
 	t := w.transaction(batch)
-	c, cancel := context.WithTimeout(ctx, writeWithin)
+	c, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	r, _, err := store.CommitHedged(c, w.Store, t, store.HedgePolicy{
 		First:    w.Timeout(),
-		Max:      writeWithin,
-		Attempts: triesAtOnce,
+		Max:      writeTimeout,
+		Attempts: maxAttempts,
 	})
 	switch {
 	case errors.Is(err, store.ErrRefused):
-		return w.refused(ctx, batch, err)
+		return w.rejectBatch(ctx, batch, err)
 	case err != nil:
 		for _, e := range batch {
-			e.tried = true
+			e.attempted = true
 		}
 		if !errors.Is(err, context.DeadlineExceeded) {
-			w.rest(ctx) // else it has been waited for long enough
+			w.backOff(ctx) // else it has been waited for long enough
 		}
 		return batch
 	case r.Applied:
-		w.delay = 0
+		w.retryDelay = 0
 		for _, e := range batch {
 			e.settle(Accepted, nil)
 		}
 		return nil
 	default:
-		w.delay = 0
-		return w.settleKnown(batch, r.Current)
+		w.retryDelay = 0
+		return w.settleExisting(batch, r.Current)
 	}
 }
 
-// refused gives the jobs back at once: others may be able to keep them. Those
+// rejectBatch gives the jobs back at once: others may be able to keep them. Those
 // that an earlier write has tried may be kept already and are tried on.
-func (w *Writer) refused(ctx context.Context, batch []*entry, err error) []*entry {
-	var rest []*entry
+func (w *Writer) rejectBatch(ctx context.Context, batch []*pendingJob, err error) []*pendingJob {
+	var rest []*pendingJob
 	for _, e := range batch {
-		if !e.tried {
+		if !e.attempted {
 			e.settle(Refused, err)
 			continue
 		}
 		rest = append(rest, e)
 	}
-	w.rest(ctx)
+	w.backOff(ctx)
 	return rest
 }
 
-// rest pauses after a try that failed, for longer each time.
-func (w *Writer) rest(ctx context.Context) {
-	w.delay = min(max(2*w.delay, pauseFirst), pauseMost)
-	pause.For(ctx, w.delay)
+// backOff pauses after a try that failed, for longer each time.
+func (w *Writer) backOff(ctx context.Context) {
+	w.retryDelay = min(max(2*w.retryDelay, minRetryDelay), maxRetryDelay)
+	pause.For(ctx, w.retryDelay)
 }
 
-// unique answers the second of two equal entries like a retry: later.
-func unique(batch []*entry) []*entry {
+// dropDuplicates answers the second of two equal entries like a retry: later.
+func dropDuplicates(batch []*pendingJob) []*pendingJob {
 	seen := map[spoolsill.JobID]bool{}
 	kept := batch[:0]
 	for _, e := range batch {
@@ -222,7 +222,7 @@
 	return kept
 }
 
-func (w *Writer) transaction(batch []*entry) store.Transaction {
+func (w *Writer) transaction(batch []*pendingJob) store.Transaction {
 	var t store.Transaction
 	for _, e := range batch {
 		k := jobKey(w.Partition, e.job.ID)
@@ -237,15 +237,15 @@
 	return t
 }
 
-// settleKnown answers the jobs whose rows are there already.
-func (w *Writer) settleKnown(batch []*entry, current []store.Row) []*entry {
+// settleExisting answers the jobs whose rows are there already.
+func (w *Writer) settleExisting(batch []*pendingJob, current []store.Row) []*pendingJob {
 	there := map[string]store.Row{}
 	for _, r := range current {
 		if r.Version > 0 {
 			there[r.Key.Name] = r
 		}
 	}
-	var rest []*entry
+	var rest []*pendingJob
 	for _, e := range batch {
 		r, ok := there[string(e.job.ID)]
 		if !ok {
@@ -256,12 +256,12 @@
 			e.settle(Accepted, nil)
 			continue
 		}
-		e.settle(compare(e.job, r.Value))
+		e.settle(compareStored(e.job, r.Value))
 	}
 	return rest
 }
 
-func (e *entry) settle(o Outcome, err error) {
+func (e *pendingJob) settle(o Outcome, err error) {
 	e.done <- result{
 		outcome: o,
 		err:     err,
--- a/store/connection.go
+++ b/store/connection.go
@@ -2,26 +2,26 @@
 
 import "context"
 
-// newConnection is the key of contexts of calls that want a new connection.
-type newConnection struct{}
+// newConnectionKey is the context key for calls that need a new connection.
+type newConnectionKey struct{}
 
-// withNewConnection returns a context for a call that follows one without an
-// answer.
+// withNewConnection returns a context for a call that must use a new connection, since
+// an earlier call had no response.
 func withNewConnection(ctx context.Context) context.Context {
-	return context.WithValue(ctx, newConnection{}, true)
+	return context.WithValue(ctx, newConnectionKey{}, true)
 }
 
-// withAnyConnection returns a context for calls that follow one over a new
-// connection.
+// withAnyConnection returns a context for calls that may use any connection again, after
+// one over a new connection has succeeded.
 func withAnyConnection(ctx context.Context) context.Context {
-	return context.WithValue(ctx, newConnection{}, false)
+	return context.WithValue(ctx, newConnectionKey{}, false)
 }
 
-// WantsNewConnection reports whether a call must not go over a connection that is
-// open already: an earlier call is overdue, and its connection may have gone silent
-// together with all that were open then. A client should close those that are idle:
-// if it took them one after the other, it would lose a call to each.
+// WantsNewConnection reports whether a call must not use a connection that is already
+// open: an earlier call is overdue, and its connection may have stalled together with
+// all others that were open then. A client should close its idle connections, since
+// otherwise each of them could cost another call.
 func WantsNewConnection(ctx context.Context) bool {
-	wants, _ := ctx.Value(newConnection{}).(bool)
+	wants, _ := ctx.Value(newConnectionKey{}).(bool)
 	return wants
 }
--- a/store/connection_test.go
+++ b/store/connection_test.go
@@ -15,27 +15,27 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A pooledStore calls over a pool of open connections, which may all have gone
-// silent; a call that wants a new one has the others closed.
+// A pooledStore simulates a pool of open connections, some of which may be stalled. A call
+// that needs a new connection closes the others.
 type pooledStore struct {
 	store.Store
-	limit time.Duration // of reads over a connection that is silent
+	limit time.Duration // timeout of reads over a stalled connection
 	mu    sync.Mutex
-	// silent is how many open connections are.
-	silent int
-	opened int
+	// stalled is the number of open connections that are stalled.
+	stalled int
+	opened  int
 }
 
-// open reports whether the call goes over a connection that answers.
+// open reports whether the call uses a connection that works.
 func (s *pooledStore) open(ctx context.Context) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if store.WantsNewConnection(ctx) {
-		s.silent = 0
+		s.stalled = 0
 		s.opened++
 	}
-	if s.silent > 0 {
-		s.silent--
+	if s.stalled > 0 {
+		s.stalled--
 		return false
 	}
 	return true
@@ -57,31 +57,31 @@
 	return s.Store.Feed(ctx, table, after, wait)
 }
 
-// A write whose connection is silent goes over a new one once it is overdue, and
-// one that is answered in time never does.
-func TestPatienceWithSilentConnections(t *testing.T) {
+// A write on a stalled connection is repeated on a new one when it is overdue. A write
+// that is answered in time opens no new connection.
+func TestCommitHedgedStalledConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &pooledStore{
 			Store: cellfake.NewStore(),
 		}
-		_, _, err := store.CommitHedged(t.Context(), s, put("a"), patience)
+		_, _, err := store.CommitHedged(t.Context(), s, insertRow("a"), hedgePolicy)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, s.opened, qt.Equals, 0)
-		s.silent = 8
+		s.stalled = 8
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
-		begun := time.Now()
-		r, _, err := store.CommitHedged(ctx, s, put("b"), patience)
+		start := time.Now()
+		r, _, err := store.CommitHedged(ctx, s, insertRow("b"), hedgePolicy)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, r.Applied, qt.IsTrue)
-		qt.Check(t, time.Since(begun) < 2*patience.First, qt.IsTrue, qt.Commentf("written after %s", time.Since(begun)))
+		qt.Check(t, time.Since(start) < 2*hedgePolicy.First, qt.IsTrue, qt.Commentf("written after %s", time.Since(start)))
 		qt.Check(t, s.opened, qt.Equals, 1)
 	})
 }
 
-// A feed whose connection is silent loses one call, however many others are. One
-// that is refused has no reason for a new connection.
-func TestFollowerWithSilentConnections(t *testing.T) {
+// A feed loses only one call to stalled connections, regardless of their number. A refused
+// call opens no new connection.
+func TestWatcherStalledConnections(t *testing.T) {
 	const (
 		wait  = time.Second
 		limit = 2 * time.Second
@@ -113,13 +113,13 @@
 		pause.For(ctx, 3*time.Second)
 		qt.Check(t, s.opened, qt.Equals, 0)
 		s.mu.Lock()
-		s.silent = 8
+		s.stalled = 8
 		s.mu.Unlock()
 		for range 300 {
 			pause.For(ctx, 100*time.Millisecond)
 			oldest = max(oldest, f.Age(time.Now()))
 		}
-		qt.Check(t, oldest < 2*wait+limit, qt.IsTrue, qt.Commentf("what was told was %s old", oldest))
+		qt.Check(t, oldest < 2*wait+limit, qt.IsTrue, qt.Commentf("the state was %s old", oldest))
 		qt.Check(t, s.opened, qt.Equals, 1)
 		cancel()
 		<-done
--- a/store/patience_test.go
+++ b/store/hedge_test.go
@@ -13,7 +13,7 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-func put(name string) store.Transaction {
+func insertRow(name string) store.Transaction {
 	k := store.Key{
 		Table:     table,
 		Partition: "cell",
@@ -34,31 +34,31 @@
 	}
 }
 
-var patience = store.HedgePolicy{
+var hedgePolicy = store.HedgePolicy{
 	First:    150 * time.Millisecond,
 	Max:      time.Second,
 	Attempts: 4,
 }
 
-// The first try of a store that is slow is not given up: its answer is taken, and
-// the store's next transactions do not wait behind more tries than were sent.
-func TestPatienceWithASlowStore(t *testing.T) {
+// With a slow store the first attempt is not cancelled, and its response is the one that
+// is returned.
+func TestCommitHedgedSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := cellfake.NewStore()
 		s.Slow(800 * time.Millisecond)
-		begun := time.Now()
-		r, took, err := store.CommitHedged(t.Context(), s, put("a"), patience)
+		start := time.Now()
+		r, took, err := store.CommitHedged(t.Context(), s, insertRow("a"), hedgePolicy)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, r.Applied, qt.IsTrue)
-		qt.Assert(t, took, qt.Equals, time.Since(begun))
+		qt.Assert(t, took, qt.Equals, time.Since(start))
 		qt.Assert(t, took < time.Second, qt.IsTrue)
 		synctest.Wait()
 	})
 }
 
-// Of a store that loses an answer the next try tells, by its conditions, what the
-// first one did; and how long that try took says nothing about the first.
-func TestPatienceWithALostAnswer(t *testing.T) {
+// If a response is lost, the conditions of the next attempt fail and show that the first
+// one was applied. The returned duration is that of the next attempt only.
+func TestCommitHedgedLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := cellfake.NewStore()
 		var tries atomic.Int32
@@ -68,7 +68,7 @@
 			}
 			return cellfake.StoreWell
 		})
-		r, took, err := store.CommitHedged(t.Context(), s, put("a"), patience)
+		r, took, err := store.CommitHedged(t.Context(), s, insertRow("a"), hedgePolicy)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, r.Applied, qt.IsFalse)
 		qt.Assert(t, string(r.Current[0].Value), qt.Equals, "x")
@@ -76,8 +76,8 @@
 	})
 }
 
-// A refusal is certain only if every try was refused.
-func TestPatienceTellsWhatIsCertain(t *testing.T) {
+// The error is ErrRefused only if every attempt was refused.
+func TestCommitHedgedErrors(t *testing.T) {
 	for name, test := range map[string]struct {
 		faults []cellfake.StoreFault
 		want   error
@@ -94,7 +94,7 @@
 			})
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
-			_, _, err := store.CommitHedged(ctx, s, put("a"), patience)
+			_, _, err := store.CommitHedged(ctx, s, insertRow("a"), hedgePolicy)
 			qt.Assert(t, err, qt.ErrorIs, test.want, qt.Commentf("%s", name))
 			qt.Assert(t, int(tries.Load()), qt.Equals, len(test.faults), qt.Commentf("%s", name))
 		})
--- a/store/pace_test.go
+++ b/store/limiter_test.go
@@ -15,17 +15,17 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A queuedStore answers over a link that carries one byte after the other.
-type queuedStore struct {
+// A slowLinkStore sends all responses over one link with a limited rate.
+type slowLinkStore struct {
 	store.Store
-	rate int // bytes a second
+	rate int // bytes per second
 
 	mu   sync.Mutex
 	free time.Time
 }
 
-// carry returns when n bytes have come, behind all that were sent before.
-func (s *queuedStore) carry(ctx context.Context, n int) {
+// transfer waits until n bytes have been sent after everything that is queued already.
+func (s *slowLinkStore) transfer(ctx context.Context, n int) {
 	s.mu.Lock()
 	if s.free.Before(time.Now()) {
 		s.free = time.Now()
@@ -37,26 +37,27 @@
 }
 
 // List implements store.Store.
-func (s *queuedStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
+func (s *slowLinkStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
 	p, err := s.Store.List(ctx, table, partition, from, limit)
 	n := 0
 	for _, r := range p.Rows {
 		n += 60 + len(r.Key.Name) + len(r.Value)*4/3
 	}
-	s.carry(ctx, n)
+	s.transfer(ctx, n)
 	return p, err
 }
 
 // Commit implements store.Store.
-func (s *queuedStore) Commit(ctx context.Context, t store.Transaction) (store.Result, error) {
+func (s *slowLinkStore) Commit(ctx context.Context, t store.Transaction) (store.Result, error) {
 	r, err := s.Store.Commit(ctx, t)
-	s.carry(ctx, 200)
+	s.transfer(ctx, 200)
 	return r, err
 }
 
-// slowestWrite lists, at a pace of so many bytes, a table of 1,400 rows of a kilobyte over a link of 2 Mbit/s, and
-// returns how long the slowest answer to a write took meanwhile, and the listing.
-func slowestWrite(t *testing.T, pace int) (write, listing time.Duration) {
+// slowestWrite lists a table of 1,400 rows of 1 KB over a 2 Mbit/s link, with at most
+// inFlight bytes in flight. It returns the longest duration of a concurrent write and the
+// duration of the listing.
+func slowestWrite(t *testing.T, inFlight int) (write, listing time.Duration) {
 	const partitions = 12
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -72,7 +73,7 @@
 				Value: make([]byte, 1000),
 			})
 		}
-		s := &queuedStore{
+		s := &slowLinkStore{
 			Store: inner,
 			rate:  250_000,
 		}
@@ -81,7 +82,7 @@
 			Store:  s,
 			Table:  "jobs",
 			Wait:   time.Second,
-			Pace:   store.NewReadLimiter(pace),
+			Pace:   store.NewReadLimiter(inFlight),
 			Listed: func(rows []store.Row) { listed <- len(rows) },
 		}
 		var running sync.WaitGroup
@@ -109,24 +110,24 @@
 	return write, listing
 }
 
-// What happened: a leader that had just taken over read all jobs over a link of 2
-// Mbit/s, eight whole pages at once. The answers to its own writes came behind them,
-// each write waits for the one before, and a leader's row that has not changed for
-// 0.35 s has others take over: they did, read all jobs anew, and so on. Of four
-// leaders in 8.4 s none had read all but the last, which took 10.3 s. At a pace of
-// 0.15 s of the link a write is answered well within what others wait, and the
-// listing takes no longer, since it is the link that it waits for.
-func TestAPacedListingLeavesRoomForWrites(t *testing.T) {
+// Guards against listings that delay the leader's writes so long that it is replaced. A
+// new leader read all jobs over a 2 Mbit/s link with eight concurrent whole pages, and
+// the responses to its own writes queued behind them. Each write waits for the previous
+// one, and another host takes over when the leader's row is unchanged for 0.35 s. Each of
+// four leaders within 8.4 s started to read all jobs again; only the last one finished,
+// after 10.3 s. With 0.15 s of the link's capacity in flight, writes are answered in time
+// and the listing, which is bound by the link, takes no longer.
+func TestReadLimiterLeavesBandwidthForWrites(t *testing.T) {
 	c := qt.New(t)
-	unpaced, whole := slowestWrite(t, 0)
-	t.Logf("unpaced: a write takes %v at most, the listing %v", unpaced, whole)
-	c.Check(unpaced > time.Second, qt.IsTrue)
-	paced, listing := slowestWrite(t, 37_500)
-	t.Logf("paced: a write takes %v at most, the listing %v", paced, listing)
-	c.Check(paced < 300*time.Millisecond, qt.IsTrue)
+	unlimited, whole := slowestWrite(t, 0)
+	t.Logf("without limit: a write takes at most %v, the listing %v", unlimited, whole)
+	c.Check(unlimited > time.Second, qt.IsTrue)
+	limited, listing := slowestWrite(t, 37_500)
+	t.Logf("with limit: a write takes at most %v, the listing %v", limited, listing)
+	c.Check(limited < 300*time.Millisecond, qt.IsTrue)
 	c.Check(listing < whole*11/10, qt.IsTrue)
 }
 
-func TestAPaceOfNothingBoundsNothing(t *testing.T) {
+func TestNewReadLimiterOfZero(t *testing.T) {
 	qt.Assert(t, store.NewReadLimiter(0), qt.IsNil)
 }
--- a/store/list.go
+++ b/store/list.go
@@ -11,104 +11,105 @@
 	"github.com/spoolsill/spoolsill/internal/clock"
 )
 
-// listsAtOnce bounds the partitions that are read side by side.
-const listsAtOnce = 8
+// maxConcurrentLists bounds the partitions that are read concurrently.
+const maxConcurrentLists = 8
 
-// A PartitionReader reads a partition page by page. After a failed call it goes on where
-// it was: a store that refuses some calls would else never be read to the end.
+// A PartitionReader reads a partition page by page. After a failed call it resumes at
+// the same page: a partition could otherwise never be read completely from a store that
+// refuses some calls.
 type PartitionReader struct {
 	Store     Store
 	Table     string
 	Partition string
-	// Pace bounds what is read at once; nil bounds nothing.
+	// Pace limits concurrent reads; nil means no limit.
 	Pace *ReadLimiter
 
-	rows  []Row
-	least Version // of the pages
-	from  string
-	begun bool
-	done  bool
+	rows       []Row
+	minVersion Version // of the pages read so far
+	next       string
+	started    bool
+	done       bool
 }
 
-// ReadAll returns all rows of the partition and the least version as of which a
-// page was read: a feed that goes on from it misses no change, also when the
-// store answers a later call with an older state. It may be called again after
-// an error, not by several goroutines at once.
-func (l *PartitionReader) ReadAll(ctx context.Context) ([]Row, Version, error) {
-	for !l.done {
-		p, err := l.page(ctx)
+// ReadAll returns all rows of the partition and the lowest version of its pages. A feed
+// from that version misses no change, even if the store answered a later call from an
+// older state. ReadAll may be called again after an error. It is not safe for concurrent
+// use.
+func (r *PartitionReader) ReadAll(ctx context.Context) ([]Row, Version, error) {
+	for !r.done {
+		p, err := r.readPage(ctx)
 		if err != nil {
 			return nil, 0, err
 		}
-		l.take(p)
+		r.add(p)
 	}
-	return l.rows, l.least, nil
+	return r.rows, r.minVersion, nil
 }
 
-// page reads the next page.
-func (l *PartitionReader) page(ctx context.Context) (Page, error) {
-	limit, err := l.Pace.enter(ctx)
+// readPage reads the next page.
+func (r *PartitionReader) readPage(ctx context.Context) (Page, error) {
+	limit, err := r.Pace.acquire(ctx)
 	if err != nil {
 		return Page{}, err
 	}
-	p, err := l.Store.List(ctx, l.Table, l.Partition, l.from, limit)
-	l.Pace.leave(p.Rows)
+	p, err := r.Store.List(ctx, r.Table, r.Partition, r.next, limit)
+	r.Pace.release(p.Rows)
 	return p, err
 }
 
-func (l *PartitionReader) take(p Page) {
-	if !l.begun {
-		l.begun = true
-		l.least = p.Version
+func (r *PartitionReader) add(p Page) {
+	if !r.started {
+		r.started = true
+		r.minVersion = p.Version
 	}
-	l.least = min(l.least, p.Version)
-	l.rows = append(l.rows, p.Rows...)
+	r.minVersion = min(r.minVersion, p.Version)
+	r.rows = append(r.rows, p.Rows...)
 	if !p.More || len(p.Rows) == 0 {
-		l.done = true
+		r.done = true
 		return
 	}
-	l.from = p.Rows[len(p.Rows)-1].Key.Name + "\x00"
+	r.next = p.Rows[len(p.Rows)-1].Key.Name + "\x00"
 }
 
-// A tableListing reads all partitions of a table. Like a [PartitionReader] it goes on
+// A tableReader reads all partitions of a table. Like a [PartitionReader] it resumes
 // after an error.
-type tableListing struct {
-	store Store
-	table string
-	clock *clock.Clock
-	pace  *ReadLimiter
-	// first was read before all rows, so that a feed that goes on from it
-	// misses no change of partitions that are made meanwhile.
-	first Version
-	begun bool
-	began time.Time // when the first call was sent
-	parts map[string]*PartitionReader
+type tableReader struct {
+	store   Store
+	table   string
+	clock   *clock.Clock
+	limiter *ReadLimiter
+	// firstVersion was read before any partition, so that a feed from it also has the
+	// changes in partitions that are created during the reading.
+	firstVersion Version
+	started      bool
+	startTime    time.Time // when the first call was sent
+	readers      map[string]*PartitionReader
 }
 
-func newTableListing(s Store, table string, c *clock.Clock, p *ReadLimiter) *tableListing {
-	return &tableListing{
-		store: s,
-		table: table,
-		clock: c,
-		pace:  p,
-		parts: map[string]*PartitionReader{},
+func newTableReader(s Store, table string, c *clock.Clock, l *ReadLimiter) *tableReader {
+	return &tableReader{
+		store:   s,
+		table:   table,
+		clock:   c,
+		limiter: l,
+		readers: map[string]*PartitionReader{},
 	}
 }
 
-// readAll returns all rows of the table, and the version to go on from: the
-// least of all answers. When it is before first, a page lacks what the first
-// answer had.
-func (t *tableListing) readAll(ctx context.Context) ([]Row, Version, error) {
-	if t.began.IsZero() {
-		t.began = t.clock.Now()
+// readAll returns all rows of the table and the version to continue from, which is the
+// lowest of all responses. If it is less than firstVersion, some page was read from an
+// older state than the first response.
+func (t *tableReader) readAll(ctx context.Context) ([]Row, Version, error) {
+	if t.startTime.IsZero() {
+		t.startTime = t.clock.Now()
 	}
-	if !t.begun {
+	if !t.started {
 		p, err := t.store.List(ctx, t.table, "", "", 1)
 		if err != nil {
 			return nil, 0, err
 		}
-		t.begun = true
-		t.first = p.Version
+		t.started = true
+		t.firstVersion = p.Version
 	}
 	names, err := t.store.Partitions(ctx, t.table)
 	if err != nil {
@@ -117,38 +118,39 @@
 	ctx = withAnyConnection(ctx)
 	pages := make([][]Row, len(names))
 	versions := make([]Version, len(names))
-	failed := make([]error, len(names))
+	errs := make([]error, len(names))
 	var g errgroup.Group
-	g.SetLimit(listsAtOnce)
+	g.SetLimit(maxConcurrentLists)
 	for i, name := range names {
-		l := t.part(name)
+		r := t.reader(name)
 		g.Go(func() error {
-			// One that fails does not end the others: what they read is kept.
-			pages[i], versions[i], failed[i] = l.ReadAll(ctx)
+			// An error does not cancel the other readers, which keep what they
+			// have read.
+			pages[i], versions[i], errs[i] = r.ReadAll(ctx)
 			return nil
 		})
 	}
 	_ = g.Wait() // always nil
-	if err := errors.Join(failed...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return nil, 0, err
 	}
-	at := t.first
+	version := t.firstVersion
 	for _, v := range versions {
-		at = min(at, v)
+		version = min(version, v)
 	}
-	return slices.Concat(pages...), at, nil
+	return slices.Concat(pages...), version, nil
 }
 
-func (t *tableListing) part(name string) *PartitionReader {
-	l := t.parts[name]
-	if l == nil {
-		l = &PartitionReader{
+func (t *tableReader) reader(name string) *PartitionReader {
+	r := t.readers[name]
+	if r == nil {
+		r = &PartitionReader{
 			Store:     t.store,
 			Table:     t.table,
 			Partition: name,
-			Pace:      t.pace,
+			Pace:      t.limiter,
 		}
-		t.parts[name] = l
+		t.readers[name] = r
 	}
-	return l
+	return r
 }
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -17,25 +17,24 @@
 )
 
 const (
-	table      = "jobs"
-	partitions = 40
-	rowsEach   = 3
+	table            = "jobs"
+	partitions       = 40
+	rowsPerPartition = 3
 )
 
-// A crowdedStore refuses one listing in a few, as a store does that takes more
-// calls than it can answer.
-type crowdedStore struct {
+// An overloadedStore refuses a fixed share of the calls to List.
+type overloadedStore struct {
 	store.Store
 	mu    sync.Mutex
 	calls int
-	// refuses is one in how many listings.
-	refuses int
+	// refuseEvery is the number of calls of which the last is refused.
+	refuseEvery int
 }
 
-func (s *crowdedStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
+func (s *overloadedStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
 	s.mu.Lock()
 	s.calls++
-	refused := s.calls%s.refuses == 0
+	refused := s.calls%s.refuseEvery == 0
 	s.mu.Unlock()
 	if refused {
 		return store.Page{}, store.ErrRefused
@@ -43,9 +42,9 @@
 	return s.Store.List(ctx, table, partition, from, limit)
 }
 
-func fill(s *cellfake.Store) {
+func putRows(s *cellfake.Store) {
 	for p := range partitions {
-		for r := range rowsEach {
+		for r := range rowsPerPartition {
 			s.Put(store.Put{
 				Key: store.Key{
 					Table:     table,
@@ -58,16 +57,16 @@
 	}
 }
 
-// A table of many partitions is read to its end though many a listing is refused,
-// and what changes meanwhile is not missed.
-func TestFollowerListsATableThatIsCrowded(t *testing.T) {
+// A table of many partitions is read completely although the store refuses every fifth
+// call, and changes during the listing are not missed.
+func TestWatcherListsFromOverloadedStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		inner := cellfake.NewStore()
-		fill(inner)
-		s := &crowdedStore{
-			Store:   inner,
-			refuses: 5,
+		putRows(inner)
+		s := &overloadedStore{
+			Store:       inner,
+			refuseEvery: 5,
 		}
 		seen := map[string]bool{}
 		listings := 0
@@ -101,27 +100,27 @@
 		cancel()
 		<-done
 		qt.Assert(t, listings, qt.Equals, 1)
-		qt.Assert(t, seen, qt.HasLen, partitions*rowsEach+1)
-		// Each page is asked for again only when it was refused.
+		qt.Assert(t, seen, qt.HasLen, partitions*rowsPerPartition+1)
+		// Only refused pages are requested again.
 		qt.Assert(t, s.calls < 2*partitions, qt.IsTrue)
 	})
 }
 
-// What a listing that had to go on says it has heard is no more than what its first
-// pages show: a row that came between two calls is told of by the feed only.
-func TestCrowdedListingDoesNotClaimWhatCameMeanwhile(t *testing.T) {
+// The time passed to Synced after a listing that was resumed must not be later than its
+// first call: only the feed reports rows that were written between its calls.
+func TestWatcherSyncedAfterResumedListing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		inner := cellfake.NewStore()
-		fill(inner)
+		putRows(inner)
 		var mu sync.Mutex
 		written := map[string]time.Time{}
 		seen := map[string]bool{}
 		var missed []string
 		f := store.Watcher{
-			Store: &crowdedStore{
-				Store:   inner,
-				refuses: 5,
+			Store: &overloadedStore{
+				Store:       inner,
+				refuseEvery: 5,
 			},
 			Table: table,
 			Wait:  time.Second,
@@ -164,12 +163,12 @@
 		cancel()
 		<-done
 		qt.Assert(t, missed, qt.HasLen, 0)
-		qt.Assert(t, seen, qt.HasLen, partitions*rowsEach+100)
+		qt.Assert(t, seen, qt.HasLen, partitions*rowsPerPartition+100)
 	})
 }
 
-// A listing that failed goes on where it was.
-func TestListingGoesOnAfterAFailure(t *testing.T) {
+// ReadAll resumes at the page that failed.
+func TestPartitionReaderResumesAfterError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inner := cellfake.NewStore()
 		const rows = 1700
@@ -182,9 +181,9 @@
 				},
 			})
 		}
-		s := &crowdedStore{
-			Store:   inner,
-			refuses: 2,
+		s := &overloadedStore{
+			Store:       inner,
+			refuseEvery: 2,
 		}
 		l := store.PartitionReader{
 			Store:     s,
@@ -207,16 +206,16 @@
 	})
 }
 
-// A behindStore answers the first listing of a whole partition with a page that
-// was read earlier, as a store does whose reads may be behind its newest state.
-type behindStore struct {
+// A staleStore answers the first listing of a partition with an older page, as a store
+// does whose reads may be stale.
+type staleStore struct {
 	store.Store
 	mu sync.Mutex
-	// old has such pages by partition.
+	// old maps partitions to these pages.
 	old map[string]store.Page
 }
 
-func (s *behindStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
+func (s *staleStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
 	p, err := s.Store.List(ctx, table, partition, from, limit)
 	if err != nil {
 		return p, err
@@ -230,14 +229,13 @@
 	return p, nil
 }
 
-// A page that is older than the first answer of a listing does not hide what
-// changed between the two: the feed tells of it, and until then nobody is told
-// that it has been heard.
-func TestFollowerTakesAPageThatIsBehind(t *testing.T) {
+// If a page is older than the first response of a listing, the feed reports the changes
+// between the two, and Synced is not called before that.
+func TestWatcherStalePage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		inner := cellfake.NewStore()
-		fill(inner)
+		putRows(inner)
 		old, err := inner.List(ctx, table, "host7", "", 0)
 		qt.Assert(t, err, qt.IsNil)
 		inner.Put(store.Put{
@@ -253,7 +251,7 @@
 		seen := map[string]bool{}
 		early := 0
 		f := store.Watcher{
-			Store: &behindStore{
+			Store: &staleStore{
 				Store: inner,
 				old: map[string]store.Page{
 					"host7": old,
@@ -281,14 +279,14 @@
 		pause.For(ctx, 10*time.Second)
 		cancel()
 		<-done
-		qt.Check(t, len(seen), qt.Equals, partitions*rowsEach+1)
+		qt.Check(t, len(seen), qt.Equals, partitions*rowsPerPartition+1)
 		qt.Check(t, early, qt.Equals, 0)
 	})
 }
 
-// A listing names the least version of its pages, since a feed that goes on from
-// it has to tell of what changed after each of them.
-func TestListingNamesTheLeastVersion(t *testing.T) {
+// ReadAll returns the lowest version of its pages, so that a feed from it reports the
+// changes since each of them.
+func TestPartitionReaderLowestVersion(t *testing.T) {
 	s := pagesStore{
 		pages: []store.Page{
 			{
@@ -318,7 +316,7 @@
 	qt.Assert(t, v, qt.Equals, store.Version(7))
 }
 
-// A pagesStore answers listings with its pages, one after the other.
+// A pagesStore answers calls to List with its pages, in order.
 type pagesStore struct {
 	store.Store
 	pages []store.Page
@@ -345,7 +343,7 @@
 	return rows
 }
 
-// A hangingStore answers nothing about partitions while it hangs.
+// A hangingStore does not answer calls to Partitions while hangs is set.
 type hangingStore struct {
 	store.Store
 	hangs atomic.Bool
@@ -359,14 +357,13 @@
 	return s.Store.Partitions(ctx, table)
 }
 
-// The age of a feed grows while it hears nothing, also when no call of it ends and
-// none fails.
-func TestFollowerTellsItsAge(t *testing.T) {
+// Age grows while there is no response, even if calls hang and none fails.
+func TestWatcherAge(t *testing.T) {
 	const wait = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		inner := cellfake.NewStore()
-		fill(inner)
+		putRows(inner)
 		s := &hangingStore{
 			Store: inner,
 		}
@@ -388,7 +385,7 @@
 		for range 100 {
 			pause.For(ctx, 77*time.Millisecond)
 			age := f.Age(time.Now())
-			qt.Check(t, age <= 2*wait, qt.IsTrue, qt.Commentf("age %s of a feed that hears", age))
+			qt.Check(t, age <= 2*wait, qt.IsTrue, qt.Commentf("age %s while the store answers", age))
 		}
 		s.hangs.Store(true)
 		inner.Put(store.Put{
@@ -397,44 +394,43 @@
 				Name:  "forgotten",
 			},
 		})
-		inner.Forget() // so that the table is listed anew
+		inner.Forget() // causes a new listing
 		pause.For(ctx, 20*time.Second)
 		age := f.Age(time.Now())
-		qt.Check(t, age > 18*time.Second, qt.IsTrue, qt.Commentf("age %s of a feed that hangs", age))
+		qt.Check(t, age > 18*time.Second, qt.IsTrue, qt.Commentf("age %s while calls hang", age))
 		qt.Check(t, failed, qt.Equals, 0)
 		cancel()
 		<-done
 	})
 }
 
-// A forgetfulStore has no history at all.
-type forgetfulStore struct {
+// A historylessStore keeps no history: every feed fails with ErrHistoryGone.
+type historylessStore struct {
 	store.Store
 	lists atomic.Int64
 }
 
-func (s *forgetfulStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
+func (s *historylessStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
 	s.lists.Add(1)
 	return s.Store.List(ctx, table, partition, from, limit)
 }
 
-func (s *forgetfulStore) Feed(ctx context.Context, _ string, _ store.Version, _ time.Duration) (store.Changes, error) {
+func (s *historylessStore) Feed(ctx context.Context, _ string, _ store.Version, _ time.Duration) (store.Changes, error) {
 	pause.For(ctx, time.Millisecond)
 	return store.Changes{}, store.ErrHistoryGone
 }
 
-// A store that has forgotten its history whenever it is asked is listed now and
-// then, and not without a pause.
-func TestFollowerOfAStoreWithoutHistory(t *testing.T) {
+// A table of a store without history is listed repeatedly, but not continuously.
+func TestWatcherStoreWithoutHistory(t *testing.T) {
 	const (
-		lasts    = 10 * time.Second
-		listings = 50 // at most
+		duration = 10 * time.Second
+		listings = 50 // maximum
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		inner := cellfake.NewStore()
-		fill(inner)
-		s := &forgetfulStore{
+		putRows(inner)
+		s := &historylessStore{
 			Store: inner,
 		}
 		var last time.Time
@@ -456,7 +452,7 @@
 			defer close(done)
 			f.Run(ctx)
 		}()
-		pause.For(ctx, lasts)
+		pause.For(ctx, duration)
 		cancel()
 		<-done
 		calls := int(s.lists.Load())
--- a/store/store.go
+++ b/store/store.go
@@ -1,12 +1,12 @@
-// Package store is the vocabulary of the platform's versioned store: rows in
-// tables, each table divided into partitions, and transactions that apply
-// whole or not at all.
+// Package store defines the interface of the platform's versioned store and
+// operations that are built on it. The store holds rows in tables, each table is
+// divided into partitions, and transactions are atomic.
 //
-// The package moves no data. It declares what a client of the store offers
-// ([Store]) and what its failures mean. The difference that callers live by is
-// between [ErrRefused], a call that certainly had no effect, and [ErrUnknownOutcome],
-// a call that may have taken effect or may still do so seconds later if its
-// conditions still hold then.
+// The package makes no network calls. It declares what a client of the store
+// implements ([Store]) and what its errors mean. Callers must distinguish
+// [ErrRefused], after which a call certainly had no effect, from
+// [ErrUnknownOutcome], after which it may have taken effect, or may still do so
+// seconds later if its conditions hold then.
 package store
 
 import (
@@ -15,26 +15,28 @@
 	"time"
 )
 
-// The failures of a call.
+// Errors of calls to the store.
 var (
 	// ErrRefused is returned when the call certainly had no effect.
 	ErrRefused = errors.New("store: call refused")
-	// ErrUnknownOutcome is returned when no answer came: the call may have taken
-	// effect, or may do so later.
+	// ErrUnknownOutcome is returned when there was no usable response: the call may
+	// have taken effect, or may do so later.
 	ErrUnknownOutcome = errors.New("store: no answer")
-	// ErrHistoryGone is returned by a feed whose position the store no longer
-	// remembers. The caller lists the rows anew.
+	// ErrHistoryGone is returned by a feed whose position is older than the history
+	// that the store keeps. The caller must list the rows again.
 	ErrHistoryGone = errors.New("store: history is gone")
 )
 
-// A Version counts the transactions of the whole store. Each transaction gives
-// its own version to the rows that it writes. 0 means that there is no row.
+// A Version is the number of a transaction, counted over the whole store. Each
+// transaction gives its version to the rows that it writes. Version 0 means that the
+// row does not exist.
 type Version uint64
 
-// A Key names a row.
+// A Key identifies a row.
 type Key struct {
 	Table string
-	// Partition holds the rows that one transaction may touch together.
+	// Partition is the scope of transactions: each one is limited to the rows of one
+	// partition.
 	Partition string
 	Name      string
 }
@@ -44,11 +46,11 @@
 	Key     Key
 	Value   []byte
 	Version Version
-	// Deleted is set in feeds for a row that was removed.
+	// Deleted is set in feeds for a row that was deleted.
 	Deleted bool
 }
 
-// A Condition holds while a row has a version.
+// A Condition requires that a row has a version.
 type Condition struct {
 	Key     Key
 	Version Version
@@ -68,24 +70,23 @@
 	Deletes    []Key
 }
 
-// A Result answers a transaction. When it was not applied, Current has the
-// rows of its conditions as they stand.
+// A Result is the result of a transaction. If it was not applied, Current has the
+// current rows of its conditions.
 type Result struct {
 	Applied bool
 	Version Version
 	Current []Row
 }
 
-// A Page is a part of a partition's rows as of one version, in the order of
-// their names.
+// A Page is a part of a partition's rows as of one version, ordered by name.
 type Page struct {
 	Rows    []Row
 	More    bool
 	Version Version
 }
 
-// Changes are the rows of a table that changed, in order, and the version to
-// go on from.
+// Changes are the changed rows of a table, in order, and the version to continue the
+// feed from.
 type Changes struct {
 	Rows    []Row
 	Version Version
@@ -95,16 +96,17 @@
 type Store interface {
 	// Commit applies a transaction.
 	Commit(ctx context.Context, t Transaction) (Result, error)
-	// List returns at most limit rows of a partition whose names are from or
-	// later; limit 0 leaves the number to the store.
+	// List returns at most limit rows of a partition, beginning with the first whose
+	// name is not less than from. With limit 0 the store chooses the number.
 	List(ctx context.Context, table, partition, from string, limit int) (Page, error)
 	// Partitions returns the names of a table's partitions.
 	Partitions(ctx context.Context, table string) ([]string, error)
-	// Feed waits at most wait for changes of a table after a version.
+	// Feed returns the changes of a table after a version. It waits at most wait for
+	// the first one.
 	Feed(ctx context.Context, table string, after Version, wait time.Duration) (Changes, error)
 }
 
-// Get returns one row; its version is 0 when there is none.
+// Get returns a row, with version 0 if it does not exist.
 func Get(ctx context.Context, s Store, k Key) (Row, error) {
 	p, err := s.List(ctx, k.Table, k.Partition, k.Name, 1)
 	if err != nil {
