--- a/jobstore/fuzz_test.go
+++ b/jobstore/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Whatever a row of the jobs table holds, a leader that takes it in goes on: what is
-// decoded is taken in and looked at, with a progress that may not belong to it.
+// The scheduler must handle every job that DecodeJob accepts, with any progress, even
+// one that does not belong to the job. Guards against rows that make the leader panic.
 func FuzzDecodeJob(f *testing.F) {
 	for _, j := range invalidJobs() {
 		b, err := jobstore.EncodeJob(j)
@@ -47,7 +47,7 @@
 	})
 }
 
-// invalidJobs are jobs that no host accepts.
+// invalidJobs returns jobs that no host accepts.
 func invalidJobs() []sched.Job {
 	steps := func(s ...sched.Step) sched.Job {
 		return sched.Job{
@@ -82,8 +82,8 @@
 	}
 }
 
-// A row that is no job is refused, with a reason.
-func TestStrangeJobsAreNotTakenIn(t *testing.T) {
+// DecodeJob rejects invalid jobs.
+func TestDecodeJobRejectsInvalidJobs(t *testing.T) {
 	for _, j := range invalidJobs() {
 		b, err := jobstore.EncodeJob(j)
 		qt.Assert(t, err, qt.IsNil)
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -1,12 +1,12 @@
-// Package jobstore keeps jobs in the platform's store: the jobs as clients
-// handed them in, the marks of those that were cancelled, and the progress that
-// the cell's leader writes.
+// Package jobstore stores jobs in the platform's store: the jobs as submitted,
+// markers for cancelled jobs, and the progress that the cell's leader writes.
 //
-// Any host accepts and cancels jobs by itself, with writes to a partition of
-// its own; the leader learns of both by following the table. So a job that is
-// accepted lasts before its client is told, whoever leads the cell, and also
-// when nobody does. A job whose client came back to another host may lie in two
-// partitions; it is one job, and the row with the lower version counts.
+// Every host accepts and cancels jobs on its own, with writes to its own
+// partition, and the leader learns of both by watching the table. An accepted
+// job is therefore durable before its client gets the response, whichever host
+// leads the cell, and even if none does. A job that its client has submitted
+// again to another host may be in two partitions. It is one job, and the row
+// with the lower version takes precedence.
 package jobstore
 
 import (
@@ -24,20 +24,20 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// The tables.
+// Tables and partitions.
 const (
 	JobsTable     = "jobs"
 	ProgressTable = "progress"
-	// CellPartition holds what the leader writes: its own row and the
-	// progress of all jobs, so that one transaction can condition on the
-	// first and change the second.
+	// CellPartition holds the rows that the leader writes: its own row and the
+	// progress of all jobs, so that a transaction can change the progress on the
+	// condition that the leader's row is unchanged.
 	CellPartition = "cell"
 )
 
-// cancelSuffix marks the row that says that a job was cancelled.
+// cancelSuffix is added to a job's id in the name of the row that marks it as cancelled.
 const cancelSuffix = "/cancel"
 
-// jobKey returns the key of a job that a host keeps in its partition.
+// jobKey returns the key of a job in a host's partition.
 func jobKey(partition string, id spoolsill.JobID) store.Key {
 	return store.Key{
 		Table:     JobsTable,
@@ -46,7 +46,7 @@
 	}
 }
 
-// JobRow returns the row that a host keeps a job in.
+// JobRow returns the row of a job in a host's partition.
 func JobRow(partition string, j sched.Job) (store.Row, error) {
 	v, err := EncodeJob(j)
 	return store.Row{
@@ -64,19 +64,19 @@
 	}
 }
 
-// CancelledJob returns the job that a row of the jobs table marks as cancelled.
+// CancelledJob returns the id of the job that the row with the given name marks as
+// cancelled. It returns false if the row is not such a marker.
 func CancelledJob(name string) (spoolsill.JobID, bool) {
 	id, ok := strings.CutSuffix(name, cancelSuffix)
 	return spoolsill.JobID(id), ok
 }
 
-// EncodeJob returns a job as it is kept.
+// EncodeJob returns the stored form of a job.
 func EncodeJob(j sched.Job) ([]byte, error) {
 	return packed.Encode(&j)
 }
 
-// DecodeJob reads what [EncodeJob] returned. The error says why it is no job that a
-// host has accepted.
+// DecodeJob decodes and validates a job that [EncodeJob] has encoded.
 func DecodeJob(b []byte) (sched.Job, error) {
 	var j sched.Job
 	if _, err := packed.Decode(b, &j); err != nil {
@@ -88,17 +88,17 @@
 	return j, nil
 }
 
-// An Outcome tells what became of a job that was handed in.
+// An Outcome is the result of submitting a job.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of submitting a job.
 const (
-	Accepted  Outcome = iota // it is kept
+	Accepted  Outcome = iota // stored
 	Duplicate                // the same job was accepted before
-	Conflict                 // another job has its id
-	Refused                  // certainly nothing was written this time
-	Unknown                  // it may be kept
-	TooLarge                 // the store can't keep it or its progress
+	Conflict                 // another job has the id
+	Refused                  // certainly nothing was written by this call
+	Unknown                  // may be stored
+	TooLarge                 // the job or its progress is larger than the store accepts
 )
 
 var outcomeNames = [...]string{"accepted", "known", "conflict", "refused", "unknown", "too large"}
@@ -108,11 +108,11 @@
 	return outcomeNames[o]
 }
 
-// compareStored tells whether a kept job is the one that was handed in again; when
-// it was handed in does not matter, nor whose it is where either does not say: hosts of
-// the release before teams keep and hand on jobs of nobody.
-func compareStored(j sched.Job, kept []byte) (Outcome, error) {
-	o, err := DecodeJob(kept)
+// compareStored returns Duplicate if a stored job is the same as a submitted one, and
+// Conflict otherwise. The time of submission is ignored, and so is the team if either
+// job has none: hosts of the release before teams store and forward jobs without one.
+func compareStored(j sched.Job, stored []byte) (Outcome, error) {
+	o, err := DecodeJob(stored)
 	if err != nil {
 		return Conflict, err
 	}
@@ -124,18 +124,18 @@
 	if err != nil {
 		return Conflict, err
 	}
-	// The row may have been written by another release, in other bytes.
-	if kept, err = EncodeJob(o); err != nil {
+	// Encode the stored job again, as another release may have encoded it differently.
+	if stored, err = EncodeJob(o); err != nil {
 		return Conflict, err
 	}
-	if !bytes.Equal(v, kept) {
+	if !bytes.Equal(v, stored) {
 		return Conflict, nil
 	}
 	return Duplicate, nil
 }
 
-// Cancel marks a job as cancelled, in a host's own partition. The caller knows
-// that there is such a job.
+// Cancel marks a job as cancelled in a host's own partition. The caller must know that
+// the job exists.
 func Cancel(ctx context.Context, s store.Store, partition string, id spoolsill.JobID) error {
 	r := CancelRow(partition, id)
 	_, err := s.Commit(ctx, store.Transaction{
@@ -159,9 +159,9 @@
 	}
 }
 
-// ReadState reads a job's state from the store. It returns false when there is no
-// such job. A job that has begun costs one read, others one for each
-// partition.
+// ReadState reads a job's state and team from the store. It returns false if there is no
+// such job. This takes one read for a job that has started, and otherwise another one
+// for each partition.
 func ReadState(ctx context.Context, s store.Store, id spoolsill.JobID) (sched.JobStatus, bool, error) {
 	st := sched.JobStatus{
 		ID: id,
@@ -188,10 +188,10 @@
 	return st, true, err
 }
 
-// ErrNoJob is returned when a partition does not have a job.
+// ErrNoJob is returned by [ReadJob] if the partition does not have the job.
 var ErrNoJob = errors.New("jobstore: no such job")
 
-// ReadJob returns the job that a partition keeps.
+// ReadJob reads a job from a partition.
 func ReadJob(ctx context.Context, s store.Store, partition string, id spoolsill.JobID) (sched.Job, error) {
 	r, err := store.Get(ctx, s, jobKey(partition, id))
 	if err != nil {
@@ -203,8 +203,8 @@
 	return DecodeJob(r.Value)
 }
 
-// storedJob is what the partitions have of a job: the row that counts, of version 0 if
-// there is none, and whether any marks it as cancelled.
+// A storedJob is the state of a job in all partitions: its row with the lowest version, or
+// version 0 if there is none, and whether any partition marks the job as cancelled.
 type storedJob struct {
 	job       store.Row
 	cancelled bool
@@ -217,7 +217,7 @@
 	f.cancelled = f.cancelled || r.Key.Name == string(id)+cancelSuffix
 }
 
-// findJob looks for a job and its mark in all partitions.
+// findJob looks up a job and its cancellation marker in all partitions.
 func findJob(ctx context.Context, s store.Store, id spoolsill.JobID) (storedJob, error) {
 	var f storedJob
 	parts, err := s.Partitions(ctx, JobsTable)
@@ -245,5 +245,5 @@
 	return f, err
 }
 
-// maxConcurrentReads bounds the reads that one look-up has under way.
+// maxConcurrentReads bounds the concurrent reads of one lookup.
 const maxConcurrentReads = 8
--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -20,7 +20,7 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// withWriter runs f withWriter a writer on a store in memory, on virtual time.
+// withWriter runs f in virtual time with a writer to a store in memory.
 func withWriter(t *testing.T, f func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestSameJobIsKeptOnce(t *testing.T) {
+func TestAcceptSameJobTwice(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, _ *cellfake.Store, w *jobstore.Writer) {
 		o, _ := w.Accept(ctx, job("j", "s"))
 		c.Assert(o, qt.Equals, jobstore.Accepted)
@@ -60,8 +60,8 @@
 	})
 }
 
-// A write whose answer is lost is made again and found done.
-func TestLostAnswersAreNotLostJobs(t *testing.T) {
+// A write whose response is lost or late is repeated, and the job is stored once.
+func TestAcceptLostResponse(t *testing.T) {
 	for _, f := range []cellfake.StoreFault{cellfake.StoreLose, cellfake.StoreLate} {
 		withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 			var calls atomic.Int32
@@ -81,8 +81,8 @@
 	}
 }
 
-// Jobs that come while a write is under way share the next one.
-func TestJobsShareWrites(t *testing.T) {
+// Jobs that arrive during a write share the next write.
+func TestAcceptBatchesJobs(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		var writes atomic.Int32
 		s.SetFault(func(store.Transaction) cellfake.StoreFault {
@@ -102,9 +102,9 @@
 	})
 }
 
-// Refused is said only when nothing was written; a client that leaves learns
-// nothing.
-func TestRefusedAndUnknown(t *testing.T) {
+// The outcome is Refused only if nothing was written, and Unknown if the context ends
+// without a response from the store.
+func TestAcceptRefusedAndUnknown(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		s.TurnAway(true)
 		o, _ := w.Accept(ctx, job("j", "s"))
@@ -118,9 +118,9 @@
 	})
 }
 
-// A store that breaks all connections is not called as fast as it does so: each
-// call costs, and all hosts make them at once.
-func TestBrokenConnectionsAreNotTriedAtOnce(t *testing.T) {
+// Guards against retries without delay while the store closes all connections: every call
+// has a cost, and all hosts retry at the same time.
+func TestBackoffAfterClosedConnections(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		var writes atomic.Int32
 		s.SetFault(func(store.Transaction) cellfake.StoreFault {
@@ -138,7 +138,7 @@
 	})
 }
 
-func TestStateFromTheStore(t *testing.T) {
+func TestReadState(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		_, known, err := jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
@@ -156,28 +156,28 @@
 	})
 }
 
-// Hosts of the release before teams keep jobs of nobody, and hand on jobs without the
-// team that another host has read from the key.
-func TestJobsOfBothReleasesAreTheSame(t *testing.T) {
+// Hosts of the release before teams store jobs without a team, and forward jobs without
+// the team that another host has determined from the key.
+func TestAcceptSameJobOfFormerRelease(t *testing.T) {
 	for _, x := range []struct {
-		name        string
-		kept, again spoolsill.TeamID
-		want        jobstore.Outcome
+		name                string
+		stored, resubmitted spoolsill.TeamID
+		want                jobstore.Outcome
 	}{
 		{"the same team", "a", "a", jobstore.Duplicate},
-		{"kept by a host of the former release", "", "a", jobstore.Duplicate},
-		{"handed on by a host of the former release", "a", "", jobstore.Duplicate},
+		{"stored by a host of the former release", "", "a", jobstore.Duplicate},
+		{"forwarded by a host of the former release", "a", "", jobstore.Duplicate},
 		{"another team", "a", "b", jobstore.Conflict},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			withWriter(t, func(ctx context.Context, c *qt.C, _ *cellfake.Store, w *jobstore.Writer) {
 				j := job("j", "s")
-				j.Team = x.kept
+				j.Team = x.stored
 				o, _ := w.Accept(ctx, j)
 				c.Assert(o, qt.Equals, jobstore.Accepted)
 				pause.For(ctx, time.Second)
 				j = job("j", "s")
-				j.Team = x.again
+				j.Team = x.resubmitted
 				o, _ = w.Accept(ctx, j)
 				c.Assert(o, qt.Equals, x.want)
 			})
@@ -185,8 +185,8 @@
 	}
 }
 
-// Whose a job is can be read from the store as long as it can be asked about.
-func TestTeamFromTheStore(t *testing.T) {
+// ReadState returns a job's team before and after the job has progress.
+func TestReadStateTeam(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		j := job("j", "s")
 		j.Team = "a"
@@ -216,7 +216,7 @@
 	})
 }
 
-// A typicalJob is like most that clients hand in, with a short spec.
+// typicalJob returns a job like most that clients submit, with a short spec.
 func typicalJob() sched.Job {
 	return sched.Job{
 		ID:       "5c0e7a21d94b36f8",
@@ -236,17 +236,18 @@
 	}
 }
 
-// Guards against rows that are mostly names of fields that are zero: at a take-over the
-// leader reads a row of each job over its link, and later those of all new ones.
-func TestRowsOfJobsAreShort(t *testing.T) {
+// Guards against rows that consist mostly of the names of fields with zero values: at a
+// takeover the leader reads the rows of all jobs over its link, and later those of all
+// new jobs.
+func TestEncodeJobSize(t *testing.T) {
 	b, err := jobstore.EncodeJob(typicalJob())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, len(b) < 180, qt.IsTrue, qt.Commentf("%d bytes", len(b)))
 }
 
-// Guards against a client's retry that is taken for another job since the row was written
-// by a host of the release before.
-func TestRowOfTheReleaseBeforeIsTheSameJob(t *testing.T) {
+// Guards against taking a client's retry for another job because the row was encoded by a
+// host of the previous release.
+func TestAcceptJobEncodedByPreviousRelease(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		j := typicalJob()
 		b, err := msgpack.Marshal(&j)
--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -13,45 +13,46 @@
 )
 
 const (
-	// maxBatchJobs is how many jobs one transaction keeps: each is a condition
-	// and a row, and the store takes 100 of both together.
+	// maxBatchJobs is the number of jobs in one transaction. Each needs a condition
+	// and a put, and the store accepts 100 of both together.
 	maxBatchJobs = 48
-	// maxBatchBytes bounds the rows of a transaction; the store takes 1 MB, and
+	// maxBatchBytes bounds the values in a transaction. The store accepts 1 MB, and
 	// base64 adds a third.
 	maxBatchBytes = 600 << 10
-	// maxQueuedJobs bounds the jobs that wait for their write.
+	// maxQueuedJobs bounds the jobs that wait to be written.
 	maxQueuedJobs = 2048
-	// minRetryDelay is between tries that the store refused, or whose connection
-	// broke: some usual writes. It doubles up to pauseMost while they go on
-	// failing, which is how much later than the store a host is back.
+	// minRetryDelay is the delay after a write that the store refused or whose
+	// connection failed: the duration of a few usual writes. It doubles with each
+	// further failure up to maxRetryDelay, by which a host's recovery can lag behind
+	// the store's.
 	minRetryDelay = 40 * time.Millisecond
 	maxRetryDelay = 250 * time.Millisecond
-	// maxAttempts is how many tries of a write are waited for side by side, and
-	// writeWithin for how long: two thirds of what clients wait in all.
+	// maxAttempts bounds the concurrent attempts of a write, and writeTimeout its
+	// duration: two thirds of the time that clients wait in all.
 	maxAttempts  = 3
 	writeTimeout = 2 * time.Second
 )
 
-// A Writer keeps jobs in a host's own partition, so that hosts do not wait for
-// each other, and several at once while a write is under way, so that a slow
-// store keeps as many as a fast one.
+// A Writer stores jobs in the host's own partition, so that hosts do not wait for each
+// other. Jobs that arrive during a write are batched into the next one, so that a slow
+// store accepts as many jobs as a fast one.
 type Writer struct {
-	// Store is written to, in Partition.
+	// Store and Partition are where jobs are written.
 	Store     store.Store
 	Partition string
-	// MaxRow is the longest row that the store takes, in bytes; 0 means any.
+	// MaxRow is the largest row that the store accepts, in bytes; 0 means no limit.
 	MaxRow int
-	// Timeout returns how long one try of a write is waited for now before
-	// another one is sent.
+	// Timeout returns the current delay before a write without a response is sent
+	// again.
 	Timeout func() time.Duration
 
 	queue      chan *pendingJob
-	retryDelay time.Duration // before the next try after one that failed
+	retryDelay time.Duration // after the next failed write
 }
 
-// An pendingJob is a job that is to be kept.
+// A pendingJob is a job that waits to be stored.
 type pendingJob struct {
-	ctx       context.Context //nolint:containedctx // of the client's call, which the write outlives
+	ctx       context.Context //nolint:containedctx // of the client's request, which the write outlives
 	job       sched.Job
 	value     []byte
 	attempted bool
@@ -63,21 +64,22 @@
 	err     error
 }
 
-// NewWriter returns a writer; Run must be called.
+// NewWriter returns a writer with the configuration of w. It writes nothing until Run is
+// called.
 func NewWriter(w Writer) *Writer {
 	w.queue = make(chan *pendingJob, maxQueuedJobs)
 	return &w
 }
 
-// Accept keeps a job. When ctx ends before the store has answered, the outcome
-// is Unknown if a write was tried, else Refused.
+// Accept stores a job and returns the outcome. If ctx is done before the store has
+// answered, the outcome is Unknown.
 func (w *Writer) Accept(ctx context.Context, j sched.Job) (Outcome, error) {
 	v, err := EncodeJob(j)
 	if err != nil {
 		return Refused, err
 	}
 	if w.MaxRow > 0 && max(len(v), sched.ProgressBytes(j)) > w.MaxRow {
-		// It would be refused, and with it all that share its write.
+		// The store would refuse it together with all other jobs in its batch.
 		return TooLarge, nil
 	}
 	e := &pendingJob{
@@ -95,12 +97,12 @@
 	case r := <-e.done:
 		return r.outcome, r.err
 	case <-ctx.Done():
-		// The writer may have begun with it in this moment.
+		// The writer may have begun to write the job.
 		return Unknown, ctx.Err()
 	}
 }
 
-// Run writes until ctx ends.
+// Run writes jobs until ctx is done.
 func (w *Writer) Run(ctx context.Context) {
 	var batch []*pendingJob
 	for {
@@ -123,7 +125,7 @@
 	}
 }
 
-// fillBatch adds what waits to a batch.
+// fillBatch adds queued jobs to a batch, up to its limits.
 func (w *Writer) fillBatch(batch []*pendingJob) []*pendingJob {
 	size := 0
 	for _, e := range batch {
@@ -141,7 +143,7 @@
 	return batch
 }
 
-// dropAbandoned drops the jobs whose clients no longer wait for an answer.
+// dropAbandoned removes the jobs whose clients no longer wait for a response.
 func dropAbandoned(batch []*pendingJob) []*pendingJob {
 	kept := batch[:0]
 	for _, e := range batch {
@@ -152,7 +154,7 @@
 	return kept
 }
 
-// write tries to keep a batch, and returns the jobs that are still to be kept.
+// write attempts to store a batch and returns the jobs that must be attempted again.
 func (w *Writer) write(ctx context.Context, batch []*pendingJob) []*pendingJob {
 	batch = dropDuplicates(batch)
 	t := w.transaction(batch)
@@ -171,7 +173,7 @@
 			e.attempted = true
 		}
 		if !errors.Is(err, context.DeadlineExceeded) {
-			w.backOff(ctx) // else it has been waited for long enough
+			w.backOff(ctx) // after a timeout there is no need for a further delay
 		}
 		return batch
 	case r.Applied:
@@ -186,28 +188,30 @@
 	}
 }
 
-// rejectBatch gives the jobs back at once: others may be able to keep them. Those
-// that an earlier write has tried may be kept already and are tried on.
+// rejectBatch settles jobs as Refused at once, since another host may be able to store
+// them. It returns the jobs of an earlier write with an unknown outcome, which may be
+// stored already and must be attempted again.
 func (w *Writer) rejectBatch(ctx context.Context, batch []*pendingJob, err error) []*pendingJob {
-	var rest []*pendingJob
+	var remaining []*pendingJob
 	for _, e := range batch {
 		if !e.attempted {
 			e.settle(Refused, err)
 			continue
 		}
-		rest = append(rest, e)
+		remaining = append(remaining, e)
 	}
 	w.backOff(ctx)
-	return rest
+	return remaining
 }
 
-// backOff pauses after a try that failed, for longer each time.
+// backOff waits after a failed write, with exponential delay.
 func (w *Writer) backOff(ctx context.Context) {
 	w.retryDelay = min(max(2*w.retryDelay, minRetryDelay), maxRetryDelay)
 	pause.For(ctx, w.retryDelay)
 }
 
-// dropDuplicates answers the second of two equal entries like a retry: later.
+// dropDuplicates removes jobs whose id occurs earlier in the batch and settles them as
+// Refused. A retry after the write then finds the stored job.
 func dropDuplicates(batch []*pendingJob) []*pendingJob {
 	seen := map[spoolsill.JobID]bool{}
 	kept := batch[:0]
@@ -237,19 +241,19 @@
 	return t
 }
 
-// settleExisting answers the jobs whose rows are there already.
+// settleExisting settles the jobs whose rows exist already and returns the others.
 func (w *Writer) settleExisting(batch []*pendingJob, current []store.Row) []*pendingJob {
-	there := map[string]store.Row{}
+	existing := map[string]store.Row{}
 	for _, r := range current {
 		if r.Version > 0 {
-			there[r.Key.Name] = r
+			existing[r.Key.Name] = r
 		}
 	}
-	var rest []*pendingJob
+	var remaining []*pendingJob
 	for _, e := range batch {
-		r, ok := there[string(e.job.ID)]
+		r, ok := existing[string(e.job.ID)]
 		if !ok {
-			rest = append(rest, e)
+			remaining = append(remaining, e)
 			continue
 		}
 		if bytes.Equal(r.Value, e.value) {
@@ -258,7 +262,7 @@
 		}
 		e.settle(compareStored(e.job, r.Value))
 	}
-	return rest
+	return remaining
 }
 
 func (e *pendingJob) settle(o Outcome, err error) {
