--- a/node/config.go
+++ b/node/config.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// Config implements [platform.Jobs].
+// Config implements [platform.JobService].
 func (n *Node) Config() (*platform.Config, bool) {
 	k := n.configs.get()
 	return k.config, k.config != nil
@@ -147,7 +147,7 @@
 	return v == c.now.version && c.told <= v && !c.heard.IsZero() && now.Sub(c.heard) <= within
 }
 
-// ConfigIsCurrent implements [platform.Jobs].
+// ConfigIsCurrent implements [platform.JobService].
 func (n *Node) ConfigIsCurrent(v spoolsill.Version) bool {
 	return n.configs.current(v, n.clock.Now(), cmp.Or(n.settings.Bounds.ConfigInForce, configInForce))
 }
@@ -159,12 +159,12 @@
 			n.configs.setMisread(!n.takeConfig(r.Value, "store"))
 		}
 	}
-	f := store.Follower{
-		Store: n.store,
-		Table: platform.OperatorTable,
-		Wait:  configWait,
-		Heard: n.configs.hear,
-		Clock: n.clock,
+	f := store.Watcher{
+		Store:  n.store,
+		Table:  platform.OperatorTable,
+		Wait:   configWait,
+		Synced: n.configs.hear,
+		Clock:  n.clock,
 		Listed: func(rows []store.Row) {
 			n.log.WithField("rows", len(rows)).Info("configuration table listed")
 			for _, r := range rows {
