--- a/sched/crash.go
+++ b/sched/crash.go
@@ -75,7 +75,7 @@
 		if !slices.Contains(s.suspects, r.task) {
 			s.suspects = append(s.suspects, r.task)
 		}
-		s.touch(r.task.stage.job)
+		s.markDirty(r.task.stage.job)
 	}
 	if len(under) > 0 {
 		s.noteCrash(w, under, reason)
@@ -110,7 +110,7 @@
 func (s *State) loseSuspicion(w *worker) {
 	for _, t := range s.suspects {
 		if t.evidence.acquit(w.life()) {
-			s.touch(t.stage.job)
+			s.markDirty(t.stage.job)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 func (s *State) confirmSuspicion(w *worker) {
 	for _, t := range slices.Clone(s.suspects) {
 		if t.evidence.confirm(w.life()) {
-			s.touch(t.stage.job)
+			s.markDirty(t.stage.job)
 			s.giveUp(t.stage)
 		}
 	}
@@ -127,9 +127,9 @@
 
 // clearOutlived clears the task of a run that has gone on for long enough.
 func (s *State) clearOutlived(r *run) {
-	if r.task.evidence.clearedBy(s.now.Sub(r.begun)) {
+	if r.task.evidence.clearedBy(s.now.Sub(r.startedAt)) {
 		r.task.evidence = evidence{}
-		s.touch(r.task.stage.job)
+		s.markDirty(r.task.stage.job)
 	}
 }
 
@@ -182,14 +182,14 @@
 	if len(r.task.evidence.losses) == 0 {
 		return
 	}
-	if r.phase == phaseConfirmed && !r.former() && w.answered.After(r.begun) {
-		r.task.evidence.lived += w.answered.Sub(r.begun)
+	if r.phase == phaseConfirmed && !r.former() && w.answered.After(r.startedAt) {
+		r.task.evidence.lived += w.answered.Sub(r.startedAt)
 	}
 }
 
 // onTrial reports whether a run may yet crash its worker.
 func (r *run) onTrial(now time.Time) bool {
-	return r.begun.IsZero() || now.Sub(r.begun) < trialTime
+	return r.startedAt.IsZero() || now.Sub(r.startedAt) < trialTime
 }
 
 // trialsBeside counts the runs on trial at a worker that are not of a job, and of
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -49,7 +49,7 @@
 	for _, r := range b.Rows {
 		m.kept = r.Value
 	}
-	for _, o := range m.x.state.Written(m.x.now, b) {
+	for _, o := range m.x.state.BatchWritten(m.x.now, b) {
 		m.begin(t, o)
 	}
 }
--- a/sched/crashrow_test.go
+++ b/sched/crashrow_test.go
@@ -123,7 +123,7 @@
 	x.listLife(2, 0)
 	b, err := x.rowOfJ()
 	x.c.Assert(err, qt.IsNil)
-	x.c.Assert(len(b) < sched.ProgressBytes(j), qt.IsTrue)
+	x.c.Assert(len(b) < sched.MaxProgressBytes(j), qt.IsTrue)
 	p, err := sched.DecodeProgress(b)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(p.Crashes, qt.HasLen, 32)
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -161,7 +161,7 @@
 	if !any {
 		return nil
 	}
-	out := x.state.Written(x.now, b)
+	out := x.state.BatchWritten(x.now, b)
 	x.started = append(x.started, out...)
 	return out
 }
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -74,11 +74,11 @@
 	w.leaves = s.now.Add(s.config.DrainTime)
 	w.leased = LeaseEnd(s.now, s.config.Lease)
 	s.workers[w.id] = w
-	i := slices.Index(s.order, old)
+	i := slices.Index(s.workerList, old)
 	if i < 0 {
-		s.order = append(s.order, w)
+		s.workerList = append(s.workerList, w)
 	} else {
-		s.order[i] = w
+		s.workerList[i] = w
 	}
 	w.crashed = !old.dead && !old.takenAway() && !old.leftAsAnnounced()
 	if w.crashed {
@@ -111,7 +111,7 @@
 func (w *worker) doubtful() int {
 	n := 0
 	for _, r := range w.runs {
-		if r.phase == phaseDoubt || r.phase == phaseInherited {
+		if r.phase == phaseUncertain || r.phase == phaseInherited {
 			n++
 		}
 	}
@@ -139,8 +139,8 @@
 		r.worker = w
 		s.book(r)
 		// A stop that the former life took means nothing here.
-		r.stopped = time.Time{}
-		r.stopDue = s.now
+		r.stopTakenAt = time.Time{}
+		r.nextStopAt = s.now
 	}
 }
 
--- a/sched/lives_test.go
+++ b/sched/lives_test.go
@@ -92,7 +92,7 @@
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteGone))
 	x.listBorn(bornIn(1000))
 	x.answerBorn(bornIn(1000), bornIn(1000), o[0].Run)
-	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.answerBorn(bornIn(7000), bornIn(7000))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -210,7 +210,7 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 6)
 	x.quota(2)
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 2)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 2)
 }
 
 // A team that has its quota asks the advisor nothing, and keeps no workers.
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -111,7 +111,7 @@
 	for _, o := range m.x.state.Stops() {
 		m.stop(o)
 	}
-	for _, o := range m.x.state.Written(m.x.now, b) {
+	for _, o := range m.x.state.BatchWritten(m.x.now, b) {
 		m.send(t, o, lost)
 	}
 }
--- a/sched/room.go
+++ b/sched/room.go
@@ -5,15 +5,15 @@
 // WorkersHeard takes in that all changes of the workers' entries before a time are known.
 func (s *State) WorkersHeard(now, sent time.Time) {
 	s.now = now
-	if sent.After(s.entriesHeard) {
-		s.entriesHeard = sent
+	if sent.After(s.entriesAsOf) {
+		s.entriesAsOf = sent
 	}
 }
 
 // roomIsKnown reports whether workers' rooms are known well enough for something to be
 // started: a worker that does not guard its room would else be brought over it.
 func (s *State) roomIsKnown() bool {
-	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesHeard) <= s.config.EntriesAge
+	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesAsOf) <= s.config.EntriesAge
 }
 
 // hasRoom reports whether all that is in a worker's account fits it, what is being
--- a/sched/room_test.go
+++ b/sched/room_test.go
@@ -36,7 +36,7 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 3)
 	x.listWith("w", 6)
-	out := x.state.Written(x.now, b)
+	out := x.state.BatchWritten(x.now, b)
 	x.c.Assert(out, qt.HasLen, 2)
 	x.take(out)
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -99,7 +99,7 @@
 	x.c.Assert(b.Starts, qt.HasLen, 2)
 	x.now = x.now.Add(5 * time.Second)
 	x.renew("w")
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 0)
 	x.state.Decide(x.now)
 	b, _, err = x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
@@ -177,7 +177,7 @@
 		t.Fatal(err)
 	}
 	recording()
-	for _, o := range m.x.state.Written(m.x.now, b) {
+	for _, o := range m.x.state.BatchWritten(m.x.now, b) {
 		if rapid.IntRange(0, 4).Draw(t, "late") == 0 {
 			m.x.answerStart(o, sched.StartUnknown)
 			m.late = append(m.late, lateStart{
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -91,7 +91,7 @@
 	x.c.Assert(b.Starts, qt.HasLen, 1)
 	// The job is cancelled while its row is being written.
 	x.state.CancelJob(x.now, "j")
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 0)
 }
 
 func TestEndsAreAcknowledgedWithTheirRows(t *testing.T) {
@@ -431,7 +431,7 @@
 		x.c.Assert(any, qt.IsTrue)
 		size := 0
 		for _, r := range b.Rows {
-			x.c.Assert(len(r.Value) < sched.ProgressBytes(job("j", "q", tasks(1000, 0))), qt.IsTrue)
+			x.c.Assert(len(r.Value) < sched.MaxProgressBytes(job("j", "q", tasks(1000, 0))), qt.IsTrue)
 			size += len(r.Value)
 		}
 		x.c.Assert(size < 700_000, qt.IsTrue)
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -24,7 +24,7 @@
 		return
 	}
 	r.stopping = true
-	s.unwanted = append(s.unwanted, r)
+	s.stoppingRuns = append(s.stoppingRuns, r)
 	s.orderStop(r, reason)
 }
 
@@ -34,7 +34,7 @@
 	if r.worker.Address == "" {
 		return
 	}
-	r.stopDue = s.dueAfterStop()
+	r.nextStopAt = s.dueAfterStop()
 	s.stops = append(s.stops, StopOrder{
 		Life: r.worker.life(),
 		Run:  r.id,
@@ -45,7 +45,7 @@
 		Run:    r.id,
 		Worker: r.worker.id,
 		Reason: reason,
-		Age:    s.now.Sub(r.begun),
+		Age:    s.now.Sub(r.startedAt),
 	})
 }
 
@@ -88,9 +88,9 @@
 // worker that was out of reach when its run was cancelled would else run it to
 // its end. Cost: O(runs wanted gone).
 func (s *State) stopAgain() {
-	s.unwanted = slices.DeleteFunc(s.unwanted, func(r *run) bool { return r.worker.runs[r.id] != r })
-	for _, r := range s.unwanted {
-		if !s.now.Before(r.stopDue) {
+	s.stoppingRuns = slices.DeleteFunc(s.stoppingRuns, func(r *run) bool { return r.worker.runs[r.id] != r })
+	for _, r := range s.stoppingRuns {
+		if !s.now.Before(r.nextStopAt) {
 			s.orderStop(r, "it may still be there")
 		}
 	}
@@ -111,7 +111,7 @@
 	if r == nil {
 		return
 	}
-	r.stopDue = s.dueAfterAnswer(a)
+	r.nextStopAt = s.dueAfterAnswer(a)
 	if !a.Taken {
 		s.note(Note{
 			Kind:   NoteNotStopped,
@@ -123,8 +123,8 @@
 		})
 		return
 	}
-	if r.stopped.IsZero() {
-		r.stopped = now
+	if r.stopTakenAt.IsZero() {
+		r.stopTakenAt = now
 	}
 }
 
--- a/sched/stray.go
+++ b/sched/stray.go
@@ -42,12 +42,12 @@
 		task:   t,
 		worker: w,
 		born:   w.born,
-		need:   t.stage.step.room(),
+		need:   t.stage.step.demand(),
 		phase:  phaseSent,
 	}
 	delete(w.strays, x.Run)
 	s.book(r)
-	s.touch(t.stage.job)
+	s.markDirty(t.stage.job)
 	s.seeRunning(w, x)
 	s.note(Note{
 		Kind:   NoteStray,
--- a/sched/unasked_test.go
+++ b/sched/unasked_test.go
@@ -155,7 +155,7 @@
 	for _, o := range x.state.Stops() {
 		x.answerStop(o, w.stop(o.Run, x.epoch))
 	}
-	if slices.Contains(x.state.Workers(), lifeOf("w")) {
+	if slices.Contains(x.state.HeartbeatTargets(), lifeOf("w")) {
 		x.look()
 	}
 }
@@ -170,7 +170,7 @@
 	for _, r := range b.Rows {
 		x.rows[r.ID] = r.Value
 	}
-	for _, o := range x.state.Written(x.now, b) {
+	for _, o := range x.state.BatchWritten(x.now, b) {
 		x.send(o)
 	}
 }
@@ -376,9 +376,9 @@
 	x.worker("w")
 	x.state.UnlistWorker(x.now, "w")
 	x.pass(lease-time.Second, nil)
-	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
 	x.pass(2*time.Second, nil)
-	x.c.Assert(x.state.Workers(), qt.HasLen, 0)
+	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
 
 // One member's end stands for its whole gang, whose others are expected to end by
--- a/sched/unclear_test.go
+++ b/sched/unclear_test.go
@@ -25,7 +25,7 @@
 		x.renew("w", o[0].Run)
 		x.c.Assert(x.step(), qt.HasLen, 0)
 	}
-	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
 	x.end(o[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 	x.worker("w")
@@ -42,7 +42,7 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 1)
 	x.state.WorkerUnclear(x.now, "w")
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 0)
 }
 
 // An entry that can't be understood makes no worker, and one of a service that no queue
@@ -56,5 +56,5 @@
 		Address:  "other",
 		Capacity: cores(10),
 	})
-	x.c.Assert(x.state.Workers(), qt.HasLen, 0)
+	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
--- a/sched/unlisted_test.go
+++ b/sched/unlisted_test.go
@@ -13,11 +13,11 @@
 	x.state.UnlistWorker(x.now, "w")
 	for range 120 {
 		x.now = x.now.Add(500 * time.Millisecond)
-		if len(x.state.Workers()) == 0 {
+		if len(x.state.HeartbeatTargets()) == 0 {
 			return
 		}
 		x.renew("w") // as a renewer does
 		x.step()
 	}
-	x.c.Fatalf("still kept in touch with a minute after its entry went: %v", x.state.Workers())
+	x.c.Fatalf("still kept in touch with a minute after its entry went: %v", x.state.HeartbeatTargets())
 }
--- a/sched/waiting_test.go
+++ b/sched/waiting_test.go
@@ -53,7 +53,7 @@
 				},
 				Number: 1,
 			})
-			x.c.Assert(x.state.Waiting()["q"], qt.Equals, c.waiting)
+			x.c.Assert(x.state.PendingJobs()["q"], qt.Equals, c.waiting)
 			x.c.Assert(x.jobState(), qt.Equals, c.state)
 		})
 	}
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -90,7 +90,7 @@
 	w = newWorker(id)
 	w.leased = s.config.TakenOver.Add(s.config.InheritedLease)
 	s.workers[id] = w
-	s.order = append(s.order, w)
+	s.workerList = append(s.workerList, w)
 	return w
 }
 
@@ -110,7 +110,7 @@
 		return
 	}
 	w.closed = false
-	s.order = append(s.order, w)
+	s.workerList = append(s.workerList, w)
 }
 
 // ListWorker takes in a worker as the platform lists it.
@@ -241,8 +241,8 @@
 // be back.
 func (s *State) StoreBack(now time.Time) {
 	s.now = now
-	s.storeBack = now
-	for _, w := range s.order {
+	s.storeRecoveredAt = now
+	for _, w := range s.workerList {
 		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlisted) < relistTime {
 			s.mayHaveLapsed(w)
 		}
@@ -252,12 +252,12 @@
 // mayHaveLapsed has a worker that is no longer listed used on for a while, if
 // its entry may have gone with the store.
 func (s *State) mayHaveLapsed(w *worker) {
-	if s.storeBack.IsZero() || s.now.Sub(s.storeBack) >= relistTime {
+	if s.storeRecoveredAt.IsZero() || s.now.Sub(s.storeRecoveredAt) >= relistTime {
 		return
 	}
-	w.lapsed = s.storeBack.Add(relistTime)
+	w.lapsed = s.storeRecoveredAt.Add(relistTime)
 	w.leaves = w.lapsed.Add(s.config.DrainTime)
-	s.noteWorker(w, "its entry may have gone with the store", s.now.Sub(s.storeBack))
+	s.noteWorker(w, "its entry may have gone with the store", s.now.Sub(s.storeRecoveredAt))
 }
 
 // present reports whether a worker is in the cell, as far as entries tell.
@@ -275,7 +275,7 @@
 // is saved at the stop or it lasts: it goes on elsewhere. What ends with its worker
 // is else waited for until the worker's lease is over.
 func (s *State) saveLeaving() {
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if !w.leaving(s.now) || w.dead || len(w.runs) == 0 || w.leaves.Sub(s.now) > s.config.StopTime+saveMargin {
 			continue
 		}
@@ -371,13 +371,13 @@
 	}
 	w.closed = true
 	w.ready = false
-	s.order = slices.DeleteFunc(s.order, func(o *worker) bool { return o == w })
+	s.workerList = slices.DeleteFunc(s.workerList, func(o *worker) bool { return o == w })
 }
 
 // expireLeases drops the runs of workers that have been silent for so long
 // that their leases are over.
 func (s *State) expireLeases() {
-	for _, w := range slices.Clone(s.order) {
+	for _, w := range slices.Clone(s.workerList) {
 		if w.dead || s.now.Before(w.leased) {
 			continue
 		}
@@ -415,7 +415,7 @@
 // CheckRoom returns an error when the runs of a worker need more than
 // it has, or are counted wrong. It is meant for tests.
 func (s *State) CheckRoom() error {
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		var sum spoolsill.Resources
 		for _, r := range w.runs {
 			sum = sum.Add(r.need)
