--- a/sched/crash.go
+++ b/sched/crash.go
@@ -230,7 +230,7 @@
 	if level > suspect {
 		stake = strongStakeCost
 	}
-	c := failedCost*float64(beside) + stake*w.used.DominantShare(w.Capacity)
+	c := failedWorkerCost*float64(beside) + stake*w.used.DominantShare(w.Capacity)
 	if _, crashed := d.crashedAt[w.place()]; crashed {
 		c += crashedCost
 	}
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -272,7 +272,7 @@
 		}
 		c := d.cost(g, w, free.Sub(need)) + d.trialCost(t, w)
 		if slices.Contains(t.failedOn, w.life()) {
-			c += failedCost
+			c += failedWorkerCost
 		}
 		if c < least {
 			best = w
@@ -282,8 +282,8 @@
 	return best
 }
 
-// failedCost outweighs any difference in speed.
-const failedCost = 100
+// failedWorkerCost outweighs any difference in speed.
+const failedWorkerCost = 100
 
 // tightness is how much the share of a worker that is left free counts
 // against a factor on the run time; small, so that it only breaks ties between
