--- a/sched/batch.go
+++ b/sched/batch.go
@@ -13,16 +13,16 @@
 // entries in a transaction, and one is the leader's.
 const MaxBatchRows = 90
 
-// maxBytes is from where on a batch takes no more rows, if the configuration does not
+// maxBatchBytes is from where on a batch takes no more rows, if the configuration does not
 // say less: the store takes 1 MB, of which base64 takes a quarter, and one more row has
 // 64 KB.
-const maxBytes = 600 << 10
+const maxBatchBytes = 600 << 10
 
 // Batch returns what is to be written next, and whether there is anything.
 func (s *State) Batch(now time.Time) (Batch, bool, error) {
 	s.now = now
 	var b Batch
-	most := maxBytes
+	most := maxBatchBytes
 	if s.config.BatchBytes > 0 {
 		most = min(most, s.config.BatchBytes)
 	}
@@ -48,27 +48,27 @@
 		if j.state.Final() && j.activeRuns == 0 && j.stages != nil {
 			b.Ended = append(b.Ended, j.ID)
 		}
-		s.slim(j)
+		s.dropDetails(j)
 	}
 	s.dirty = slices.Delete(s.dirty, 0, n)
 	if len(s.dirty) == 0 {
-		b.Acks = s.takeAcks()
+		b.Acks = s.collectAcks()
 	}
 	if s.config.KeepEnded > 0 {
-		b.Forgotten = s.forgetEnded(MaxBatchRows - n)
+		b.Forgotten = s.expireEnded(MaxBatchRows - n)
 	}
 	return b, n > 0 || len(b.Acks) > 0 || len(b.Forgotten) > 0, nil
 }
 
-// slim drops what is not needed of a job that has ended for good.
-func (s *State) slim(j *job) {
+// dropDetails drops what is not needed of a job that has ended for good.
+func (s *State) dropDetails(j *job) {
 	if !j.state.Final() || j.activeRuns > 0 {
 		return
 	}
 	j.Spec = ""
 	j.Steps = nil
 	j.stages = nil
-	s.keepEnded(j.ID)
+	s.retainEnded(j.ID)
 }
 
 // An endedJob is to be forgotten some time after its end.
@@ -77,27 +77,27 @@
 	at time.Time
 }
 
-func (s *State) keepEnded(id spoolsill.JobID) {
-	s.ended = append(s.ended, endedJob{
+func (s *State) retainEnded(id spoolsill.JobID) {
+	s.endedJobs = append(s.endedJobs, endedJob{
 		id: id,
 		at: s.now,
 	})
 }
 
-// forgetEnded forgets the jobs that ended long ago, and returns at most n of
+// expireEnded forgets the jobs that ended long ago, and returns at most n of
 // them: their progress need not be kept either.
-func (s *State) forgetEnded(n int) []spoolsill.JobID {
+func (s *State) expireEnded(n int) []spoolsill.JobID {
 	var ids []spoolsill.JobID
-	for len(s.ended) > 0 && len(ids) < n && s.now.Sub(s.ended[0].at) > s.config.KeepEnded {
-		ids = append(ids, s.ended[0].id)
-		delete(s.jobs, s.ended[0].id)
-		s.ended = s.ended[1:]
+	for len(s.endedJobs) > 0 && len(ids) < n && s.now.Sub(s.endedJobs[0].at) > s.config.KeepEnded {
+		ids = append(ids, s.endedJobs[0].id)
+		delete(s.jobs, s.endedJobs[0].id)
+		s.endedJobs = s.endedJobs[1:]
 	}
 	return ids
 }
 
-// takeAcks returns the ends whose rows are all in this batch or earlier ones.
-func (s *State) takeAcks() []Ack {
+// collectAcks returns the ends whose rows are all in this batch or earlier ones.
+func (s *State) collectAcks() []Ack {
 	var acks []Ack
 	for l, n := range s.acks {
 		acks = append(acks, Ack{
@@ -116,26 +116,26 @@
 	s.now = now
 	var out, overdue []StartOrder
 	for _, o := range b.Starts {
-		r := s.recorded(o)
+		r := s.recordedRun(o)
 		if r == nil {
 			continue
 		}
-		if !s.mayLeave(r) {
+		if !s.canDispatch(r) {
 			s.lose(r, "overtaken before the order left")
 			continue
 		}
-		if s.ticketIsOver(r) {
+		if s.ticketExpired(r) {
 			overdue = append(overdue, o)
 			continue
 		}
-		out = append(out, s.leave(o, r))
+		out = append(out, s.dispatch(o, r))
 	}
-	s.renewOverdue(overdue)
+	s.deferOrders(overdue)
 	return out
 }
 
-// recorded returns the run of an order that has not left, or nil.
-func (s *State) recorded(o StartOrder) *run {
+// recordedRun returns the run of an order that has not left, or nil.
+func (s *State) recordedRun(o StartOrder) *run {
 	w := s.account(o.Life)
 	if w == nil {
 		return nil
@@ -147,8 +147,8 @@
 	return r
 }
 
-// leave takes in that an order leaves now, with the newest ticket that there is.
-func (s *State) leave(o StartOrder, r *run) StartOrder {
+// dispatch takes in that an order leaves now, with the newest ticket that there is.
+func (s *State) dispatch(o StartOrder, r *run) StartOrder {
 	r.phase = phaseSent
 	r.startedAt = s.now
 	// A start renews the lease as well.
@@ -157,8 +157,8 @@
 	return o
 }
 
-// mayLeave reports whether an order that is recorded still makes sense.
-func (s *State) mayLeave(r *run) bool {
+// canDispatch reports whether an order that is recorded still makes sense.
+func (s *State) canDispatch(r *run) bool {
 	g := r.task.stage
 	return !r.task.done && !g.job.state.Final() && !r.stopping &&
 		s.roomIsKnown() && r.worker.hasRoom() && !g.job.team.overQuota() &&
@@ -172,7 +172,7 @@
 func (s *State) HeartbeatTargets() []spoolsill.Life {
 	lives := make([]spoolsill.Life, 0, len(s.workerList))
 	for _, w := range s.workerList {
-		if w.dead || w.Address == "" || !s.concerns(w) {
+		if w.dead || w.Address == "" || !s.isRelevant(w) {
 			continue
 		}
 		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlisted) < lateMost {
@@ -193,10 +193,10 @@
 	return ids
 }
 
-// concerns reports whether a worker may have something to do with the cell: a queue has
+// isRelevant reports whether a worker may have something to do with the cell: a queue has
 // its service, or it has runs. Entries of other services are not called. Before queues
 // are known all of them are.
-func (s *State) concerns(w *worker) bool {
+func (s *State) isRelevant(w *worker) bool {
 	if len(s.queues) == 0 || len(w.runs) > 0 {
 		return true
 	}
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -18,16 +18,16 @@
 	s.stopStuck()
 	s.stopAgain()
 	s.keepSuspects()
-	s.countStrays()
-	s.stopDoubtful()
+	s.sumStrayUsage()
+	s.stopUncertainOverQuota()
 	s.openDue()
 	if s.now.Sub(s.firstAnswerAt) < s.config.SettleTime || !s.roomIsKnown() {
 		return
 	}
 	d := decider{
-		State: s,
-		held:  map[*worker]*stage{},
-		ready: map[spoolsill.ServiceID]*readyWorkers{},
+		State:       s,
+		reservedFor: map[*worker]*stage{},
+		ready:       map[spoolsill.ServiceID]*readyWorkers{},
 	}
 	d.collectReady()
 	for _, g := range s.ranked() {
@@ -82,9 +82,9 @@
 // A decider is one pass over the stages that wait.
 type decider struct {
 	*State
-	// held has the workers that gangs gather room at, by gang.
-	held  map[*worker]*stage
-	ready map[spoolsill.ServiceID]*readyWorkers
+	// reservedFor has the workers that gangs gather room at, by gang.
+	reservedFor map[*worker]*stage
+	ready       map[spoolsill.ServiceID]*readyWorkers
 }
 
 // ranked returns the open stages in the order in which they are served, and
@@ -138,27 +138,27 @@
 		// former leader.
 		return
 	}
-	d.charge(g)
-	if !d.underQuota(g) {
-		g.gathered = nil
-		g.lookedAt = d.now
-		g.waits = waitQuota
+	d.recordWait(g)
+	if !d.fitsQuota(g) {
+		g.reserved = nil
+		g.waitUpdatedAt = d.now
+		g.waitingFor = waitQuota
 		return
 	}
 	switch {
-	case q.Advisor != nil && !d.advised(g, q):
+	case q.Advisor != nil && !d.ensureAdvice(g, q):
 	case g.step.Gang:
 		d.placeGang(g, q)
 	default:
 		d.placeEach(g, q)
 	}
-	d.await(g, q)
+	d.beginWait(g, q)
 }
 
-// advised asks the advisor where nothing is known yet, and about more workers
+// ensureAdvice asks the advisor where nothing is known yet, and about more workers
 // when the known ones have had no room for a while. It reports whether any
 // worker is known.
-func (d *decider) advised(g *stage, q *Queue) bool {
+func (d *decider) ensureAdvice(g *stage, q *Queue) bool {
 	a := &g.advice
 	known := a.asked != nil
 	if a.learning > 0 || known && d.now.Sub(a.last) <= askMore {
@@ -201,7 +201,7 @@
 		if !g.labelMatches(w) {
 			continue
 		}
-		if h := d.held[w]; h != nil && h != g && q.Priority > 0 {
+		if h := d.reservedFor[w]; h != nil && h != g && q.Priority > 0 {
 			continue
 		}
 		if d.barred(g, w) {
@@ -221,10 +221,10 @@
 		if t.done || t.run != nil {
 			continue
 		}
-		if !g.job.team.takes(g.step.demand()) {
+		if !g.job.team.allows(g.step.demand()) {
 			break
 		}
-		w := d.best(t, ws)
+		w := d.bestWorker(t, ws)
 		if w == nil {
 			waiting++
 			continue
@@ -241,11 +241,11 @@
 	if len(renew) > 0 {
 		d.ask(g, q, renew, Renew)
 	}
-	d.reserve(g, q, waiting)
+	d.reserveForLarge(g, q, waiting)
 }
 
-// at returns how many runs of g a worker has.
-func (g *stage) at(w *worker) int {
+// runsAt returns how many runs of g a worker has.
+func (g *stage) runsAt(w *worker) int {
 	n := 0
 	for _, t := range g.tasks {
 		if t.run != nil && t.run.worker == w {
@@ -255,9 +255,9 @@
 	return n
 }
 
-// best returns the worker where a task costs least, or nil when none has room:
+// bestWorker returns the worker where a task costs least, or nil when none has room:
 // one where it has not failed, then the fastest, then the tightest fit.
-func (d *decider) best(t *task, ws []*worker) *worker {
+func (d *decider) bestWorker(t *task, ws []*worker) *worker {
 	g := t.stage
 	need := g.step.demand()
 	var best *worker
@@ -267,10 +267,10 @@
 		if !need.Fits(free) {
 			continue
 		}
-		if m := g.step.MaxPerWorker; m > 0 && g.at(w) >= m {
+		if m := g.step.MaxPerWorker; m > 0 && g.runsAt(w) >= m {
 			continue
 		}
-		c := d.cost(g, w, free.Sub(need)) + d.trialCost(t, w)
+		c := d.placementCost(g, w, free.Sub(need)) + d.trialCost(t, w)
 		if slices.Contains(t.failedOn, w.life()) {
 			c += failedWorkerCost
 		}
@@ -285,18 +285,18 @@
 // failedWorkerCost outweighs any difference in speed.
 const failedWorkerCost = 100
 
-// tightness is how much the share of a worker that is left free counts
+// freeShareWeight is how much the share of a worker that is left free counts
 // against a factor on the run time; small, so that it only breaks ties between
 // workers that are about as fast.
-const tightness = 0.1
+const freeShareWeight = 0.1
 
-func (d *decider) cost(g *stage, w *worker, left spoolsill.Resources) float64 {
+func (d *decider) placementCost(g *stage, w *worker, left spoolsill.Resources) float64 {
 	c := w.health.slowness()
 	if g.step.NearRack != "" && g.step.NearRack != w.Rack {
 		c *= d.config.FarFactor
 	}
 	if w.Capacity.Processors > 0 {
-		c += tightness * float64(left.Processors) / float64(w.Capacity.Processors)
+		c += freeShareWeight * float64(left.Processors) / float64(w.Capacity.Processors)
 	}
 	return c
 }
@@ -328,7 +328,7 @@
 		Life:   r.worker.life(),
 		Run:    r.id,
 		Spec:   g.job.Spec,
-		Saved:  t.startFrom(),
+		Saved:  t.lastCheckpoint(),
 		Ticket: g.advice.tickets[r.worker].text,
 	})
 	s.markDirty(g.job)
@@ -342,9 +342,9 @@
 	})
 }
 
-// startFrom returns the saved progress to go on from. One member's is good
+// lastCheckpoint returns the saved progress to go on from. One member's is good
 // for its whole gang.
-func (t *task) startFrom() string {
+func (t *task) lastCheckpoint() string {
 	if !t.stage.step.Gang {
 		return t.saved
 	}
--- a/sched/overdue.go
+++ b/sched/deferred.go
@@ -7,38 +7,38 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// callMargin is how long a ticket must still hold when an order leaves: a worker
+// dispatchMargin is how long a ticket must still hold when an order leaves: a worker
 // answers in milliseconds, the rest is for queueing at a busy host, a quarter of
 // what one try of a start may take.
-const callMargin = 60 * time.Millisecond
+const dispatchMargin = 60 * time.Millisecond
 
-// ticketIsOver reports whether a run needs a ticket that does not hold any more.
+// ticketExpired reports whether a run needs a ticket that does not hold any more.
 // Of a gang it is enough that one member's does not.
-func (s *State) ticketIsOver(r *run) bool {
+func (s *State) ticketExpired(r *run) bool {
 	g := r.task.stage
 	if s.queue(g.job).Advisor == nil {
 		return false
 	}
 	if !g.step.Gang {
-		return !g.advice.validFor(r.worker, s.now, callMargin)
+		return !g.advice.validFor(r.worker, s.now, dispatchMargin)
 	}
 	return slices.ContainsFunc(g.tasks, func(t *task) bool {
-		return t.run != nil && t.run.id.Number == r.id.Number && !g.advice.validFor(t.run.worker, s.now, callMargin)
+		return t.run != nil && t.run.id.Number == r.id.Number && !g.advice.validFor(t.run.worker, s.now, dispatchMargin)
 	})
 }
 
-// renewOverdue has orders that could not leave wait for their tickets, and asks for
+// deferOrders has orders that could not leave wait for their tickets, and asks for
 // them, a question for each stage.
-func (s *State) renewOverdue(orders []StartOrder) {
+func (s *State) deferOrders(orders []StartOrder) {
 	var stages []*stage
 	lives := map[*stage][]spoolsill.Life{}
 	for _, o := range orders {
-		r := s.recorded(o)
+		r := s.recordedRun(o)
 		if r == nil {
 			continue
 		}
 		g := r.task.stage
-		g.overdue = append(g.overdue, o)
+		g.deferred = append(g.deferred, o)
 		if lives[g] == nil {
 			stages = append(stages, g)
 		}
@@ -56,24 +56,24 @@
 func (s *State) dispatchDeferred(g *stage, a Advice) {
 	waits := func(o StartOrder) bool { return slices.Contains(a.Order.Workers, o.Life) }
 	var orders, rest []StartOrder
-	for _, o := range g.overdue {
+	for _, o := range g.deferred {
 		if waits(o) {
 			orders = append(orders, o)
 		} else {
 			rest = append(rest, o)
 		}
 	}
-	g.overdue = rest
+	g.deferred = rest
 	for _, o := range orders {
-		r := s.recorded(o)
+		r := s.recordedRun(o)
 		switch {
 		case r == nil:
-		case a.Lost || s.ticketIsOver(r):
+		case a.Lost || s.ticketExpired(r):
 			s.lose(r, "its ticket ran out before the order left")
-		case !s.mayLeave(r):
+		case !s.canDispatch(r):
 			s.lose(r, "overtaken before the order left")
 		default:
-			s.deferredStarts = append(s.deferredStarts, s.leave(o, r))
+			s.deferredStarts = append(s.deferredStarts, s.dispatch(o, r))
 		}
 	}
 }
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -12,14 +12,14 @@
 // placeGang starts all tasks of a gang, or none.
 func (d *decider) placeGang(g *stage, q *Queue) {
 	ws := d.candidates(g, q)
-	seats := d.seats(g, q, ws)
+	seats := d.assignGang(g, q, ws)
 	if seats == nil {
-		d.gather(g, q)
+		d.reserveForGang(g, q)
 		d.keepWarm(g, q)
 		return
 	}
-	g.gathered = nil
-	renew := d.stale(g, q, seats)
+	g.reserved = nil
+	renew := d.ticketsToRenew(g, q, seats)
 	for i, t := range g.tasks {
 		if len(renew) > 0 {
 			d.plan(t, seats[i])
@@ -33,62 +33,62 @@
 }
 
 const (
-	// gatherFactor is for how many times its tasks a gang that waits keeps
+	// gangReserveFactor is for how many times its tasks a gang that waits keeps
 	// workers from stages ranked below it, by what they hold when empty: with
 	// just enough of them it would wait for the last run to end, and with all
 	// that it may use, room would stand idle. Tried on the grown deployments,
 	// see docs/DECISIONS.md.
-	gatherFactor = 3
-	// gatherShare is the part of the workers that gangs ranked below the first
+	gangReserveFactor = 3
+	// reserveDivisor is the part of the workers that gangs ranked below the first
 	// may keep besides, one in so many.
-	gatherShare = 3
+	reserveDivisor = 3
 )
 
-// gather keeps workers for a gang that waits, so that it does not wait for
+// reserveForGang keeps workers for a gang that waits, so that it does not wait for
 // ever. It goes on with those that it kept in the last pass.
-func (d *decider) gather(g *stage, q *Queue) {
+func (d *decider) reserveForGang(g *stage, q *Queue) {
 	r := d.ready[q.Service]
-	if r == nil || len(d.held) > 0 && len(d.held) >= len(r.workers)/gatherShare {
-		g.gathered = nil
+	if r == nil || len(d.reservedFor) > 0 && len(d.reservedFor) >= len(r.workers)/reserveDivisor {
+		g.reserved = nil
 		return
 	}
 	from := g.advice.good
 	if q.Advisor == nil {
 		from = r.workers
 	}
-	if !d.seatable(g, from) {
+	if !d.fitsEmptyWorkers(g, from) {
 		// The workers that it would keep may be the only ones that others can use.
-		g.gathered = nil
+		g.reserved = nil
 		return
 	}
 	seats := 0
 	keep := func(w *worker) bool {
-		n := fitTimes(g.step.demand(), w.Capacity)
-		if !w.ready || d.held[w] != nil || n == 0 || seats >= gatherFactor*len(g.tasks) {
+		n := fitCount(g.step.demand(), w.Capacity)
+		if !w.ready || d.reservedFor[w] != nil || n == 0 || seats >= gangReserveFactor*len(g.tasks) {
 			return false
 		}
-		d.held[w] = g
+		d.reservedFor[w] = g
 		seats += n
 		return true
 	}
-	g.gathered = slices.DeleteFunc(g.gathered, func(w *worker) bool { return !keep(w) })
+	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !keep(w) })
 	from = slices.Clone(from)
 	sortByFree(from)
 	for _, w := range from {
 		if keep(w) {
-			g.gathered = append(g.gathered, w)
+			g.reserved = append(g.reserved, w)
 		}
 	}
 }
 
-// seatable reports whether workers could seat a gang if they were empty.
-func (s *State) seatable(g *stage, ws []*worker) bool {
+// fitsEmptyWorkers reports whether workers could seat a gang if they were empty.
+func (s *State) fitsEmptyWorkers(g *stage, ws []*worker) bool {
 	seats := 0
 	for _, w := range ws {
 		if w.dead || w.leaving(s.now) || !g.labelMatches(w) {
 			continue
 		}
-		n := fitTimes(g.step.demand(), w.Capacity)
+		n := fitCount(g.step.demand(), w.Capacity)
 		if m := g.step.MaxPerWorker; m > 0 {
 			n = min(n, m)
 		}
@@ -97,8 +97,8 @@
 	return seats >= len(g.tasks)
 }
 
-// stale returns the workers of seats whose tickets must be renewed first.
-func (d *decider) stale(g *stage, q *Queue, seats []*worker) []spoolsill.Life {
+// ticketsToRenew returns the workers of seats whose tickets must be renewed first.
+func (d *decider) ticketsToRenew(g *stage, q *Queue, seats []*worker) []spoolsill.Life {
 	if q.Advisor == nil {
 		return nil
 	}
@@ -116,13 +116,13 @@
 	return lives
 }
 
-// seats returns a worker for each task of a gang, or nil. A gang that should be
+// assignGang returns a worker for each task of a gang, or nil. A gang that should be
 // in one rack is spread over several once it has waited for as long as that
 // costs.
-func (d *decider) seats(g *stage, q *Queue, ws []*worker) []*worker {
+func (d *decider) assignGang(g *stage, q *Queue, ws []*worker) []*worker {
 	costs := time.Duration((d.config.FarFactor - 1) * float64(d.expected(q, g.step)))
 	if !g.step.SameRack || d.now.Sub(g.openedAt) >= costs {
-		return d.seatsAmong(g, ws)
+		return d.assignGangTo(g, ws)
 	}
 	for _, rack := range racksOf(ws) {
 		var in []*worker
@@ -131,7 +131,7 @@
 				in = append(in, w)
 			}
 		}
-		if seats := d.seatsAmong(g, in); seats != nil {
+		if seats := d.assignGangTo(g, in); seats != nil {
 			return seats
 		}
 	}
@@ -148,27 +148,27 @@
 	return racks
 }
 
-func (d *decider) seatsAmong(g *stage, ws []*worker) []*worker {
+func (d *decider) assignGangTo(g *stage, ws []*worker) []*worker {
 	need := g.step.demand()
-	type offer struct {
+	type candidate struct {
 		w     *worker
-		seats int
+		slots int
 		trial float64
 	}
-	offers := make([]offer, 0, len(ws))
+	offers := make([]candidate, 0, len(ws))
 	total := 0
 	for _, w := range ws {
-		n := fitTimes(need, w.free())
+		n := fitCount(need, w.free())
 		if m := g.step.MaxPerWorker; m > 0 {
-			n = min(n, m-g.at(w))
+			n = min(n, m-g.runsAt(w))
 		}
 		n = min(n, len(g.tasks))
 		if n <= 0 {
 			continue
 		}
-		offers = append(offers, offer{
+		offers = append(offers, candidate{
 			w:     w,
-			seats: n,
+			slots: n,
 			trial: d.gangTrialCost(g, w),
 		})
 		total += n
@@ -176,16 +176,16 @@
 	if total < len(g.tasks) {
 		return nil
 	}
-	slices.SortStableFunc(offers, func(a, b offer) int {
+	slices.SortStableFunc(offers, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.trial, b.trial),
 			cmp.Compare(a.w.health.slowness(), b.w.health.slowness()),
-			cmp.Compare(b.seats, a.seats),
+			cmp.Compare(b.slots, a.slots),
 		)
 	})
 	seats := make([]*worker, 0, len(g.tasks))
 	for _, o := range offers {
-		for range o.seats {
+		for range o.slots {
 			if len(seats) < len(g.tasks) {
 				seats = append(seats, o.w)
 			}
@@ -194,8 +194,8 @@
 	return seats
 }
 
-// fitTimes returns how often need fits into free.
-func fitTimes(need, free spoolsill.Resources) int {
+// fitCount returns how often need fits into free.
+func fitCount(need, free spoolsill.Resources) int {
 	n := math.MaxInt32
 	if need.Processors > 0 {
 		n = min(n, int(free.Processors/need.Processors))
--- a/sched/job.go
+++ b/sched/job.go
@@ -71,20 +71,20 @@
 
 // Bounds of a job, far above what hosts accept: a leader makes each task at once.
 const (
-	mostSteps  = 1 << 12
-	mostTasks  = 1 << 20
-	mostRounds = 1 << 20
+	maxSteps  = 1 << 12
+	maxTasks  = 1 << 20
+	maxRounds = 1 << 20
 )
 
 // Check returns why a job is none that a host has accepted. One that was damaged, or
 // that someone else wrote, would else end each process that leads.
 func (j *Job) Check() error {
-	if len(j.Steps) > mostSteps || j.Rounds < 0 || j.Rounds > mostRounds {
+	if len(j.Steps) > maxSteps || j.Rounds < 0 || j.Rounds > maxRounds {
 		return fmt.Errorf("sched: %d steps, %d rounds", len(j.Steps), j.Rounds)
 	}
 	total := 0
 	for i, p := range j.Steps {
-		if p.Tasks < 0 || p.Tasks > mostTasks || p.Need.Negative() {
+		if p.Tasks < 0 || p.Tasks > maxTasks || p.Need.Negative() {
 			return fmt.Errorf("sched: step %d has %d tasks that need %v", i, p.Tasks, p.Need)
 		}
 		for _, a := range p.After {
@@ -94,7 +94,7 @@
 		}
 		total += p.Tasks
 	}
-	if total > mostTasks || total*j.rounds() > mostTasks {
+	if total > maxTasks || total*j.rounds() > maxTasks {
 		return fmt.Errorf("sched: %d tasks in %d rounds", total, j.rounds())
 	}
 	return nil
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -23,10 +23,10 @@
 	if p.State.Final() && len(p.Stages) == 0 {
 		x.Spec = ""
 		x.Steps = nil
-		s.keepEnded(j.ID)
+		s.retainEnded(j.ID)
 		return
 	}
-	x.beyond = x.team.share.take(j.Received, x.team.Weight)
+	x.overShare = x.team.share.observe(j.Received, x.team.Weight)
 	s.makeStages(x)
 	for _, sp := range p.Stages {
 		s.restoreStage(x, sp)
@@ -36,7 +36,7 @@
 		s.stopJob(x, "job has ended")
 		return
 	}
-	if !x.surelyBegun() {
+	if !x.provablyStarted() {
 		// A recorded start may never have reached its worker: the job waits
 		// until a worker tells of it.
 		s.setState(x, Pending)
@@ -64,15 +64,15 @@
 			}
 			j.stages = append(j.stages, g)
 			if g.tasksLeft > 0 {
-				j.undone++
+				j.stagesLeft++
 			}
 		}
 	}
 }
 
-// surelyBegun reports whether the progress of a job proves that a task of it has
+// provablyStarted reports whether the progress of a job proves that a task of it has
 // begun: one is done, has failed or has saved something.
-func (j *job) surelyBegun() bool {
+func (j *job) provablyStarted() bool {
 	for _, g := range j.stages {
 		if g.gangFailures > 0 || g.done() {
 			return true
@@ -117,7 +117,7 @@
 	g.gangFailures = p.Fails
 	if p.Done && len(p.Tasks) == 0 {
 		g.tasksLeft = 0
-		j.undone--
+		j.stagesLeft--
 		return
 	}
 	g.makeTasks()
@@ -134,11 +134,11 @@
 			g.tasksLeft--
 		}
 		if tp.Worker != "" {
-			s.inherit(t, tp)
+			s.restoreRun(t, tp)
 		}
 	}
 	if g.tasksLeft == 0 {
-		j.undone--
+		j.stagesLeft--
 	}
 }
 
@@ -161,8 +161,8 @@
 	}
 }
 
-// inherit puts a run that a former leader recorded into its worker's account.
-func (s *State) inherit(t *task, p TaskProgress) {
+// restoreRun puts a run that a former leader recorded into its worker's account.
+func (s *State) restoreRun(t *task, p TaskProgress) {
 	w := s.worker(p.Worker)
 	r := &run{
 		id: RunID{
@@ -208,7 +208,7 @@
 	g.open = true
 	g.openedAt = s.now
 	if !g.due.IsZero() {
-		s.timed = append(s.timed, g)
+		s.timedStages = append(s.timedStages, g)
 		return
 	}
 	g.makeTasks()
@@ -217,12 +217,12 @@
 
 // openDue moves the timed stages whose time has come to those to place.
 func (s *State) openDue() {
-	if len(s.timed) == 0 {
+	if len(s.timedStages) == 0 {
 		return
 	}
-	wall := s.wall()
-	rest := s.timed[:0]
-	for _, g := range s.timed {
+	wall := s.wallClock()
+	rest := s.timedStages[:0]
+	for _, g := range s.timedStages {
 		if wall.Before(g.due) {
 			rest = append(rest, g)
 			continue
@@ -230,7 +230,7 @@
 		g.makeTasks()
 		s.openStages = append(s.openStages, g)
 	}
-	s.timed = rest
+	s.timedStages = rest
 }
 
 // AddEndedJob takes in a job of which only its progress is kept, which is final.
@@ -269,9 +269,9 @@
 		Kind:   NoteJobEnded,
 		Job:    j.ID,
 		Reason: to.String() + ": " + reason,
-		Age:    s.wall().Sub(j.Received),
+		Age:    s.wallClock().Sub(j.Received),
 
-		Account: s.accountOf(j),
+		Account: s.finalAccount(j),
 	})
 }
 
@@ -297,8 +297,8 @@
 // completeStage is called when the last task of a stage is done.
 func (s *State) completeStage(g *stage) {
 	j := g.job
-	j.undone--
-	if j.undone == 0 {
+	j.stagesLeft--
+	if j.stagesLeft == 0 {
 		s.endJob(j, Completed, "all tasks are done")
 		return
 	}
--- a/sched/load.go
+++ b/sched/load.go
@@ -57,7 +57,7 @@
 		if s.rank(g).tier >= tierLate {
 			l.Late++
 		}
-		if g.step.Gang && s.advisedOnce(g) && !s.seatable(g, s.mayUse(g)) {
+		if g.step.Gang && s.hasAdvice(g) && !s.fitsEmptyWorkers(g, s.usableWorkers(g)) {
 			l.Unseatable++
 		}
 	}
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// births returns the births of the lives that p names, or nil when none is told.
-func (p *Progress) births() []spoolsill.Birth {
+// collectBirths returns the births of the lives that p names, or nil when none is told.
+func (p *Progress) collectBirths() []spoolsill.Birth {
 	var all []spoolsill.Birth
 	told := false
 	p.eachBirth(func(b *spoolsill.Birth) {
@@ -117,7 +117,7 @@
 // EncodeProgress returns p as it is kept.
 func EncodeProgress(p Progress) ([]byte, error) {
 	values := []any{&p}
-	births := p.births()
+	births := p.collectBirths()
 	switch {
 	case births != nil:
 		values = append(values, p.Crashes, p.Team, births)
@@ -166,30 +166,30 @@
 }
 
 const (
-	// taskBytes is what the progress of one task may need: a worker's name,
+	// maxTaskBytes is what the progress of one task may need: a worker's name,
 	// a saved text of some 20 bytes, numbers.
-	taskBytes = 56
-	// stageBytes is what a stage needs besides.
-	stageBytes = 24
-	// lossesKept bounds the losses that a row keeps, those of the tasks with the most
-	// first; lossBytes is what one may need: a worker's name, and where it is the
+	maxTaskBytes = 56
+	// maxStageBytes is what a stage needs besides.
+	maxStageBytes = 24
+	// maxLosses bounds the losses that a row keeps, those of the tasks with the most
+	// first; maxLossBytes is what one may need: a worker's name, and where it is the
 	// task's only one, the task.
-	lossesKept = 64
-	lossBytes  = 48
-	// birthBytes is what the birth of one life needs, and listBytes the list of them.
-	birthBytes = 9
-	listBytes  = 5
-	// teamBytes is what the name of its team needs beside its bytes.
-	teamBytes = 8
+	maxLosses    = 64
+	maxLossBytes = 48
+	// maxBirthBytes is what the birth of one life needs, and maxListBytes the list of them.
+	maxBirthBytes = 9
+	maxListBytes  = 5
+	// maxTeamBytes is what the name of its team needs beside its bytes.
+	maxTeamBytes = 8
 )
 
 // MaxProgressBytes returns how long the progress of a job may become.
 func MaxProgressBytes(j Job) int {
 	n := 0
 	for i := range j.Steps {
-		n += stageBytes + j.Steps[i].Tasks*(taskBytes+birthBytes)
+		n += maxStageBytes + j.Steps[i].Tasks*(maxTaskBytes+maxBirthBytes)
 	}
-	return n*j.rounds() + lossesKept*(lossBytes+birthBytes) + listBytes + teamBytes + len(j.Team)
+	return n*j.rounds() + maxLosses*(maxLossBytes+maxBirthBytes) + maxListBytes + maxTeamBytes + len(j.Team)
 }
 
 // progress returns what is to be kept of j.
@@ -210,7 +210,7 @@
 			}
 		}
 	}
-	p.Crashes = mostLosses(p.Crashes)
+	p.Crashes = truncateLosses(p.Crashes)
 	return p
 }
 
@@ -232,10 +232,10 @@
 	return cs
 }
 
-// mostLosses returns as many as a row keeps, those with the most losses.
-func mostLosses(cs []TaskCrashes) []TaskCrashes {
+// truncateLosses returns as many as a row keeps, those with the most losses.
+func truncateLosses(cs []TaskCrashes) []TaskCrashes {
 	slices.SortStableFunc(cs, func(a, b TaskCrashes) int { return cmp.Compare(len(b.Losses), len(a.Losses)) })
-	left := lossesKept
+	left := maxLosses
 	for i, c := range cs {
 		left -= len(c.Losses)
 		if left < 0 {
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -21,30 +21,30 @@
 // being stopped is still there.
 type teamState struct {
 	Team
-	share shareAccount
-	// named tells that a configuration has told of the team.
-	named bool
+	share shareTracker
+	// configured tells that a configuration has told of the team.
+	configured bool
 	// used is what the runs in the workers' accounts need; strays is the same of runs
 	// that no record names, as of the pass under way.
-	used   spoolsill.Resources
-	strays spoolsill.Resources
+	used       spoolsill.Resources
+	strayUsage spoolsill.Resources
 }
 
-// takes reports whether a team may have runs besides what it has that need so much.
-func (t *teamState) takes(need spoolsill.Resources) bool {
-	after := t.used.Add(t.strays).Add(need)
-	return within(int64(after.Processors), int64(t.Most.Processors)) &&
-		within(int64(after.Memory), int64(t.Most.Memory)) &&
-		within(int64(after.Accelerators), int64(t.Most.Accelerators))
+// allows reports whether a team may have runs besides what it has that need so much.
+func (t *teamState) allows(need spoolsill.Resources) bool {
+	after := t.used.Add(t.strayUsage).Add(need)
+	return withinLimit(int64(after.Processors), int64(t.Most.Processors)) &&
+		withinLimit(int64(after.Memory), int64(t.Most.Memory)) &&
+		withinLimit(int64(after.Accelerators), int64(t.Most.Accelerators))
 }
 
-func within(n, most int64) bool {
+func withinLimit(n, most int64) bool {
 	return most <= 0 || n <= most
 }
 
 // overQuota reports whether a team has more than it may, since its quota was lowered.
 func (t *teamState) overQuota() bool {
-	return !t.takes(spoolsill.Resources{})
+	return !t.allows(spoolsill.Resources{})
 }
 
 // SetTeams takes in the teams of the newest configuration. One that it lacks keeps the
@@ -59,7 +59,7 @@
 		named[t.ID] = true
 		a := s.team(t.ID)
 		a.Team = t
-		a.named = true
+		a.configured = true
 	}
 }
 
@@ -77,29 +77,29 @@
 	return t
 }
 
-// quotaIsKnown reports whether it is known how much the team of a job may have. A host
+// quotaKnown reports whether it is known how much the team of a job may have. A host
 // may have accepted the job under a newer configuration than this one, so that nothing
 // of a team without a quota starts until that must be in force here as well.
-func (s *State) quotaIsKnown(j *job) bool {
-	return j.Team == "" || j.team.named || s.wall().Sub(j.Received) > s.config.ConfigInForce
+func (s *State) quotaKnown(j *job) bool {
+	return j.Team == "" || j.team.configured || s.wallClock().Sub(j.Received) > s.config.ConfigInForce
 }
 
-// underQuota reports whether the team of g may have what is started of it at once: a
+// fitsQuota reports whether the team of g may have what is started of it at once: a
 // task, or a whole gang.
-func (s *State) underQuota(g *stage) bool {
+func (s *State) fitsQuota(g *stage) bool {
 	need := g.step.demand()
 	if g.step.Gang {
 		need = need.Times(len(g.tasks))
 	}
-	return s.quotaIsKnown(g.job) && g.job.team.takes(need)
+	return s.quotaKnown(g.job) && g.job.team.allows(need)
 }
 
-// countStrays adds up what runs need that no record names, of jobs that are known.
+// sumStrayUsage adds up what runs need that no record names, of jobs that are known.
 // They are ordered to stop and are still there.
 // Cost: O(workers) where there are none.
-func (s *State) countStrays() {
+func (s *State) sumStrayUsage() {
 	for _, t := range s.teams {
-		t.strays = spoolsill.Resources{}
+		t.strayUsage = spoolsill.Resources{}
 	}
 	for _, w := range s.workerList {
 		for id := range w.strays {
@@ -108,16 +108,16 @@
 				continue
 			}
 			if g := j.stage(id.Task.Stage.Round, id.Task.Stage.Step); g != nil {
-				j.team.strays = j.team.strays.Add(g.step.demand())
+				j.team.strayUsage = j.team.strayUsage.Add(g.step.demand())
 			}
 		}
 	}
 }
 
-// stopDoubtful stops the runs in doubt of teams that have more than they may: an order
+// stopUncertainOverQuota stops the runs in doubt of teams that have more than they may: an order
 // that was not answered may be carried out seconds later, when the lower quota is in
 // force. A run that is known to go on is left alone.
-func (s *State) stopDoubtful() {
+func (s *State) stopUncertainOverQuota() {
 	any := false
 	for _, t := range s.teams {
 		any = any || t.overQuota()
--- a/sched/rank.go
+++ b/sched/rank.go
@@ -10,11 +10,11 @@
 type tier int
 
 const (
-	tierUrgent tier = iota // of the first priority, and can be in time
-	tierTimely             // can be in time
-	tierLate               // can't be in time, still earns a part
-	tierBeyond             // could be in time or earn a part, and is beyond its team's share
-	tierLost               // earns nothing any more
+	tierUrgent    tier = iota // of the first priority, and can be in time
+	tierOnTime                // can be in time
+	tierLate                  // can't be in time, still earns a part
+	tierOverShare             // could be in time or earn a part, and is beyond its team's share
+	tierWorthless             // earns nothing any more
 )
 
 // A rank orders stages: by tier, by the priority of their queue, then by the time
@@ -44,11 +44,11 @@
 	if !g.due.IsZero() {
 		since = g.due
 	}
-	waited := s.wall().Sub(since)
-	chain := s.chainLeft(g)
+	waited := s.wallClock().Sub(since)
+	chain := s.criticalPath(g)
 	slack := objective - waited - chain
 	r := rank{
-		tier:     tierTimely,
+		tier:     tierOnTime,
 		priority: q.Priority,
 		slack:    slack,
 	}
@@ -56,46 +56,46 @@
 	case g.step.Lasting:
 		r.slack = 0
 	case waited+chain > lateFactor*objective:
-		r.tier = tierLost
+		r.tier = tierWorthless
 	case slack < 0:
 		r.tier = tierLate
 	case q.Priority == 0:
 		r.tier = tierUrgent
 	}
-	if g.job.beyond {
-		r.tier = max(r.tier, tierBeyond)
+	if g.job.overShare {
+		r.tier = max(r.tier, tierOverShare)
 	}
 	return r
 }
 
 // objective is the time within which the stage's round should be done.
 func (s *State) objective(g *stage, q *Queue) time.Duration {
-	return time.Duration(q.Stretch*float64(slices.Max(s.chains(g.job, q)))) + q.Goal
+	return time.Duration(q.Stretch*float64(slices.Max(s.criticalPathsOf(g.job, q)))) + q.Goal
 }
 
-// chainLeft is the expected time of the longest chain that begins with g.
-func (s *State) chainLeft(g *stage) time.Duration {
-	return s.chains(g.job, s.queue(g.job))[g.id.Step]
+// criticalPath is the expected time of the longest chain that begins with g.
+func (s *State) criticalPath(g *stage) time.Duration {
+	return s.criticalPathsOf(g.job, s.queue(g.job))[g.id.Step]
 }
 
-// chainsKept is how long a job's chains are kept: what is expected of its tasks
+// criticalPathTTL is how long a job's chains are kept: what is expected of its tasks
 // changes slowly.
-const chainsKept = 500 * time.Millisecond
+const criticalPathTTL = 500 * time.Millisecond
 
-// chains returns for each step of a job the expected time of the longest chain
+// criticalPathsOf returns for each step of a job the expected time of the longest chain
 // that begins with it. Steps wait only for earlier ones.
-func (s *State) chains(j *job, q *Queue) []time.Duration {
-	if j.chains != nil && s.now.Sub(j.chainsAt) < chainsKept {
-		return j.chains
+func (s *State) criticalPathsOf(j *job, q *Queue) []time.Duration {
+	if j.criticalPaths != nil && s.now.Sub(j.criticalPathsAt) < criticalPathTTL {
+		return j.criticalPaths
 	}
-	j.chainsAt = s.now
-	j.chains = make([]time.Duration, len(j.Steps))
+	j.criticalPathsAt = s.now
+	j.criticalPaths = make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
 		p := &j.Steps[i]
-		j.chains[i] += s.expected(q, p)
+		j.criticalPaths[i] += s.expected(q, p)
 		for _, a := range p.After {
-			j.chains[a] = max(j.chains[a], j.chains[i])
+			j.criticalPaths[a] = max(j.criticalPaths[a], j.criticalPaths[i])
 		}
 	}
-	return j.chains
+	return j.criticalPaths
 }
--- a/sched/share.go
+++ b/sched/share.go
@@ -7,19 +7,19 @@
 // for one in four with one.
 const shareWindow = 5 * time.Second
 
-// A shareAccount tells which jobs of a team are beyond its share. The load that it
+// A shareTracker tells which jobs of a team are beyond its share. The load that it
 // answers: one team hands in many times its usual. Up to its quota it would take what
 // others wait for, whose own load is as usual. What is beyond its share waits behind what
 // all teams have within theirs, and is served from what is left.
-type shareAccount struct {
+type shareTracker struct {
 	// received has when the jobs within the share were handed in, in the window.
 	received []time.Time
 }
 
-// take takes in a job that was handed in at a time, and reports whether it is beyond a
+// observe takes in a job that was handed in at a time, and reports whether it is beyond a
 // share of weight jobs a second. Jobs beyond it do not count: a team that sends too much
 // still has its share.
-func (a *shareAccount) take(at time.Time, weight float64) (beyond bool) {
+func (a *shareTracker) observe(at time.Time, weight float64) (beyond bool) {
 	n := 0
 	for n < len(a.received) && at.Sub(a.received[n]) >= shareWindow {
 		n++
--- a/sched/state.go
+++ b/sched/state.go
@@ -56,11 +56,11 @@
 	workers    map[spoolsill.WorkerID]*worker
 	workerList []*worker // as first seen, for a stable choice
 	// lives has the accounts of each machine's lives that are not dead.
-	lives      map[string][]*worker
-	openStages []*stage // stages that may have tasks to place
-	timed      []*stage // stages that wait for their time
-	learnt     map[QueueID]*experience
-	teams      map[spoolsill.TeamID]*teamState
+	lives       map[string][]*worker
+	openStages  []*stage // stages that may have tasks to place
+	timedStages []*stage // stages that wait for their time
+	runTimes    map[QueueID]*runTimeEstimate
+	teams       map[spoolsill.TeamID]*teamState
 
 	dirty []*job
 	acks  map[spoolsill.Life]uint64
@@ -81,54 +81,54 @@
 	// storeRecoveredAt is when the store was last back after an outage.
 	storeRecoveredAt time.Time
 	// entriesAsOf is as of when all workers' entries are known; zero before.
-	entriesAsOf time.Time
-	checked     time.Time // when runs that stand still were last looked for
+	entriesAsOf    time.Time
+	stuckCheckedAt time.Time // when runs that stand still were last looked for
 	// firstAnswerAt is when the first worker answered under this leadership.
 	firstAnswerAt time.Time
-	ended         []endedJob
-	waiting       map[QueueID]int
+	endedJobs     []endedJob
+	pendingJobs   map[QueueID]int
 }
 
 // New returns a state that knows of nothing.
 func New(c Config) *State {
 	return &State{
-		config:  c,
-		queues:  map[QueueID]*Queue{},
-		jobs:    map[spoolsill.JobID]*job{},
-		workers: map[spoolsill.WorkerID]*worker{},
-		lives:   map[string][]*worker{},
-		learnt:  map[QueueID]*experience{},
-		teams:   map[spoolsill.TeamID]*teamState{},
-		acks:    map[spoolsill.Life]uint64{},
+		config:   c,
+		queues:   map[QueueID]*Queue{},
+		jobs:     map[spoolsill.JobID]*job{},
+		workers:  map[spoolsill.WorkerID]*worker{},
+		lives:    map[string][]*worker{},
+		runTimes: map[QueueID]*runTimeEstimate{},
+		teams:    map[spoolsill.TeamID]*teamState{},
+		acks:     map[spoolsill.Life]uint64{},
 
-		crashedAt: map[string]time.Time{},
-		waiting:   map[QueueID]int{},
+		crashedAt:   map[string]time.Time{},
+		pendingJobs: map[QueueID]int{},
 	}
 }
 
-// wall returns the time of day, without a steady reading: what others named as a time
+// wallClock returns the time of day, without a steady reading: what others named as a time
 // of day is compared with it.
-func (s *State) wall() time.Time {
+func (s *State) wallClock() time.Time {
 	return s.now.Round(0).Add(-s.config.Ahead)
 }
 
 // A job is a job with its progress.
 type job struct {
 	Job
-	team   *teamState
-	beyond bool // its team's share
-	state  JobState
-	stages []*stage
+	team      *teamState
+	overShare bool // its team's share
+	state     JobState
+	stages    []*stage
 	// activeRuns counts the activeRuns in the workers' accounts.
 	activeRuns int
-	undone     int // stages that are not done
+	stagesLeft int // stages that are not done
 	dirty      bool
-	// chains are the expected times of its steps' chains, as of chainsAt.
-	chains   []time.Duration
-	chainsAt time.Time
-	starts   []StartOrder // leave once the job's row is written
-	counted  bool         // in State.waiting
-	account  Account
+	// criticalPaths are the expected times of its steps' chains, as of criticalPathsAt.
+	criticalPaths   []time.Duration
+	criticalPathsAt time.Time
+	starts          []StartOrder // leave once the job's row is written
+	countedPending  bool         // in State.waiting
+	account         Account
 }
 
 // A stage is one step in one round of a job.
@@ -146,18 +146,18 @@
 	// openedAt is when its turn had come.
 	openedAt time.Time
 	tier     tier // as of the pass under way
-	// waits is what it has waited for since it was last looked at.
-	waits    waitKind
-	lookedAt time.Time
+	// waitingFor is what it has waited for since it was last looked at.
+	waitingFor    waitKind
+	waitUpdatedAt time.Time
 	// retryAt keeps a stage whose start was rejected from being tried at once.
 	retryAt time.Time
 	advice  advice
 	planned []*run // room taken while a ticket is renewed
-	// overdue are orders that are recorded and wait for a ticket: theirs ran out
+	// deferred are orders that are recorded and wait for a ticket: theirs ran out
 	// while a slow store recorded them.
-	overdue []StartOrder
-	// gathered are the workers that a gang keeps while it waits for room.
-	gathered []*worker
+	deferred []StartOrder
+	// reserved are the workers that a gang keeps while it waits for room.
+	reserved []*worker
 }
 
 // A task is one task of a stage.
@@ -247,8 +247,8 @@
 
 // PendingJobs returns how many jobs of each queue are accepted and have not begun.
 func (s *State) PendingJobs() map[QueueID]int {
-	w := make(map[QueueID]int, len(s.waiting))
-	for q, n := range s.waiting {
+	w := make(map[QueueID]int, len(s.pendingJobs))
+	for q, n := range s.pendingJobs {
 		w[q] = n
 	}
 	return w
@@ -269,13 +269,13 @@
 func (s *State) setState(j *job, to JobState) {
 	j.state = to
 	waits := to == Pending && j.Rounds == 0
-	if waits && !j.counted {
-		s.waiting[j.Queue]++
+	if waits && !j.countedPending {
+		s.pendingJobs[j.Queue]++
 	}
-	if !waits && j.counted {
-		s.waiting[j.Queue]--
+	if !waits && j.countedPending {
+		s.pendingJobs[j.Queue]--
 	}
-	j.counted = waits
+	j.countedPending = waits
 }
 
 // markDirty has the job's row written with the next batch.
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// stuckEvery is how often runs that stand still are looked for.
-	stuckEvery = 200 * time.Millisecond
-	// stuckLeast and stuckMost bound for how long a run's percent may stay as
+	// stuckCheckInterval is how often runs that stand still are looked for.
+	stuckCheckInterval = 200 * time.Millisecond
+	// minStuckTime and maxStuckTime bound for how long a run's percent may stay as
 	// it is. Workers answer each second at least; a run of ten seconds on a
 	// worker that is ten times slower moves on each second.
-	stuckLeast = 1500 * time.Millisecond
-	stuckMost  = 4 * time.Second
+	minStuckTime = 1500 * time.Millisecond
+	maxStuckTime = 4 * time.Second
 	// stuckShare of its expected time without a move is too long as well.
 	stuckShare = 0.25
 )
@@ -17,10 +17,10 @@
 // stopStuck stops the runs that stand still while their worker answers: they
 // are tried elsewhere.
 func (s *State) stopStuck() {
-	if s.now.Sub(s.checked) < stuckEvery {
+	if s.now.Sub(s.stuckCheckedAt) < stuckCheckInterval {
 		return
 	}
-	s.checked = s.now
+	s.stuckCheckedAt = s.now
 	for _, w := range s.workerList {
 		if w.dead || len(w.runs) == 0 {
 			continue
@@ -42,7 +42,7 @@
 		return false
 	}
 	limit := time.Duration(stuckShare * float64(s.expected(s.queue(g.job), g.step)))
-	limit = min(max(limit, stuckLeast), stuckMost)
+	limit = min(max(limit, minStuckTime), maxStuckTime)
 	return r.worker.answered.Sub(r.progressedAt) >= limit
 }
 
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -23,10 +23,10 @@
 }
 
 var waitNames = [...]string{
-	waitNothing: "nothing known",
-	waitAdvice:  "advice",
-	waitRoom:    "room",
-	waitQuota:   "quota",
+	waitUnknown:  "nothing known",
+	waitAdvice:   "advice",
+	waitCapacity: "room",
+	waitQuota:    "quota",
 }
 
 // LongestWait returns the stage that has waited longest to be placed; false when none
@@ -44,12 +44,12 @@
 	w := StageWait{
 		Stage:     first.id,
 		Waited:    now.Sub(first.openedAt),
-		For:       waitNames[first.waits],
+		For:       waitNames[first.waitingFor],
 		Asked:     len(first.advice.asked),
 		Questions: first.advice.learning,
 	}
-	kept := s.keptFromOthers(first)
-	for _, x := range s.mayUse(first) {
+	kept := s.reservedByOthers(first)
+	for _, x := range s.usableWorkers(first) {
 		w.count(first, x, kept[x])
 	}
 	return w, true
@@ -69,13 +69,13 @@
 	}
 }
 
-// advisedOnce reports whether it is known for any worker whether a stage may use it.
-func (s *State) advisedOnce(g *stage) bool {
+// hasAdvice reports whether it is known for any worker whether a stage may use it.
+func (s *State) hasAdvice(g *stage) bool {
 	return s.queue(g.job).Advisor == nil || g.advice.asked != nil
 }
 
-// mayUse returns the workers that a stage may use as far as is known.
-func (s *State) mayUse(g *stage) []*worker {
+// usableWorkers returns the workers that a stage may use as far as is known.
+func (s *State) usableWorkers(g *stage) []*worker {
 	q := s.queue(g.job)
 	if q.Advisor != nil {
 		return g.advice.good
@@ -89,14 +89,14 @@
 	return ws
 }
 
-// keptFromOthers returns the workers that stages but g keep while they wait.
-func (s *State) keptFromOthers(g *stage) map[*worker]bool {
+// reservedByOthers returns the workers that stages but g keep while they wait.
+func (s *State) reservedByOthers(g *stage) map[*worker]bool {
 	kept := map[*worker]bool{}
 	for _, o := range s.openStages {
 		if o == g {
 			continue
 		}
-		for _, w := range o.gathered {
+		for _, w := range o.reserved {
 			kept[w] = true
 		}
 	}
--- /dev/null
+++ b/sched/waittime.go
@@ -0,0 +1,47 @@
+package sched
+
+// A waitKind is what a stage waits for.
+type waitKind uint8
+
+const (
+	waitUnknown waitKind = iota
+	waitAdvice
+	waitCapacity
+	waitQuota
+)
+
+// recordWait adds the time since a stage was last looked at to its job's account.
+func (d *decider) recordWait(g *stage) {
+	t := d.now.Sub(g.waitUpdatedAt)
+	switch g.waitingFor {
+	case waitAdvice:
+		g.job.account.Advice += t
+	case waitCapacity:
+		g.job.account.Room += t
+	case waitQuota:
+		g.job.account.Quota += t
+	default:
+	}
+	g.waitingFor = waitUnknown
+}
+
+// beginWait takes in what a stage waits for from now on, after it was looked at.
+func (d *decider) beginWait(g *stage, q *Queue) {
+	g.waitUpdatedAt = d.now
+	switch {
+	case len(g.planned) > 0 || q.Advisor != nil && len(g.advice.good) == 0:
+		g.waitingFor = waitAdvice
+	case g.placeable():
+		g.waitingFor = waitCapacity
+	default:
+	}
+}
+
+// finalAccount returns the account of a job that has ended.
+func (s *State) finalAccount(j *job) *Account {
+	a := j.account
+	if len(j.stages) > 0 {
+		a.Objective = s.objective(j.stages[0], s.queue(j))
+	}
+	return &a
+}
