--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -35,8 +35,8 @@
 
 func TestAdvisorIsAskedBeforeAStart(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
@@ -52,22 +52,22 @@
 // twice: questions that nobody waits for any more would clog the advisor.
 func TestOldTicketIsRenewedWithRoomHeld(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
 	big := x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.pass(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
-	x.end(big[0], sched.EndDone)
+	x.endRun(big[0], sched.EndDone)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
 	x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
 	x.state.AddJob(x.now, job("late", "q", tasks(1, 10)), sched.Progress{})
-	x.pass(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -78,29 +78,29 @@
 
 func TestPlanForgetsWorkersThatAreGone(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
-	x.renew("w")
+	x.renewLease("w")
 	x.step()
 	q := x.question()
 	// The lease ends and the worker comes back before the answer does.
-	x.pass(7*time.Second, nil)
-	x.renew("w")
+	x.advance(7*time.Second, nil)
+	x.renewLease("w")
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
 func TestLostQuestionGivesTheRoomBack(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
-	x.renew("w")
+	x.renewLease("w")
 	x.step()
 	x.state.Advised(x.now, sched.Advice{
 		Order: x.question(),
@@ -117,7 +117,7 @@
 func TestQuestionsFollowTheHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.SetAskers(hosts)
 		for i := range 20 {
 			x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint(i)), "advised", tasks(1, 1)), sched.Progress{})
@@ -134,7 +134,7 @@
 	const hosts = 3
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.SetAskers(hosts)
 		for i := range 20 {
 			j := job(spoolsill.JobID(fmt.Sprint(i)), "advised-urgent", tasks(1, 1))
@@ -159,13 +159,13 @@
 // is started there.
 func TestOnlyWorkersThatAnswerAreAskedAbout(t *testing.T) {
 	x := newCell(t)
-	x.worker("silent")
-	x.worker("busy")
-	x.pass(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.addWorker("silent")
+	x.addWorker("busy")
+	x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"busy": nil,
 	})
 	x.state.AddJob(x.now, job("other", "q", tasks(1, 4)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
 	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("busy")})
@@ -175,20 +175,20 @@
 // room does not stand idle until the advisor has answered.
 func TestTicketsOfAWaitingGangAreKeptValid(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
 	big := x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.pass(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
 	q := x.question()
 	x.c.Assert(q.Purpose, qt.Equals, sched.Warm)
 	x.advise(q, "w")
-	x.end(big[0], sched.EndDone)
+	x.endRun(big[0], sched.EndDone)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 	x.c.Assert(x.state.Advices(), qt.HasLen, 0)
 }
@@ -199,7 +199,7 @@
 		x := newCell(t)
 		x.state.SetAskers(hosts)
 		for i := range 60 {
-			x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
+			x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 		}
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 		x.step()
@@ -222,16 +222,16 @@
 // named: it is not asked about again.
 func TestAdviceOutlivesAWorkersAbsence(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	// The worker is cut off until its lease is over, and then comes back.
 	x.state.UnlistWorker(x.now, "w")
-	x.pass(2*lease, nil)
-	x.worker("w")
+	x.advance(2*lease, nil)
+	x.addWorker("w")
 	x.state.CancelJob(x.now, "big")
 	x.step()
 	q := x.question()
@@ -244,7 +244,7 @@
 // storm.
 func TestLostQuestionsAreAskedAgainAfterAPause(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.SetAskers(2)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	asked := 0
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -36,10 +36,10 @@
 			continue
 		}
 		if m.run != nil && m.run.Worker == w {
-			m.x.renew(w, m.run.Run)
+			m.x.renewLease(w, m.run.Run)
 			continue
 		}
-		m.x.renew(w)
+		m.x.renewLease(w)
 	}
 	m.x.state.Decide(m.x.now)
 	b, _, err := m.x.state.Batch(m.x.now)
@@ -109,7 +109,7 @@
 	}
 	m.x.state.AddJob(m.x.now, job("j", "q", tasks(1, 1)), p)
 	for _, w := range m.workers {
-		m.x.list(w, false)
+		m.x.listWorker(w, false)
 	}
 }
 
--- a/sched/crashrow_test.go
+++ b/sched/crashrow_test.go
@@ -116,7 +116,7 @@
 	for i := range 2 {
 		x.listLife(i, 0)
 		o := x.step()
-		x.take(o)
+		x.acceptStarts(o)
 		x.now = x.now.Add(3 * time.Second)
 		x.state.WorkerDied(x.now, lifeOf(life(i, 0)))
 	}
--- a/sched/deferred_test.go
+++ b/sched/deferred_test.go
@@ -30,7 +30,7 @@
 		"gang":  gang(2, 1),
 	} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", step), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
@@ -39,12 +39,12 @@
 		x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
 		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
-		x.renew("w")
+		x.renewLease("w")
 		x.advise(q, "w")
 		o := x.state.DeferredStarts()
 		x.c.Assert(taskNames(o), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 		x.c.Assert(o[0].Ticket, qt.Equals, "ticket-w")
-		x.take(o)
+		x.acceptStarts(o)
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 	}
@@ -56,7 +56,7 @@
 func TestOrderWithoutATicketIsDropped(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 4)), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
@@ -69,7 +69,7 @@
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 		x.now = x.now.Add(100 * time.Millisecond) // a lost question is not asked again at once
-		x.renew("w")
+		x.renewLease("w")
 		x.step()
 		x.advise(x.question(), "w")
 		x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2", "j.0.0.1#2"})
@@ -79,7 +79,7 @@
 // What is cancelled while its order waits for a ticket never starts.
 func TestCancelledOrderDoesNotLeave(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
--- a/sched/unasked_test.go
+++ b/sched/unasked_test.go
@@ -138,7 +138,7 @@
 			highest: map[sched.TaskID]sched.RunNumber{},
 		},
 	}
-	x.list("w", false)
+	x.listWorker("w", false)
 	return x
 }
 
@@ -228,7 +228,7 @@
 	for r := range w.runs {
 		rs = append(rs, r)
 	}
-	x.answer("w", rs...)
+	x.heartbeat("w", rs...)
 }
 
 func (x *lateCell) cancel() {
@@ -252,7 +252,7 @@
 	if x.cancelled {
 		x.state.CancelJob(x.now, j.ID)
 	}
-	x.list("w", false)
+	x.listWorker("w", false)
 }
 
 // overdue returns a run that should be gone.
@@ -313,11 +313,11 @@
 		}
 		switch rapid.IntRange(0, 2).Draw(rt, "entry") {
 		case 1:
-			plan("drains", func() { x.list("w", true) })
+			plan("drains", func() { x.listWorker("w", true) })
 		case 2:
 			plan("unlisted", func() { x.state.UnlistWorker(x.now, "w") })
 			if rapid.Bool().Draw(rt, "is back") {
-				plan("listed", func() { x.list("w", false) })
+				plan("listed", func() { x.listWorker("w", false) })
 			}
 		}
 		if rapid.Bool().Draw(rt, "cut") {
@@ -342,7 +342,7 @@
 	for _, answered := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
 			x := newCell(t)
-			x.worker("w")
+			x.addWorker("w")
 			r := sched.RunID{
 				Task: sched.TaskID{
 					Stage: sched.StageID{
@@ -354,7 +354,7 @@
 			stops := 0
 			for range 150 {
 				x.now = x.now.Add(20 * time.Millisecond)
-				x.renew("w", r)
+				x.renewLease("w", r)
 				x.state.Decide(x.now)
 				for _, o := range x.state.Stops() {
 					stops++
@@ -373,11 +373,11 @@
 // goes on: it is looked at until that is over, and no longer.
 func TestWorkerWithoutAnEntryIsLookedAtWhileItsLeaseLasts(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.UnlistWorker(x.now, "w")
-	x.pass(lease-time.Second, nil)
+	x.advance(lease-time.Second, nil)
 	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
-	x.pass(2*time.Second, nil)
+	x.advance(2*time.Second, nil)
 	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
 
@@ -385,18 +385,18 @@
 // themselves. One that goes on is stopped when its job is cancelled.
 func TestMembersLeftOfADoneGangAreStoppedWithTheirJob(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	second := tasks(1, 1)
 	second.After = []int{0}
 	x.state.AddJob(x.now, job("j", "q", gang(2, 1), second), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.end(o[0], sched.EndDone)
-	x.take(x.step())
+	x.acceptStarts(o)
+	x.endRun(o[0], sched.EndDone)
+	x.acceptStarts(x.step())
 	x.state.CancelJob(x.now, "j")
 	x.state.Stops() // of the second step
 	x.now = x.now.Add(lookEvery)
-	x.renew("w", o[1].Run)
+	x.renewLease("w", o[1].Run)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
 			Life: lifeOf("w"),
--- a/sched/unclear_test.go
+++ b/sched/unclear_test.go
@@ -14,28 +14,28 @@
 // runs, and is back with its next whole entry.
 func TestWorkerWithAnUnclearEntryKeepsItsRuns(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.state.WorkerUnclear(x.now, "w")
 	x.state.AddJob(x.now, job("k", "q", tasks(1, 1)), sched.Progress{})
 	for range 8 {
 		x.now = x.now.Add(500 * time.Millisecond)
-		x.renew("w", o[0].Run)
+		x.renewLease("w", o[0].Run)
 		x.c.Assert(x.step(), qt.HasLen, 0)
 	}
 	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
-	x.end(o[0], sched.EndDone)
+	x.endRun(o[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
-	x.worker("w")
+	x.addWorker("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
 // What was recorded for such a worker does not leave either.
 func TestOrderToAWorkerWithAnUnclearEntryDoesNotLeave(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
--- a/sched/unlisted_test.go
+++ b/sched/unlisted_test.go
@@ -9,14 +9,14 @@
 // each call renews its lease.
 func TestIdleWorkerWhoseEntryWentIsLeftAfterAWhile(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.UnlistWorker(x.now, "w")
 	for range 120 {
 		x.now = x.now.Add(500 * time.Millisecond)
 		if len(x.state.HeartbeatTargets()) == 0 {
 			return
 		}
-		x.renew("w") // as a renewer does
+		x.renewLease("w") // as a renewer does
 		x.step()
 	}
 	x.c.Fatalf("still kept in touch with a minute after its entry went: %v", x.state.HeartbeatTargets())
