--- a/sched/batch.go
+++ b/sched/batch.go
@@ -9,16 +9,17 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// MaxBatchRows is how many jobs' rows a batch has at most; the store takes 100
-// entries in a transaction, and one is the leader's.
+// MaxBatchRows is the maximum number of job rows in a batch. The store accepts 100
+// entries per transaction; one of them is the leader's.
 const MaxBatchRows = 90
 
-// maxBatchBytes is from where on a batch takes no more rows, if the configuration does not
-// say less: the store takes 1 MB, of which base64 takes a quarter, and one more row has
-// 64 KB.
+// maxBatchBytes is the size at which a batch takes no more rows, unless
+// Config.BatchBytes is lower. The store accepts 1 MB, of which base64 encoding costs a
+// quarter, and the last row may add 64 KB.
 const maxBatchBytes = 600 << 10
 
-// Batch returns what is to be written next, and whether there is anything.
+// Batch returns the next rows to write and what depends on them. It reports false if
+// there is nothing to write.
 func (s *State) Batch(now time.Time) (Batch, bool, error) {
 	s.now = now
 	var b Batch
@@ -60,7 +61,8 @@
 	return b, n > 0 || len(b.Acks) > 0 || len(b.Forgotten) > 0, nil
 }
 
-// dropDetails drops what is not needed of a job that has ended for good.
+// dropDetails frees the parts of a job that are not needed once it has ended and has no
+// runs left.
 func (s *State) dropDetails(j *job) {
 	if !j.state.Final() || j.activeRuns > 0 {
 		return
@@ -71,7 +73,7 @@
 	s.retainEnded(j.ID)
 }
 
-// An endedJob is to be forgotten some time after its end.
+// An endedJob is a finished job and the time of its end.
 type endedJob struct {
 	id spoolsill.JobID
 	at time.Time
@@ -84,8 +86,8 @@
 	})
 }
 
-// expireEnded forgets the jobs that ended long ago, and returns at most n of
-// them: their progress need not be kept either.
+// expireEnded deletes up to n jobs whose retention time after their end has passed. It
+// returns their ids, whose stored progress can be deleted too.
 func (s *State) expireEnded(n int) []spoolsill.JobID {
 	var ids []spoolsill.JobID
 	for len(s.endedJobs) > 0 && len(ids) < n && s.now.Sub(s.endedJobs[0].at) > s.config.KeepEnded {
@@ -96,7 +98,8 @@
 	return ids
 }
 
-// collectAcks returns the ends whose rows are all in this batch or earlier ones.
+// collectAcks returns the pending acknowledgements, sorted by worker. The rows of the
+// acknowledged ends are in this batch or in earlier ones.
 func (s *State) collectAcks() []Ack {
 	var acks []Ack
 	for l, n := range s.acks {
@@ -110,8 +113,8 @@
 	return acks
 }
 
-// BatchWritten takes in that a batch lasts, and returns the starts that may leave
-// now: those that nothing has overtaken meanwhile.
+// BatchWritten records that b is durable. It returns the start orders of b that can be
+// sent now: those that are still valid and whose tickets have not expired.
 func (s *State) BatchWritten(now time.Time, b Batch) []StartOrder {
 	s.now = now
 	var out, overdue []StartOrder
@@ -121,7 +124,7 @@
 			continue
 		}
 		if !s.canDispatch(r) {
-			s.lose(r, "overtaken before the order left")
+			s.lose(r, "start no longer valid before dispatch")
 			continue
 		}
 		if s.ticketExpired(r) {
@@ -134,7 +137,7 @@
 	return out
 }
 
-// recordedRun returns the run of an order that has not left, or nil.
+// recordedRun returns the run of an order that has been recorded but not sent, or nil.
 func (s *State) recordedRun(o StartOrder) *run {
 	w := s.account(o.Life)
 	if w == nil {
@@ -147,17 +150,18 @@
 	return r
 }
 
-// dispatch takes in that an order leaves now, with the newest ticket that there is.
+// dispatch marks the run of an order as sent and returns the order with its current
+// ticket.
 func (s *State) dispatch(o StartOrder, r *run) StartOrder {
 	r.phase = phaseSent
 	r.startedAt = s.now
-	// A start renews the lease as well.
+	// A start order also renews the worker's lease.
 	s.LeaseAsked(o.Life, LeaseEnd(s.now, s.config.StartLease))
 	o.Ticket = r.task.stage.advice.tickets[r.worker].text
 	return o
 }
 
-// canDispatch reports whether an order that is recorded still makes sense.
+// canDispatch reports whether a recorded start order is still valid.
 func (s *State) canDispatch(r *run) bool {
 	g := r.task.stage
 	return !r.task.done && !g.job.state.Final() && !r.stopping &&
@@ -165,10 +169,10 @@
 		r.worker.present(s.now) && !r.worker.unclear && !r.worker.Draining
 }
 
-// HeartbeatTargets returns the lives of the workers that are to be kept in touch with:
-// those that are listed, and those that may have runs, known or not. A start without
-// an answer may be carried out at a worker whose entry has gone: with a lease of 6 s
-// it went on there for 5.6 s, and for 0.12 s if the worker is looked at.
+// HeartbeatTargets returns the lives of the workers to send heartbeats to: all listed
+// workers, and unlisted ones that may still have runs, known or not. An unanswered start
+// may be carried out at a worker whose entry has gone. With a lease of 6 s such a run
+// went on for 5.6 s without heartbeats and for 0.12 s with them.
 func (s *State) HeartbeatTargets() []spoolsill.Life {
 	lives := make([]spoolsill.Life, 0, len(s.workerList))
 	for _, w := range s.workerList {
@@ -193,9 +197,8 @@
 	return ids
 }
 
-// isRelevant reports whether a worker may have something to do with the cell: a queue has
-// its service, or it has runs. Entries of other services are not called. Before queues
-// are known all of them are.
+// isRelevant reports whether a worker has runs or provides the service of a queue. Before
+// any queue is known, every worker is relevant.
 func (s *State) isRelevant(w *worker) bool {
 	if len(s.queues) == 0 || len(w.runs) > 0 {
 		return true
@@ -208,7 +211,7 @@
 	return false
 }
 
-// Address returns where a worker is reached.
+// Address returns the network address of a worker, or "" if it is not known.
 func (s *State) Address(id spoolsill.WorkerID) string {
 	if w := s.workers[id]; w != nil {
 		return w.Address
@@ -216,7 +219,7 @@
 	return ""
 }
 
-// Hall returns where a worker stands.
+// Hall returns the hall of a worker, or "" if it is not known.
 func (s *State) Hall(id spoolsill.WorkerID) spoolsill.HallID {
 	if w := s.workers[id]; w != nil {
 		return w.Hall
@@ -230,7 +233,7 @@
 	return w == nil || len(w.runs) == 0
 }
 
-// Jobs returns the states of all jobs, in the order of their ids.
+// Jobs returns the status of all jobs, sorted by id.
 func (s *State) Jobs() []JobStatus {
 	out := make([]JobStatus, 0, len(s.jobs))
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// busyState returns a state of n workers that are full, with stages waiting for
+// fullState returns a state of n workers that are full, with stages waiting for
 // room: what a leader looks at again and again when the cell is overloaded.
-func busyState(n, waiting int, now time.Time) *sched.State {
+func fullState(n, waiting int, now time.Time) *sched.State {
 	s := sched.New(sched.Config{
 		Lease:      lease,
 		StartLease: 3 * time.Second,
@@ -56,7 +56,7 @@
 // stages that wait: the grown deployments at their peak.
 func BenchmarkDecideFull(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(350, 200, now)
+	s := fullState(350, 200, now)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Decide(now)
@@ -67,7 +67,7 @@
 // acceptance to its end, in a cell of 350 workers.
 func BenchmarkJob(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(350, 0, now)
+	s := fullState(350, 0, now)
 	id := spoolsill.WorkerID("fast")
 	s.ListWorker(now, sched.Worker{
 		ID:       id,
@@ -118,7 +118,7 @@
 // gangs that wait, each of which may use a quarter of the workers.
 func BenchmarkDecideGangs(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(350, 0, now)
+	s := fullState(350, 0, now)
 	s.SetAskers(40)
 	s.SetQueues([]sched.Queue{
 		{
@@ -165,7 +165,7 @@
 // that have room, and the question to the advisor that comes of it.
 func BenchmarkAskLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(largeCell, 0, now)
+	s := fullState(largeCellWorkers, 0, now)
 	s.SetAskers(300)
 	s.SetQueues([]sched.Queue{
 		{
@@ -183,7 +183,7 @@
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		for range looksShared {
+		for range jobsPerDecide {
 			n++
 			s.AddJob(now, job(spoolsill.JobID(fmt.Sprintf("job-%d", n)), "advised", tasks(2, 1)), sched.Progress{})
 		}
@@ -202,23 +202,23 @@
 }
 
 const (
-	// largeCell is how many workers the cell of BenchmarkAskLarge and
+	// largeCellWorkers is how many workers the cell of BenchmarkAskLarge and
 	// BenchmarkListLarge has.
-	largeCell = 3000
-	// looksShared is how many jobs come between two looks.
-	looksShared = 10
+	largeCellWorkers = 3000
+	// jobsPerDecide is how many jobs come between two looks.
+	jobsPerDecide = 10
 )
 
 // BenchmarkListLarge measures one worker's entry that is written anew, in a cell
 // of 3,000 workers.
 func BenchmarkListLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(largeCell, 0, now)
+	s := fullState(largeCellWorkers, 0, now)
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		id := spoolsill.WorkerID(fmt.Sprintf("worker-%d", n%largeCell))
+		id := spoolsill.WorkerID(fmt.Sprintf("worker-%d", n%largeCellWorkers))
 		s.ListWorker(now, sched.Worker{
 			ID:       id,
 			Machine:  string("machine-" + id),
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -9,8 +9,9 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Decide starts what can start at now. The starts leave with the next batch.
-// Cost: O(stages that wait * workers).
+// Decide places the tasks that can start at now. Their start orders are part of the next
+// batch.
+// Cost: O(waiting stages * workers).
 func (s *State) Decide(now time.Time) {
 	s.now = now
 	s.expireLeases()
@@ -35,19 +36,19 @@
 	}
 }
 
-// readyWorkers are the workers of one service that take something now.
+// readyWorkers are the workers of one service that accept new tasks.
 type readyWorkers struct {
 	workers []*worker
-	// maxFree is no less than what any of them has free. It is not lowered as
-	// room is taken within a pass.
+	// maxFree is an upper bound of the free resources of any of them. It is not
+	// lowered while resources are allocated during a pass.
 	maxFree spoolsill.Resources
-	// byFree are the workers with the most free processors first, as of when it
-	// was first asked for in the pass; nil before.
+	// byFree has the workers sorted by free processors, highest first, as of the first
+	// call of freest in the pass; nil before.
 	byFree []*worker
 }
 
-// freest returns the workers with the most free processors first. They are
-// sorted once in a pass, which has many stages ask about them.
+// freest returns the workers sorted by free processors, highest first. They are sorted
+// only once per pass since many stages need the order.
 func (r *readyWorkers) freest() []*worker {
 	if r.byFree == nil {
 		r.byFree = slices.Clone(r.workers)
@@ -56,8 +57,8 @@
 	return r.byFree
 }
 
-// collectReady looks once at each worker, so that a pass over many stages costs
-// little for those that find no room.
+// collectReady determines the ready workers once per pass, so that stages that do not
+// fit anywhere are rejected cheaply.
 func (d *decider) collectReady() {
 	for _, w := range d.workerList {
 		w.ready = w.takes(d.now) && w.health.available(d.now)
@@ -79,16 +80,16 @@
 	}
 }
 
-// A decider is one pass over the stages that wait.
+// A decider is one pass over the waiting stages.
 type decider struct {
 	*State
-	// reservedFor has the workers that gangs gather room at, by gang.
+	// reservedFor maps a reserved worker to the stage that it is reserved for.
 	reservedFor map[*worker]*stage
 	ready       map[spoolsill.ServiceID]*readyWorkers
 }
 
-// ranked returns the open stages in the order in which they are served, and
-// forgets those that are done.
+// ranked returns the stages that can be placed, sorted by rank, and removes finished ones
+// from the open stages.
 func (s *State) ranked() []*stage {
 	kept := s.openStages[:0]
 	var ready []*stage
@@ -113,7 +114,7 @@
 	return ready
 }
 
-// placeable reports whether a task of g waits for a worker; of a gang, all.
+// placeable reports whether a task of g needs a worker. For a gang all of them must.
 func (g *stage) placeable() bool {
 	if len(g.planned) > 0 {
 		return false
@@ -130,12 +131,12 @@
 	return g.step.Gang
 }
 
-// place starts the tasks of a stage that can start now.
+// place starts the tasks of g that can start now.
 func (d *decider) place(g *stage) {
 	q := d.queue(g.job)
 	if q.Service == "" || d.failExhausted(g) || d.giveUp(g) {
-		// Failures may have been heard of before the queue was known, crashes by a
-		// former leader.
+		// Failures may have been reported before the queue was known, and crashes
+		// counted by a former leader.
 		return
 	}
 	d.recordWait(g)
@@ -155,9 +156,9 @@
 	d.beginWait(g, q)
 }
 
-// ensureAdvice asks the advisor where nothing is known yet, and about more workers
-// when the known ones have had no room for a while. It reports whether any
-// worker is known.
+// ensureAdvice queries the advisor if nothing is known for g yet, and about more workers
+// if the known ones have had no capacity for a while. It reports whether any answer is
+// known.
 func (d *decider) ensureAdvice(g *stage, q *Queue) bool {
 	a := &g.advice
 	known := a.asked != nil
@@ -169,20 +170,20 @@
 	}
 	more := d.unasked(g, q)
 	if len(more) == 0 {
-		a.last = d.now // all are known: look again after a while
+		a.last = d.now // all known; look again after askMore
 		return known
 	}
 	d.learnMore(g, q, more)
 	return known
 }
 
-// labelMatches reports whether g's tasks may run at w, as far as its label tells.
+// labelMatches reports whether w has the label that g requires, if any.
 func (g *stage) labelMatches(w *worker) bool {
 	return g.step.Requires == "" || slices.Contains(w.Labels, g.step.Requires)
 }
 
-// candidates returns the workers where g may start something now and that have
-// room for a task.
+// candidates returns the workers where g may start a task and that have the capacity for
+// it.
 func (d *decider) candidates(g *stage, q *Queue) []*worker {
 	r := d.ready[q.Service]
 	need := g.step.demand()
@@ -212,7 +213,7 @@
 	return ws
 }
 
-// placeEach starts the waiting tasks one by one.
+// placeEach starts the waiting tasks independently of each other.
 func (d *decider) placeEach(g *stage, q *Queue) {
 	ws := d.candidates(g, q)
 	var renew []spoolsill.Life
@@ -244,7 +245,7 @@
 	d.reserveForLarge(g, q, waiting)
 }
 
-// runsAt returns how many runs of g a worker has.
+// runsAt returns the number of runs of g at w.
 func (g *stage) runsAt(w *worker) int {
 	n := 0
 	for _, t := range g.tasks {
@@ -255,8 +256,8 @@
 	return n
 }
 
-// bestWorker returns the worker where a task costs least, or nil when none has room:
-// one where it has not failed, then the fastest, then the tightest fit.
+// bestWorker returns the worker with the lowest cost for t, or nil if none has capacity.
+// It prefers workers where t has not failed, then fast ones, then the tightest fit.
 func (d *decider) bestWorker(t *task, ws []*worker) *worker {
 	g := t.stage
 	need := g.step.demand()
@@ -282,12 +283,12 @@
 	return best
 }
 
-// failedWorkerCost outweighs any difference in speed.
+// failedWorkerCost exceeds any difference in speed.
 const failedWorkerCost = 100
 
-// freeShareWeight is how much the share of a worker that is left free counts
-// against a factor on the run time; small, so that it only breaks ties between
-// workers that are about as fast.
+// freeShareWeight is the weight of the share of a worker's processors that stays free,
+// relative to the run time factor. It is small so that it only decides between workers
+// of about the same speed.
 const freeShareWeight = 0.1
 
 func (d *decider) placementCost(g *stage, w *worker, left spoolsill.Resources) float64 {
@@ -301,7 +302,7 @@
 	return c
 }
 
-// start records a run at once.
+// start plans a run of t at w and records it at once.
 func (d *decider) start(t *task, w *worker) {
 	d.plan(t, w)
 	g := t.stage
@@ -309,7 +310,7 @@
 	d.record(t.run)
 }
 
-// record makes a planned run a decision that is written with the next batch.
+// record adds the start order of a planned run to the next batch.
 func (s *State) record(r *run) {
 	t := r.task
 	g := t.stage
@@ -342,8 +343,8 @@
 	})
 }
 
-// lastCheckpoint returns the saved progress to go on from. One member's is good
-// for its whole gang.
+// lastCheckpoint returns the saved progress to resume from. The progress that any member
+// of a gang has saved is valid for the whole gang.
 func (t *task) lastCheckpoint() string {
 	if !t.stage.step.Gang {
 		return t.saved
--- a/sched/deferred.go
+++ b/sched/deferred.go
@@ -7,13 +7,13 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// dispatchMargin is how long a ticket must still hold when an order leaves: a worker
-// answers in milliseconds, the rest is for queueing at a busy host, a quarter of
-// what one try of a start may take.
+// dispatchMargin is the minimum time for which a ticket must still be valid when its order
+// is sent. A worker answers within milliseconds; the rest is for queueing at a busy host,
+// a quarter of the maximum duration of one attempt of a start.
 const dispatchMargin = 60 * time.Millisecond
 
-// ticketExpired reports whether a run needs a ticket that does not hold any more.
-// Of a gang it is enough that one member's does not.
+// ticketExpired reports whether a run needs a ticket that has expired or is about to. A
+// gang is affected if one of its members is.
 func (s *State) ticketExpired(r *run) bool {
 	g := r.task.stage
 	if s.queue(g.job).Advisor == nil {
@@ -27,8 +27,8 @@
 	})
 }
 
-// deferOrders has orders that could not leave wait for their tickets, and asks for
-// them, a question for each stage.
+// deferOrders keeps orders back whose tickets expired before they were sent, and renews
+// the tickets with one query per stage.
 func (s *State) deferOrders(orders []StartOrder) {
 	var stages []*stage
 	lives := map[*stage][]spoolsill.Life{}
@@ -51,13 +51,14 @@
 	}
 }
 
-// dispatchDeferred sends the orders of a stage that waited for an answer, or drops them
-// when it did not come or is no ticket. Of a gang all leave or none.
+// dispatchDeferred handles the answer to a renewal. It sends the deferred orders of g that
+// the answer covers, or drops them if no answer came or it has no valid ticket. The
+// orders of a gang are sent all together or not at all.
 func (s *State) dispatchDeferred(g *stage, a Advice) {
-	waits := func(o StartOrder) bool { return slices.Contains(a.Order.Workers, o.Life) }
+	covered := func(o StartOrder) bool { return slices.Contains(a.Order.Workers, o.Life) }
 	var orders, rest []StartOrder
 	for _, o := range g.deferred {
-		if waits(o) {
+		if covered(o) {
 			orders = append(orders, o)
 		} else {
 			rest = append(rest, o)
@@ -69,17 +70,17 @@
 		switch {
 		case r == nil:
 		case a.Lost || s.ticketExpired(r):
-			s.lose(r, "its ticket ran out before the order left")
+			s.lose(r, "ticket expired before dispatch")
 		case !s.canDispatch(r):
-			s.lose(r, "overtaken before the order left")
+			s.lose(r, "start no longer valid before dispatch")
 		default:
 			s.deferredStarts = append(s.deferredStarts, s.dispatch(o, r))
 		}
 	}
 }
 
-// DeferredStarts returns the start orders that may leave since the last call, besides those
-// that BatchWritten returned.
+// DeferredStarts returns the orders whose tickets have been renewed since the last call
+// and that can be sent now, in addition to those that BatchWritten returned.
 func (s *State) DeferredStarts() []StartOrder {
 	o := s.deferredStarts
 	s.deferredStarts = nil
--- a/sched/deferred_test.go
+++ b/sched/deferred_test.go
@@ -10,9 +10,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// slowly writes the next batch in a store that needs longer for it than tickets
+// stepWithSlowStore writes the next batch in a store that needs longer for it than tickets
 // hold, and returns the orders that leave.
-func (x *cell) slowly() []sched.StartOrder {
+func (x *cell) stepWithSlowStore() []sched.StartOrder {
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
 	b, any, err := x.state.Batch(x.now)
@@ -24,7 +24,7 @@
 
 // An order whose ticket ran out while it was recorded would be turned away: it
 // leaves with a new one.
-func TestOrderWaitsForATicketThatRanOut(t *testing.T) {
+func TestOrderWaitsForRenewalOfExpiredTicket(t *testing.T) {
 	for name, step := range map[string]sched.Step{
 		"tasks": tasks(2, 1),
 		"gang":  gang(2, 1),
@@ -34,7 +34,7 @@
 		x.state.AddJob(x.now, job("j", "advised", step), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
-		x.c.Assert(x.slowly(), qt.HasLen, 0, qt.Commentf("%s", name))
+		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0, qt.Commentf("%s", name))
 		q := x.question()
 		x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
 		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
@@ -60,7 +60,7 @@
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 4)), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
-		x.c.Assert(x.slowly(), qt.HasLen, 0)
+		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0)
 		x.state.Advised(x.now, sched.Advice{
 			Order:    x.question(),
 			Received: x.now,
@@ -77,13 +77,13 @@
 }
 
 // What is cancelled while its order waits for a ticket never starts.
-func TestCancelledOrderDoesNotLeave(t *testing.T) {
+func TestCancelledOrderIsNotSent(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.c.Assert(x.slowly(), qt.HasLen, 0)
+	x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0)
 	q := x.question()
 	x.state.CancelJob(x.now, "j")
 	x.advise(q, "w")
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -1,17 +1,18 @@
-// Package sched decides which worker runs which task of the jobs that clients
-// hand in: steps that wait for each other, gangs, lasting and timed work.
+// Package sched decides which worker runs which task of the submitted jobs. Jobs
+// consist of steps with dependencies, and may have gangs, long-running tasks and timed
+// rounds.
 //
-// A [State] belongs to the one host that leads the cell. It takes in typed
-// events (a job was accepted, a worker answered a heartbeat, a start was
-// answered) and the time, and gives out typed orders. Nothing that others can
-// see happens before it lasts: [State.Batch] returns the rows to write, and the
-// starts and acknowledgements that may leave only after that write.
+// A [State] belongs to the host that leads the cell. Its inputs are the time and typed
+// events: a job was accepted, a worker answered a heartbeat, a start order was
+// answered. Its outputs are typed orders. Nothing becomes visible to others before it
+// is durable: [State.Batch] returns the rows to write together with the starts and
+// acknowledgements that may be sent only after that write.
 //
-// Room at a worker is taken from the moment a start is decided until the worker
-// lists the run's end, or shows by a later answer that the run is not there, or
-// can't be running it any more because its lease is over. A task gets its next
-// run only then; that is why no task runs twice at once.
+// A run occupies capacity at its worker from the decision to start it until the worker
+// reports its end, or a later answer of the worker proves that the run is not there, or
+// the worker's lease has expired so that it can't be running any more. A task gets its
+// next run only then, which ensures that no task runs twice at the same time.
 //
-// The package has no clock, I/O, lock or goroutine; the time is passed in. A
-// State is not safe for concurrent use.
+// The package has no clock, I/O, locks or goroutines; the time is passed in. A State is
+// not safe for concurrent use.
 package sched
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -5,24 +5,26 @@
 )
 
 const (
-	// runTimeWeight is the weight of the newest observation; ten or so carry most
-	// of an average, which follows a change within a second or two.
+	// runTimeWeight is the weight of the newest observation in the moving average of run
+	// times. About ten observations carry most of the average, so that it follows a
+	// change within a second or two.
 	runTimeWeight = 0.1
-	// slownessWeight is the same for a worker's speed: guesses are off by half and
-	// more either way, so that some twenty runs tell a slow worker.
+	// slownessWeight is the same for the slowness of a worker. Client estimates are off
+	// by half or more in both directions, so that it takes about twenty runs to tell a
+	// slow worker.
 	slownessWeight = 0.05
-	// slowLimits bound what a worker's speed is believed to be.
+	// minSlowness and maxSlowness bound the slowness of a worker.
 	minSlowness = 0.5
 	maxSlowness = 10.0
 )
 
-// A runTimeEstimate is what is known of the run times of a queue's tasks.
+// A runTimeEstimate is the observed run time of the tasks of a queue.
 type runTimeEstimate struct {
-	ratio float64 // run time over the client's guess
+	ratio float64 // moving average of run time divided by the client's estimate
 	known bool
 }
 
-// expected returns how long a task of a step is expected to run.
+// expected returns the expected run time of a task of a step.
 func (s *State) expected(q *Queue, p *Step) time.Duration {
 	e := s.runTimes[q.ID]
 	if e == nil || !e.known {
@@ -31,7 +33,7 @@
 	return time.Duration(e.ratio * float64(p.Estimate))
 }
 
-// observeEnd takes in how a run ended.
+// observeEnd updates the run time and worker estimates from the end of a run.
 func (s *State) observeEnd(r *run, k EndKind) {
 	switch k {
 	case EndDone:
@@ -42,6 +44,8 @@
 	}
 }
 
+// observeRunTime updates the estimates from the run time of a completed run. Runs that
+// were resumed or have no client estimate only count as a success of their worker.
 func (s *State) observeRunTime(r *run) {
 	p := r.task.stage.step
 	if p.Estimate <= 0 || r.startedAt.IsZero() || r.task.saved != "" {
@@ -64,38 +68,44 @@
 	e.ratio += runTimeWeight * (ratio/r.worker.health.slowness() - e.ratio)
 }
 
-// health is what is known of a worker from the runs that ended there.
+// health is the estimate of a worker's condition from the runs that ended there.
 type health struct {
-	slowEstimate float64 // 0 means not known
-	failures     int     // in a row
-	backoffUntil time.Time
+	slowEstimate float64   // moving average of run time relative to other workers; 0 means unknown
+	failures     int       // consecutive
+	backoffUntil time.Time // no new tasks before
 }
 
 const (
-	// maxFailuresInRow in a row are taken as the worker's fault: at failure rates of
-	// a few percent, two in a row by chance are rare.
-	maxFailuresInRow = 2
-	// minBackoff doubles with each further failure up to maxBackoff.
+	// maxConsecutiveFailures is the number of failures in a row that are attributed to
+	// the worker. At failure rates of a few percent, two in a row are rarely a
+	// coincidence.
+	maxConsecutiveFailures = 2
+	// minBackoff doubles with each further failure, up to maxBackoff.
 	minBackoff = 2 * time.Second
 	maxBackoff = 8 * time.Second
 )
 
+// available reports whether the worker's backoff has passed.
 func (h *health) available(now time.Time) bool {
 	return !now.Before(h.backoffUntil)
 }
 
+// recordFailure counts a failed run and starts a backoff after repeated failures.
 func (h *health) recordFailure(now time.Time) {
 	h.failures++
-	if h.failures < maxFailuresInRow {
+	if h.failures < maxConsecutiveFailures {
 		return
 	}
-	h.backoffUntil = now.Add(min(minBackoff<<min(h.failures-maxFailuresInRow, 8), maxBackoff))
+	h.backoffUntil = now.Add(min(minBackoff<<min(h.failures-maxConsecutiveFailures, 8), maxBackoff))
 }
 
+// recordRejection counts a rejected start as a failure.
 func (h *health) recordRejection(now time.Time) {
 	h.recordFailure(now)
 }
 
+// recordSuccess counts a completed run. Its ratio is the run time relative to other
+// workers; 0 means unknown.
 func (h *health) recordSuccess(ratio float64) {
 	h.failures = 0
 	if ratio <= 0 {
@@ -108,7 +118,7 @@
 	h.slowEstimate += slownessWeight * (ratio - h.slowEstimate)
 }
 
-// slowness returns how many times longer than elsewhere tasks take.
+// slowness returns the run time of tasks at the worker relative to other workers.
 func (h *health) slowness() float64 {
 	if h.slowEstimate == 0 {
 		return 1
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	lease   = 6 * time.Second
-	inForce = 3 * time.Second
+	lease             = 6 * time.Second
+	configPropagation = 3 * time.Second
 )
 
 // A cell is a State under test with a clock of its own and workers that do as
@@ -46,7 +46,7 @@
 		StopTime:       200 * time.Millisecond,
 		DrainTime:      2 * time.Second,
 		FarFactor:      2,
-		ConfigInForce:  inForce,
+		ConfigInForce:  configPropagation,
 	})
 	s.SetQueues([]sched.Queue{
 		{
@@ -101,8 +101,8 @@
 	})
 }
 
-// listIn lists a worker in a rack and has it renew its lease.
-func (x *cell) listIn(id spoolsill.WorkerID, rack spoolsill.RackID) {
+// addWorkerInRack lists a worker in a rack and has it renew its lease.
+func (x *cell) addWorkerInRack(id spoolsill.WorkerID, rack spoolsill.RackID) {
 	x.state.ListWorker(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -9,23 +9,23 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// placeGang starts all tasks of a gang, or none.
+// placeGang starts all tasks of a gang or none.
 func (d *decider) placeGang(g *stage, q *Queue) {
 	ws := d.candidates(g, q)
-	seats := d.assignGang(g, q, ws)
-	if seats == nil {
+	workers := d.assignGang(g, q, ws)
+	if workers == nil {
 		d.reserveForGang(g, q)
 		d.keepWarm(g, q)
 		return
 	}
 	g.reserved = nil
-	renew := d.ticketsToRenew(g, q, seats)
+	renew := d.ticketsToRenew(g, q, workers)
 	for i, t := range g.tasks {
 		if len(renew) > 0 {
-			d.plan(t, seats[i])
+			d.plan(t, workers[i])
 			continue
 		}
-		d.start(t, seats[i])
+		d.start(t, workers[i])
 	}
 	if len(renew) > 0 && !g.advice.warming {
 		d.ask(g, q, renew, Renew)
@@ -33,19 +33,18 @@
 }
 
 const (
-	// gangReserveFactor is for how many times its tasks a gang that waits keeps
-	// workers from stages ranked below it, by what they hold when empty: with
-	// just enough of them it would wait for the last run to end, and with all
-	// that it may use, room would stand idle. Tried on the grown deployments,
-	// see docs/DECISIONS.md.
+	// gangReserveFactor is the number of times that a waiting gang must fit into the total
+	// capacity of the workers reserved for it. Reserving just enough workers for one fit
+	// makes it wait for the last of their runs to end; reserving all usable workers
+	// leaves capacity idle.
 	gangReserveFactor = 3
-	// reserveDivisor is the part of the workers that gangs ranked below the first
-	// may keep besides, one in so many.
+	// reserveDivisor limits reservations. Once 1/reserveDivisor of the ready workers are
+	// reserved, further gangs reserve none, and large tasks never reserve more than that.
 	reserveDivisor = 3
 )
 
-// reserveForGang keeps workers for a gang that waits, so that it does not wait for
-// ever. It goes on with those that it kept in the last pass.
+// reserveForGang reserves workers for a waiting gang so that smaller tasks can't starve
+// it. Reservations of the last pass are kept.
 func (d *decider) reserveForGang(g *stage, q *Queue) {
 	r := d.ready[q.Service]
 	if r == nil || len(d.reservedFor) > 0 && len(d.reservedFor) >= len(r.workers)/reserveDivisor {
@@ -57,18 +56,18 @@
 		from = r.workers
 	}
 	if !d.fitsEmptyWorkers(g, from) {
-		// The workers that it would keep may be the only ones that others can use.
+		// The reserved workers might be the only ones that other stages can use.
 		g.reserved = nil
 		return
 	}
-	seats := 0
+	slots := 0
 	keep := func(w *worker) bool {
 		n := fitCount(g.step.demand(), w.Capacity)
-		if !w.ready || d.reservedFor[w] != nil || n == 0 || seats >= gangReserveFactor*len(g.tasks) {
+		if !w.ready || d.reservedFor[w] != nil || n == 0 || slots >= gangReserveFactor*len(g.tasks) {
 			return false
 		}
 		d.reservedFor[w] = g
-		seats += n
+		slots += n
 		return true
 	}
 	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !keep(w) })
@@ -81,9 +80,9 @@
 	}
 }
 
-// fitsEmptyWorkers reports whether workers could seat a gang if they were empty.
+// fitsEmptyWorkers reports whether the whole gang would fit on ws if they had no runs.
 func (s *State) fitsEmptyWorkers(g *stage, ws []*worker) bool {
-	seats := 0
+	slots := 0
 	for _, w := range ws {
 		if w.dead || w.leaving(s.now) || !g.labelMatches(w) {
 			continue
@@ -92,19 +91,20 @@
 		if m := g.step.MaxPerWorker; m > 0 {
 			n = min(n, m)
 		}
-		seats += n
+		slots += n
 	}
-	return seats >= len(g.tasks)
+	return slots >= len(g.tasks)
 }
 
-// ticketsToRenew returns the workers of seats whose tickets must be renewed first.
-func (d *decider) ticketsToRenew(g *stage, q *Queue, seats []*worker) []spoolsill.Life {
+// ticketsToRenew returns the lives of the assigned workers if one of their tickets must
+// be renewed before the gang can start, and nil otherwise.
+func (d *decider) ticketsToRenew(g *stage, q *Queue, workers []*worker) []spoolsill.Life {
 	if q.Advisor == nil {
 		return nil
 	}
 	var lives []spoolsill.Life
 	fresh := true
-	for _, w := range seats {
+	for _, w := range workers {
 		if !slices.Contains(lives, w.life()) {
 			lives = append(lives, w.life())
 		}
@@ -116,23 +116,23 @@
 	return lives
 }
 
-// assignGang returns a worker for each task of a gang, or nil. A gang that should be
-// in one rack is spread over several once it has waited for as long as that
-// costs.
+// assignGang returns a worker for each task of a gang, or nil if they don't all fit. A
+// gang with SameRack is spread over several racks once it has waited for as long as the
+// slowdown is expected to cost.
 func (d *decider) assignGang(g *stage, q *Queue, ws []*worker) []*worker {
-	costs := time.Duration((d.config.FarFactor - 1) * float64(d.expected(q, g.step)))
-	if !g.step.SameRack || d.now.Sub(g.openedAt) >= costs {
+	spreadCost := time.Duration((d.config.FarFactor - 1) * float64(d.expected(q, g.step)))
+	if !g.step.SameRack || d.now.Sub(g.openedAt) >= spreadCost {
 		return d.assignGangTo(g, ws)
 	}
 	for _, rack := range racksOf(ws) {
-		var in []*worker
+		var inRack []*worker
 		for _, w := range ws {
 			if w.Rack == rack {
-				in = append(in, w)
+				inRack = append(inRack, w)
 			}
 		}
-		if seats := d.assignGangTo(g, in); seats != nil {
-			return seats
+		if workers := d.assignGangTo(g, inRack); workers != nil {
+			return workers
 		}
 	}
 	return nil
@@ -148,6 +148,8 @@
 	return racks
 }
 
+// assignGangTo returns a worker in ws for each task of a gang, or nil if they don't all
+// fit.
 func (d *decider) assignGangTo(g *stage, ws []*worker) []*worker {
 	need := g.step.demand()
 	type candidate struct {
@@ -155,7 +157,7 @@
 		slots int
 		trial float64
 	}
-	offers := make([]candidate, 0, len(ws))
+	candidates := make([]candidate, 0, len(ws))
 	total := 0
 	for _, w := range ws {
 		n := fitCount(need, w.free())
@@ -166,7 +168,7 @@
 		if n <= 0 {
 			continue
 		}
-		offers = append(offers, candidate{
+		candidates = append(candidates, candidate{
 			w:     w,
 			slots: n,
 			trial: d.gangTrialCost(g, w),
@@ -176,25 +178,25 @@
 	if total < len(g.tasks) {
 		return nil
 	}
-	slices.SortStableFunc(offers, func(a, b candidate) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.trial, b.trial),
 			cmp.Compare(a.w.health.slowness(), b.w.health.slowness()),
 			cmp.Compare(b.slots, a.slots),
 		)
 	})
-	seats := make([]*worker, 0, len(g.tasks))
-	for _, o := range offers {
+	workers := make([]*worker, 0, len(g.tasks))
+	for _, o := range candidates {
 		for range o.slots {
-			if len(seats) < len(g.tasks) {
-				seats = append(seats, o.w)
+			if len(workers) < len(g.tasks) {
+				workers = append(workers, o.w)
 			}
 		}
 	}
-	return seats
+	return workers
 }
 
-// fitCount returns how often need fits into free.
+// fitCount returns how many times need fits into free.
 func fitCount(need, free spoolsill.Resources) int {
 	n := math.MaxInt32
 	if need.Processors > 0 {
@@ -209,9 +211,9 @@
 	return max(n, 0)
 }
 
-// nextGangRun returns the number that all members of the gang's next run
-// share: one more than any member has had, or that of the members that are
-// already recorded.
+// nextGangRun returns the run number that all members of the gang's next run share. It is
+// that of the members that are already recorded, or else one more than any member's last
+// run.
 func (g *stage) nextGangRun() RunNumber {
 	var most RunNumber
 	for _, t := range g.tasks {
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -111,7 +111,7 @@
 }
 
 // Members of a gang that are through wait for the others.
-func TestGangThatStandsStillIsLeftAlone(t *testing.T) {
+func TestGangWithoutProgressIsNotStopped(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", gang(2, 1)), sched.Progress{})
@@ -126,8 +126,8 @@
 // A gang that should be in one rack waits for one, but not for ever.
 func TestGangIsSpreadOverRacksWhenWaitingCostsMore(t *testing.T) {
 	x := newCell(t)
-	x.listIn("a", "rack1")
-	x.listIn("b", "rack2")
+	x.addWorkerInRack("a", "rack1")
+	x.addWorkerInRack("b", "rack2")
 	g := gang(4, 4)
 	g.SameRack = true
 	x.state.AddJob(x.now, job("j", "q", g), sched.Progress{})
@@ -141,7 +141,7 @@
 
 // Guards against a gang that keeps workers though those that it may use can't seat it: a job
 // that could use only these never started, in a cell that stood empty.
-func TestGangThatCannotBeSeatedKeepsNoWorkers(t *testing.T) {
+func TestGangThatCannotFitReservesNoWorkers(t *testing.T) {
 	for _, q := range []sched.QueueID{"q", "advised"} {
 		t.Run(string(q), func(t *testing.T) {
 			x := newCell(t)
@@ -150,16 +150,16 @@
 				x.addWorker("no-good")
 			}
 			x.state.AddJob(x.now, job("gang", q, gang(2, 8)), sched.Progress{})
-			x.stepAdvised("a")
+			x.stepWithAdvice("a")
 			x.state.AddJob(x.now, job("j", q, tasks(1, 6)), sched.Progress{})
-			x.stepAdvised("a")
+			x.stepWithAdvice("a")
 			x.c.Assert(taskNames(x.started), qt.DeepEquals, []string{"j.0.0.0#1"})
 		})
 	}
 }
 
-// stepAdvised decides, answers all questions with tickets for one worker, and decides again.
-func (x *cell) stepAdvised(good spoolsill.WorkerID) {
+// stepWithAdvice decides, answers all questions with tickets for one worker, and decides again.
+func (x *cell) stepWithAdvice(good spoolsill.WorkerID) {
 	x.step()
 	for _, o := range x.state.Advices() {
 		x.advise(o, good)
@@ -168,7 +168,7 @@
 }
 
 // Guards against a stage that waits for long without a word on what it waits for.
-func TestLongestWaitTellsWhatIsMissing(t *testing.T) {
+func TestLongestWaitReportsTheCause(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.addWorker("b")
--- a/sched/job.go
+++ b/sched/job.go
@@ -8,76 +8,78 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// QueueID names a queue, the route that a job came in by.
+// QueueID identifies a queue, the route by which a job was submitted.
 type QueueID string
 
-// ClockMillis is a time on a worker's own clock, in milliseconds. Clocks of
-// different workers have nothing in common.
+// ClockMillis is a time on a worker's own clock, in milliseconds. The clocks of different
+// workers are not comparable.
 type ClockMillis int64
 
-// A Step is a part of a job: tasks of one shape.
+// A Step is a part of a job that consists of identical tasks.
 type Step struct {
 	Tasks int
 	Need  spoolsill.Resources
-	// Estimate is the client's rough guess of a task's run time.
+	// Estimate is the client's rough estimate of a task's run time.
 	Estimate time.Duration
-	// After has the indices of the steps that must be done first.
+	// After has the indices of the steps that must be done before this one starts.
 	After []int
-	// Checkpoints tells that workers save the tasks' progress.
+	// Checkpoints means that workers save the progress of the tasks.
 	Checkpoints bool
-	// Gang tasks run only together.
+	// Gang means that the tasks run only all together.
 	Gang bool
-	// SameRack tells that a gang spread over racks runs slower.
+	// SameRack means that a gang runs slower when spread over racks.
 	SameRack bool
 	// Requires is a label that the worker must have; empty means none.
 	Requires string
-	// NearRack has the data; elsewhere the tasks run slower.
+	// NearRack is the rack with the tasks' data. They run slower elsewhere.
 	NearRack spoolsill.RackID
-	// MaxPerWorker bounds the step's tasks at one worker; 0 means no bound.
+	// MaxPerWorker limits the step's tasks at one worker; 0 means no limit.
 	MaxPerWorker int
-	// Copies tells that several runs of a task may go on side by side.
+	// Copies means that several runs of a task may run concurrently.
 	Copies bool
 	// Lasting tasks run until the job is cancelled.
 	Lasting bool
-	// Image names what the tasks run; tasks of one image behave alike.
+	// Image names the program that the tasks run. Tasks of one image behave alike.
 	Image string
-	// TailTarget is what the tail of a lasting task's answer times should
-	// stay under; 0 means no target.
+	// TailTarget is the target for the tail latency of a lasting task; 0 means none.
 	TailTarget time.Duration
-	// Fills tells that the tasks use only processor time that others leave.
+	// Fills means that the tasks only use processor time that is otherwise idle.
 	Fills bool
-	// MayMiss is how many tasks of a lasting step may be away at once.
+	// MayMiss is the number of tasks of a lasting step that may be down at the same time.
 	MayMiss int
 }
 
-// A Job is what a client hands in. Its id was chosen by the client.
+// A Job is a unit of work as submitted by a client, who also chose its id.
 type Job struct {
 	ID    spoolsill.JobID
 	Queue QueueID
-	// Team is whose job it is; empty where nobody asked. Rows of jobs that no team has
-	// look as they did before there were teams.
+	// Team is the owner of the job, or empty if it was submitted without one. It is
+	// omitted from the row then, which keeps rows of such jobs in the format that
+	// predates teams.
 	Team spoolsill.TeamID `msgpack:",omitempty"`
-	// Spec is handed to the workers as it is.
+	// Spec is passed to the workers unchanged.
 	Spec  string
 	Steps []Step
-	// Rounds is how many times the steps run; 0 means once and at once.
+	// Rounds is how many times the steps run; 0 means once and immediately.
 	Rounds int
 	// FirstRound is when round 0 is due, Interval the time between rounds.
 	FirstRound time.Time
 	Interval   time.Duration
-	// Received is when the first host took the job in, by its wall clock.
+	// Received is when the first host accepted the job, by its wall clock.
 	Received time.Time
 }
 
 // Bounds of a job, far above what hosts accept: a leader makes each task at once.
 const (
+	// Limits of a job. They are far above what hosts accept, but bound the work of a leader,
+	// which creates all tasks of a step at once.
 	maxSteps  = 1 << 12
 	maxTasks  = 1 << 20
 	maxRounds = 1 << 20
 )
 
-// Check returns why a job is none that a host has accepted. One that was damaged, or
-// that someone else wrote, would else end each process that leads.
+// Check returns an error if no host can have accepted the job. Without the check, a row
+// that was damaged or written by someone else would crash every process that leads.
 func (j *Job) Check() error {
 	if len(j.Steps) > maxSteps || j.Rounds < 0 || j.Rounds > maxRounds {
 		return fmt.Errorf("sched: %d steps, %d rounds", len(j.Steps), j.Rounds)
@@ -100,31 +102,31 @@
 	return nil
 }
 
-// rounds returns how many rounds the job has in all.
+// rounds returns the total number of rounds.
 func (j *Job) rounds() int {
 	return max(j.Rounds, 1)
 }
 
-// A JobState is where a job is in its life.
+// A JobState is the state of a job in its lifecycle.
 type JobState uint8
 
 // The states of a job.
 const (
-	Pending   JobState = iota // accepted, no task has begun
-	Running                   // a task has begun
-	Completed                 // every task is done
-	Failed                    // a task has failed as often as its queue allows
-	Cancelled                 // its client gave it up
+	Pending   JobState = iota // accepted, no task has started
+	Running                   // a task has started
+	Completed                 // all tasks are done
+	Failed                    // a task has failed MaxAttempts times
+	Cancelled                 // cancelled by its client
 )
 
-// Final reports whether a job in state s never changes again.
+// Final reports whether s is an end state.
 func (s JobState) Final() bool {
 	return s >= Completed
 }
 
 var jobStateNames = [...]string{"pending", "running", "completed", "failed", "cancelled"}
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s JobState) String() string {
 	if int(s) >= len(jobStateNames) {
 		return "state " + strconv.Itoa(int(s))
@@ -132,7 +134,7 @@
 	return jobStateNames[s]
 }
 
-// A StageID names one step in one round of a job.
+// A StageID identifies one step in one round of a job.
 type StageID struct {
 	Job   spoolsill.JobID
 	Round int
@@ -144,7 +146,7 @@
 	return string(i.Job) + "." + strconv.Itoa(i.Round) + "." + strconv.Itoa(i.Step)
 }
 
-// A TaskID names one task of a stage.
+// A TaskID identifies one task of a stage.
 type TaskID struct {
 	Stage StageID
 	Index int
@@ -158,7 +160,7 @@
 // RunNumber counts the starts of a task from 1. All tasks of a gang share it.
 type RunNumber uint32
 
-// A RunID names one start of a task.
+// A RunID identifies one start of a task.
 type RunID struct {
 	Task   TaskID
 	Number RunNumber
@@ -166,28 +168,28 @@
 
 // An Advisor describes the service that knows which workers may run a stage.
 type Advisor struct {
-	// Base and PerWorker are what one question costs.
+	// A query about n workers takes Base + n*PerWorker.
 	Base      time.Duration
 	PerWorker time.Duration
 }
 
-// queryTime returns how long a question about n workers takes.
+// queryTime returns how long a query about n workers takes.
 func (a *Advisor) queryTime(n int) time.Duration {
 	return a.Base + time.Duration(n)*a.PerWorker
 }
 
-// A Queue is the part of the configuration that concerns one queue.
+// A Queue is the configuration of one queue.
 type Queue struct {
 	ID      QueueID
 	Service spoolsill.ServiceID
-	// Priority 0 goes first.
+	// Priority 0 is the highest.
 	Priority int
 	// MaxAttempts is how often a task may fail.
 	MaxAttempts int
-	// A job should be done within Stretch times its longest chain of work
-	// and Goal more.
+	// The objective of a job is to be done within Stretch times its critical path plus
+	// Goal.
 	Stretch float64
 	Goal    time.Duration
-	// Advisor must be asked before a start; nil means that any worker will do.
+	// Advisor must be queried before a start; nil means that any worker may be used.
 	Advisor *Advisor
 }
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -6,8 +6,8 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// AddJob takes in an accepted job with its progress; the zero Progress is that
-// of a new job. A job that is known is left as it is.
+// AddJob adds an accepted job with its stored progress, which is the zero Progress for a
+// new job. It does nothing if the job is known.
 func (s *State) AddJob(now time.Time, j Job, p Progress) {
 	s.now = now
 	if s.jobs[j.ID] != nil {
@@ -37,8 +37,8 @@
 		return
 	}
 	if !x.provablyStarted() {
-		// A recorded start may never have reached its worker: the job waits
-		// until a worker tells of it.
+		// A recorded start may never have reached its worker: the job stays pending
+		// until a worker reports a run of it.
 		s.setState(x, Pending)
 	}
 	for _, g := range x.stages {
@@ -46,6 +46,7 @@
 	}
 }
 
+// makeStages creates the stages of all rounds, without their tasks.
 func (s *State) makeStages(j *job) {
 	for k := range j.rounds() {
 		for i := range j.Steps {
@@ -70,8 +71,8 @@
 	}
 }
 
-// provablyStarted reports whether the progress of a job proves that a task of it has
-// begun: one is done, has failed or has saved something.
+// provablyStarted reports whether the stored progress proves that a task of the job has
+// started: one is done, has failed or has saved progress.
 func (j *job) provablyStarted() bool {
 	for _, g := range j.stages {
 		if g.gangFailures > 0 || g.done() {
@@ -86,8 +87,8 @@
 	return false
 }
 
-// makeTasks makes the stage's tasks; they are made late since a timed job may
-// have many rounds.
+// makeTasks creates the tasks of a stage when they are needed, since a timed job may have
+// many rounds.
 func (g *stage) makeTasks() {
 	if g.tasks != nil {
 		return
@@ -101,6 +102,7 @@
 	}
 }
 
+// stage returns a stage by its position, or nil if there is none.
 func (j *job) stage(round, step int) *stage {
 	i := round*len(j.Steps) + step
 	if round < 0 || step < 0 || step >= len(j.Steps) || i >= len(j.stages) {
@@ -109,6 +111,7 @@
 	return j.stages[i]
 }
 
+// restoreStage restores the progress of one stage as stored by a former leader.
 func (s *State) restoreStage(j *job, p StageProgress) {
 	g := j.stage(p.Round, p.Step)
 	if g == nil {
@@ -142,7 +145,7 @@
 	}
 }
 
-// restoreCrashes takes in what a former leader knew of crashes.
+// restoreCrashes restores the evidence of crashes as stored by a former leader.
 func (s *State) restoreCrashes(j *job, cs []TaskCrashes) {
 	for _, c := range cs {
 		g := j.stage(c.Round, c.Step)
@@ -161,7 +164,7 @@
 	}
 }
 
-// restoreRun puts a run that a former leader recorded into its worker's account.
+// restoreRun adds a run that a former leader recorded to its worker.
 func (s *State) restoreRun(t *task, p TaskProgress) {
 	w := s.worker(p.Worker)
 	r := &run{
@@ -185,7 +188,7 @@
 	}
 }
 
-// demand returns what a task takes of a worker's capacity.
+// demand returns the resources that a task occupies at a worker.
 func (p *Step) demand() spoolsill.Resources {
 	r := p.Need
 	if p.Fills {
@@ -194,7 +197,8 @@
 	return r
 }
 
-// openIfReady puts a stage among those to place when its turn has come.
+// openIfReady opens a stage if its dependencies are done. A timed stage is placed once it
+// is due.
 func (s *State) openIfReady(g *stage) {
 	if g.open || g.done() || g.job.state.Final() {
 		return
@@ -215,7 +219,7 @@
 	s.openStages = append(s.openStages, g)
 }
 
-// openDue moves the timed stages whose time has come to those to place.
+// openDue opens the timed stages that are due.
 func (s *State) openDue() {
 	if len(s.timedStages) == 0 {
 		return
@@ -233,7 +237,7 @@
 	s.timedStages = rest
 }
 
-// AddEndedJob takes in a job of which only its progress is kept, which is final.
+// AddEndedJob adds a finished job of which only the progress has been kept.
 func (s *State) AddEndedJob(now time.Time, id spoolsill.JobID, p Progress) {
 	s.AddJob(now, Job{
 		ID:   id,
@@ -243,14 +247,14 @@
 	})
 }
 
-// Settled reports whether a job has ended and nothing of it is left to be
-// written or stopped.
+// Settled reports whether a job has ended, its progress has been written and none of its
+// runs is left to stop.
 func (s *State) Settled(id spoolsill.JobID) bool {
 	j := s.jobs[id]
 	return j != nil && j.state.Final() && j.stages == nil && !j.dirty
 }
 
-// CancelJob takes in that the client gave a job up.
+// CancelJob cancels a job for its client.
 func (s *State) CancelJob(now time.Time, id spoolsill.JobID) {
 	s.now = now
 	j := s.jobs[id]
@@ -260,7 +264,7 @@
 	s.endJob(j, Cancelled, "cancelled by its client")
 }
 
-// endJob makes a state final and stops what still runs.
+// endJob moves a job to a final state and stops its runs.
 func (s *State) endJob(j *job, to JobState, reason string) {
 	s.setState(j, to)
 	s.stopJob(j, reason)
@@ -275,6 +279,7 @@
 	})
 }
 
+// stopJob drops the starts of a job that have not been sent and stops its runs.
 func (s *State) stopJob(j *job, reason string) {
 	j.starts = nil
 	for _, g := range j.stages {
@@ -294,7 +299,8 @@
 	}
 }
 
-// completeStage is called when the last task of a stage is done.
+// completeStage ends the job, or opens the stages that depend on g. It is called when the
+// last task of g is done.
 func (s *State) completeStage(g *stage) {
 	j := g.job
 	j.stagesLeft--
--- a/sched/load.go
+++ b/sched/load.go
@@ -4,35 +4,34 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Load tells how full the cell is, for operators.
+// A Load describes the utilization of the cell for operators.
 type Load struct {
-	// Workers counts those that are not known to be gone, Ready those of them
-	// that take something now.
+	// Workers counts the workers that are not known to be dead, Ready those of them that
+	// accept new tasks.
 	Workers int
 	Ready   int
-	// Capacity and Used are of the ready ones.
+	// Capacity and Used are the sums over the ready workers.
 	Capacity spoolsill.Resources
 	Used     spoolsill.Resources
-	// Runs counts the runs in all accounts, Doubtful those that may or may
-	// not be at their worker.
+	// Runs counts all runs, Doubtful those that may or may not be at their worker.
 	Runs     int
 	Doubtful int
-	// Stages counts those whose turn has come and that have tasks to place,
-	// Late those of them that can't be in time any more.
+	// Stages counts the open stages with tasks to place, Late those of them that can't
+	// meet their objective any more.
 	Stages int
 	Late   int
-	// Unseatable counts the gangs of them that the workers that they may use can't seat,
-	// were they empty.
+	// Unseatable counts the gangs among the stages that would not fit on the workers that
+	// they may use even if those had no runs.
 	Unseatable int
-	// Asking counts the questions to the advisor under way.
+	// Asking counts the advisor queries in flight.
 	Asking int
-	// Suspects counts the tasks under which workers went and that are not cleared,
-	// Crashed the machines whose workers crashed in the last minute.
+	// Suspects counts the tasks that were on workers when these were lost and have not
+	// been cleared since, Crashed the machines whose workers crashed in the last minute.
 	Suspects int
 	Crashed  int
 }
 
-// Load returns how full the cell is. Cost: O(workers + runs + stages).
+// Load returns the utilization of the cell. Cost: O(workers + runs + stages).
 func (s *State) Load() Load {
 	var l Load
 	for _, w := range s.workerList {
@@ -66,8 +65,8 @@
 	return l
 }
 
-// Suspects counts the tasks under which workers went and that are not cleared, and the
-// machines whose workers crashed in the last minute.
+// Suspects counts the tasks that were on workers when these were lost and have not been
+// cleared since, and the machines whose workers crashed in the last minute.
 func (s *State) Suspects() (tasks, crashed int) {
 	return len(s.suspects), len(s.crashedAt)
 }
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -8,7 +8,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-func TestLoadTellsHowFullTheCellIs(t *testing.T) {
+func TestLoadReportsUtilization(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.addWorker("b")
--- a/sched/pending_test.go
+++ b/sched/pending_test.go
@@ -11,7 +11,7 @@
 
 // A former leader's record of a start does not say that the start arrived: the job
 // waits until a worker tells of it.
-func TestRecordedStartsCountAsWaitingUntilAWorkerTells(t *testing.T) {
+func TestRecordedStartIsPendingUntilTheWorkerReportsIt(t *testing.T) {
 	for name, c := range map[string]struct {
 		hear    func(x *cell, r sched.RunID)
 		waiting int
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// minPreemptWait is how long room for a large task must be expected to take
-	// for work to be stopped for it: longer than a stop, its end and the next
-	// start take. On the fake cell of cellbench, at 0.8 of full load, 0.3 and 0.7
-	// seconds earn 0.835, 1.5 seconds 0.829 of all worth.
+	// minPreemptWait is the expected wait of a large task for capacity above which other
+	// runs are preempted. It is longer than a stop, its report and the next start take
+	// together. On the fake cell of cellbench at 0.8 of full load, 0.3 and 0.7 seconds
+	// earn 0.835 of the total worth, 1.5 seconds 0.829.
 	minPreemptWait = 700 * time.Millisecond
-	// minVictimSlack is how much time a run that is stopped must have left besides
-	// what it still needs: it starts again once there is room. On the fake cell
-	// of cellbench 1, 3 and 5 seconds differ by 0.002 of all worth.
+	// minVictimSlack is the time that a preempted run must have left in addition to what
+	// it still needs, since it resumes only once there is capacity again. On the fake
+	// cell of cellbench 1, 3 and 5 seconds differ by 0.002 of the total worth.
 	minVictimSlack = 3 * time.Second
-	// maxPreemptions is how often a task is stopped for others; with five in its
-	// place the same is earned.
+	// maxPreemptions is how often a task may be preempted; five would earn no more.
 	maxPreemptions = 2
 )
 
-// preempt stops runs that save their progress where a large task of g waits
-// for a worker that is kept for it: those of less urgent queues that have time,
-// the fewest that make room.
+// preempt stops checkpointed runs at the workers that are reserved for g, where g would
+// otherwise wait too long. It stops as few as possible, only runs of less urgent queues
+// and only those with enough slack.
 func (d *decider) preempt(g *stage, q *Queue) {
 	for _, w := range g.reserved {
 		if d.roomAt(g, w).Sub(d.now) < minPreemptWait {
@@ -31,13 +30,13 @@
 		}
 		for _, r := range d.victims(g, q, w) {
 			r.task.preemptions++
-			d.stop(r, "room for "+g.id.String())
+			d.stop(r, "preempted for "+g.id.String())
 		}
 	}
 }
 
-// victims returns runs at a worker that make room for a task of g when they are
-// stopped, or none when they can't. Those whose stop is under way count as gone.
+// victims returns the runs to stop at w to make room for a task of g, or none if that is
+// not possible. Runs that are already being stopped count as gone.
 func (d *decider) victims(g *stage, q *Queue, w *worker) []*run {
 	need := g.step.demand()
 	free := w.free()
@@ -70,7 +69,7 @@
 	return out
 }
 
-// preemptible reports whether a run may be stopped for work of a queue.
+// preemptible reports whether r may be stopped for a stage of q.
 func (d *decider) preemptible(r *run, q *Queue) bool {
 	g := r.task.stage
 	p := g.step
@@ -81,7 +80,7 @@
 	if k.priority <= q.Priority {
 		return false
 	}
-	// The rank counts the whole run as still to come.
+	// The slack of a rank counts the whole run as still to come.
 	slack := k.slack + d.expected(d.queue(g.job), g.step) - d.remaining(r)
 	return slack < 0 || slack > minVictimSlack
 }
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -10,27 +10,28 @@
 	"github.com/spoolsill/spoolsill/internal/packed"
 )
 
-// A Progress is what lasts of a job besides the job itself. A leader that
-// takes over goes on from it.
+// A Progress is the part of a job's state that is stored in addition to the job itself. A
+// new leader resumes from it.
 type Progress struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	State  JobState
 	Stages []StageProgress
-	// Crashes has the tasks under which workers went. It is kept behind the rest, and
-	// takes nothing where there are none: programs that do not know of it read a row
-	// as if it was not there, and rows without it are read.
+	// Crashes has the tasks that are suspected of crashing workers. It is stored after the
+	// struct and omitted if empty: programs that don't know it ignore it, and rows without
+	// it can be read.
 	Crashes []TaskCrashes `msgpack:"-"`
-	// Team is whose job it is. The job's own row tells it too, but goes when the job
-	// has ended. It is kept behind Crashes, and takes nothing where there is none.
+	// Team is the owner of the job. The job's row has it too, but is deleted when the job
+	// has ended. It is stored after Crashes and omitted if empty.
 	Team spoolsill.TeamID `msgpack:"-"`
-	// Births are of the lives that Stages and Crashes name, in their order; none where no
-	// birth is told. They are kept behind Team. Programs that do not know of them take the
-	// lives for what their ids say, and rows without them are read so.
+	// Births has the births of the lives that Stages and Crashes name, in the order of
+	// eachBirth, or is empty if none is known. It is stored after Team. Programs that
+	// don't know it identify lives by worker id alone, and so are rows without it read.
 	Births []spoolsill.Birth `msgpack:"-"`
 }
 
-// eachBirth visits the births of the lives that p names, in the order in which they are kept.
+// eachBirth calls visit for the births of the lives that p names, in the order in which
+// they are stored.
 func (p *Progress) eachBirth(visit func(b *spoolsill.Birth)) {
 	for i := range p.Stages {
 		for j := range p.Stages[i].Tasks {
@@ -46,7 +47,7 @@
 	}
 }
 
-// collectBirths returns the births of the lives that p names, or nil when none is told.
+// collectBirths returns the births of the lives that p names, or nil if none is known.
 func (p *Progress) collectBirths() []spoolsill.Birth {
 	var all []spoolsill.Birth
 	told := false
@@ -60,7 +61,7 @@
 	return all
 }
 
-// setBirths has p name the lives of which births were kept.
+// setBirths assigns stored births to the lives that p names.
 func (p *Progress) setBirths(all []spoolsill.Birth) error {
 	n := 0
 	p.eachBirth(func(b *spoolsill.Birth) {
@@ -75,26 +76,26 @@
 	return nil
 }
 
-// A TaskCrashes is what speaks for a task crashing the workers that start it.
+// TaskCrashes is the stored evidence that a task crashes its workers.
 type TaskCrashes struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	Round int
 	Step  int
 	Index int
-	// Lived is for how long runs have gone on that count.
+	// Lived is the total run time that counts as evidence.
 	Lived  time.Duration
 	Losses []Loss
 }
 
-// A StageProgress is the progress of one step in one round. Stages that have
-// not begun are left out.
+// A StageProgress is the progress of one step in one round. Stages that have not started
+// are omitted.
 type StageProgress struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	Round int
 	Step  int
-	// Done tells that all tasks are done; Tasks is empty then.
+	// Done means that all tasks are done. Tasks is empty then, unless runs are left.
 	Done  bool
 	Fails int
 	Tasks []TaskProgress
@@ -107,14 +108,15 @@
 	Done  bool
 	Fails int
 	Run   RunNumber
-	// Worker is where the latest run may be; empty when it is over.
+	// Worker is where the latest run may be; empty once it has ended.
 	Worker spoolsill.WorkerID
 	Saved  string
-	// Born is of the worker's life that the latest run was for. It is kept in Births.
+	// Born is the birth of the worker's life that the latest run was ordered for. It is
+	// stored in Births.
 	Born spoolsill.Birth `msgpack:"-"`
 }
 
-// EncodeProgress returns p as it is kept.
+// EncodeProgress returns p in its stored form.
 func EncodeProgress(p Progress) ([]byte, error) {
 	values := []any{&p}
 	births := p.collectBirths()
@@ -122,7 +124,7 @@
 	case births != nil:
 		values = append(values, p.Crashes, p.Team, births)
 	case p.Team != "":
-		// Programs that do not know of teams read the value before it as crashes.
+		// Crashes is written even if empty: readers that don't know Team expect it first.
 		values = append(values, p.Crashes, p.Team)
 	case len(p.Crashes) > 0:
 		values = append(values, p.Crashes)
@@ -138,7 +140,7 @@
 	return b, nil
 }
 
-// DecodeProgress reads what [EncodeProgress] returned.
+// DecodeProgress decodes the result of [EncodeProgress].
 func DecodeProgress(b []byte) (Progress, error) {
 	var p Progress
 	rest, err := packed.Decode(b, &p)
@@ -166,24 +168,24 @@
 }
 
 const (
-	// maxTaskBytes is what the progress of one task may need: a worker's name,
-	// a saved text of some 20 bytes, numbers.
+	// maxTaskBytes is the maximum size of the progress of a task: a worker id, a saved
+	// text of about 20 bytes and numbers.
 	maxTaskBytes = 56
-	// maxStageBytes is what a stage needs besides.
+	// maxStageBytes is the maximum size of the rest of a stage.
 	maxStageBytes = 24
-	// maxLosses bounds the losses that a row keeps, those of the tasks with the most
-	// first; maxLossBytes is what one may need: a worker's name, and where it is the
-	// task's only one, the task.
+	// maxLosses limits the losses in a row; tasks with more losses are kept first.
+	// maxLossBytes is the maximum size of one: a worker id and, if it is the only one of
+	// its task, the task.
 	maxLosses    = 64
 	maxLossBytes = 48
-	// maxBirthBytes is what the birth of one life needs, and maxListBytes the list of them.
+	// maxBirthBytes is the maximum size of a birth, maxListBytes that of the list's header.
 	maxBirthBytes = 9
 	maxListBytes  = 5
-	// maxTeamBytes is what the name of its team needs beside its bytes.
+	// maxTeamBytes is the maximum overhead of the team in addition to its id.
 	maxTeamBytes = 8
 )
 
-// MaxProgressBytes returns how long the progress of a job may become.
+// MaxProgressBytes returns an upper bound of the encoded size of a job's progress.
 func MaxProgressBytes(j Job) int {
 	n := 0
 	for i := range j.Steps {
@@ -192,7 +194,7 @@
 	return n*j.rounds() + maxLosses*(maxLossBytes+maxBirthBytes) + maxListBytes + maxTeamBytes + len(j.Team)
 }
 
-// progress returns what is to be kept of j.
+// progress returns the progress to store for j.
 func (j *job) progress() Progress {
 	p := Progress{
 		State: j.state,
@@ -214,7 +216,7 @@
 	return p
 }
 
-// crashes returns what is to be kept of the crashes under g's tasks.
+// crashes returns the evidence to store for the unfinished tasks of g.
 func (g *stage) crashes() []TaskCrashes {
 	var cs []TaskCrashes
 	for _, t := range g.tasks {
@@ -232,7 +234,8 @@
 	return cs
 }
 
-// truncateLosses returns as many as a row keeps, those with the most losses.
+// truncateLosses returns the entries of cs with the most losses, up to maxLosses losses in
+// total.
 func truncateLosses(cs []TaskCrashes) []TaskCrashes {
 	slices.SortStableFunc(cs, func(a, b TaskCrashes) int { return cmp.Compare(len(b.Losses), len(a.Losses)) })
 	left := maxLosses
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -6,31 +6,31 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Team is the part of the configuration that concerns one team.
+// A Team is the configuration of one team.
 type Team struct {
 	ID spoolsill.TeamID
-	// Weight is its share once all is full, in jobs a second; 0 means none.
+	// Weight is the team's share under full load, in jobs per second; 0 means unlimited.
 	Weight float64
-	// Most bounds what its runs may need together, over all workers; an entry of 0
-	// means no bound.
+	// Most is the quota: the maximum of the resources of all its runs in the cell. A zero
+	// entry means no limit.
 	Most spoolsill.Resources
 }
 
-// A teamState is what a team's runs need. What may have begun counts, until it has
-// surely ended: an order that is not answered may be carried out, and a run that is
-// being stopped is still there.
+// A teamState is the resource usage of a team. A run counts from the decision to start it
+// until it has certainly ended: an unanswered start may still be carried out, and a run
+// that is being stopped still uses its resources.
 type teamState struct {
 	Team
 	share shareTracker
-	// configured tells that a configuration has told of the team.
+	// configured means that a configuration has named the team.
 	configured bool
-	// used is what the runs in the workers' accounts need; strays is the same of runs
-	// that no record names, as of the pass under way.
+	// used is the total of the recorded runs, strayUsage that of runs at workers that
+	// no record names, as of the current pass.
 	used       spoolsill.Resources
 	strayUsage spoolsill.Resources
 }
 
-// allows reports whether a team may have runs besides what it has that need so much.
+// allows reports whether the quota allows to use need in addition to the current usage.
 func (t *teamState) allows(need spoolsill.Resources) bool {
 	after := t.used.Add(t.strayUsage).Add(need)
 	return withinLimit(int64(after.Processors), int64(t.Most.Processors)) &&
@@ -38,23 +38,24 @@
 		withinLimit(int64(after.Accelerators), int64(t.Most.Accelerators))
 }
 
+// withinLimit reports whether n does not exceed most, where 0 means no limit.
 func withinLimit(n, most int64) bool {
 	return most <= 0 || n <= most
 }
 
-// overQuota reports whether a team has more than it may, since its quota was lowered.
+// overQuota reports whether the usage exceeds the quota, which may have been lowered.
 func (t *teamState) overQuota() bool {
 	return !t.allows(spoolsill.Resources{})
 }
 
-// SetTeams takes in the teams of the newest configuration. One that it lacks keeps the
-// quota that it had, for the jobs that it has.
+// SetTeams applies the teams of the latest configuration. A team that it lacks keeps its
+// quota for its remaining jobs.
 func (s *State) SetTeams(now time.Time, teams []Team) {
 	s.now = now
 	named := map[spoolsill.TeamID]bool{}
 	for _, t := range teams {
 		if named[t.ID] {
-			continue // of two teams of one name the first one counts
+			continue // the first of two teams of one name counts
 		}
 		named[t.ID] = true
 		a := s.team(t.ID)
@@ -63,7 +64,7 @@
 	}
 }
 
-// team returns the account of a team, and opens it when there is none.
+// team returns the state of a team and creates it if necessary.
 func (s *State) team(id spoolsill.TeamID) *teamState {
 	t := s.teams[id]
 	if t == nil {
@@ -77,15 +78,15 @@
 	return t
 }
 
-// quotaKnown reports whether it is known how much the team of a job may have. A host
-// may have accepted the job under a newer configuration than this one, so that nothing
-// of a team without a quota starts until that must be in force here as well.
+// quotaKnown reports whether the quota of a job's team is known. Another host may have
+// accepted the job under a newer configuration than the one applied here. So jobs of an
+// unknown team don't start until a configuration that was valid then must have arrived.
 func (s *State) quotaKnown(j *job) bool {
 	return j.Team == "" || j.team.configured || s.wallClock().Sub(j.Received) > s.config.ConfigInForce
 }
 
-// fitsQuota reports whether the team of g may have what is started of it at once: a
-// task, or a whole gang.
+// fitsQuota reports whether the team's quota allows to start g: a task of it, or all tasks
+// of a gang.
 func (s *State) fitsQuota(g *stage) bool {
 	need := g.step.demand()
 	if g.step.Gang {
@@ -94,9 +95,9 @@
 	return s.quotaKnown(g.job) && g.job.team.allows(need)
 }
 
-// sumStrayUsage adds up what runs need that no record names, of jobs that are known.
-// They are ordered to stop and are still there.
-// Cost: O(workers) where there are none.
+// sumStrayUsage updates the usage of runs that no record names but that belong to known
+// jobs. They have been ordered to stop and still use resources.
+// Cost: O(workers) if there are none.
 func (s *State) sumStrayUsage() {
 	for _, t := range s.teams {
 		t.strayUsage = spoolsill.Resources{}
@@ -114,9 +115,9 @@
 	}
 }
 
-// stopUncertainOverQuota stops the runs in doubt of teams that have more than they may: an order
-// that was not answered may be carried out seconds later, when the lower quota is in
-// force. A run that is known to go on is left alone.
+// stopUncertainOverQuota stops the runs with an unknown start outcome of teams over their
+// quota: an unanswered order may be carried out seconds later, when the lower quota is in
+// force. Runs that are known to be running are not stopped.
 func (s *State) stopUncertainOverQuota() {
 	any := false
 	for _, t := range s.teams {
@@ -128,7 +129,7 @@
 	for _, w := range s.workerList {
 		for _, r := range sortedRuns(w) {
 			if r.phase == phaseUncertain && r.task.stage.job.team.overQuota() {
-				s.stop(r, "its team has more than its quota")
+				s.stop(r, "team over quota")
 			}
 		}
 	}
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -19,8 +19,8 @@
 	return j
 }
 
-// quota sets what the team "a" may have at once, in cores.
-func (x *cell) quota(n int) {
+// setQuota sets what the team "a" may have at once, in cores.
+func (x *cell) setQuota(n int) {
 	x.state.SetTeams(x.now, []sched.Team{
 		{
 			ID:     "a",
@@ -30,8 +30,8 @@
 	})
 }
 
-// endAll has the workers list the ends of runs.
-func (x *cell) endAll(orders []sched.StartOrder, k sched.EndKind) {
+// endRuns has the workers list the ends of runs.
+func (x *cell) endRuns(orders []sched.StartOrder, k sched.EndKind) {
 	for _, o := range orders {
 		x.endRun(o, k)
 	}
@@ -53,13 +53,13 @@
 			for i := range 4 {
 				x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 			}
-			x.quota(8)
+			x.setQuota(8)
 			x.state.AddJob(x.now, x.teamJob("j", "a", c.steps...), sched.Progress{})
 			for i, n := range c.want {
 				out := x.step()
 				x.c.Check(out, qt.HasLen, n, qt.Commentf("round %d", i))
 				x.acceptStarts(out)
-				x.endAll(out, sched.EndDone)
+				x.endRuns(out, sched.EndDone)
 			}
 		})
 	}
@@ -68,14 +68,14 @@
 func TestQuotaOfOneTeamLeavesOthersAlone(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	x.quota(1)
+	x.setQuota(1)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
 	x.state.AddJob(x.now, x.teamJob("k", "", tasks(5, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 6)
 }
 
 // What may yet begin, and what may still run, counts.
-func TestQuotaCountsUntilTheEndIsSure(t *testing.T) {
+func TestQuotaCountsRunsUntilTheyHaveEnded(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(x *cell, o sched.StartOrder)
@@ -106,7 +106,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newCell(t)
 			x.addWorker("w")
-			x.quota(10)
+			x.setQuota(10)
 			x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), sched.Progress{})
 			out := x.step()
 			x.c.Assert(out, qt.HasLen, 1)
@@ -128,7 +128,7 @@
 
 func TestQuotaCountsRunsOfAFormerLeader(t *testing.T) {
 	x := newCell(t)
-	x.quota(10)
+	x.setQuota(10)
 	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), running("never-seen"))
 	x.state.AddJob(x.now, x.teamJob("k", "a", tasks(10, 1)), sched.Progress{})
@@ -137,7 +137,7 @@
 
 func TestQuotaCountsUnknownRunsOfKnownJobs(t *testing.T) {
 	x := newCell(t)
-	x.quota(10)
+	x.setQuota(10)
 	x.addWorker("w")
 	x.addWorker("other")
 	j := x.teamJob("j", "a", tasks(1, 6))
@@ -163,16 +163,16 @@
 	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.quota(2)
+	x.setQuota(2)
 	x.c.Assert(x.step(), qt.HasLen, 2)
 }
 
 // A team that no configuration names any more does not wait for ever.
-func TestTeamThatIsNotNamedIsServedInTheEnd(t *testing.T) {
+func TestUnconfiguredTeamIsEventuallyServed(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
-	x.advance(inForce+time.Second, map[spoolsill.WorkerID][]sched.RunID{"w": nil})
+	x.advance(configPropagation+time.Second, map[spoolsill.WorkerID][]sched.RunID{"w": nil})
 	x.c.Assert(x.step(), qt.HasLen, 5)
 }
 
@@ -180,44 +180,44 @@
 	x := newCell(t)
 	x.addWorker("w")
 	x.addWorker("other")
-	x.quota(10)
+	x.setQuota(10)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(20, 1)), sched.Progress{})
 	first := x.step()
 	x.c.Assert(first, qt.HasLen, 10)
 	x.acceptStarts(first[1:])
 	x.answerStart(first[0], sched.StartUnknown)
-	x.quota(4)
+	x.setQuota(4)
 	x.c.Check(x.step(), qt.HasLen, 0)
 	stops := x.state.Stops()
 	x.c.Assert(stops, qt.HasLen, 1, qt.Commentf("the run in doubt may begin when the lower quota is in force; others go on"))
 	x.c.Check(stops[0].Run, qt.Equals, first[0].Run)
-	x.endAll(first[1:7], sched.EndDone)
+	x.endRuns(first[1:7], sched.EndDone)
 	x.c.Check(x.step(), qt.HasLen, 0)
-	x.endAll(first[7:9], sched.EndDone)
+	x.endRuns(first[7:9], sched.EndDone)
 	x.c.Check(x.step(), qt.HasLen, 2, qt.Commentf("one runs and one is in doubt"))
-	x.quota(0)
+	x.setQuota(0)
 	x.c.Check(x.step(), qt.HasLen, 8, qt.Commentf("a quota of 0 is none: all the others start"))
 }
 
 // Orders that wait for their rows do not leave over a quota that was lowered meanwhile.
-func TestOrdersDoNotLeaveOverALoweredQuota(t *testing.T) {
+func TestOrdersOverALoweredQuotaAreNotSent(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	x.quota(10)
+	x.setQuota(10)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(6, 1)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 6)
-	x.quota(2)
+	x.setQuota(2)
 	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 2)
 }
 
 // A team that has its quota asks the advisor nothing, and keeps no workers.
-func TestTeamAtItsQuotaHoldsNothing(t *testing.T) {
+func TestTeamAtItsQuotaReservesNothing(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	x.quota(4)
+	x.setQuota(4)
 	j := x.teamJob("j", "a", gang(5, 1))
 	j.Queue = "advised"
 	x.state.AddJob(x.now, j, sched.Progress{})
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -18,64 +18,64 @@
 // the quotas that may be in force: the newest one, and those that it replaced less than
 // inForce ago. Orders may have no answer and be carried out much later than that.
 type quotaModel struct {
-	x      *cell
-	quotas []quotaSince
-	ids    []spoolsill.WorkerID
-	runs   map[spoolsill.WorkerID]map[sched.RunID]int // cores
-	late   []lateStart
-	stops  map[sched.RunID]bool
-	jobs   map[spoolsill.JobID]sched.Job
-	rows   map[spoolsill.JobID][]byte
+	x          *cell
+	quotas     []quotaPeriod
+	ids        []spoolsill.WorkerID
+	runs       map[spoolsill.WorkerID]map[sched.RunID]int // cores
+	lateStarts []lateStart
+	stopped    map[sched.RunID]bool
+	jobs       map[spoolsill.JobID]sched.Job
+	rows       map[spoolsill.JobID][]byte
 }
 
-type quotaSince struct {
+type quotaPeriod struct {
 	cores int
 	until time.Time // when the next one came; zero for the newest
 }
 
-// lateAfterAll is longer than a configuration takes to be in force.
-const lateAfterAll = 3 * inForce
+// lateStartDelay is longer than a configuration takes to be in force.
+const lateStartDelay = 3 * configPropagation
 
 func newQuotaModel(t *testing.T) *quotaModel {
 	m := &quotaModel{
-		x:     newCell(t),
-		ids:   []spoolsill.WorkerID{"a", "b", "c"},
-		runs:  map[spoolsill.WorkerID]map[sched.RunID]int{},
-		stops: map[sched.RunID]bool{},
-		jobs:  map[spoolsill.JobID]sched.Job{},
-		rows:  map[spoolsill.JobID][]byte{},
+		x:       newCell(t),
+		ids:     []spoolsill.WorkerID{"a", "b", "c"},
+		runs:    map[spoolsill.WorkerID]map[sched.RunID]int{},
+		stopped: map[sched.RunID]bool{},
+		jobs:    map[spoolsill.JobID]sched.Job{},
+		rows:    map[spoolsill.JobID][]byte{},
 	}
 	for _, w := range m.ids {
 		m.runs[w] = map[sched.RunID]int{}
 		m.x.listWorker(w, false)
 	}
-	m.set(12)
+	m.changeQuota(12)
 	return m
 }
 
-// set puts a quota in force, at the leader at once.
-func (m *quotaModel) set(n int) {
+// changeQuota puts a quota in force, at the leader at once.
+func (m *quotaModel) changeQuota(n int) {
 	if i := len(m.quotas) - 1; i >= 0 {
 		m.quotas[i].until = m.x.now
 	}
-	m.quotas = append(m.quotas, quotaSince{
+	m.quotas = append(m.quotas, quotaPeriod{
 		cores: n,
 	})
-	m.x.quota(n)
+	m.x.setQuota(n)
 }
 
-// most returns the highest quota that may be in force.
-func (m *quotaModel) most() int {
+// maxQuota returns the highest quota that may be in force.
+func (m *quotaModel) maxQuota() int {
 	most := 0
 	for _, q := range m.quotas {
-		if q.until.IsZero() || m.x.now.Sub(q.until) <= inForce {
+		if q.until.IsZero() || m.x.now.Sub(q.until) <= configPropagation {
 			most = max(most, q.cores)
 		}
 	}
 	return most
 }
 
-func (m *quotaModel) used() int {
+func (m *quotaModel) usedCores() int {
 	n := 0
 	for _, runs := range m.runs {
 		for _, c := range runs {
@@ -85,18 +85,18 @@
 	return n
 }
 
-func (m *quotaModel) begin(t *rapid.T, o sched.StartOrder) {
-	if m.stops[o.Run] {
+func (m *quotaModel) startRun(t *rapid.T, o sched.StartOrder) {
+	if m.stopped[o.Run] {
 		return
 	}
 	m.runs[o.Worker][o.Run] = int(m.jobs[o.Run.Task.Stage.Job].Steps[0].Need.Processors / spoolsill.Core)
-	if n := m.used(); n > m.most() {
-		t.Fatalf("%s#%d brings the team to %d cores of %d", o.Run.Task, o.Run.Number, n, m.most())
+	if n := m.usedCores(); n > m.maxQuota() {
+		t.Fatalf("%s#%d brings the team to %d cores of %d", o.Run.Task, o.Run.Number, n, m.maxQuota())
 	}
 }
 
-// round has workers answer, decides, writes, and has orders carried out.
-func (m *quotaModel) round(t *rapid.T, lost bool) {
+// step has workers answer, decides, writes, and has orders carried out.
+func (m *quotaModel) step(t *rapid.T, lost bool) {
 	for _, w := range m.ids {
 		m.x.renewLease(w, slices.Collect(maps.Keys(m.runs[w]))...)
 	}
@@ -109,16 +109,16 @@
 		m.rows[r.ID] = r.Value
 	}
 	for _, o := range m.x.state.Stops() {
-		m.stop(o)
+		m.deliverStop(o)
 	}
 	for _, o := range m.x.state.BatchWritten(m.x.now, b) {
-		m.send(t, o, lost)
+		m.deliverStart(t, o, lost)
 	}
 }
 
-func (m *quotaModel) send(t *rapid.T, o sched.StartOrder, lost bool) {
+func (m *quotaModel) deliverStart(t *rapid.T, o sched.StartOrder, lost bool) {
 	if lost && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
-		until := m.x.now.Add(lateAfterAll)
+		until := m.x.now.Add(lateStartDelay)
 		m.x.state.StartAnswered(m.x.now, sched.StartAnswer{
 			Life:     o.Life,
 			Run:      o.Run,
@@ -126,29 +126,29 @@
 			Doubt:    true,
 			Deadline: sched.ClockMillis(until.UnixMilli()),
 		})
-		m.late = append(m.late, lateStart{
+		m.lateStarts = append(m.lateStarts, lateStart{
 			StartOrder: o,
 			until:      until,
 		})
 		return
 	}
-	m.begin(t, o)
+	m.startRun(t, o)
 	m.x.answerStart(o, sched.StartTaken)
 }
 
-// stop has a worker carry out a stop at once, also of a run that may come yet.
-func (m *quotaModel) stop(o sched.StopOrder) {
-	m.stops[o.Run] = true
+// deliverStop has a worker carry out a deliverStop at once, also of a run that may come yet.
+func (m *quotaModel) deliverStop(o sched.StopOrder) {
+	m.stopped[o.Run] = true
 	m.x.state.StopAnswered(m.x.now, sched.StopAnswer{
 		Order: o,
 		Taken: true,
 	})
 	if _, ok := m.runs[o.Worker][o.Run]; ok {
-		m.endRun(o.Worker, o.Run, sched.EndStopped)
+		m.finishRun(o.Worker, o.Run, sched.EndStopped)
 	}
 }
 
-func (m *quotaModel) endRun(w spoolsill.WorkerID, r sched.RunID, k sched.EndKind) {
+func (m *quotaModel) finishRun(w spoolsill.WorkerID, r sched.RunID, k sched.EndKind) {
 	delete(m.runs[w], r)
 	m.x.endRun(sched.StartOrder{
 		Life: lifeOf(w),
@@ -156,14 +156,14 @@
 	}, k)
 }
 
-// endOne has a worker end a run by itself.
-func (m *quotaModel) endOne(kind sched.EndKind) {
+// endFirstRun has a worker end a run by itself.
+func (m *quotaModel) endFirstRun(kind sched.EndKind) {
 	for _, w := range m.ids {
 		runs := slices.SortedFunc(maps.Keys(m.runs[w]), func(a, b sched.RunID) int {
 			return strings.Compare(a.Task.String(), b.Task.String())
 		})
 		if len(runs) > 0 {
-			m.endRun(w, runs[0], kind)
+			m.finishRun(w, runs[0], kind)
 			return
 		}
 	}
@@ -177,21 +177,21 @@
 	m.x.state.AddJob(m.x.now, j, sched.Progress{})
 }
 
-func (m *quotaModel) carryOutLate(t *rapid.T) {
-	for _, o := range m.late {
+func (m *quotaModel) deliverLateStarts(t *rapid.T) {
+	for _, o := range m.lateStarts {
 		if m.x.now.Before(o.until) && !rapid.Bool().Draw(t, "dropped") {
-			m.begin(t, o.StartOrder)
+			m.startRun(t, o.StartOrder)
 		}
 	}
-	m.late = nil
+	m.lateStarts = nil
 }
 
-// takeOver has another leader go on from what was written. Workers refuse what former
+// changeLeader has another leader go on from what was written. Workers refuse what former
 // ones have ordered from their first answer on.
-func (m *quotaModel) takeOver(t *rapid.T) {
+func (m *quotaModel) changeLeader(t *rapid.T) {
 	m.x.state = m.x.newState()
-	m.late = nil
-	m.x.quota(m.quotas[len(m.quotas)-1].cores)
+	m.lateStarts = nil
+	m.x.setQuota(m.quotas[len(m.quotas)-1].cores)
 	for _, id := range slices.Sorted(maps.Keys(m.jobs)) {
 		p := sched.Progress{}
 		if v, ok := m.rows[id]; ok {
@@ -208,30 +208,30 @@
 	}
 }
 
-// pass lets time go by: mostly little, now and then more than a configuration takes to
+// advance lets time go by: mostly little, now and then more than a configuration takes to
 // be in force.
-func (m *quotaModel) pass(t *rapid.T) {
+func (m *quotaModel) advance(t *rapid.T) {
 	if rapid.IntRange(0, 4).Draw(t, "long") == 0 {
-		m.x.now = m.x.now.Add(inForce + time.Second)
+		m.x.now = m.x.now.Add(configPropagation + time.Second)
 		return
 	}
 	m.x.now = m.x.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 }
 
-func (m *quotaModel) move(t *rapid.T, i int) {
+func (m *quotaModel) randomEvent(t *rapid.T, i int) {
 	switch rapid.IntRange(0, 6).Draw(t, "move") {
 	case 0, 1:
 		m.submit(t, i)
 	case 2:
-		m.set(rapid.IntRange(1, 20).Draw(t, "quota"))
+		m.changeQuota(rapid.IntRange(1, 20).Draw(t, "quota"))
 	case 3:
-		m.endOne(rapid.SampledFrom([]sched.EndKind{sched.EndDone, sched.EndFailed}).Draw(t, "kind"))
+		m.endFirstRun(rapid.SampledFrom([]sched.EndKind{sched.EndDone, sched.EndFailed}).Draw(t, "kind"))
 	case 4:
 		m.x.state.CancelJob(m.x.now, spoolsill.JobID(fmt.Sprint("j", rapid.IntRange(0, i).Draw(t, "job"))))
 	case 5:
-		m.carryOutLate(t)
+		m.deliverLateStarts(t)
 	case 6:
-		m.takeOver(t)
+		m.changeLeader(t)
 	}
 }
 
@@ -241,9 +241,9 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newQuotaModel(t)
 		for i := range rapid.IntRange(10, 60).Draw(rt, "moves") {
-			m.move(rt, i)
-			m.pass(rt)
-			m.round(rt, true)
+			m.randomEvent(rt, i)
+			m.advance(rt)
+			m.step(rt, true)
 		}
 	})
 }
@@ -254,25 +254,25 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newQuotaModel(t)
 		for i := range rapid.IntRange(1, 40).Draw(rt, "moves") {
-			m.move(rt, i)
-			m.pass(rt)
-			m.round(rt, true)
+			m.randomEvent(rt, i)
+			m.advance(rt)
+			m.step(rt, true)
 		}
-		m.late = nil
-		for end := m.x.now.Add(2*lateAfterAll + 2*lease); m.x.now.Before(end); {
+		m.lateStarts = nil
+		for end := m.x.now.Add(2*lateStartDelay + 2*lease); m.x.now.Before(end); {
 			m.x.now = m.x.now.Add(300 * time.Millisecond)
-			m.round(rt, false)
+			m.step(rt, false)
 		}
-		m.set(100)
+		m.changeQuota(100)
 		m.x.now = m.x.now.Add(10 * time.Millisecond)
-		m.round(rt, false)
+		m.step(rt, false)
 		for range 100 {
-			m.endOne(sched.EndDone)
+			m.endFirstRun(sched.EndDone)
 			m.x.now = m.x.now.Add(500 * time.Millisecond)
-			m.round(rt, false)
+			m.step(rt, false)
 		}
 		for _, j := range slices.Sorted(maps.Keys(m.jobs)) {
-			if s, ok := m.x.state.Job(j); ok && !s.State.Final() && m.used() == 0 {
+			if s, ok := m.x.state.Job(j); ok && !s.State.Final() && m.usedCores() == 0 {
 				rt.Fatalf("job %s of a team that has nothing running is %s", j, s.State)
 			}
 		}
--- a/sched/rank.go
+++ b/sched/rank.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// A tier groups stages by what running them still earns.
+// A tier classifies stages by the worth that they can still earn.
 type tier int
 
 const (
-	tierUrgent    tier = iota // of the first priority, and can be in time
-	tierOnTime                // can be in time
-	tierLate                  // can't be in time, still earns a part
-	tierOverShare             // could be in time or earn a part, and is beyond its team's share
+	tierUrgent    tier = iota // highest priority, can meet its objective
+	tierOnTime                // can meet its objective
+	tierLate                  // can't meet its objective, earns partial worth
+	tierOverShare             // would be in a tier above, but exceeds its team's share
 	tierWorthless             // earns nothing any more
 )
 
-// A rank orders stages: by tier, by the priority of their queue, then by the time
-// that is left.
+// A rank orders stages by tier, then by the priority of their queue, then by slack.
 type rank struct {
 	tier     tier
 	priority int
@@ -33,10 +32,12 @@
 	)
 }
 
-// lateFactor is up to how many times its objective a job earns a part, by the
+// lateFactor is the multiple of its objective up to which a job earns partial worth in the
 // platform's accounting.
 const lateFactor = 3
 
+// rank returns the rank of g. Its slack is the objective minus the time since submission
+// and the critical path that begins with g.
 func (s *State) rank(g *stage) rank {
 	q := s.queue(g.job)
 	objective := s.objective(g, q)
@@ -68,22 +69,22 @@
 	return r
 }
 
-// objective is the time within which the stage's round should be done.
+// objective returns the time within which the round of g should be done.
 func (s *State) objective(g *stage, q *Queue) time.Duration {
 	return time.Duration(q.Stretch*float64(slices.Max(s.criticalPathsOf(g.job, q)))) + q.Goal
 }
 
-// criticalPath is the expected time of the longest chain that begins with g.
+// criticalPath returns the expected time of the longest dependency chain from g on.
 func (s *State) criticalPath(g *stage) time.Duration {
 	return s.criticalPathsOf(g.job, s.queue(g.job))[g.id.Step]
 }
 
-// criticalPathTTL is how long a job's chains are kept: what is expected of its tasks
-// changes slowly.
+// criticalPathTTL is how long the critical paths of a job are cached. Estimates of run
+// times change slowly.
 const criticalPathTTL = 500 * time.Millisecond
 
-// criticalPathsOf returns for each step of a job the expected time of the longest chain
-// that begins with it. Steps wait only for earlier ones.
+// criticalPathsOf returns for each step of a job the expected time of the longest
+// dependency chain that begins with it. A step depends only on earlier steps.
 func (s *State) criticalPathsOf(j *job, q *Queue) []time.Duration {
 	if j.criticalPaths != nil && s.now.Sub(j.criticalPathsAt) < criticalPathTTL {
 		return j.criticalPaths
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// largeShare is from what share of a worker on a task is large: room for it
-	// is seldom free at once where smaller tasks run, so it is gathered. On the
-	// fake cell of cellbench, with accelerators and full load, 0.801 of all worth
-	// is earned, with 0.5 in its place 0.794.
+	// largeShare is the share of a worker from which on a task is large. Capacity for it
+	// is rarely free at once where smaller tasks run, so workers are reserved. On the
+	// fake cell of cellbench with accelerators and full load, 0.25 earns 0.801 of the
+	// total worth and 0.5 earns 0.794.
 	largeShare = 0.25
-	// minRemaining is how much longer a run is taken to need that has run for longer
-	// than expected.
+	// minRemaining is the expected remaining time of a run that has exceeded its
+	// expected run time.
 	minRemaining = 300 * time.Millisecond
 )
 
-// reserveForLarge keeps workers for the large tasks of a stage that wait for room: one for
-// each, the ones where it is free first. Stages ranked below may not use them. Large
-// tasks earn 0.69 of their worth instead of 0.64 by it, 0.73 together with preempt
-// (cellbench, accelerators, full load, eight seeds).
+// reserveForLarge reserves a worker for each large task of g that waits, choosing those
+// where capacity is expected first. Stages of lower rank can't use reserved workers.
+// This raises what large tasks earn from 0.64 to 0.69 of their worth, and to 0.73 together
+// with preemption (cellbench, accelerators, full load, eight seeds).
 func (d *decider) reserveForLarge(g *stage, q *Queue, waiting int) {
 	r := d.ready[q.Service]
 	if r == nil || g.tier > tierOnTime {
@@ -49,14 +49,15 @@
 	d.preempt(g, q)
 }
 
-// isLarge reports whether a task of g takes much of a worker, and fits it.
+// isLarge reports whether a task of g fits on w when empty and needs at least largeShare
+// of it.
 func (d *decider) isLarge(g *stage, w *worker) bool {
 	need := g.step.demand()
 	return g.labelMatches(w) && need.Fits(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
 }
 
-// byRoomAt returns the workers that may run g, those first where room for a task
-// of it is expected first.
+// byRoomAt returns the workers that can be reserved for large tasks of g, sorted by when
+// capacity is expected.
 func (d *decider) byRoomAt(g *stage, q *Queue, r *readyWorkers) []*worker {
 	from := g.advice.good
 	if q.Advisor == nil {
@@ -74,7 +75,7 @@
 	return ws
 }
 
-// roomAt returns when a worker is expected to have room for a task of g.
+// roomAt returns when w is expected to have capacity for a task of g.
 func (d *decider) roomAt(g *stage, w *worker) time.Time {
 	need := g.step.demand()
 	free := w.free()
@@ -92,10 +93,10 @@
 	return d.now.Add(never)
 }
 
-// never stands for a time that does not come.
+// never is the remaining time of a run that is not expected to end.
 const never = time.Hour
 
-// remaining returns for how much longer a run is expected to go on.
+// remaining returns the expected remaining time of a run.
 func (s *State) remaining(r *run) time.Duration {
 	if r.stopping {
 		return s.config.StopTime
--- a/sched/reserve_test.go
+++ b/sched/reserve_test.go
@@ -10,9 +10,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// fill has a job of small tasks take all of the worker "w"; they save their
+// fillWithSmallTasks has a job of small tasks take all of the worker "w"; they save their
 // progress if that is wanted.
-func (x *cell) fill(queue sched.QueueID, saves bool) []sched.StartOrder {
+func (x *cell) fillWithSmallTasks(queue sched.QueueID, saves bool) []sched.StartOrder {
 	s := tasks(5, 2)
 	s.Estimate = 5 * time.Second
 	s.Checkpoints = saves
@@ -25,8 +25,8 @@
 	return o
 }
 
-// addLarge adds a job with a task that needs all of a worker.
-func (x *cell) addLarge(queue sched.QueueID) {
+// addLargeJob adds a job with a task that needs all of a worker.
+func (x *cell) addLargeJob(queue sched.QueueID) {
 	j := job("large", queue, tasks(1, 10))
 	j.Received = x.now
 	x.state.AddJob(x.now, j, sched.Progress{})
@@ -37,8 +37,8 @@
 func TestWorkerIsKeptForALargeTask(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	running := x.fill("q", false)
-	x.addLarge("q")
+	running := x.fillWithSmallTasks("q", false)
+	x.addLargeJob("q")
 	x.step()
 	later := job("later", "q", tasks(1, 2))
 	later.Received = x.now.Add(time.Second)
@@ -76,8 +76,8 @@
 				},
 			})
 			x.addWorker("w")
-			running := x.fill(c.queue, c.saves)
-			x.addLarge("q")
+			running := x.fillWithSmallTasks(c.queue, c.saves)
+			x.addLargeJob("q")
 			x.step()
 			stops := x.state.Stops()
 			x.c.Assert(stops, qt.HasLen, c.stops)
@@ -108,8 +108,8 @@
 		},
 	})
 	x.addWorker("w")
-	x.fill("tight", true)
-	x.addLarge("q")
+	x.fillWithSmallTasks("tight", true)
+	x.addLargeJob("q")
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
 }
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -81,7 +81,7 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
-func TestNothingLeavesBeforeItIsWritten(t *testing.T) {
+func TestNoStartIsSentBeforeItIsWritten(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -164,7 +164,7 @@
 
 // A worker that answers again after a silence may be about to end all that it
 // runs: it gets nothing before its lease is renewed.
-func TestWorkerGetsNothingOnAnOldLease(t *testing.T) {
+func TestWorkerGetsNoTaskBeforeLeaseRenewal(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.now = x.now.Add(5500 * time.Millisecond)
@@ -177,7 +177,7 @@
 
 // A start renews a worker's lease as well, so the end of the former lease does
 // not free what was started since.
-func TestStartCountsForTheLease(t *testing.T) {
+func TestStartExtendsTheLease(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.now = x.now.Add(2 * time.Second)
@@ -194,7 +194,7 @@
 	x.c.Assert(x.state.Idle("w"), qt.IsFalse)
 }
 
-func TestNextLeaderGoesOnFromTheRows(t *testing.T) {
+func TestNewLeaderResumesFromStoredProgress(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	j := job("j", "q", tasks(2, 1))
@@ -219,7 +219,7 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
-func TestNextLeaderWaitsOutWorkersThatItCannotReach(t *testing.T) {
+func TestNewLeaderWaitsForLeasesOfUnreachableWorkers(t *testing.T) {
 	x := newCell(t)
 	p := sched.Progress{
 		State: sched.Running,
@@ -296,7 +296,7 @@
 
 // A worker that announced that it leaves, is no longer listed and refuses
 // connections is gone: its tasks need not wait for the end of its lease.
-func TestWorkerThatLeftIsNotWaitedFor(t *testing.T) {
+func TestTasksOfADepartedWorkerRestartAtOnce(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -344,7 +344,7 @@
 }
 
 // A task that failed is tried at another worker: the first may be to blame.
-func TestFailedTaskGoesElsewhere(t *testing.T) {
+func TestFailedTaskIsRetriedOnAnotherWorker(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.addWorker("b")
@@ -359,7 +359,7 @@
 
 // A run that stands still while its worker answers is stopped, and its task goes
 // elsewhere; one that moves on is left alone however slow it is.
-func TestRunThatStandsStillIsStopped(t *testing.T) {
+func TestRunWithoutProgressIsStopped(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 1)), sched.Progress{})
@@ -399,7 +399,7 @@
 
 // A job whose every step waits for all earlier ones has very many chains; they
 // must not be walked one by one.
-func TestManyChainsCostLittle(t *testing.T) {
+func TestManyDependencyChainsAreCheap(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	var steps []sched.Step
--- a/sched/share.go
+++ b/sched/share.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// shareWindow is over how long a team's jobs are compared with its share: a team that
-// sends half of it, at random times, is over it for one job in twenty with five seconds,
-// for one in four with one.
+// shareWindow is the length of the sliding window over which a team's submission rate is
+// compared with its share. A team that sends half of its share, at random times, exceeds
+// it with one job in twenty over five seconds, and with one in four over one second.
 const shareWindow = 5 * time.Second
 
-// A shareTracker tells which jobs of a team are beyond its share. The load that it
-// answers: one team hands in many times its usual. Up to its quota it would take what
-// others wait for, whose own load is as usual. What is beyond its share waits behind what
-// all teams have within theirs, and is served from what is left.
+// A shareTracker finds the jobs of a team that exceed its share. If one team submits many
+// times its usual load, it would otherwise take, up to its quota, the capacity that other
+// teams with their usual load wait for. Jobs over the share are ranked behind the jobs of
+// all teams within theirs.
 type shareTracker struct {
-	// received has when the jobs within the share were handed in, in the window.
+	// received has the submission times within the window of the jobs within the share.
 	received []time.Time
 }
 
-// observe takes in a job that was handed in at a time, and reports whether it is beyond a
-// share of weight jobs a second. Jobs beyond it do not count: a team that sends too much
-// still has its share.
+// observe records a job submitted at a time and reports whether it exceeds a share of
+// weight jobs per second. Such jobs don't count against the share, so that a team that
+// sends too much still gets its share.
 func (a *shareTracker) observe(at time.Time, weight float64) (beyond bool) {
 	n := 0
 	for n < len(a.received) && at.Sub(a.received[n]) >= shareWindow {
--- a/sched/share_test.go
+++ b/sched/share_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// sharesOf gives the teams "flood" and "usual" a share of two jobs a second each.
-func (x *cell) sharesOf() {
+// setShares gives the teams "flood" and "usual" a share of two jobs a second each.
+func (x *cell) setShares() {
 	x.state.SetTeams(x.now, []sched.Team{
 		{
 			ID:     "flood",
@@ -25,8 +25,8 @@
 	})
 }
 
-// handIn has a team hand a job in that takes a whole worker, and returns it.
-func (x *cell) handIn(n int, t spoolsill.TeamID) spoolsill.JobID {
+// submit has a team hand a job in that takes a whole worker, and returns it.
+func (x *cell) submit(n int, t spoolsill.TeamID) spoolsill.JobID {
 	id := spoolsill.JobID(fmt.Sprint(t, n))
 	p := tasks(1, 10)
 	p.Estimate = 10 * time.Second // so that none is late for seconds
@@ -36,15 +36,15 @@
 
 // A team floods a cell that is full: of it only what is within its share goes before the
 // work of others, and the rest is served once nothing else waits.
-func TestFloodOfOneTeamWaitsBehindOthers(t *testing.T) {
+func TestJobsOverTheShareWaitBehindOtherTeams(t *testing.T) {
 	x := newCell(t)
-	x.sharesOf()
+	x.setShares()
 	for i := range 50 {
-		x.handIn(i, "flood")
+		x.submit(i, "flood")
 	}
 	x.now = x.now.Add(100 * time.Millisecond)
 	for i := range 5 {
-		x.handIn(i, "usual")
+		x.submit(i, "usual")
 	}
 	x.addWorker("w")
 	var order []spoolsill.TeamID
@@ -67,15 +67,15 @@
 }
 
 // A share comes back with time: the jobs of the first seconds do not count any more.
-func TestShareComesBack(t *testing.T) {
+func TestShareRecoversOverTime(t *testing.T) {
 	x := newCell(t)
-	x.sharesOf()
+	x.setShares()
 	for i := range 30 {
-		x.state.CancelJob(x.now, x.handIn(i, "flood"))
+		x.state.CancelJob(x.now, x.submit(i, "flood"))
 	}
-	beyond := x.handIn(30, "flood")
+	beyond := x.submit(30, "flood")
 	x.now = x.now.Add(6 * time.Second)
-	within := x.handIn(31, "flood")
+	within := x.submit(31, "flood")
 	x.addWorker("w")
 	out := x.step()
 	x.c.Assert(out, qt.HasLen, 1)
--- a/sched/state.go
+++ b/sched/state.go
@@ -6,90 +6,88 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Config describes a [State].
+// Config configures a [State].
 type Config struct {
-	// Lease is the longest lease that a worker grants; bounds of the platform
-	// say how long.
+	// Lease is the longest lease that a worker grants, by the limits of the platform.
 	Lease time.Duration
-	// StartLease is the longest after it is sent that a start, with all its
-	// tries, may let a run go on without a renewal.
+	// StartLease is the maximum time after sending a start, with all its retries, for
+	// which the run may go on without a lease renewal.
 	StartLease time.Duration
-	// TakenOver is when the leadership began. Before InheritedLease has
-	// passed, a worker that has not answered yet may run what a former leader
-	// started.
+	// TakenOver is when the leadership began. Until InheritedLease has passed, a worker
+	// that has not answered yet may have runs that a former leader started.
 	TakenOver      time.Time
 	InheritedLease time.Duration
-	// EntriesAge is how old what is known of the workers' entries may be for something to
-	// be started: a worker's room may have shrunk since. 0 means any age.
+	// EntriesAge is the maximum age of the workers' entries for starting tasks, since a
+	// worker's capacity may have shrunk meanwhile; 0 means no limit.
 	EntriesAge time.Duration
-	// Ahead is by how much the times that the State is given are ahead of the time of
-	// day.
+	// Ahead is the offset of the times passed to the State from the time of day.
 	Ahead time.Duration
-	// SettleTime is for how long nothing is placed once the first worker has
-	// answered under this leadership, so that the others are known as well. Else
-	// each stage that waits asks the advisor about the first worker alone, and
-	// about the rest only once that has had no room.
+	// SettleTime is the delay before anything is placed after the first worker has
+	// answered under this leadership, so that the other workers are known too. Without
+	// it each waiting stage queries the advisor about the first worker alone, and about
+	// the rest only once that worker has had no capacity.
 	SettleTime time.Duration
-	// BatchBytes is from how many bytes of rows on a batch takes no more; 0 means what
-	// the store takes.
+	// BatchBytes is the size of the rows at which a batch takes no more; 0 means the limit
+	// of the store.
 	BatchBytes int
-	// ConfigInForce is within how long a configuration is in force everywhere.
+	// ConfigInForce is the maximum time for a configuration to reach all hosts.
 	ConfigInForce time.Duration
-	// KeepEnded is how long the state of a job that ended is kept.
+	// KeepEnded is how long the state of a finished job is retained.
 	KeepEnded time.Duration
-	// StopTime is how long a worker needs to stop a run.
+	// StopTime is how long a worker takes to stop a run.
 	StopTime time.Duration
-	// DrainTime is how long a worker that leaves goes on at least.
+	// DrainTime is the minimum time that a leaving worker goes on running.
 	DrainTime time.Duration
-	// FarFactor is how much longer tasks take away from their data, or a
-	// gang spread over racks.
+	// FarFactor is the run time factor of tasks that are not near their data, and of gangs
+	// spread over racks.
 	FarFactor float64
 }
 
-// A State holds the cell's workers, jobs and runs.
+// A State holds the workers, jobs and runs of the cell.
 type State struct {
 	config Config
 	now    time.Time
 	queues map[QueueID]*Queue
 	jobs   map[spoolsill.JobID]*job
-	// workers has the account of each worker's latest life.
+	// workers has the latest life of each worker.
 	workers    map[spoolsill.WorkerID]*worker
-	workerList []*worker // as first seen, for a stable choice
-	// lives has the accounts of each machine's lives that are not dead.
+	workerList []*worker // in the order of first appearance, for deterministic placement
+	// lives has the lives of each machine that are not known to be dead.
 	lives       map[string][]*worker
-	openStages  []*stage // stages that may have tasks to place
-	timedStages []*stage // stages that wait for their time
+	openStages  []*stage // may have tasks to place
+	timedStages []*stage // wait for their due time
 	runTimes    map[QueueID]*runTimeEstimate
 	teams       map[spoolsill.TeamID]*teamState
 
 	dirty []*job
 	acks  map[spoolsill.Life]uint64
 	stops []StopOrder
-	// stoppingRuns are the runs that were ordered to stop and may still be there.
+	// stoppingRuns are the runs that have been ordered to stop and may still be there.
 	stoppingRuns []*run
-	// suspects are the tasks under which workers went; see evidence.
+	// suspects are the tasks that were on lost workers; see evidence.
 	suspects []*task
-	// crashedAt has the machines whose workers crashed lately.
+	// crashedAt has the machines whose workers crashed recently.
 	crashedAt           map[string]time.Time
-	deferredStarts      []StartOrder // that waited for a ticket after they were recorded
+	deferredStarts      []StartOrder // recorded earlier, sent after a ticket renewal
 	adviceOrders        []AdviceOrder
-	queriesInFlight     int // questions to the advisor that are not answered
-	warmQueriesInFlight int // of them, those that keep tickets valid
-	advisorClients      int // hosts that can ask it
+	queriesInFlight     int // unanswered advisor queries
+	warmQueriesInFlight int // those of them that keep tickets valid
+	advisorClients      int // number of queries that hosts can make concurrently
 	notes               []Note
 	statusUpdates       []JobStatus
-	// storeRecoveredAt is when the store was last back after an outage.
+	// storeRecoveredAt is when the store last became writable after an outage.
 	storeRecoveredAt time.Time
-	// entriesAsOf is as of when all workers' entries are known; zero before.
+	// entriesAsOf is the time up to which all changes of worker entries are known; zero
+	// if none are.
 	entriesAsOf    time.Time
-	stuckCheckedAt time.Time // when runs that stand still were last looked for
+	stuckCheckedAt time.Time // last check for runs without progress
 	// firstAnswerAt is when the first worker answered under this leadership.
 	firstAnswerAt time.Time
 	endedJobs     []endedJob
 	pendingJobs   map[QueueID]int
 }
 
-// New returns a state that knows of nothing.
+// New returns an empty State.
 func New(c Config) *State {
 	return &State{
 		config:   c,
@@ -106,28 +104,29 @@
 	}
 }
 
-// wallClock returns the time of day, without a steady reading: what others named as a time
-// of day is compared with it.
+// wallClock returns the time of day without a monotonic reading, for comparison with times
+// of day from elsewhere.
 func (s *State) wallClock() time.Time {
 	return s.now.Round(0).Add(-s.config.Ahead)
 }
 
-// A job is a job with its progress.
+// A job is a Job with its state.
 type job struct {
 	Job
 	team      *teamState
-	overShare bool // its team's share
+	overShare bool // submitted over its team's share
 	state     JobState
 	stages    []*stage
-	// activeRuns counts the activeRuns in the workers' accounts.
+	// activeRuns counts the runs that may be at a worker.
 	activeRuns int
-	stagesLeft int // stages that are not done
+	stagesLeft int // not done yet
 	dirty      bool
-	// criticalPaths are the expected times of its steps' chains, as of criticalPathsAt.
+	// criticalPaths caches the expected time of the longest dependency chain from each
+	// step on, as of criticalPathsAt.
 	criticalPaths   []time.Duration
 	criticalPathsAt time.Time
-	starts          []StartOrder // leave once the job's row is written
-	countedPending  bool         // in State.waiting
+	starts          []StartOrder // to be sent once the job's row is written
+	countedPending  bool         // included in State.pendingJobs
 	account         Account
 }
 
@@ -137,26 +136,26 @@
 	job          *job
 	step         *Step
 	tasks        []*task
-	gangFailures int // of a gang as a whole
-	// lastFailedRun is the gang's latest run of which a member failed.
+	gangFailures int // failed runs of a gang as a whole
+	// lastFailedRun is the latest run of a gang with a failed member.
 	lastFailedRun RunNumber
-	tasksLeft     int // tasks that are not done
+	tasksLeft     int // not done yet
 	open          bool
-	due           time.Time // not before, by the wall clock
-	// openedAt is when its turn had come.
+	due           time.Time // not to be started earlier, by the wall clock
+	// openedAt is when its dependencies were done.
 	openedAt time.Time
-	tier     tier // as of the pass under way
-	// waitingFor is what it has waited for since it was last looked at.
+	tier     tier // as of the current pass
+	// waitingFor is the reason for waiting since waitUpdatedAt.
 	waitingFor    waitKind
 	waitUpdatedAt time.Time
-	// retryAt keeps a stage whose start was rejected from being tried at once.
+	// retryAt delays the next attempt after a rejected start or a lost query.
 	retryAt time.Time
 	advice  advice
-	planned []*run // room taken while a ticket is renewed
-	// deferred are orders that are recorded and wait for a ticket: theirs ran out
-	// while a slow store recorded them.
+	planned []*run // occupy capacity while a ticket is renewed
+	// deferred are recorded orders that wait for a new ticket, since theirs expired while
+	// a slow store recorded them.
 	deferred []StartOrder
-	// reserved are the workers that a gang keeps while it waits for room.
+	// reserved are the workers reserved for the stage while it waits for capacity.
 	reserved []*worker
 }
 
@@ -169,57 +168,57 @@
 	lastRun  RunNumber
 	saved    string
 	run      *run
-	// failedOn has the workers where it failed: another one tells whether
-	// the task or the worker is to blame.
+	// failedOn has the workers where the task failed. Trying another one shows whether the
+	// task or the worker is at fault.
 	failedOn []spoolsill.Life
-	// evidence is what speaks for it crashing its workers.
+	// evidence is the evidence that the task crashes its workers.
 	evidence evidence
-	// preemptions is how often a run of it was stopped to make room.
+	// preemptions counts the runs that were stopped to make room for others.
 	preemptions int
 }
 
-// A phase tells how far a run has come.
+// A phase is the progress of a run's start.
 type phase uint8
 
 const (
-	phasePlanned   phase = iota // room is taken, nothing is recorded
-	phaseRecorded               // waits for its row to be written
-	phaseSent                   // the order is on its way
-	phaseUncertain              // not answered: it may happen until its deadline
-	phaseInherited              // a former leader recorded it
-	phaseConfirmed              // the worker has it
+	phasePlanned   phase = iota // capacity is occupied, nothing is recorded
+	phaseRecorded               // the row is not written yet
+	phaseSent                   // the order has been sent
+	phaseUncertain              // unanswered: the start may be carried out until its deadline
+	phaseInherited              // recorded by a former leader
+	phaseConfirmed              // the worker has the run
 )
 
-// A run is one start of a task at a worker. Its room is taken as long as it
-// is in the worker's account.
+// A run is one start of a task at a worker. It occupies capacity while it is in the
+// worker's runs.
 type run struct {
 	id     RunID
 	task   *task
 	worker *worker
-	// born is of the life that its order was for; another one of the same worker may
-	// have carried it out.
+	// born is the birth of the life that the order was for. Another life of the same
+	// worker may have carried it out.
 	born         spoolsill.Birth
 	need         spoolsill.Resources
 	phase        phase
-	confirmedAt  time.Time   // when the worker confirmed it
-	deadline     ClockMillis // of the latest try, for phaseDoubt
+	confirmedAt  time.Time   // when the worker confirmed the run
+	deadline     ClockMillis // of the latest attempt, for phaseUncertain
 	startedAt    time.Time
 	percent      int
-	progressedAt time.Time // when percent was last seen to change
+	progressedAt time.Time // when percent last changed
 	stopping     bool
-	stopTakenAt  time.Time // when a stop was first answered
-	nextStopAt   time.Time // when the next order to stop it is due
+	stopTakenAt  time.Time // when the worker first accepted a stop
+	nextStopAt   time.Time // when to repeat the stop order
 }
 
-// SetQueues takes in the newest configuration. Queues that it lacks are kept
-// for the jobs that came in by them.
+// SetQueues applies the queues of the latest configuration. Queues that it lacks are kept
+// for their remaining jobs.
 func (s *State) SetQueues(queues []Queue) {
 	for _, q := range queues {
 		s.queues[q.ID] = &q
 	}
 }
 
-// Job returns the state of a job.
+// Job returns the status of a job. It reports false if the job is not known.
 func (s *State) Job(id spoolsill.JobID) (JobStatus, bool) {
 	j := s.jobs[id]
 	if j == nil {
@@ -237,15 +236,15 @@
 	}
 }
 
-// StatusUpdates returns the jobs that were added or have begun since the last call. That
-// may be told at once, since it need not last.
+// StatusUpdates returns the status of the jobs that were added or have started since the
+// last call. It may be published at once, since it need not be durable.
 func (s *State) StatusUpdates() []JobStatus {
 	t := s.statusUpdates
 	s.statusUpdates = nil
 	return t
 }
 
-// PendingJobs returns how many jobs of each queue are accepted and have not begun.
+// PendingJobs returns the number of accepted jobs of each queue that have not started.
 func (s *State) PendingJobs() map[QueueID]int {
 	w := make(map[QueueID]int, len(s.pendingJobs))
 	for q, n := range s.pendingJobs {
@@ -254,7 +253,7 @@
 	return w
 }
 
-// Notes returns what was noted since the last call.
+// Notes returns the notes since the last call.
 func (s *State) Notes() []Note {
 	n := s.notes
 	s.notes = nil
@@ -265,7 +264,7 @@
 	s.notes = append(s.notes, n)
 }
 
-// setState moves a job on and keeps the count of waiting jobs.
+// setState sets the state of a job and updates the number of pending jobs.
 func (s *State) setState(j *job, to JobState) {
 	j.state = to
 	waits := to == Pending && j.Rounds == 0
@@ -278,7 +277,7 @@
 	j.countedPending = waits
 }
 
-// markDirty has the job's row written with the next batch.
+// markDirty schedules the job's row for the next batch.
 func (s *State) markDirty(j *job) {
 	if j.dirty {
 		return
@@ -312,8 +311,8 @@
 	return false
 }
 
-// queue returns the queue of a job; a queue that no configuration has named
-// yet has no service, so that nothing starts.
+// queue returns the queue of a job. A queue that no configuration has named yet has no
+// service, so that nothing starts.
 func (s *State) queue(j *job) *Queue {
 	if q := s.queues[j.Queue]; q != nil {
 		return q
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// stuckCheckInterval is how often runs that stand still are looked for.
+	// stuckCheckInterval is the interval between checks for runs without progress.
 	stuckCheckInterval = 200 * time.Millisecond
-	// minStuckTime and maxStuckTime bound for how long a run's percent may stay as
-	// it is. Workers answer each second at least; a run of ten seconds on a
-	// worker that is ten times slower moves on each second.
+	// minStuckTime and maxStuckTime bound the time after which a run without progress is
+	// stuck. Workers answer at least once per second, and a run of ten seconds at a worker
+	// that is ten times slower still progresses every second.
 	minStuckTime = 1500 * time.Millisecond
 	maxStuckTime = 4 * time.Second
-	// stuckShare of its expected time without a move is too long as well.
+	// stuckShare is the same as a share of the expected run time.
 	stuckShare = 0.25
 )
 
-// stopStuck stops the runs that stand still while their worker answers: they
-// are tried elsewhere.
+// stopStuck stops the runs that make no progress although their worker answers, so that
+// their tasks are retried elsewhere.
 func (s *State) stopStuck() {
 	if s.now.Sub(s.stuckCheckedAt) < stuckCheckInterval {
 		return
@@ -33,9 +33,8 @@
 	}
 }
 
-// stuck reports whether r's worker has answered again and again without r
-// having moved on. Members of a gang wait for each other, at the start and when
-// they are through, so that nothing can be told from them.
+// stuck reports whether r's worker has kept answering without progress of r. Members of a
+// gang are never stuck, since they wait for each other at the start and at the end.
 func (s *State) stuck(r *run) bool {
 	g := r.task.stage
 	if r.phase != phaseConfirmed || r.stopping || r.progressedAt.IsZero() || g.step.Lasting || g.step.Gang {
@@ -46,9 +45,9 @@
 	return r.worker.answered.Sub(r.progressedAt) >= limit
 }
 
-// stopAsStuck stops a run and holds it against its worker.
+// stopAsStuck stops a run and counts it as a failure of its worker.
 func (s *State) stopAsStuck(r *run) {
-	s.stop(r, "it stands still")
+	s.stop(r, "no progress")
 	r.task.failedOn = append(r.task.failedOn, r.worker.life())
 	r.worker.health.recordFailure(s.now)
 }
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// A StageWait tells why a stage has not been placed, for operators.
+// A StageWait describes for operators why a stage has not been placed.
 type StageWait struct {
 	Stage StageID
-	// Waited is since its turn had come.
+	// Waited is the time since the stage was opened.
 	Waited time.Duration
-	// For is what it waits for: advice, room, quota or nothing known.
+	// For is the cause: advice, room, quota or nothing known.
 	For string
-	// Usable counts the workers that it may use as far as is known, Ready those of them
-	// that take something now, Fitting those of these that have room for a task, and Kept
-	// those that are kept for other stages.
+	// Usable counts the workers that the stage may use as far as is known, Ready those of
+	// them that accept new tasks, Fitting those of the ready ones with capacity for a
+	// task, and Kept those of the usable ones that are reserved for other stages.
 	Usable  int
 	Ready   int
 	Fitting int
 	Kept    int
-	// Asked counts the workers that the advisor was asked about, Questions the questions
-	// about others that are under way.
+	// Asked counts the workers that the advisor was queried about, Questions the queries
+	// about further workers in flight.
 	Asked     int
 	Questions int
 }
@@ -29,8 +29,8 @@
 	waitQuota:    "quota",
 }
 
-// LongestWait returns the stage that has waited longest to be placed; false when none
-// waits. Cost: O(stages + workers).
+// LongestWait describes the stage that has waited longest to be placed. It reports false
+// if none waits. Cost: O(stages + workers).
 func (s *State) LongestWait(now time.Time) (StageWait, bool) {
 	var first *stage
 	for _, g := range s.openStages {
@@ -55,7 +55,7 @@
 	return w, true
 }
 
-// count takes in a worker that a stage may use.
+// count adds a worker that g may use to the counts.
 func (w *StageWait) count(g *stage, x *worker, kept bool) {
 	w.Usable++
 	if x.ready {
@@ -69,12 +69,12 @@
 	}
 }
 
-// hasAdvice reports whether it is known for any worker whether a stage may use it.
+// hasAdvice reports whether g needs no advisor or has had an answer from it.
 func (s *State) hasAdvice(g *stage) bool {
 	return s.queue(g.job).Advisor == nil || g.advice.asked != nil
 }
 
-// usableWorkers returns the workers that a stage may use as far as is known.
+// usableWorkers returns the workers that g may use as far as is known.
 func (s *State) usableWorkers(g *stage) []*worker {
 	q := s.queue(g.job)
 	if q.Advisor != nil {
@@ -89,7 +89,7 @@
 	return ws
 }
 
-// reservedByOthers returns the workers that stages but g keep while they wait.
+// reservedByOthers returns the workers that are reserved for other stages than g.
 func (s *State) reservedByOthers(g *stage) map[*worker]bool {
 	kept := map[*worker]bool{}
 	for _, o := range s.openStages {
--- a/sched/waittime.go
+++ b/sched/waittime.go
@@ -1,6 +1,6 @@
 package sched
 
-// A waitKind is what a stage waits for.
+// A waitKind is the reason why a stage is not placed.
 type waitKind uint8
 
 const (
@@ -10,7 +10,7 @@
 	waitQuota
 )
 
-// recordWait adds the time since a stage was last looked at to its job's account.
+// recordWait adds the time since the last update of g's wait reason to its job's account.
 func (d *decider) recordWait(g *stage) {
 	t := d.now.Sub(g.waitUpdatedAt)
 	switch g.waitingFor {
@@ -25,7 +25,7 @@
 	g.waitingFor = waitUnknown
 }
 
-// beginWait takes in what a stage waits for from now on, after it was looked at.
+// beginWait sets what g waits for after an attempt to place it.
 func (d *decider) beginWait(g *stage, q *Queue) {
 	g.waitUpdatedAt = d.now
 	switch {
@@ -37,7 +37,7 @@
 	}
 }
 
-// finalAccount returns the account of a job that has ended.
+// finalAccount returns the account of a finished job, with its objective filled in.
 func (s *State) finalAccount(j *job) *Account {
 	a := j.account
 	if len(j.stages) > 0 {
--- a/sched/waittime_test.go
+++ b/sched/waittime_test.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// accountOf returns the account that the end of the job "j" is noted with.
-func (x *cell) accountOf() sched.Account {
+// endedAccount returns the account that the end of the job "j" is noted with.
+func (x *cell) endedAccount() sched.Account {
 	for _, n := range x.state.Notes() {
 		if n.Kind == sched.NoteJobEnded {
 			return *n.Account
@@ -20,7 +20,7 @@
 	return sched.Account{}
 }
 
-func TestJobsEndWithAnAccountOfTheirWaits(t *testing.T) {
+func TestEndedJobReportsWaitTimes(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("first", "q", tasks(1, 10)), sched.Progress{})
@@ -41,7 +41,7 @@
 	x.acceptStarts(last)
 	x.state.Notes()
 	x.endRun(last[0], sched.EndDone)
-	a := x.accountOf()
+	a := x.endedAccount()
 	x.c.Assert(a.Room >= 900*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a))
 	x.c.Assert(a.Advice, qt.Equals, time.Duration(0))
 	x.c.Assert(a.Failed, qt.Equals, 1)
