--- a/sched/advice.go
+++ b/sched/advice.go
@@ -102,7 +102,7 @@
 	parts := 1
 	if g.step.Gang {
 		width := q.Advisor.width()
-		parts = min((len(workers)+width-1)/width, (d.advisorClients-d.queriesInFlight)/2)
+		parts = min((len(workers)+width-1)/width, (d.advisorSlots-d.queriesInFlight)/2)
 	}
 	size := (len(workers) + max(parts, 1) - 1) / max(parts, 1)
 	for part := range slices.Chunk(workers, size) {
@@ -121,7 +121,7 @@
 
 // SetAskers takes in how many questions hosts can ask the advisor at once.
 func (s *State) SetAskers(n int) {
-	s.advisorClients = n
+	s.advisorSlots = n
 }
 
 // Advices returns the questions to the advisor since the last call.
@@ -286,7 +286,7 @@
 // until the advisor has answered.
 func (d *decider) keepWarm(g *stage, q *Queue) {
 	a := &g.advice
-	if q.Advisor == nil || a.warming || d.warmQueriesInFlight >= max(d.advisorClients/warmShare, 1) {
+	if q.Advisor == nil || a.warming || d.warmQueriesInFlight >= max(d.advisorSlots/warmShare, 1) {
 		return
 	}
 	var ready []*worker
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -165,7 +165,7 @@
 	if a.learning > 0 || known && d.now.Sub(a.last) <= askMore {
 		return known
 	}
-	if g.tier != tierUrgent && d.queriesInFlight >= askingEach*max(d.advisorClients, 1) {
+	if g.tier != tierUrgent && d.queriesInFlight >= askingEach*max(d.advisorSlots, 1) {
 		return known
 	}
 	more := d.unasked(g, q)
--- a/sched/state.go
+++ b/sched/state.go
@@ -72,7 +72,7 @@
 	adviceOrders        []AdviceOrder
 	queriesInFlight     int // unanswered advisor queries
 	warmQueriesInFlight int // those of them that keep tickets valid
-	advisorClients      int // number of queries that hosts can make concurrently
+	advisorSlots        int // number of queries that hosts can make concurrently
 	notes               []Note
 	statusUpdates       []JobStatus
 	// storeRecoveredAt is when the store last became writable after an outage.
