--- a/sched/batch.go
+++ b/sched/batch.go
@@ -23,13 +23,13 @@
 func (s *State) Batch(now time.Time) (Batch, bool, error) {
 	s.now = now
 	var b Batch
-	most := maxBatchBytes
+	limit := maxBatchBytes
 	if s.config.BatchBytes > 0 {
-		most = min(most, s.config.BatchBytes)
+		limit = min(limit, s.config.BatchBytes)
 	}
 	n, size := 0, 0
 	for _, j := range s.dirty {
-		if n == MaxBatchRows || size > most {
+		if n == MaxBatchRows || size > limit {
 			break
 		}
 		n++
@@ -117,7 +117,7 @@
 // sent now: those that are still valid and whose tickets have not expired.
 func (s *State) BatchWritten(now time.Time, b Batch) []StartOrder {
 	s.now = now
-	var out, overdue []StartOrder
+	var out, expired []StartOrder
 	for _, o := range b.Starts {
 		r := s.recordedRun(o)
 		if r == nil {
@@ -128,12 +128,12 @@
 			continue
 		}
 		if s.ticketExpired(r) {
-			overdue = append(overdue, o)
+			expired = append(expired, o)
 			continue
 		}
 		out = append(out, s.dispatch(o, r))
 	}
-	s.deferOrders(overdue)
+	s.deferOrders(expired)
 	return out
 }
 
@@ -169,10 +169,10 @@
 		r.worker.present(s.now) && !r.worker.unclear && !r.worker.Draining
 }
 
-// HeartbeatTargets returns the lives of the workers to send heartbeats to: all listed
-// workers, and unlisted ones that may still have runs, known or not. An unanswered start
-// may be carried out at a worker whose entry has gone. With a lease of 6 s such a run
-// went on for 5.6 s without heartbeats and for 0.12 s with them.
+// HeartbeatTargets returns the lives of the workers to send heartbeats to: the listed ones
+// that are relevant, and unlisted ones that may still have runs, known or not. An
+// unanswered start may be carried out at a worker whose entry has gone. With a lease of 6 s
+// such a run went on for 5.6 s without heartbeats and for 0.12 s with them.
 func (s *State) HeartbeatTargets() []spoolsill.Life {
 	lives := make([]spoolsill.Life, 0, len(s.workerList))
 	for _, w := range s.workerList {
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// fullState returns a state of n workers that are full, with stages waiting for
-// room: what a leader looks at again and again when the cell is overloaded.
+// fullState returns a state with n fully used workers and stages that wait for capacity, as
+// a leader has it in an overloaded cell.
 func fullState(n, waiting int, now time.Time) *sched.State {
 	s := sched.New(sched.Config{
 		Lease:      lease,
@@ -52,8 +52,8 @@
 	return s
 }
 
-// BenchmarkDecideFull measures one look at a full cell of 350 workers with 200
-// stages that wait: the grown deployments at their peak.
+// BenchmarkDecideFull measures a pass over 200 waiting stages in a full cell of 350
+// workers, as at peak load in the scaled-up deployments.
 func BenchmarkDecideFull(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(350, 200, now)
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkJob measures all decisions on one job of two tasks, from its
-// acceptance to its end, in a cell of 350 workers.
+// BenchmarkJob measures all decisions about one job of two tasks, from acceptance to end,
+// in a cell of 350 workers.
 func BenchmarkJob(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(350, 0, now)
@@ -114,8 +114,8 @@
 	}
 }
 
-// BenchmarkDecideGangs measures one look at a full cell of 350 workers with 60
-// gangs that wait, each of which may use a quarter of the workers.
+// BenchmarkDecideGangs measures a pass over 60 waiting gangs in a full cell of 350 workers.
+// Each gang may use a quarter of the workers.
 func BenchmarkDecideGangs(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(350, 0, now)
@@ -161,8 +161,8 @@
 	}
 }
 
-// BenchmarkAskLarge measures the first look at a job in a cell of 3,000 workers
-// that have room, and the question to the advisor that comes of it.
+// BenchmarkAskLarge measures the first pass over new jobs in a cell of 3,000 workers with
+// free capacity, and the advisor queries that result.
 func BenchmarkAskLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(largeCellWorkers, 0, now)
@@ -202,15 +202,14 @@
 }
 
 const (
-	// largeCellWorkers is how many workers the cell of BenchmarkAskLarge and
-	// BenchmarkListLarge has.
+	// largeCellWorkers is the number of workers in BenchmarkAskLarge and
+	// BenchmarkListLarge.
 	largeCellWorkers = 3000
-	// jobsPerDecide is how many jobs come between two looks.
+	// jobsPerDecide is the number of jobs that are added between two passes.
 	jobsPerDecide = 10
 )
 
-// BenchmarkListLarge measures one worker's entry that is written anew, in a cell
-// of 3,000 workers.
+// BenchmarkListLarge measures the update of one worker's entry in a cell of 3,000 workers.
 func BenchmarkListLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(largeCellWorkers, 0, now)
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -183,7 +183,8 @@
 }
 
 // candidates returns the workers where g may start a task and that have the capacity for
-// it.
+// it. It leaves out workers that are reserved for other stages, except for queues of the
+// highest priority.
 func (d *decider) candidates(g *stage, q *Queue) []*worker {
 	r := d.ready[q.Service]
 	need := g.step.demand()
@@ -262,7 +263,7 @@
 	g := t.stage
 	need := g.step.demand()
 	var best *worker
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, w := range ws {
 		free := w.free()
 		if !need.Fits(free) {
@@ -275,9 +276,9 @@
 		if slices.Contains(t.failedOn, w.life()) {
 			c += failedWorkerCost
 		}
-		if c < least {
+		if c < lowest {
 			best = w
-			least = c
+			lowest = c
 		}
 	}
 	return best
--- a/sched/deferred.go
+++ b/sched/deferred.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// dispatchDeferred handles the answer to a renewal. It sends the deferred orders of g that
-// the answer covers, or drops them if no answer came or it has no valid ticket. The
-// orders of a gang are sent all together or not at all.
+// dispatchDeferred handles the answer to a query that renews tickets. It sends the deferred
+// orders of g that the answer covers, or drops them if no answer came or it has no valid
+// ticket. The orders of a gang are sent all together or not at all.
 func (s *State) dispatchDeferred(g *stage, a Advice) {
 	covered := func(o StartOrder) bool { return slices.Contains(a.Order.Workers, o.Life) }
 	var orders, rest []StartOrder
--- a/sched/deferred_test.go
+++ b/sched/deferred_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// stepWithSlowStore writes the next batch in a store that needs longer for it than tickets
-// hold, and returns the orders that leave.
+// stepWithSlowStore is step with a store that takes longer for the write than tickets are
+// valid.
 func (x *cell) stepWithSlowStore() []sched.StartOrder {
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
@@ -22,8 +22,8 @@
 	return x.state.BatchWritten(x.now, b)
 }
 
-// An order whose ticket ran out while it was recorded would be turned away: it
-// leaves with a new one.
+// A worker would reject an order whose ticket expired while it was recorded. The order is
+// sent with a renewed ticket instead.
 func TestOrderWaitsForRenewalOfExpiredTicket(t *testing.T) {
 	for name, step := range map[string]sched.Step{
 		"tasks": tasks(2, 1),
@@ -50,9 +50,9 @@
 	}
 }
 
-// Without an answer, or a ticket in it, nothing leaves; the room is free again and
-// the tasks are placed anew under a higher number. So are those of a gang, as a
-// whole.
+// If the renewal is not answered or yields no ticket, the orders are dropped, their
+// capacity is free again and the tasks are placed under a new run number, those of a gang
+// together.
 func TestOrderWithoutATicketIsDropped(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		x := newCell(t)
@@ -68,7 +68,7 @@
 		})
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
-		x.now = x.now.Add(100 * time.Millisecond) // a lost question is not asked again at once
+		x.now = x.now.Add(100 * time.Millisecond) // longer than the delay after a lost query
 		x.renewLease("w")
 		x.step()
 		x.advise(x.question(), "w")
@@ -76,7 +76,7 @@
 	}
 }
 
-// What is cancelled while its order waits for a ticket never starts.
+// A job that is cancelled while its order waits for a ticket never starts.
 func TestCancelledOrderIsNotSent(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -52,14 +52,14 @@
 		r.worker.health.recordSuccess(0)
 		return
 	}
-	took := float64(max(s.now.Sub(r.startedAt), time.Millisecond))
+	runTime := float64(max(s.now.Sub(r.startedAt), time.Millisecond))
 	q := r.task.stage.job.Queue
 	e := s.runTimes[q]
 	if e == nil {
 		e = &runTimeEstimate{}
 		s.runTimes[q] = e
 	}
-	ratio := took / float64(p.Estimate)
+	ratio := runTime / float64(p.Estimate)
 	if !e.known {
 		e.ratio = ratio
 		e.known = true
@@ -76,9 +76,9 @@
 }
 
 const (
-	// maxConsecutiveFailures is the number of failures in a row that are attributed to
-	// the worker. At failure rates of a few percent, two in a row are rarely a
-	// coincidence.
+	// maxConsecutiveFailures is the number of failures in a row from which on they are
+	// attributed to the worker. At failure rates of a few percent, two in a row are rarely
+	// a coincidence.
 	maxConsecutiveFailures = 2
 	// minBackoff doubles with each further failure, up to maxBackoff.
 	minBackoff = 2 * time.Second
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -16,14 +16,13 @@
 	configPropagation = 3 * time.Second
 )
 
-// A cell is a State under test with a clock of its own and workers that do as
-// they are told.
+// A cell is a State under test with its own clock and simulated workers.
 type cell struct {
 	c       *qt.C
 	now     time.Time
 	state   *sched.State
 	started []sched.StartOrder
-	// ends numbers the ends of each worker.
+	// ends has the latest end sequence number of each worker.
 	ends map[spoolsill.WorkerID]uint64
 }
 
@@ -85,7 +84,7 @@
 	return s
 }
 
-// addWorker lists a addWorker of ten cores and has it answer and renew its lease.
+// addWorker lists a worker with ten cores that answers and renews its lease.
 func (x *cell) addWorker(id spoolsill.WorkerID) {
 	x.listWorker(id, false)
 	x.renewLease(id)
@@ -101,7 +100,7 @@
 	})
 }
 
-// addWorkerInRack lists a worker in a rack and has it renew its lease.
+// addWorkerInRack is addWorker with a rack.
 func (x *cell) addWorkerInRack(id spoolsill.WorkerID, rack spoolsill.RackID) {
 	x.state.ListWorker(x.now, sched.Worker{
 		ID:       id,
@@ -113,13 +112,13 @@
 	x.renewLease(id)
 }
 
-// renewLease has a worker renewLease its lease and answer with what it runs.
+// renewLease renews a worker's lease; the worker answers with its running tasks.
 func (x *cell) renewLease(id spoolsill.WorkerID, running ...sched.RunID) {
 	x.state.LeaseAsked(lifeOf(id), sched.LeaseEnd(x.now, lease))
 	x.heartbeat(id, running...)
 }
 
-// heartbeat has a worker heartbeat without renewing its lease.
+// heartbeat has a worker answer without a lease renewal.
 func (x *cell) heartbeat(id spoolsill.WorkerID, running ...sched.RunID) {
 	h := sched.Heartbeat{
 		Life:  lifeOf(id),
@@ -134,7 +133,7 @@
 	x.state.Heartbeat(x.now, h)
 }
 
-// endRun has a worker list the endRun of a run.
+// endRun has a worker report the end of a run.
 func (x *cell) endRun(o sched.StartOrder, k sched.EndKind) {
 	x.ends[o.Worker]++
 	x.state.Heartbeat(x.now, sched.Heartbeat{
@@ -151,7 +150,7 @@
 	})
 }
 
-// step decides, writes and sends; it returns the starts that left.
+// step makes one pass, writes the batch and returns the start orders that were sent.
 func (x *cell) step() []sched.StartOrder {
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
@@ -166,7 +165,7 @@
 	return out
 }
 
-// acceptStarts has workers acceptStarts start orders.
+// acceptStarts has the workers accept start orders.
 func (x *cell) acceptStarts(orders []sched.StartOrder) {
 	for _, o := range orders {
 		x.answerStart(o, sched.StartTaken)
@@ -183,7 +182,7 @@
 	})
 }
 
-// advance lets time go by while some workers go on answering with what they run.
+// advance moves the clock on while the given workers keep renewing their leases.
 func (x *cell) advance(d time.Duration, answering map[spoolsill.WorkerID][]sched.RunID) {
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(500 * time.Millisecond)
@@ -238,7 +237,7 @@
 	return names
 }
 
-// lifeOf returns the life of a worker whose platform tells no births.
+// lifeOf returns the life of a worker whose platform reports no births.
 func lifeOf(id spoolsill.WorkerID) spoolsill.Life {
 	return spoolsill.Life{
 		Worker: id,
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -186,10 +186,10 @@
 		)
 	})
 	workers := make([]*worker, 0, len(g.tasks))
-	for _, o := range candidates {
-		for range o.slots {
+	for _, c := range candidates {
+		for range c.slots {
 			if len(workers) < len(g.tasks) {
-				workers = append(workers, o.w)
+				workers = append(workers, c.w)
 			}
 		}
 	}
@@ -215,12 +215,12 @@
 // that of the members that are already recorded, or else one more than any member's last
 // run.
 func (g *stage) nextGangRun() RunNumber {
-	var most RunNumber
+	var last RunNumber
 	for _, t := range g.tasks {
-		most = max(most, t.lastRun)
+		last = max(last, t.lastRun)
 		if t.run != nil && t.run.phase == phaseRecorded {
 			return t.run.id.Number
 		}
 	}
-	return most + 1
+	return last + 1
 }
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A gang that waits keeps some workers for itself, and leaves the rest to
-// others: with all of them, room would stand idle until the last run ends.
+// A waiting gang reserves only some of the workers it may use. If it reserved all of them,
+// capacity would be idle until the last run ends.
 func TestWaitingGangLeavesRoomToOthers(t *testing.T) {
 	x := newCell(t)
 	var big []sched.StartOrder
@@ -27,7 +27,7 @@
 	for i := range 10 {
 		x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint("later", i)), "q", tasks(1, 4)), sched.Progress{})
 	}
-	// Two tasks, three times over, at workers that hold one each: six of ten.
+	// Two tasks times gangReserveFactor on workers that fit one each: six of ten.
 	later := x.step()
 	x.c.Assert(later, qt.HasLen, 4)
 	x.acceptStarts(later)
@@ -35,8 +35,7 @@
 	for _, o := range later {
 		left[o.Worker] = true
 	}
-	// The workers that it keeps become free one by one, and the gang starts as
-	// soon as there are two.
+	// The gang starts as soon as two of its reserved workers are free.
 	n := 0
 	for _, o := range big {
 		if !left[o.Worker] && n < 2 {
@@ -60,8 +59,8 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#1", "g.0.0.1#1", "g.0.0.2#1"})
 }
 
-// Two members of a gang that end in one answer must not count their stage done
-// twice: the steps after it would be skipped.
+// Guards against counting a stage as done twice when two members of a gang end in one
+// answer, which would skip the steps that depend on it.
 func TestGangEndsOnce(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -77,8 +76,8 @@
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
 }
 
-// The members of a gang end by themselves: stopping them would only cost calls.
-// One that is still listed later is stopped.
+// The members of a gang end without being stopped, so stop orders would be wasted calls. A
+// member that a worker lists after the end is stopped.
 func TestDoneGangIsNotStopped(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -110,7 +109,7 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#2", "g.0.0.1#2"})
 }
 
-// Members of a gang that are through wait for the others.
+// Members of a gang that are done wait for the others without progress.
 func TestGangWithoutProgressIsNotStopped(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
@@ -123,7 +122,7 @@
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
 }
 
-// A gang that should be in one rack waits for one, but not for ever.
+// A gang with SameRack waits for one rack, but only for as long as spreading it would cost.
 func TestGangIsSpreadOverRacksWhenWaitingCostsMore(t *testing.T) {
 	x := newCell(t)
 	x.addWorkerInRack("a", "rack1")
@@ -139,8 +138,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 4)
 }
 
-// Guards against a gang that keeps workers though those that it may use can't seat it: a job
-// that could use only these never started, in a cell that stood empty.
+// Guards against a gang that reserves workers although it doesn't fit on those it may use:
+// a job that could use only these workers never started, in an empty cell.
 func TestGangThatCannotFitReservesNoWorkers(t *testing.T) {
 	for _, q := range []sched.QueueID{"q", "advised"} {
 		t.Run(string(q), func(t *testing.T) {
@@ -158,7 +157,8 @@
 	}
 }
 
-// stepWithAdvice decides, answers all questions with tickets for one worker, and decides again.
+// stepWithAdvice makes a pass, answers all advisor queries with tickets for one worker, and
+// makes another pass.
 func (x *cell) stepWithAdvice(good spoolsill.WorkerID) {
 	x.step()
 	for _, o := range x.state.Advices() {
@@ -167,7 +167,7 @@
 	x.step()
 }
 
-// Guards against a stage that waits for long without a word on what it waits for.
+// Guards against stages that wait for long without a reported cause.
 func TestLongestWaitReportsTheCause(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
--- a/sched/job.go
+++ b/sched/job.go
@@ -69,10 +69,9 @@
 	Received time.Time
 }
 
-// Bounds of a job, far above what hosts accept: a leader makes each task at once.
+// Limits of a job. They are far above what hosts accept, but bound the work of a leader,
+// which creates all tasks of a step at once.
 const (
-	// Limits of a job. They are far above what hosts accept, but bound the work of a leader,
-	// which creates all tasks of a step at once.
 	maxSteps  = 1 << 12
 	maxTasks  = 1 << 20
 	maxRounds = 1 << 20
@@ -82,16 +81,16 @@
 // that was damaged or written by someone else would crash every process that leads.
 func (j *Job) Check() error {
 	if len(j.Steps) > maxSteps || j.Rounds < 0 || j.Rounds > maxRounds {
-		return fmt.Errorf("sched: %d steps, %d rounds", len(j.Steps), j.Rounds)
+		return fmt.Errorf("sched: invalid job: %d steps, %d rounds", len(j.Steps), j.Rounds)
 	}
 	total := 0
 	for i, p := range j.Steps {
 		if p.Tasks < 0 || p.Tasks > maxTasks || p.Need.Negative() {
-			return fmt.Errorf("sched: step %d has %d tasks that need %v", i, p.Tasks, p.Need)
+			return fmt.Errorf("sched: invalid step %d: %d tasks that need %v", i, p.Tasks, p.Need)
 		}
 		for _, a := range p.After {
 			if a < 0 || a >= i {
-				return fmt.Errorf("sched: step %d waits for step %d", i, a)
+				return fmt.Errorf("sched: step %d depends on step %d, which is not an earlier one", i, a)
 			}
 		}
 		total += p.Tasks
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -286,8 +286,8 @@
 		s.dropPlan(g)
 		for _, t := range g.tasks {
 			if t.run == nil || t.done {
-				// A gang's members end together; those that don't are stopped
-				// when their worker lists them again.
+				// The members of a done gang end by themselves; one that doesn't is
+				// stopped when its worker lists it again.
 				continue
 			}
 			if t.run.phase == phaseRecorded {
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -22,6 +22,6 @@
 		Runs:     2,
 		Doubtful: 1,
 		Stages:   1,
-		Late:     1, // it was handed in at the beginning of time
+		Late:     1, // its submission time is the zero time
 	})
 }
--- a/sched/pending_test.go
+++ b/sched/pending_test.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A former leader's record of a start does not say that the start arrived: the job
-// waits until a worker tells of it.
+// A start recorded by a former leader may not have reached its worker. The job is pending
+// until a worker reports a run of it.
 func TestRecordedStartIsPendingUntilTheWorkerReportsIt(t *testing.T) {
 	for name, c := range map[string]struct {
 		hear    func(x *cell, r sched.RunID)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Times that are ahead of the time of day, as after a suspension, start no timed job
-// before its time.
+// Guards against starting timed jobs early when the times passed to the State are ahead of
+// the time of day, as after a suspension.
 func TestTimedJobWaitsForTheTimeOfDay(t *testing.T) {
 	const ahead = time.Hour
 	x := newCell(t)
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -16,13 +16,14 @@
 	// it still needs, since it resumes only once there is capacity again. On the fake
 	// cell of cellbench 1, 3 and 5 seconds differ by 0.002 of the total worth.
 	minVictimSlack = 3 * time.Second
-	// maxPreemptions is how often a task may be preempted; five would earn no more.
+	// maxPreemptions is how often a task may be preempted. A limit of five earns the
+	// same.
 	maxPreemptions = 2
 )
 
 // preempt stops checkpointed runs at the workers that are reserved for g, where g would
-// otherwise wait too long. It stops as few as possible, only runs of less urgent queues
-// and only those with enough slack.
+// otherwise wait too long. It stops as few as possible, only runs of less urgent queues,
+// and only those that have enough slack or are late anyway.
 func (d *decider) preempt(g *stage, q *Queue) {
 	for _, w := range g.reserved {
 		if d.roomAt(g, w).Sub(d.now) < minPreemptWait {
@@ -35,38 +36,38 @@
 	}
 }
 
-// victims returns the runs to stop at w to make room for a task of g, or none if that is
-// not possible. Runs that are already being stopped count as gone.
+// victims returns the runs to stop at w to free the capacity for a task of g, or none if
+// that is not possible. Runs that are already being stopped count as gone.
 func (d *decider) victims(g *stage, q *Queue, w *worker) []*run {
 	need := g.step.demand()
 	free := w.free()
-	var may []*run
+	var candidates []*run
 	for _, r := range sortedRuns(w) {
 		switch {
 		case r.stopping:
 			free = free.Add(r.need)
 		case d.preemptible(r, q):
-			may = append(may, r)
+			candidates = append(candidates, r)
 		}
 	}
-	slices.SortStableFunc(may, func(a, b *run) int {
+	slices.SortStableFunc(candidates, func(a, b *run) int {
 		return cmp.Or(
 			-cmp.Compare(a.need.DominantShare(w.Capacity), b.need.DominantShare(w.Capacity)),
 			-cmp.Compare(d.remaining(a), d.remaining(b)),
 		)
 	})
-	var out []*run
-	for _, r := range may {
+	var chosen []*run
+	for _, r := range candidates {
 		if need.Fits(free) {
 			break
 		}
 		free = free.Add(r.need)
-		out = append(out, r)
+		chosen = append(chosen, r)
 	}
 	if !need.Fits(free) {
 		return nil
 	}
-	return out
+	return chosen
 }
 
 // preemptible reports whether r may be stopped for a stage of q.
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -50,12 +50,12 @@
 // collectBirths returns the births of the lives that p names, or nil if none is known.
 func (p *Progress) collectBirths() []spoolsill.Birth {
 	var all []spoolsill.Birth
-	told := false
+	known := false
 	p.eachBirth(func(b *spoolsill.Birth) {
 		all = append(all, *b)
-		told = told || *b != 0
+		known = known || *b != 0
 	})
-	if !told {
+	if !known {
 		return nil
 	}
 	return all
@@ -71,7 +71,7 @@
 		n++
 	})
 	if n != len(all) {
-		return fmt.Errorf("sched: progress names %d lives and has %d births", n, len(all))
+		return fmt.Errorf("sched: progress names %d lives but has %d births", n, len(all))
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 		return Progress{}, err
 	}
 	if int(p.State) >= len(jobStateNames) {
-		return Progress{}, fmt.Errorf("sched: progress has %s", p.State)
+		return Progress{}, fmt.Errorf("sched: invalid job state in progress: %s", p.State)
 	}
 	if len(rest) == 0 {
 		return p, nil
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -16,9 +16,9 @@
 	Most spoolsill.Resources
 }
 
-// A teamState is the resource usage of a team. A run counts from the decision to start it
-// until it has certainly ended: an unanswered start may still be carried out, and a run
-// that is being stopped still uses its resources.
+// A teamState is the configuration, share and resource usage of a team. A run counts from
+// the decision to start it until it has certainly ended: an unanswered start may still be
+// carried out, and a run that is being stopped still uses its resources.
 type teamState struct {
 	Team
 	share shareTracker
@@ -30,7 +30,7 @@
 	strayUsage spoolsill.Resources
 }
 
-// allows reports whether the quota allows to use need in addition to the current usage.
+// allows reports whether the team may use need in addition to its current usage.
 func (t *teamState) allows(need spoolsill.Resources) bool {
 	after := t.used.Add(t.strayUsage).Add(need)
 	return withinLimit(int64(after.Processors), int64(t.Most.Processors)) &&
@@ -38,9 +38,9 @@
 		withinLimit(int64(after.Accelerators), int64(t.Most.Accelerators))
 }
 
-// withinLimit reports whether n does not exceed most, where 0 means no limit.
-func withinLimit(n, most int64) bool {
-	return most <= 0 || n <= most
+// withinLimit reports whether n does not exceed limit, where 0 means no limit.
+func withinLimit(n, limit int64) bool {
+	return limit <= 0 || n <= limit
 }
 
 // overQuota reports whether the usage exceeds the quota, which may have been lowered.
@@ -79,14 +79,14 @@
 }
 
 // quotaKnown reports whether the quota of a job's team is known. Another host may have
-// accepted the job under a newer configuration than the one applied here. So jobs of an
-// unknown team don't start until a configuration that was valid then must have arrived.
+// accepted the job under a newer configuration than the one applied here. Jobs of an
+// unconfigured team therefore wait until that configuration must have arrived.
 func (s *State) quotaKnown(j *job) bool {
 	return j.Team == "" || j.team.configured || s.wallClock().Sub(j.Received) > s.config.ConfigInForce
 }
 
-// fitsQuota reports whether the team's quota allows to start g: a task of it, or all tasks
-// of a gang.
+// fitsQuota reports whether the team's quota is known and allows the start of g: of one
+// task, or of all tasks of a gang.
 func (s *State) fitsQuota(g *stage) bool {
 	need := g.step.demand()
 	if g.step.Gang {
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// teamJob returns a job of a team that was handed in at x's time.
+// teamJob returns a job of a team that is submitted now.
 func (x *cell) teamJob(id spoolsill.JobID, t spoolsill.TeamID, steps ...sched.Step) sched.Job {
 	j := job(id, "q", steps...)
 	j.Team = t
@@ -19,7 +19,7 @@
 	return j
 }
 
-// setQuota sets what the team "a" may have at once, in cores.
+// setQuota sets the quota of the team "a" in cores.
 func (x *cell) setQuota(n int) {
 	x.state.SetTeams(x.now, []sched.Team{
 		{
@@ -30,7 +30,7 @@
 	})
 }
 
-// endRuns has the workers list the ends of runs.
+// endRuns has the workers report the ends of runs.
 func (x *cell) endRuns(orders []sched.StartOrder, k sched.EndKind) {
 	for _, o := range orders {
 		x.endRun(o, k)
@@ -41,7 +41,7 @@
 	for _, c := range []struct {
 		name  string
 		steps []sched.Step
-		want  []int // tasks that start in each round, all of which end then
+		want  []int // number of tasks that start in each round; all end before the next
 	}{
 		{"tasks in waves", []sched.Step{tasks(10, 2)}, []int{4, 4, 2}},
 		{"gang that fits", []sched.Step{gang(4, 2)}, []int{4}},
@@ -74,12 +74,12 @@
 	x.c.Assert(x.step(), qt.HasLen, 6)
 }
 
-// What may yet begin, and what may still run, counts.
+// Runs that may still start or may not have ended yet count against the quota.
 func TestQuotaCountsRunsUntilTheyHaveEnded(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(x *cell, o sched.StartOrder)
-		left int // cores of ten that the team may have besides
+		left int // cores of the quota of ten that are left
 	}{
 		{"order under way", func(*cell, sched.StartOrder) {}, 4},
 		{"order without an answer", func(x *cell, o sched.StartOrder) { x.answerStart(o, sched.StartUnknown) }, 4},
@@ -157,7 +157,7 @@
 	x.c.Assert(x.step(), qt.HasLen, 4)
 }
 
-// Jobs may come before the configuration that tells of their team.
+// A job may arrive before the configuration that names its team.
 func TestUnknownTeamWaitsForTheConfiguration(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -167,7 +167,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 2)
 }
 
-// A team that no configuration names any more does not wait for ever.
+// A job of a team that no configuration names starts once any configuration that was valid
+// at its submission must have arrived.
 func TestUnconfiguredTeamIsEventuallyServed(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -199,7 +200,7 @@
 	x.c.Check(x.step(), qt.HasLen, 8, qt.Commentf("a quota of 0 is none: all the others start"))
 }
 
-// Orders that wait for their rows do not leave over a quota that was lowered meanwhile.
+// Orders that wait for their rows are not sent if the quota was lowered meanwhile.
 func TestOrdersOverALoweredQuotaAreNotSent(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -213,7 +214,7 @@
 	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 2)
 }
 
-// A team that has its quota asks the advisor nothing, and keeps no workers.
+// A team that has reached its quota makes no advisor queries and reserves no workers.
 func TestTeamAtItsQuotaReservesNothing(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -14,9 +14,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A quotaModel plays workers that run what a team has them run, and judges each start by
-// the quotas that may be in force: the newest one, and those that it replaced less than
-// inForce ago. Orders may have no answer and be carried out much later than that.
+// A quotaModel simulates workers with the runs of a team and checks each start against the
+// quotas that may be in force: the latest one, and those that it replaced less than
+// configPropagation ago. Orders may stay unanswered and be carried out much later.
 type quotaModel struct {
 	x          *cell
 	quotas     []quotaPeriod
@@ -28,12 +28,13 @@
 	rows       map[spoolsill.JobID][]byte
 }
 
+// A quotaPeriod is a quota and the time at which it was replaced.
 type quotaPeriod struct {
 	cores int
-	until time.Time // when the next one came; zero for the newest
+	until time.Time // zero for the latest
 }
 
-// lateStartDelay is longer than a configuration takes to be in force.
+// lateStartDelay is the maximum delay of an unanswered start, longer than configPropagation.
 const lateStartDelay = 3 * configPropagation
 
 func newQuotaModel(t *testing.T) *quotaModel {
@@ -53,7 +54,7 @@
 	return m
 }
 
-// changeQuota puts a quota in force, at the leader at once.
+// changeQuota puts a quota in force, at the leader immediately.
 func (m *quotaModel) changeQuota(n int) {
 	if i := len(m.quotas) - 1; i >= 0 {
 		m.quotas[i].until = m.x.now
@@ -75,6 +76,7 @@
 	return most
 }
 
+// usedCores returns the cores that all runs use.
 func (m *quotaModel) usedCores() int {
 	n := 0
 	for _, runs := range m.runs {
@@ -85,6 +87,7 @@
 	return n
 }
 
+// startRun starts a run at its worker and checks the quota.
 func (m *quotaModel) startRun(t *rapid.T, o sched.StartOrder) {
 	if m.stopped[o.Run] {
 		return
@@ -95,7 +98,7 @@
 	}
 }
 
-// step has workers answer, decides, writes, and has orders carried out.
+// step has the workers answer, makes a pass, writes the batch and delivers the orders.
 func (m *quotaModel) step(t *rapid.T, lost bool) {
 	for _, w := range m.ids {
 		m.x.renewLease(w, slices.Collect(maps.Keys(m.runs[w]))...)
@@ -116,6 +119,7 @@
 	}
 }
 
+// deliverStart delivers a start order, or leaves it unanswered to be carried out later.
 func (m *quotaModel) deliverStart(t *rapid.T, o sched.StartOrder, lost bool) {
 	if lost && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		until := m.x.now.Add(lateStartDelay)
@@ -136,7 +140,7 @@
 	m.x.answerStart(o, sched.StartTaken)
 }
 
-// deliverStop has a worker carry out a deliverStop at once, also of a run that may come yet.
+// deliverStop has a worker carry out a stop, including for runs that have not arrived yet.
 func (m *quotaModel) deliverStop(o sched.StopOrder) {
 	m.stopped[o.Run] = true
 	m.x.state.StopAnswered(m.x.now, sched.StopAnswer{
@@ -156,7 +160,7 @@
 	}, k)
 }
 
-// endFirstRun has a worker end a run by itself.
+// endFirstRun has a worker report the end of its first run.
 func (m *quotaModel) endFirstRun(kind sched.EndKind) {
 	for _, w := range m.ids {
 		runs := slices.SortedFunc(maps.Keys(m.runs[w]), func(a, b sched.RunID) int {
@@ -177,6 +181,7 @@
 	m.x.state.AddJob(m.x.now, j, sched.Progress{})
 }
 
+// deliverLateStarts carries out some of the unanswered starts before their deadline.
 func (m *quotaModel) deliverLateStarts(t *rapid.T) {
 	for _, o := range m.lateStarts {
 		if m.x.now.Before(o.until) && !rapid.Bool().Draw(t, "dropped") {
@@ -186,8 +191,8 @@
 	m.lateStarts = nil
 }
 
-// changeLeader has another leader go on from what was written. Workers refuse what former
-// ones have ordered from their first answer on.
+// changeLeader replaces the leader by one that resumes from the stored progress. Workers
+// refuse orders of former leaders once they have answered it.
 func (m *quotaModel) changeLeader(t *rapid.T) {
 	m.x.state = m.x.newState()
 	m.lateStarts = nil
@@ -208,8 +213,7 @@
 	}
 }
 
-// advance lets time go by: mostly little, now and then more than a configuration takes to
-// be in force.
+// advance moves the clock on, mostly a little, sometimes past configPropagation.
 func (m *quotaModel) advance(t *rapid.T) {
 	if rapid.IntRange(0, 4).Draw(t, "long") == 0 {
 		m.x.now = m.x.now.Add(configPropagation + time.Second)
@@ -218,6 +222,7 @@
 	m.x.now = m.x.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 }
 
+// randomEvent applies a random event.
 func (m *quotaModel) randomEvent(t *rapid.T, i int) {
 	switch rapid.IntRange(0, 6).Draw(t, "move") {
 	case 0, 1:
@@ -235,8 +240,8 @@
 	}
 }
 
-// In whatever series quotas change, orders are carried out late, runs end and leaders
-// change: no start brings a team over the highest quota that may be in force.
+// Under any sequence of quota changes, late starts, ended runs and leader changes, no start
+// brings a team over the highest quota that may be in force.
 func TestNoStartBringsATeamOverItsQuota(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newQuotaModel(t)
@@ -248,8 +253,8 @@
 	})
 }
 
-// After any such series, once all is calm, a team that has less than half of its quota
-// has nothing that waits, where a worker has room.
+// After any such sequence, once events cease, a team that uses less than half of its quota
+// has no waiting jobs if a worker has capacity.
 func TestNoTeamUnderHalfOfItsQuotaWaits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newQuotaModel(t)
--- a/sched/rank.go
+++ b/sched/rank.go
@@ -36,8 +36,8 @@
 // platform's accounting.
 const lateFactor = 3
 
-// rank returns the rank of g. Its slack is the objective minus the time since submission
-// and the critical path that begins with g.
+// rank returns the rank of g. Its slack is the objective minus the critical path from g on
+// and the time since the job was submitted or, for a timed round, due.
 func (s *State) rank(g *stage) rank {
 	q := s.queue(g.job)
 	objective := s.objective(g, q)
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -18,18 +18,19 @@
 )
 
 // reserveForLarge reserves a worker for each large task of g that waits, choosing those
-// where capacity is expected first. Stages of lower rank can't use reserved workers.
-// This raises what large tasks earn from 0.64 to 0.69 of their worth, and to 0.73 together
-// with preemption (cellbench, accelerators, full load, eight seeds).
+// where capacity is expected first. Stages of lower rank can't use reserved workers, except
+// those of queues of the highest priority. This raises what large tasks earn from 0.64 to
+// 0.69 of their worth, and to 0.73 together with preemption (cellbench, accelerators, full
+// load, eight seeds).
 func (d *decider) reserveForLarge(g *stage, q *Queue, waiting int) {
 	r := d.ready[q.Service]
 	if r == nil || g.tier > tierOnTime {
 		g.reserved = nil
 		return
 	}
-	most := max(len(r.workers)/reserveDivisor, 1)
+	limit := max(len(r.workers)/reserveDivisor, 1)
 	keep := func(w *worker) bool {
-		if !w.ready || d.reservedFor[w] != nil || waiting == 0 || len(d.reservedFor) >= most || !d.isLarge(g, w) {
+		if !w.ready || d.reservedFor[w] != nil || waiting == 0 || len(d.reservedFor) >= limit || !d.isLarge(g, w) {
 			return false
 		}
 		d.reservedFor[w] = g
@@ -105,9 +106,9 @@
 	if g.step.Lasting {
 		return never
 	}
-	takes := time.Duration(float64(s.expected(s.queue(g.job), g.step)) * r.worker.health.slowness())
+	total := time.Duration(float64(s.expected(s.queue(g.job), g.step)) * r.worker.health.slowness())
 	if r.startedAt.IsZero() {
-		return takes
+		return total
 	}
-	return max(takes-s.now.Sub(r.startedAt), minRemaining)
+	return max(total-s.now.Sub(r.startedAt), minRemaining)
 }
--- a/sched/reserve_test.go
+++ b/sched/reserve_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// fillWithSmallTasks has a job of small tasks take all of the worker "w"; they save their
-// progress if that is wanted.
+// fillWithSmallTasks starts small tasks on all of the worker "w", with checkpoints if saves
+// is set.
 func (x *cell) fillWithSmallTasks(queue sched.QueueID, saves bool) []sched.StartOrder {
 	s := tasks(5, 2)
 	s.Estimate = 5 * time.Second
@@ -25,15 +25,15 @@
 	return o
 }
 
-// addLargeJob adds a job with a task that needs all of a worker.
+// addLargeJob adds a job with a task that needs a whole worker.
 func (x *cell) addLargeJob(queue sched.QueueID) {
 	j := job("large", queue, tasks(1, 10))
 	j.Received = x.now
 	x.state.AddJob(x.now, j, sched.Progress{})
 }
 
-// Room for a large task is never free at once where small ones take each place
-// that comes free: the worker is kept for it.
+// Where smaller tasks take all freed capacity, a large task never finds enough at once. A
+// worker is reserved for it.
 func TestWorkerIsKeptForALargeTask(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -94,7 +94,7 @@
 	}
 }
 
-// Work that would not be in time any more if it began again is left alone.
+// A run that would miss its objective after a restart is not preempted.
 func TestWorkWithoutTimeIsNotStopped(t *testing.T) {
 	x := newCell(t)
 	x.state.SetQueues([]sched.Queue{
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -46,8 +46,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
-// A new leader may hear of the last failure that a task is allowed before it
-// knows the configuration.
+// A new leader may hear of the last failure that MaxAttempts allows before it knows the
+// configuration.
 func TestFailuresCountBeforeTheQueueIsKnown(t *testing.T) {
 	x := newCell(t)
 	x.state = sched.New(sched.Config{
@@ -124,8 +124,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
-// A start without an answer may yet be carried out: the task stays there until
-// the worker shows, after the order's deadline, that it does not have it.
+// An unanswered start may still be carried out. The task stays assigned until the worker
+// shows, after the order's deadline, that it does not have the run.
 func TestUnansweredStartIsNotRepeatedElsewhere(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
@@ -162,8 +162,8 @@
 	x.c.Assert(x.started[1].Worker, qt.Equals, spoolsill.WorkerID("b"))
 }
 
-// A worker that answers again after a silence may be about to end all that it
-// runs: it gets nothing before its lease is renewed.
+// A worker that answers after a silence may be about to stop all its runs since its lease
+// expires. It gets no task before its lease is renewed.
 func TestWorkerGetsNoTaskBeforeLeaseRenewal(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -175,8 +175,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
-// A start renews a worker's lease as well, so the end of the former lease does
-// not free what was started since.
+// A start also renews the worker's lease, so the end of the former lease does not release
+// runs that were started since.
 func TestStartExtendsTheLease(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -294,8 +294,8 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
 
-// A worker that announced that it leaves, is no longer listed and refuses
-// connections is gone: its tasks need not wait for the end of its lease.
+// A worker that has announced to leave, is no longer listed and refuses connections is
+// gone. Its tasks restart without waiting for the end of its lease.
 func TestTasksOfADepartedWorkerRestartAtOnce(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
@@ -311,8 +311,8 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
-// What a leaving worker can't finish is stopped in time to save its progress,
-// and goes on from there.
+// A run that a leaving worker can't finish is stopped in time to save its progress, and
+// resumes from it elsewhere.
 func TestProgressIsSavedBeforeAWorkerLeaves(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
@@ -343,7 +343,7 @@
 	x.c.Assert(next[0].Saved, qt.Equals, "half")
 }
 
-// A task that failed is tried at another worker: the first may be to blame.
+// A failed task is retried on another worker since the first may be at fault.
 func TestFailedTaskIsRetriedOnAnotherWorker(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
@@ -357,8 +357,8 @@
 	x.c.Assert(next[0].Worker, qt.Not(qt.Equals), o[0].Worker)
 }
 
-// A run that stands still while its worker answers is stopped, and its task goes
-// elsewhere; one that moves on is left alone however slow it is.
+// A run without progress is stopped although its worker answers, and its task is retried
+// elsewhere. A run that progresses is not stopped however slow it is.
 func TestRunWithoutProgressIsStopped(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
@@ -397,8 +397,8 @@
 	x.c.Assert(next[0].Worker, qt.Equals, spoolsill.WorkerID("b"))
 }
 
-// A job whose every step waits for all earlier ones has very many chains; they
-// must not be walked one by one.
+// Guards against an enumeration of dependency chains: a job whose steps each depend on all
+// earlier ones has exponentially many.
 func TestManyDependencyChainsAreCheap(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -414,7 +414,7 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
 
-// A write holds at most what the store takes.
+// A batch must not exceed what the store accepts.
 func TestBatchesAreBounded(t *testing.T) {
 	x := newCell(t)
 	for i := range 20 {
@@ -439,8 +439,8 @@
 	}
 }
 
-// Of two stages that can both be in time, that of the queue that goes first is
-// served first, however little time the other has left.
+// Of two stages that can both meet their objective, the one of the queue with the higher
+// priority goes first, whatever their slack.
 func TestPriorityGoesBeforeSlack(t *testing.T) {
 	x := newCell(t)
 	x.state.SetQueues([]sched.Queue{
--- a/sched/share_test.go
+++ b/sched/share_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// setShares gives the teams "flood" and "usual" a share of two jobs a second each.
+// setShares gives the teams "flood" and "usual" a share of two jobs per second each.
 func (x *cell) setShares() {
 	x.state.SetTeams(x.now, []sched.Team{
 		{
@@ -25,17 +25,17 @@
 	})
 }
 
-// submit has a team hand a job in that takes a whole worker, and returns it.
+// submit adds a job of a team that needs a whole worker and returns its id.
 func (x *cell) submit(n int, t spoolsill.TeamID) spoolsill.JobID {
 	id := spoolsill.JobID(fmt.Sprint(t, n))
 	p := tasks(1, 10)
-	p.Estimate = 10 * time.Second // so that none is late for seconds
+	p.Estimate = 10 * time.Second // so that no job is late for several seconds
 	x.state.AddJob(x.now, x.teamJob(id, t, p), sched.Progress{})
 	return id
 }
 
-// A team floods a cell that is full: of it only what is within its share goes before the
-// work of others, and the rest is served once nothing else waits.
+// If one team floods a full cell, only its jobs within its share go before the jobs of
+// other teams. The rest is served when nothing else waits.
 func TestJobsOverTheShareWaitBehindOtherTeams(t *testing.T) {
 	x := newCell(t)
 	x.setShares()
@@ -66,7 +66,7 @@
 	qt.Check(t, last < 15, qt.IsTrue, qt.Commentf("the last of five jobs of the other team was started as number %d, ten of the flood are within its share", last+1))
 }
 
-// A share comes back with time: the jobs of the first seconds do not count any more.
+// Jobs submitted before the window no longer count against the share.
 func TestShareRecoversOverTime(t *testing.T) {
 	x := newCell(t)
 	x.setShares()
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -32,31 +32,31 @@
 // LongestWait describes the stage that has waited longest to be placed. It reports false
 // if none waits. Cost: O(stages + workers).
 func (s *State) LongestWait(now time.Time) (StageWait, bool) {
-	var first *stage
+	var longest *stage
 	for _, g := range s.openStages {
-		if g.placeable() && !g.job.state.Final() && (first == nil || g.openedAt.Before(first.openedAt)) {
-			first = g
+		if g.placeable() && !g.job.state.Final() && (longest == nil || g.openedAt.Before(longest.openedAt)) {
+			longest = g
 		}
 	}
-	if first == nil {
+	if longest == nil {
 		return StageWait{}, false
 	}
 	w := StageWait{
-		Stage:     first.id,
-		Waited:    now.Sub(first.openedAt),
-		For:       waitNames[first.waitingFor],
-		Asked:     len(first.advice.asked),
-		Questions: first.advice.learning,
+		Stage:     longest.id,
+		Waited:    now.Sub(longest.openedAt),
+		For:       waitNames[longest.waitingFor],
+		Asked:     len(longest.advice.asked),
+		Questions: longest.advice.learning,
 	}
-	kept := s.reservedByOthers(first)
-	for _, x := range s.usableWorkers(first) {
-		w.count(first, x, kept[x])
+	reserved := s.reservedByOthers(longest)
+	for _, x := range s.usableWorkers(longest) {
+		w.count(longest, x, reserved[x])
 	}
 	return w, true
 }
 
 // count adds a worker that g may use to the counts.
-func (w *StageWait) count(g *stage, x *worker, kept bool) {
+func (w *StageWait) count(g *stage, x *worker, reserved bool) {
 	w.Usable++
 	if x.ready {
 		w.Ready++
@@ -64,7 +64,7 @@
 	if x.ready && g.step.demand().Fits(x.free()) {
 		w.Fitting++
 	}
-	if kept {
+	if reserved {
 		w.Kept++
 	}
 }
@@ -91,14 +91,14 @@
 
 // reservedByOthers returns the workers that are reserved for other stages than g.
 func (s *State) reservedByOthers(g *stage) map[*worker]bool {
-	kept := map[*worker]bool{}
+	workers := map[*worker]bool{}
 	for _, o := range s.openStages {
 		if o == g {
 			continue
 		}
 		for _, w := range o.reserved {
-			kept[w] = true
+			workers[w] = true
 		}
 	}
-	return kept
+	return workers
 }
--- a/sched/waittime_test.go
+++ b/sched/waittime_test.go
@@ -9,7 +9,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// endedAccount returns the account that the end of the job "j" is noted with.
+// endedAccount returns the account in the note about the end of a job.
 func (x *cell) endedAccount() sched.Account {
 	for _, n := range x.state.Notes() {
 		if n.Kind == sched.NoteJobEnded {
