--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -190,14 +190,14 @@
 	x.setQuota(4)
 	x.c.Check(x.step(), qt.HasLen, 0)
 	stops := x.state.Stops()
-	x.c.Assert(stops, qt.HasLen, 1, qt.Commentf("the run in doubt may begin when the lower quota is in force; others go on"))
+	x.c.Assert(stops, qt.HasLen, 1, qt.Commentf("the unconfirmed run may start when the lower quota is in force; the others continue"))
 	x.c.Check(stops[0].Run, qt.Equals, first[0].Run)
 	x.endRuns(first[1:7], sched.EndDone)
 	x.c.Check(x.step(), qt.HasLen, 0)
 	x.endRuns(first[7:9], sched.EndDone)
-	x.c.Check(x.step(), qt.HasLen, 2, qt.Commentf("one runs and one is in doubt"))
+	x.c.Check(x.step(), qt.HasLen, 2, qt.Commentf("one is running and one is unconfirmed"))
 	x.setQuota(0)
-	x.c.Check(x.step(), qt.HasLen, 8, qt.Commentf("a quota of 0 is none: all the others start"))
+	x.c.Check(x.step(), qt.HasLen, 8, qt.Commentf("a quota of 0 means no limit: all other tasks start"))
 }
 
 // Orders that wait for their rows are not sent if the quota was lowered meanwhile.
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -278,7 +278,7 @@
 		}
 		for _, j := range slices.Sorted(maps.Keys(m.jobs)) {
 			if s, ok := m.x.state.Job(j); ok && !s.State.Final() && m.usedCores() == 0 {
-				rt.Fatalf("job %s of a team that has nothing running is %s", j, s.State)
+				rt.Fatalf("job %s is %s although its team has no runs", j, s.State)
 			}
 		}
 	})
--- a/sched/share_test.go
+++ b/sched/share_test.go
@@ -63,7 +63,7 @@
 			last = i
 		}
 	}
-	qt.Check(t, last < 15, qt.IsTrue, qt.Commentf("the last of five jobs of the other team was started as number %d, ten of the flood are within its share", last+1))
+	qt.Check(t, last < 15, qt.IsTrue, qt.Commentf("the last of five jobs of the other team started as number %d; ten jobs of the flood are within its share", last+1))
 }
 
 // Jobs submitted before the window no longer count against the share.
@@ -79,5 +79,5 @@
 	x.addWorker("w")
 	out := x.step()
 	x.c.Assert(out, qt.HasLen, 1)
-	x.c.Check(out[0].Run.Task.Stage.Job, qt.Equals, within, qt.Commentf("%s is beyond the share", beyond))
+	x.c.Check(out[0].Run.Task.Stage.Job, qt.Equals, within, qt.Commentf("%s exceeds the share", beyond))
 }
--- a/sched/state.go
+++ b/sched/state.go
@@ -117,7 +117,7 @@
 	overShare bool // submitted over its team's share
 	state     JobState
 	stages    []*stage
-	// activeRuns counts the runs that may be at a worker.
+	// activeRuns counts the runs that occupy capacity at a worker.
 	activeRuns int
 	stagesLeft int // not done yet
 	dirty      bool
