--- a/sched/advice.go
+++ b/sched/advice.go
@@ -16,10 +16,10 @@
 	// ticketMargin is how long a ticket must still hold when a start is
 	// decided: a write, the call itself and some queueing.
 	ticketMargin = 200 * time.Millisecond
-	// askingEach bounds the questions under way for each host that can ask,
+	// questionsPerAsker bounds the questions under way for each host that can ask,
 	// so that those of the stages ranked first are not stuck behind others:
 	// one that is being answered and one that waits.
-	askingEach = 2
+	questionsPerAsker = 2
 	// adviceWidth is the part of an advisor's base cost that is spent on
 	// asking about more workers at once.
 	adviceWidth = 0.45
@@ -31,9 +31,9 @@
 	// answer: a host that is cut off from the advisor learns that in milliseconds,
 	// and would ask hundreds of times a second.
 	lostPause = 40 * time.Millisecond
-	// askMore is how long a stage waits for room at the workers that it may
+	// askMoreAfter is how long a stage waits for room at the workers that it may
 	// use before it asks about others.
-	askMore = 250 * time.Millisecond
+	askMoreAfter = 250 * time.Millisecond
 )
 
 // advice is what a stage knows of the workers that may run it.
@@ -41,13 +41,13 @@
 	// asked and tickets are by account: what the advisor says holds for one life.
 	asked   map[*worker]bool // and answered: good or never
 	tickets map[*worker]ticket
-	good    []*worker // those with a ticket, valid or not
+	allowed []*worker // those with a ticket, valid or not
 	// learning counts the questions under way about workers that are not
 	// known yet; warming tells that one renews the tickets of a gang that
 	// waits. Every question is answered, if only to say that it was lost.
-	learning int
-	warming  bool
-	last     time.Time // when the last answer about new workers came
+	learning    int
+	warming     bool
+	lastLearned time.Time // when the last answer about new workers came
 }
 
 type ticket struct {
@@ -78,9 +78,9 @@
 		return
 	}
 	switch p {
-	case Learn:
+	case PurposeLearn:
 		g.advice.learning++
-	case Warm:
+	case PurposeWarm:
 		g.advice.warming = true
 		s.warmQueriesInFlight++
 	}
@@ -96,9 +96,9 @@
 	})
 }
 
-// learnMore asks about workers that are not known yet: of a gang, which needs many,
+// askAboutMore asks about workers that are not known yet: of a gang, which needs many,
 // in parts, as far as hosts are free to ask.
-func (d *decider) learnMore(g *stage, q *Queue, workers []spoolsill.Life) {
+func (d *decider) askAboutMore(g *stage, q *Queue, workers []spoolsill.Life) {
 	parts := 1
 	if g.step.Gang {
 		width := q.Advisor.width()
@@ -106,7 +106,7 @@
 	}
 	size := (len(workers) + max(parts, 1) - 1) / max(parts, 1)
 	for part := range slices.Chunk(workers, size) {
-		d.ask(g, q, part, Learn)
+		d.ask(g, q, part, PurposeLearn)
 	}
 }
 
@@ -119,13 +119,13 @@
 	return min(maxAsked, max(minAsked, int(adviceWidth*float64(a.Base)/float64(a.PerWorker))))
 }
 
-// SetAskers takes in how many questions hosts can ask the advisor at once.
-func (s *State) SetAskers(n int) {
+// SetMaxQuestions takes in how many questions hosts can ask the advisor at once.
+func (s *State) SetMaxQuestions(n int) {
 	s.advisorSlots = n
 }
 
-// Advices returns the questions to the advisor since the last call.
-func (s *State) Advices() []AdviceOrder {
+// AdviceOrders returns the questions to the advisor since the last call.
+func (s *State) AdviceOrders() []AdviceOrder {
 	o := s.adviceOrders
 	s.adviceOrders = nil
 	return o
@@ -155,11 +155,11 @@
 	return lives
 }
 
-// Advised takes in an answer of the advisor.
-func (s *State) Advised(now time.Time, a Advice) {
+// AdviceReceived takes in an answer of the advisor.
+func (s *State) AdviceReceived(now time.Time, a Advice) {
 	s.now = now
 	s.queriesInFlight--
-	if a.Order.Purpose == Warm {
+	if a.Order.Purpose == PurposeWarm {
 		s.warmQueriesInFlight--
 	}
 	j := s.jobs[a.Order.Stage.Job]
@@ -178,9 +178,9 @@
 	})
 	x := &g.advice
 	switch a.Order.Purpose {
-	case Learn:
+	case PurposeLearn:
 		x.learning--
-	case Warm:
+	case PurposeWarm:
 		x.warming = false
 	}
 	if a.Lost {
@@ -188,7 +188,7 @@
 	} else {
 		s.takeTickets(g, a)
 	}
-	if a.Order.Purpose == Learn {
+	if a.Order.Purpose == PurposeLearn {
 		return
 	}
 	s.dispatchDeferred(g, a)
@@ -206,12 +206,12 @@
 		x.asked = map[*worker]bool{}
 		x.tickets = map[*worker]ticket{}
 	}
-	if a.Order.Purpose == Learn {
-		x.last = s.now
+	if a.Order.Purpose == PurposeLearn {
+		x.lastLearned = s.now
 	}
 	about := make(map[spoolsill.WorkerID]*worker, len(a.Order.Workers))
 	for _, l := range a.Order.Workers {
-		if w := s.account(l); w != nil {
+		if w := s.workerOf(l); w != nil {
 			x.asked[w] = true
 			about[l.Worker] = w
 		}
@@ -222,7 +222,7 @@
 			continue
 		}
 		if _, known := x.tickets[w]; !known {
-			x.good = append(x.good, w)
+			x.allowed = append(x.allowed, w)
 		}
 		x.tickets[w] = ticket{
 			text:  t.Text,
@@ -253,7 +253,7 @@
 }
 
 func (s *State) usable(r *run) bool {
-	return r.worker.takes(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.overQuota() && r.task.stage.advice.valid(r.worker, s.now)
+	return r.worker.acceptsStarts(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.overQuota() && r.task.stage.advice.valid(r.worker, s.now)
 }
 
 // plan takes room for a run while its ticket is renewed.
@@ -269,7 +269,7 @@
 		need:   t.stage.step.demand(),
 		phase:  phasePlanned,
 	}
-	s.book(r)
+	s.addRun(r)
 	t.stage.planned = append(t.stage.planned, r)
 }
 
@@ -291,7 +291,7 @@
 	}
 	var ready []*worker
 	var lives []spoolsill.Life
-	for _, w := range a.good {
+	for _, w := range a.allowed {
 		if w.ready && len(ready) < maxAsked {
 			ready = append(ready, w)
 			lives = append(lives, w.life())
@@ -299,7 +299,7 @@
 	}
 	soon := d.now.Add(q.Advisor.queryTime(len(ready)) + ticketMargin)
 	if slices.ContainsFunc(ready, func(w *worker) bool { return !a.valid(w, soon) }) {
-		d.ask(g, q, lives, Warm)
+		d.ask(g, q, lives, PurposeWarm)
 	}
 }
 
--- a/sched/batch.go
+++ b/sched/batch.go
@@ -124,7 +124,7 @@
 			continue
 		}
 		if !s.canDispatch(r) {
-			s.lose(r, "start no longer valid before dispatch")
+			s.dropRun(r, "start no longer valid before dispatch")
 			continue
 		}
 		if s.ticketExpired(r) {
@@ -139,7 +139,7 @@
 
 // recordedRun returns the run of an order that has been recorded but not sent, or nil.
 func (s *State) recordedRun(o StartOrder) *run {
-	w := s.account(o.Life)
+	w := s.workerOf(o.Life)
 	if w == nil {
 		return nil
 	}
@@ -156,7 +156,7 @@
 	r.phase = phaseSent
 	r.startedAt = s.now
 	// A start order also renews the worker's lease.
-	s.LeaseAsked(o.Life, LeaseEnd(s.now, s.config.StartLease))
+	s.LeaseRequested(o.Life, LeaseEnd(s.now, s.config.StartLease))
 	o.Ticket = r.task.stage.advice.tickets[r.worker].text
 	return o
 }
@@ -165,8 +165,8 @@
 func (s *State) canDispatch(r *run) bool {
 	g := r.task.stage
 	return !r.task.done && !g.job.state.Final() && !r.stopping &&
-		s.roomIsKnown() && r.worker.hasRoom() && !g.job.team.overQuota() &&
-		r.worker.present(s.now) && !r.worker.unclear && !r.worker.Draining
+		s.entriesFresh() && r.worker.hasRoom() && !g.job.team.overQuota() &&
+		r.worker.present(s.now) && !r.worker.entryInvalid && !r.worker.Draining
 }
 
 // HeartbeatTargets returns the lives of the workers to send heartbeats to: the listed ones
@@ -179,7 +179,7 @@
 		if w.dead || w.Address == "" || !s.isRelevant(w) {
 			continue
 		}
-		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlisted) < lateMost {
+		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlistedAt) < lateMost {
 			lives = append(lives, w.life())
 		}
 	}
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -37,13 +37,13 @@
 // leftAsAnnounced reports whether a worker whose life is over ended no sooner than it
 // had said that it would.
 func (w *worker) leftAsAnnounced() bool {
-	return w.Draining && !w.answered.Add(silentAfter).Before(w.leaves)
+	return w.Draining && !w.answeredAt.Add(silentAfter).Before(w.leaves)
 }
 
 // takenAway reports whether a worker that is gone may have been taken away without a
 // word: it answered on after its entry had gone.
 func (w *worker) takenAway() bool {
-	return !w.listed && w.lapsed.IsZero() && w.answered.After(w.unlisted)
+	return !w.listed && w.lapsed.IsZero() && w.answeredAt.After(w.unlistedAt)
 }
 
 // suspectRuns takes in that a worker has gone with its runs: its life is over, or it
@@ -99,10 +99,10 @@
 		named = append(named, fmt.Sprintf("%s (%d)", r.id.Task, len(r.task.evidence.losses)))
 	}
 	s.note(Note{
-		Kind:   NoteCrash,
+		Kind:   NoteWorkerLost,
 		Worker: w.id,
 		Reason: fmt.Sprintf("%s; %d runs under suspicion, by how many workers went under their tasks: %s", reason, len(rs), strings.Join(named, ", ")),
-		Age:    s.now.Sub(w.answered),
+		Age:    s.now.Sub(w.answeredAt),
 	})
 }
 
@@ -120,7 +120,7 @@
 	for _, t := range slices.Clone(s.suspects) {
 		if t.evidence.confirm(w.life()) {
 			s.markDirty(t.stage.job)
-			s.giveUp(t.stage)
+			s.failCrashing(t.stage)
 		}
 	}
 }
@@ -133,9 +133,9 @@
 	}
 }
 
-// giveUp ends the job of a stage of which a task crashes the workers that start it,
+// failCrashing ends the job of a stage of which a task crashes the workers that start it,
 // and reports whether it did.
-func (s *State) giveUp(g *stage) bool {
+func (s *State) failCrashing(g *stage) bool {
 	if g.job.state.Final() {
 		return false
 	}
@@ -155,9 +155,9 @@
 	return false
 }
 
-// keepSuspects forgets the tasks that are cleared, done, or of jobs that have ended,
+// pruneSuspects forgets the tasks that are cleared, done, or of jobs that have ended,
 // and the crashes that were long ago.
-func (s *State) keepSuspects() {
+func (s *State) pruneSuspects() {
 	s.suspects = slices.DeleteFunc(s.suspects, func(t *task) bool {
 		return len(t.evidence.losses) == 0 || t.done || t.stage.job.state.Final()
 	})
@@ -182,8 +182,8 @@
 	if len(r.task.evidence.losses) == 0 {
 		return
 	}
-	if r.phase == phaseConfirmed && !r.former() && w.answered.After(r.startedAt) {
-		r.task.evidence.lived += w.answered.Sub(r.startedAt)
+	if r.phase == phaseConfirmed && !r.former() && w.answeredAt.After(r.startedAt) {
+		r.task.evidence.lived += w.answeredAt.Sub(r.startedAt)
 	}
 }
 
@@ -207,9 +207,9 @@
 	return all, strong
 }
 
-// barred reports whether a strong suspect of another job is on trial at a worker:
+// blockedByTrial reports whether a strong suspect of another job is on trial at a worker:
 // nothing is started there for that time, so that a crash tells who did it.
-func (d *decider) barred(g *stage, w *worker) bool {
+func (d *decider) blockedByTrial(g *stage, w *worker) bool {
 	_, strong := w.trialsBeside(g.job, d.now)
 	return strong > 0
 }
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -15,14 +15,14 @@
 func (s *State) Decide(now time.Time) {
 	s.now = now
 	s.expireLeases()
-	s.saveLeaving()
+	s.stopOnLeaving()
 	s.stopStuck()
-	s.stopAgain()
-	s.keepSuspects()
+	s.repeatStops()
+	s.pruneSuspects()
 	s.sumStrayUsage()
 	s.stopUncertainOverQuota()
 	s.openDue()
-	if s.now.Sub(s.firstAnswerAt) < s.config.SettleTime || !s.roomIsKnown() {
+	if s.now.Sub(s.firstAnswerAt) < s.config.SettleTime || !s.entriesFresh() {
 		return
 	}
 	d := decider{
@@ -61,7 +61,7 @@
 // fit anywhere are rejected cheaply.
 func (d *decider) collectReady() {
 	for _, w := range d.workerList {
-		w.ready = w.takes(d.now) && w.health.available(d.now)
+		w.ready = w.acceptsStarts(d.now) && w.health.available(d.now)
 		if !w.ready {
 			continue
 		}
@@ -134,7 +134,7 @@
 // place starts the tasks of g that can start now.
 func (d *decider) place(g *stage) {
 	q := d.queue(g.job)
-	if q.Service == "" || d.failExhausted(g) || d.giveUp(g) {
+	if q.Service == "" || d.failExhausted(g) || d.failCrashing(g) {
 		// Failures may have been reported before the queue was known, and crashes
 		// counted by a former leader.
 		return
@@ -162,18 +162,18 @@
 func (d *decider) ensureAdvice(g *stage, q *Queue) bool {
 	a := &g.advice
 	known := a.asked != nil
-	if a.learning > 0 || known && d.now.Sub(a.last) <= askMore {
+	if a.learning > 0 || known && d.now.Sub(a.lastLearned) <= askMoreAfter {
 		return known
 	}
-	if g.tier != tierUrgent && d.queriesInFlight >= askingEach*max(d.advisorSlots, 1) {
+	if g.tier != tierUrgent && d.queriesInFlight >= questionsPerAsker*max(d.advisorSlots, 1) {
 		return known
 	}
 	more := d.unasked(g, q)
 	if len(more) == 0 {
-		a.last = d.now // all known; look again after askMore
+		a.lastLearned = d.now // all known; look again after askMore
 		return known
 	}
-	d.learnMore(g, q, more)
+	d.askAboutMore(g, q, more)
 	return known
 }
 
@@ -193,7 +193,7 @@
 	}
 	from := r.workers
 	if q.Advisor != nil {
-		from = g.advice.good
+		from = g.advice.allowed
 	}
 	var ws []*worker
 	for _, w := range from {
@@ -206,7 +206,7 @@
 		if h := d.reservedFor[w]; h != nil && h != g && q.Priority > 0 {
 			continue
 		}
-		if d.barred(g, w) {
+		if d.blockedByTrial(g, w) {
 			continue
 		}
 		ws = append(ws, w)
@@ -241,7 +241,7 @@
 		}
 	}
 	if len(renew) > 0 {
-		d.ask(g, q, renew, Renew)
+		d.ask(g, q, renew, PurposeRenew)
 	}
 	d.reserveForLarge(g, q, waiting)
 }
@@ -340,7 +340,7 @@
 		Run:    r.id,
 		Worker: r.worker.id,
 		Reason: "has room",
-		Age:    s.now.Sub(r.worker.answered),
+		Age:    s.now.Sub(r.worker.answeredAt),
 	})
 }
 
--- a/sched/deferred.go
+++ b/sched/deferred.go
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, g := range stages {
-		s.ask(g, s.queue(g.job), lives[g], Renew)
+		s.ask(g, s.queue(g.job), lives[g], PurposeRenew)
 	}
 }
 
@@ -70,9 +70,9 @@
 		switch {
 		case r == nil:
 		case a.Lost || s.ticketExpired(r):
-			s.lose(r, "ticket expired before dispatch")
+			s.dropRun(r, "ticket expired before dispatch")
 		case !s.canDispatch(r):
-			s.lose(r, "start no longer valid before dispatch")
+			s.dropRun(r, "start no longer valid before dispatch")
 		default:
 			s.deferredStarts = append(s.deferredStarts, s.dispatch(o, r))
 		}
--- a/sched/event.go
+++ b/sched/event.go
@@ -35,12 +35,12 @@
 
 // The ways in which a run ends.
 const (
-	EndDone    EndKind = iota // the work is done
-	EndFailed                 // by its own fault or the worker's
-	EndStopped                // as ordered
-	EndLapsed                 // the worker's lease ran out
-	EndBroken                 // another member of the gang ended
-	EndAlone                  // the other members of the gang did not come
+	EndDone           EndKind = iota // the work is done
+	EndFailed                        // by its own fault or the worker's
+	EndStopped                       // as ordered
+	EndLeaseExpired                  // the worker's lease ran out
+	EndGangBroken                    // another member of the gang ended
+	EndGangIncomplete                // the other members of the gang did not come
 )
 
 var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
@@ -168,9 +168,9 @@
 
 // The purposes of questions.
 const (
-	Learn Purpose = iota // which of more workers may run the stage
-	Warm                 // tickets of a gang that waits are kept valid
-	Renew                // room is held until the tickets are valid again
+	PurposeLearn Purpose = iota // which of more workers may run the stage
+	PurposeWarm                 // tickets of a gang that waits are kept valid
+	PurposeRenew                // room is held until the tickets are valid again
 )
 
 var purposeNames = [...]string{"learn", "keep warm", "renew"}
@@ -239,21 +239,21 @@
 
 // The kinds of notes.
 const (
-	NotePlaced     NoteKind = "task placed"
-	NoteStarted    NoteKind = "task started"
-	NoteNotStarted NoteKind = "task not started"
-	NoteEnded      NoteKind = "task ended"
-	NoteUncounted  NoteKind = "end not counted"
-	NoteGone       NoteKind = "run is gone"
-	NoteStop       NoteKind = "task stop ordered"
-	NoteNotStopped NoteKind = "task stop not taken"
-	NoteJobEnded   NoteKind = "job ended"
-	NoteWorker     NoteKind = "worker changed"
-	NoteLife       NoteKind = "worker started again"
-	NoteStray      NoteKind = "unknown run at worker"
-	NoteAdvised    NoteKind = "advice received"
-	NoteCrash      NoteKind = "worker gone with its runs"
-	NoteGivenUp    NoteKind = "task given up"
+	NotePlaced          NoteKind = "task placed"
+	NoteStarted         NoteKind = "task started"
+	NoteNotStarted      NoteKind = "task not started"
+	NoteEnded           NoteKind = "task ended"
+	NoteUncounted       NoteKind = "end not counted"
+	NoteRunGone         NoteKind = "run is gone"
+	NoteStop            NoteKind = "task stop ordered"
+	NoteNotStopped      NoteKind = "task stop not taken"
+	NoteJobEnded        NoteKind = "job ended"
+	NoteWorker          NoteKind = "worker changed"
+	NoteWorkerRestarted NoteKind = "worker started again"
+	NoteUnknownRun      NoteKind = "unknown run at worker"
+	NoteAdvised         NoteKind = "advice received"
+	NoteWorkerLost      NoteKind = "worker gone with its runs"
+	NoteGivenUp         NoteKind = "task given up"
 )
 
 // A Note explains one decision or change of belief, for logs.
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -91,7 +91,7 @@
 }
 
 func (x *cell) listWorker(id spoolsill.WorkerID, draining bool) {
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Address:  string(id),
@@ -102,7 +102,7 @@
 
 // addWorkerInRack is addWorker with a rack.
 func (x *cell) addWorkerInRack(id spoolsill.WorkerID, rack spoolsill.RackID) {
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Rack:     rack,
@@ -114,7 +114,7 @@
 
 // renewLease renews a worker's lease; the worker answers with its running tasks.
 func (x *cell) renewLease(id spoolsill.WorkerID, running ...sched.RunID) {
-	x.state.LeaseAsked(lifeOf(id), sched.LeaseEnd(x.now, lease))
+	x.state.LeaseRequested(lifeOf(id), sched.LeaseEnd(x.now, lease))
 	x.heartbeat(id, running...)
 }
 
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -28,7 +28,7 @@
 		d.start(t, workers[i])
 	}
 	if len(renew) > 0 && !g.advice.warming {
-		d.ask(g, q, renew, Renew)
+		d.ask(g, q, renew, PurposeRenew)
 	}
 }
 
@@ -51,7 +51,7 @@
 		g.reserved = nil
 		return
 	}
-	from := g.advice.good
+	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
 	}
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -105,7 +105,7 @@
 		},
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.endRun(g[1], sched.EndBroken)
+	x.endRun(g[1], sched.EndGangBroken)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#2", "g.0.0.1#2"})
 }
 
@@ -161,7 +161,7 @@
 // makes another pass.
 func (x *cell) stepWithAdvice(good spoolsill.WorkerID) {
 	x.step()
-	for _, o := range x.state.Advices() {
+	for _, o := range x.state.AdviceOrders() {
 		x.advise(o, good)
 	}
 	x.step()
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -178,7 +178,7 @@
 		need:   t.stage.step.demand(),
 		phase:  phaseInherited,
 	}
-	s.book(r)
+	s.addRun(r)
 }
 
 func (t *task) id() TaskID {
--- a/sched/leaving_test.go
+++ b/sched/leaving_test.go
@@ -32,7 +32,7 @@
 func TestWorkIsSavedFromAWorkerWhoseEntryWent(t *testing.T) {
 	x := newCell(t)
 	r := x.startSaving()
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	answers := map[spoolsill.WorkerID][]sched.RunID{
 		"w": {r},
 	}
@@ -48,10 +48,10 @@
 	for name, unlist := range map[string]func(x *cell){
 		"entries go after the store is back": func(x *cell) {
 			x.state.StoreBack(x.now)
-			x.state.UnlistWorker(x.now, "w")
+			x.state.WorkerUnlisted(x.now, "w")
 		},
 		"entries go before that is known": func(x *cell) {
-			x.state.UnlistWorker(x.now, "w")
+			x.state.WorkerUnlisted(x.now, "w")
 			x.state.StoreBack(x.now)
 		},
 	} {
@@ -81,7 +81,7 @@
 	x := newCell(t)
 	x.addWorker("w")
 	x.listWorker("w", true)
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	x.state.StoreBack(x.now)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -97,7 +97,7 @@
 	o := x.step()
 	x.acceptStarts(o)
 	x.addWorker("w2")
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:        "w1",
 		Service:   "work",
 		Address:   "w1",
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// account returns the account of a life, or nil when its worker has another one now. A
+// workerOf returns the workerOf of a life, or nil when its worker has another one now. A
 // birth that is not told is taken for the latest: platforms that tell none give each life
 // an id of its own.
-func (s *State) account(l spoolsill.Life) *worker {
+func (s *State) workerOf(l spoolsill.Life) *worker {
 	w := s.workers[l.Worker]
 	if w == nil || !w.life().MayBe(l.Born) {
 		return nil
@@ -51,7 +51,7 @@
 		return nil
 	case w.born == 0 && !w.dead:
 		w.born = l.Born
-		w.renewed = w.answered // whoever renews its lease begins anew
+		w.renewed = w.answeredAt // whoever renews its lease begins anew
 		return w
 	default:
 		// Also after proof that the former life is over: its id is not, and a worker that
@@ -70,7 +70,7 @@
 	w.former = known[max(len(known)-formerKept, 0):]
 	w.Worker = old.Worker
 	w.Draining = false
-	w.unlisted = s.now
+	w.unlistedAt = s.now
 	w.leaves = s.now.Add(s.config.DrainTime)
 	w.leased = LeaseEnd(s.now, s.config.Lease)
 	s.workers[w.id] = w
@@ -99,11 +99,11 @@
 		ended = "was over, or ended as announced"
 	}
 	s.note(Note{
-		Kind:   NoteLife,
+		Kind:   NoteWorkerRestarted,
 		Worker: w.id,
 		Reason: fmt.Sprintf("%s names a life born %d; the one born %d %s, with %d runs, %d of them in doubt, and its ends seen up to %d",
 			word, w.born, old.born, ended, len(old.runs), old.doubtful(), old.seen),
-		Age: s.now.Sub(old.answered),
+		Age: s.now.Sub(old.answeredAt),
 	})
 }
 
@@ -133,11 +133,11 @@
 	case phasePlanned:
 		s.unplan(r)
 	case phaseRecorded:
-		s.lose(r, "its worker started again before the order left")
+		s.dropRun(r, "its worker started again before the order left")
 	default:
 		s.unbook(r)
 		r.worker = w
-		s.book(r)
+		s.addRun(r)
 		// A stop that the former life took means nothing here.
 		r.stopTakenAt = time.Time{}
 		r.nextStopAt = s.now
@@ -170,13 +170,13 @@
 	for _, r := range rs {
 		if r.former() {
 			r.task.stage.job.account.Lost++
-			s.lose(r, "its worker started again")
+			s.dropRun(r, "its worker started again")
 			continue
 		}
-		s.lose(r, "worker does not have it")
+		s.dropRun(r, "worker does not have it")
 	}
 	for _, r := range former {
-		s.giveUp(r.task.stage)
+		s.failCrashing(r.task.stage)
 	}
 }
 
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -103,7 +103,7 @@
 		t.strayUsage = spoolsill.Resources{}
 	}
 	for _, w := range s.workerList {
-		for id := range w.strays {
+		for id := range w.unknownRuns {
 			j := s.jobs[id.Task.Stage.Job]
 			if j == nil {
 				continue
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -22,7 +22,7 @@
 	quotas     []quotaPeriod
 	ids        []spoolsill.WorkerID
 	runs       map[spoolsill.WorkerID]map[sched.RunID]int // cores
-	lateStarts []lateStart
+	lateStarts []pendingStart
 	stopped    map[sched.RunID]bool
 	jobs       map[spoolsill.JobID]sched.Job
 	rows       map[spoolsill.JobID][]byte
@@ -130,7 +130,7 @@
 			Doubt:    true,
 			Deadline: sched.ClockMillis(until.UnixMilli()),
 		})
-		m.lateStarts = append(m.lateStarts, lateStart{
+		m.lateStarts = append(m.lateStarts, pendingStart{
 			StartOrder: o,
 			until:      until,
 		})
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -60,7 +60,7 @@
 // byRoomAt returns the workers that can be reserved for large tasks of g, sorted by when
 // capacity is expected.
 func (d *decider) byRoomAt(g *stage, q *Queue, r *readyWorkers) []*worker {
-	from := g.advice.good
+	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
 	}
--- a/sched/room.go
+++ b/sched/room.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// WorkersHeard takes in that all changes of the workers' entries before a time are known.
-func (s *State) WorkersHeard(now, sent time.Time) {
+// EntriesSynced takes in that all changes of the workers' entries before a time are known.
+func (s *State) EntriesSynced(now, sent time.Time) {
 	s.now = now
 	if sent.After(s.entriesAsOf) {
 		s.entriesAsOf = sent
 	}
 }
 
-// roomIsKnown reports whether workers' rooms are known well enough for something to be
+// entriesFresh reports whether workers' rooms are known well enough for something to be
 // started: a worker that does not guard its room would else be brought over it.
-func (s *State) roomIsKnown() bool {
+func (s *State) entriesFresh() bool {
 	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesAsOf) <= s.config.EntriesAge
 }
 
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -17,8 +17,8 @@
 	)
 }
 
-// book puts a run into its worker's account.
-func (s *State) book(r *run) {
+// addRun puts a run into its worker's account.
+func (s *State) addRun(r *run) {
 	r.worker.runs[r.id] = r
 	r.worker.used = r.worker.used.Add(r.need)
 	r.task.run = r
@@ -52,12 +52,12 @@
 	s.markDirty(r.task.stage.job)
 }
 
-// lose takes a run that is certainly gone out of its worker's account; its task is open
+// dropRun takes a run that is certainly gone out of its worker's account; its task is open
 // again.
-func (s *State) lose(r *run, reason string) {
+func (s *State) dropRun(r *run, reason string) {
 	s.release(r)
 	s.note(Note{
-		Kind:   NoteGone,
+		Kind:   NoteRunGone,
 		Job:    r.task.stage.job.ID,
 		Run:    r.id,
 		Worker: r.worker.id,
@@ -110,7 +110,7 @@
 	if a.Outcome == StartOtherLife {
 		if r != nil && !a.Doubt {
 			// It surely never began there: what ended that life is something else.
-			s.lose(r, "start: "+a.Outcome.String())
+			s.dropRun(r, "start: "+a.Outcome.String())
 		}
 		s.WorkerDied(now, a.Life)
 		return
@@ -174,7 +174,7 @@
 		g.advice.expire(r.worker)
 	}
 	g.retryAt = s.now.Add(rejectedPause)
-	s.lose(r, "start: "+o.String())
+	s.dropRun(r, "start: "+o.String())
 }
 
 // rejectedPause keeps a stage whose start was turned away from being tried
@@ -191,20 +191,20 @@
 	if w == nil || w.dead {
 		return
 	}
-	if w.answered.IsZero() {
+	if w.answeredAt.IsZero() {
 		s.endInheritance(w)
 	}
 	if s.firstAnswerAt.IsZero() {
 		s.firstAnswerAt = now
 	}
-	if w.missed || w.answered.IsZero() {
+	if w.missed || w.answeredAt.IsZero() {
 		w.missed = false
 		s.loseSuspicion(w)
 	}
-	if now.Sub(w.answered) > silentAfter {
-		s.noteWorker(w, "answers", now.Sub(w.answered))
+	if now.Sub(w.answeredAt) > silentAfter {
+		s.noteWorker(w, "answers", now.Sub(w.answeredAt))
 	}
-	w.answered = now
+	w.answeredAt = now
 	w.silent = false
 	for _, e := range h.Ended {
 		s.takeEnd(w, e)
@@ -214,7 +214,7 @@
 		listed[x.Run] = true
 		s.seeRunning(w, x)
 	}
-	maps.DeleteFunc(w.strays, func(id RunID, _ time.Time) bool { return !listed[id] })
+	maps.DeleteFunc(w.unknownRuns, func(id RunID, _ time.Time) bool { return !listed[id] })
 	if h.Partial {
 		s.takeUpStrays(w, h)
 		return
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -67,16 +67,16 @@
 // second and goes on listing a run while it stops it: an order for each answer makes
 // 150 in 3 s, paced they are 5 (TestStopsOfUnknownRunsArePaced).
 func (s *State) seeStray(w *worker, id RunID) {
-	if s.now.Before(w.strays[id]) {
+	if s.now.Before(w.unknownRuns[id]) {
 		return
 	}
-	w.strays[id] = s.dueAfterStop()
+	w.unknownRuns[id] = s.dueAfterStop()
 	s.stops = append(s.stops, StopOrder{
 		Life: w.life(),
 		Run:  id,
 	})
 	s.note(Note{
-		Kind:   NoteStray,
+		Kind:   NoteUnknownRun,
 		Job:    id.Task.Stage.Job,
 		Run:    id,
 		Worker: w.id,
@@ -84,10 +84,10 @@
 	})
 }
 
-// stopAgain gives the stop orders again that are due and have had no effect: a
+// repeatStops gives the stop orders again that are due and have had no effect: a
 // worker that was out of reach when its run was cancelled would else run it to
 // its end. Cost: O(runs wanted gone).
-func (s *State) stopAgain() {
+func (s *State) repeatStops() {
 	s.stoppingRuns = slices.DeleteFunc(s.stoppingRuns, func(r *run) bool { return r.worker.runs[r.id] != r })
 	for _, r := range s.stoppingRuns {
 		if !s.now.Before(r.nextStopAt) {
@@ -99,12 +99,12 @@
 // StopAnswered takes in what became of a stop order.
 func (s *State) StopAnswered(now time.Time, a StopAnswer) {
 	s.now = now
-	w := s.account(a.Order.Life)
+	w := s.workerOf(a.Order.Life)
 	if w == nil {
 		return
 	}
-	if _, ok := w.strays[a.Order.Run]; ok {
-		w.strays[a.Order.Run] = s.dueAfterAnswer(a)
+	if _, ok := w.unknownRuns[a.Order.Run]; ok {
+		w.unknownRuns[a.Order.Run] = s.dueAfterAnswer(a)
 		return
 	}
 	r := w.runs[a.Order.Run]
@@ -119,7 +119,7 @@
 			Run:    r.id,
 			Worker: w.id,
 			Reason: a.Reason,
-			Age:    now.Sub(w.answered),
+			Age:    now.Sub(w.answeredAt),
 		})
 		return
 	}
--- a/sched/stray.go
+++ b/sched/stray.go
@@ -45,12 +45,12 @@
 		need:   t.stage.step.demand(),
 		phase:  phaseSent,
 	}
-	delete(w.strays, x.Run)
-	s.book(r)
+	delete(w.unknownRuns, x.Run)
+	s.addRun(r)
 	s.markDirty(t.stage.job)
 	s.seeRunning(w, x)
 	s.note(Note{
-		Kind:   NoteStray,
+		Kind:   NoteUnknownRun,
 		Job:    t.stage.job.ID,
 		Run:    r.id,
 		Worker: w.id,
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -42,7 +42,7 @@
 	}
 	limit := time.Duration(stuckShare * float64(s.expected(s.queue(g.job), g.step)))
 	limit = min(max(limit, minStuckTime), maxStuckTime)
-	return r.worker.answered.Sub(r.progressedAt) >= limit
+	return r.worker.answeredAt.Sub(r.progressedAt) >= limit
 }
 
 // stopAsStuck stops a run and counts it as a failure of its worker.
--- a/sched/troubled_test.go
+++ b/sched/troubled_test.go
@@ -137,7 +137,7 @@
 		}
 		old := life(m, f.lives[m])
 		delete(f.down, m)
-		f.x.state.UnlistWorker(f.x.now, old)
+		f.x.state.WorkerUnlisted(f.x.now, old)
 		f.up(m)
 		f.x.state.WorkerDied(f.x.now, lifeOf(old))
 	}
--- a/sched/unasked_test.go
+++ b/sched/unasked_test.go
@@ -17,8 +17,8 @@
 	// cancelBound is within which nothing of a cancelled job may be left, on the
 	// strictest of the known deployments: 3 s, and 0.2 s for the stop itself.
 	cancelBound = 3200 * time.Millisecond
-	// lateMost is how much later than sent a start may be carried out.
-	lateMost = 12 * time.Second
+	// lateStartWindow is how much later than sent a start may be carried out.
+	lateStartWindow = 12 * time.Second
 	// startForce is for how long after it is sent a start alone keeps its run.
 	startForce = 1500 * time.Millisecond
 	// lookEvery is how far apart a worker's heartbeats are.
@@ -211,7 +211,7 @@
 	}
 	w.looked = x.now
 	if w.answered {
-		x.state.LeaseAsked(lifeOf("w"), sched.LeaseEnd(x.now, lease))
+		x.state.LeaseRequested(lifeOf("w"), sched.LeaseEnd(x.now, lease))
 	}
 	f := w.fate()
 	if f != fateLost {
@@ -274,7 +274,7 @@
 
 // drawTick draws when something happens.
 func drawTick(rt *rapid.T, label string) int {
-	return rapid.IntRange(0, int(lateMost/lateTick)).Draw(rt, label)
+	return rapid.IntRange(0, int(lateStartWindow/lateTick)).Draw(rt, label)
 }
 
 func drawStep(rt *rapid.T) sched.Step {
@@ -297,7 +297,7 @@
 		for x.worker.deadline.IsZero() {
 			x.tick() // until the lease is renewed for the first time
 		}
-		x.delays = rapid.SliceOfN(rapid.IntRange(0, int(lateMost/lateTick)), 0, 6).Draw(rt, "delays")
+		x.delays = rapid.SliceOfN(rapid.IntRange(0, int(lateStartWindow/lateTick)), 0, 6).Draw(rt, "delays")
 		x.state.AddJob(x.now, j, sched.Progress{})
 		x.tick()
 		x.worker.fates = rapid.SliceOfN(rapid.IntRange(0, fates-1), 0, 10).Draw(rt, "fates")
@@ -315,16 +315,16 @@
 		case 1:
 			plan("drains", func() { x.listWorker("w", true) })
 		case 2:
-			plan("unlisted", func() { x.state.UnlistWorker(x.now, "w") })
+			plan("unlisted", func() { x.state.WorkerUnlisted(x.now, "w") })
 			if rapid.Bool().Draw(rt, "is back") {
 				plan("listed", func() { x.listWorker("w", false) })
 			}
 		}
 		if rapid.Bool().Draw(rt, "cut") {
 			plan("cut off", func() { x.worker.cut = true })
-			at[int(lateMost/lateTick)] = append(at[int(lateMost/lateTick)], func() { x.worker.cut = false })
+			at[int(lateStartWindow/lateTick)] = append(at[int(lateStartWindow/lateTick)], func() { x.worker.cut = false })
 		}
-		for i := range int((2*lateMost + cancelBound) / lateTick) {
+		for i := range int((2*lateStartWindow + cancelBound) / lateTick) {
 			for _, f := range at[i] {
 				f()
 			}
@@ -374,7 +374,7 @@
 func TestWorkerWithoutAnEntryIsLookedAtWhileItsLeaseLasts(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	x.advance(lease-time.Second, nil)
 	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
 	x.advance(2*time.Second, nil)
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -78,7 +78,7 @@
 func (s *State) usableWorkers(g *stage) []*worker {
 	q := s.queue(g.job)
 	if q.Advisor != nil {
-		return g.advice.good
+		return g.advice.allowed
 	}
 	var ws []*worker
 	for _, w := range s.workerList {
--- a/sched/waittime.go
+++ b/sched/waittime.go
@@ -29,7 +29,7 @@
 func (d *decider) beginWait(g *stage, q *Queue) {
 	g.waitUpdatedAt = d.now
 	switch {
-	case len(g.planned) > 0 || q.Advisor != nil && len(g.advice.good) == 0:
+	case len(g.planned) > 0 || q.Advisor != nil && len(g.advice.allowed) == 0:
 		g.waitingFor = waitAdvice
 	case g.placeable():
 		g.waitingFor = waitCapacity
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -50,28 +50,28 @@
 	// seen is the highest end of this life that was taken in: the next one counts from 1
 	// again, and its ends would be taken for those of this one.
 	seen uint64
-	// answered is when the latest heartbeat answer came under our leadership.
-	answered time.Time
+	// answeredAt is when the latest heartbeat answer came under our leadership.
+	answeredAt time.Time
 	// leased is until when, by our clock, its lease may last; renewed is
 	// until when we have asked for it.
 	leased  time.Time
 	renewed time.Time
-	// strays are the runs that it has and no record names, by when the next order
+	// unknownRuns are the runs that it has and no record names, by when the next order
 	// to stop them is due.
-	strays map[RunID]time.Time
+	unknownRuns map[RunID]time.Time
 	// leaves is when a worker that drains, or is no longer listed, may be gone
 	// at the earliest; unlisted is when its entry went.
-	leaves   time.Time
-	unlisted time.Time
+	leaves     time.Time
+	unlistedAt time.Time
 	// lapsed is until when a worker whose entry went with an outage of the
 	// store is taken as listed.
 	lapsed time.Time
 	unwell time.Time // nothing new before
 	// silent tells that an order had no answer: nothing new until it answers.
 	silent bool
-	// unclear tells that its entry names no worker to use: it gets nothing new, and keeps
+	// entryInvalid tells that its entry names no worker to use: it gets nothing new, and keeps
 	// its lease and its runs, until the entry does again.
-	unclear bool
+	entryInvalid bool
 	// missed tells that its runs were given up since its lease was over.
 	missed bool
 	ready  bool // takes something new, as of the pass under way
@@ -96,9 +96,9 @@
 
 func newWorker(id spoolsill.WorkerID) *worker {
 	return &worker{
-		id:     id,
-		runs:   map[RunID]*run{},
-		strays: map[RunID]time.Time{},
+		id:          id,
+		runs:        map[RunID]*run{},
+		unknownRuns: map[RunID]time.Time{},
 	}
 }
 
@@ -113,8 +113,8 @@
 	s.workerList = append(s.workerList, w)
 }
 
-// ListWorker takes in a worker as the platform lists it.
-func (s *State) ListWorker(now time.Time, l Worker) {
+// WorkerListed takes in a worker as the platform lists it.
+func (s *State) WorkerListed(now time.Time, l Worker) {
 	s.now = now
 	w := s.meet(l.Life(), "its entry")
 	if w == nil || w.dead {
@@ -127,26 +127,26 @@
 	if !w.listed {
 		s.noteWorker(w, "listed", 0)
 	}
-	if w.unclear {
+	if w.entryInvalid {
 		s.noteWorker(w, "its entry is whole again", 0)
 	}
 	w.listed = true
-	w.unclear = false
+	w.entryInvalid = false
 	w.lapsed = time.Time{}
 	w.Worker = l
 	s.endOlderLives(w)
 }
 
-// WorkerUnclear takes in that a worker's entry can't be understood, as if someone else
+// WorkerEntryInvalid takes in that a worker's entry can't be understood, as if someone else
 // had written it. One that is not known from before is none.
-func (s *State) WorkerUnclear(now time.Time, id spoolsill.WorkerID) {
+func (s *State) WorkerEntryInvalid(now time.Time, id spoolsill.WorkerID) {
 	s.now = now
 	w := s.workers[id]
-	if w == nil || w.unclear || w.dead {
+	if w == nil || w.entryInvalid || w.dead {
 		return
 	}
-	w.unclear = true
-	s.noteWorker(w, "its entry can't be understood", now.Sub(w.answered))
+	w.entryInvalid = true
+	s.noteWorker(w, "its entry can't be understood", now.Sub(w.answeredAt))
 }
 
 // endOlderLives declares the other lives of a machine dead: a machine has one
@@ -175,17 +175,17 @@
 	}
 }
 
-// UnlistWorker takes in that the platform lists a worker no more. It may still
+// WorkerUnlisted takes in that the platform lists a worker no more. It may still
 // run what it has.
-func (s *State) UnlistWorker(now time.Time, id spoolsill.WorkerID) {
+func (s *State) WorkerUnlisted(now time.Time, id spoolsill.WorkerID) {
 	s.now = now
 	w := s.workers[id]
 	if w == nil || !w.listed {
 		return
 	}
 	w.listed = false
-	s.noteWorker(w, "no longer listed", now.Sub(w.answered))
-	w.unlisted = now
+	s.noteWorker(w, "no longer listed", now.Sub(w.answeredAt))
+	w.unlistedAt = now
 	if !w.Draining {
 		w.leaves = now.Add(s.config.DrainTime)
 		s.mayHaveLapsed(w)
@@ -203,7 +203,7 @@
 // answers for another one.
 func (s *State) WorkerDied(now time.Time, l spoolsill.Life) {
 	s.now = now
-	if w := s.account(l); w != nil && !w.dead {
+	if w := s.workerOf(l); w != nil && !w.dead {
 		s.declareDead(w, "its address answers for another life")
 	}
 }
@@ -213,23 +213,23 @@
 // leaves, and is no longer listed, has left.
 func (s *State) WorkerRefused(now time.Time, l spoolsill.Life) {
 	s.now = now
-	w := s.account(l)
+	w := s.workerOf(l)
 	if w != nil && !w.dead && w.Draining && !w.listed {
 		s.declareDead(w, "it has left as announced")
 	}
 }
 
-// WorkerSilent takes in that an order to a worker had no answer, and that it has
+// WorkerUnresponsive takes in that an order to a worker had no answer, and that it has
 // answered nothing since. It gets nothing new until it does: of a hall that is cut
 // off each start would else be in doubt until a lease is over.
-func (s *State) WorkerSilent(now time.Time, l spoolsill.Life) {
+func (s *State) WorkerUnresponsive(now time.Time, l spoolsill.Life) {
 	s.now = now
-	w := s.account(l)
+	w := s.workerOf(l)
 	if w == nil || w.silent || w.dead {
 		return
 	}
 	w.silent = true
-	s.noteWorker(w, "an order had no answer", now.Sub(w.answered))
+	s.noteWorker(w, "an order had no answer", now.Sub(w.answeredAt))
 }
 
 // relistTime is how long after an outage of the store the entries that went with
@@ -243,7 +243,7 @@
 	s.now = now
 	s.storeRecoveredAt = now
 	for _, w := range s.workerList {
-		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlisted) < relistTime {
+		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlistedAt) < relistTime {
 			s.mayHaveLapsed(w)
 		}
 	}
@@ -271,10 +271,10 @@
 	return w.Draining || !w.present(now)
 }
 
-// saveLeaving stops what a worker about to leave can't finish, if its progress
+// stopOnLeaving stops what a worker about to leave can't finish, if its progress
 // is saved at the stop or it lasts: it goes on elsewhere. What ends with its worker
 // is else waited for until the worker's lease is over.
-func (s *State) saveLeaving() {
+func (s *State) stopOnLeaving() {
 	for _, w := range s.workerList {
 		if !w.leaving(s.now) || w.dead || len(w.runs) == 0 || w.leaves.Sub(s.now) > s.config.StopTime+saveMargin {
 			continue
@@ -291,9 +291,9 @@
 // saveMargin is the time to give a stop order and to hear of its end.
 const saveMargin = 400 * time.Millisecond
 
-// LeaseAsked takes in that a call may extend the lease of a worker's life until at most
+// LeaseRequested takes in that a call may extend the lease of a worker's life until at most
 // the given time by our clock. A call for a former life may reach the next one.
-func (s *State) LeaseAsked(l spoolsill.Life, until time.Time) {
+func (s *State) LeaseRequested(l spoolsill.Life, until time.Time) {
 	w := s.workers[l.Worker]
 	if w == nil {
 		return
@@ -327,7 +327,7 @@
 	w.dead = true
 	w.listed = false
 	s.endLife(w)
-	s.noteWorker(w, "dead: "+reason, s.now.Sub(w.answered))
+	s.noteWorker(w, "dead: "+reason, s.now.Sub(w.answeredAt))
 	if crashed {
 		s.confirmSuspicion(w)
 	}
@@ -343,10 +343,10 @@
 	s.suspectRuns(w, rs, over, reason)
 	for _, r := range rs {
 		r.task.stage.job.account.Lost++
-		s.lose(r, reason)
+		s.dropRun(r, reason)
 	}
 	for _, r := range rs {
-		s.giveUp(r.task.stage)
+		s.failCrashing(r.task.stage)
 	}
 }
 
@@ -382,7 +382,7 @@
 			continue
 		}
 		if len(w.runs) > 0 {
-			s.noteWorker(w, "lease is over", s.now.Sub(w.answered))
+			s.noteWorker(w, "lease is over", s.now.Sub(w.answeredAt))
 			w.missed = true
 			s.dropRuns(w, "lease is over", false)
 		}
@@ -399,12 +399,12 @@
 	})
 }
 
-// takes reports whether something new may be started at w now. Its lease must
+// acceptsStarts reports whether something new may be started at w now. Its lease must
 // have been renewed: a worker that answers again after a silence may be about
 // to end all that it runs.
-func (w *worker) takes(now time.Time) bool {
-	return w.present(now) && !w.unclear && !w.Draining && !w.dead && len(w.strays) == 0 &&
-		now.Sub(w.answered) < silentAfter && !w.silent && !now.Before(w.unwell) &&
+func (w *worker) acceptsStarts(now time.Time) bool {
+	return w.present(now) && !w.entryInvalid && !w.Draining && !w.dead && len(w.unknownRuns) == 0 &&
+		now.Sub(w.answeredAt) < silentAfter && !w.silent && !now.Before(w.unwell) &&
 		w.renewed.Sub(now) > leaseLeft
 }
 
