--- a/sched/advice.go
+++ b/sched/advice.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// warmShare is the part of the hosts that may renew tickets of gangs that
-	// wait, one in so many: questions about new work go before. Tried on the
-	// grown deployments, see docs/DECISIONS.md.
-	warmShare = 4
-	// ticketMargin is how long a ticket must still hold when a start is
-	// decided: a write, the call itself and some queueing.
+	// warmHostDivisor limits the hosts that may renew tickets of waiting gangs to one in
+	// so many: questions about new work take precedence. See docs/DECISIONS.md.
+	warmHostDivisor = 4
+	// ticketMargin is how much longer a ticket must be valid when a start is decided. It
+	// covers the write to the store, the call itself and some queueing.
 	ticketMargin = 200 * time.Millisecond
-	// askingEach bounds the questions under way for each host that can ask,
-	// so that those of the stages ranked first are not stuck behind others:
-	// one that is being answered and one that waits.
+	// askingEach bounds the outstanding questions per host that can ask, one being
+	// answered and one queued, so that the questions of the stages ranked first are not
+	// queued behind others.
 	askingEach = 2
-	// adviceWidth is the part of an advisor's base cost that is spent on
-	// asking about more workers at once.
-	adviceWidth = 0.45
-	// minAsked and maxAsked bound the workers of one question; the platform
-	// takes at most 100.
-	minAsked = 12
-	maxAsked = 100
-	// lostPause is between two questions about a stage of which the first got no
-	// answer: a host that is cut off from the advisor learns that in milliseconds,
-	// and would ask hundreds of times a second.
-	lostPause = 40 * time.Millisecond
-	// askMore is how long a stage waits for room at the workers that it may
-	// use before it asks about others.
+	// perWorkerCostShare is the part of the advisor's base cost that a question may
+	// spend on additional workers.
+	perWorkerCostShare = 0.45
+	// minQuestionWorkers and maxQuestionWorkers bound the workers of one question; the
+	// platform accepts at most 100.
+	minQuestionWorkers = 12
+	maxQuestionWorkers = 100
+	// lostRetryDelay is the delay before a stage asks again after a question without an
+	// answer. A host that is cut off from the advisor sees its calls fail within
+	// milliseconds, and would otherwise ask hundreds of times a second.
+	lostRetryDelay = 40 * time.Millisecond
+	// askMore is how long a stage waits for room at the workers that it may use before
+	// it asks about others.
 	askMore = 250 * time.Millisecond
 )
 
-// advice is what a stage knows of the workers that may run it.
+// advice holds what the advisor has told about the workers that may run a stage.
 type advice struct {
-	// asked and tickets are by account: what the advisor says holds for one life.
-	asked   map[*worker]bool // and answered: good or never
+	// asked and tickets are keyed by worker life, since an answer of the advisor holds
+	// for one life only.
+	asked   map[*worker]bool // with an answer: a ticket, or never allowed
 	tickets map[*worker]ticket
-	good    []*worker // those with a ticket, valid or not
-	// learning counts the questions under way about workers that are not
-	// known yet; warming tells that one renews the tickets of a gang that
-	// waits. Every question is answered, if only to say that it was lost.
+	good    []*worker // workers with a ticket, valid or expired
+	// learning counts the outstanding questions about workers that are not known yet;
+	// warming is set while one renews the tickets of a waiting gang. Every question gets
+	// an answer, if only one that says that it was lost.
 	learning int
 	warming  bool
-	last     time.Time // when the last answer about new workers came
+	last     time.Time // when the last answer about new workers was received
 }
 
 type ticket struct {
@@ -55,13 +55,13 @@
 	until time.Time
 }
 
-// valid reports whether the ticket for a worker can be used for a start that is
-// decided now.
+// valid reports whether the ticket for a worker can be used for a start that is decided
+// now.
 func (a *advice) valid(w *worker, now time.Time) bool {
 	return a.validFor(w, now, ticketMargin)
 }
 
-// validFor reports whether the ticket for a worker holds for longer than margin.
+// validFor reports whether the ticket for a worker is valid for longer than margin.
 func (a *advice) validFor(w *worker, now time.Time, margin time.Duration) bool {
 	return a.tickets[w].until.Sub(now) > margin
 }
@@ -72,7 +72,7 @@
 	a.tickets[w] = t
 }
 
-// ask orders a question about workers.
+// ask queues a question to the advisor about workers.
 func (s *State) ask(g *stage, q *Queue, workers []spoolsill.Life, p Purpose) {
 	if len(workers) == 0 {
 		return
@@ -96,12 +96,12 @@
 	})
 }
 
-// learnMore asks about workers that are not known yet: of a gang, which needs many,
-// in parts, as far as hosts are free to ask.
+// learnMore asks about workers that are not known yet. A gang needs many workers, so its
+// question is split over the hosts that are free to ask.
 func (d *decider) learnMore(g *stage, q *Queue, workers []spoolsill.Life) {
 	parts := 1
 	if g.step.Gang {
-		width := q.Advisor.width()
+		width := q.Advisor.questionSize()
 		parts = min((len(workers)+width-1)/width, (d.askers-d.asking)/2)
 	}
 	size := (len(workers) + max(parts, 1) - 1) / max(parts, 1)
@@ -110,16 +110,16 @@
 	}
 }
 
-// width is how many workers one question is about: asking about more at once
-// costs little up to there.
-func (a *Advisor) width() int {
+// questionSize returns how many workers one question is about. Up to that number,
+// additional workers cost little compared with the base cost.
+func (a *Advisor) questionSize() int {
 	if a.PerWorker <= 0 {
-		return maxAsked
+		return maxQuestionWorkers
 	}
-	return min(maxAsked, max(minAsked, int(adviceWidth*float64(a.Base)/float64(a.PerWorker))))
+	return min(maxQuestionWorkers, max(minQuestionWorkers, int(perWorkerCostShare*float64(a.Base)/float64(a.PerWorker))))
 }
 
-// SetAskers takes in how many questions hosts can ask the advisor at once.
+// SetAskers sets how many questions the hosts can put to the advisor at once.
 func (s *State) SetAskers(n int) {
 	s.askers = n
 }
@@ -131,17 +131,17 @@
 	return o
 }
 
-// unasked returns workers that g may use now and was not told about, those with
-// most free processors first. Workers that can't be reached have the most, as
-// far as is known, and are of no use.
+// unasked returns workers that g may use now and that the advisor was not asked about
+// for g, those with the most free processors first. Only ready workers qualify: an
+// unreachable worker has the most free processors as far as is known, but can't be used.
 func (d *decider) unasked(g *stage, q *Queue) []spoolsill.Life {
 	r := d.ready[q.Service]
 	if r == nil {
 		return nil
 	}
-	most := maxAsked
+	most := maxQuestionWorkers
 	if !g.step.Gang {
-		most = q.Advisor.width()
+		most = q.Advisor.questionSize()
 	}
 	var lives []spoolsill.Life
 	for _, w := range r.freest() {
@@ -155,7 +155,7 @@
 	return lives
 }
 
-// Advised takes in an answer of the advisor.
+// Advised handles an answer of the advisor.
 func (s *State) Advised(now time.Time, a Advice) {
 	s.now = now
 	s.asking--
@@ -173,7 +173,7 @@
 	s.note(Note{
 		Kind:   NoteAdvised,
 		Job:    j.ID,
-		Reason: fmt.Sprintf("stage %s: %d of %d workers may run it, asked to %s, lost %v", g.id, len(a.Tickets), len(a.Order.Workers), a.Order.Purpose, a.Lost),
+		Reason: fmt.Sprintf("stage %s: %d of %d workers may run it, purpose %s, answer lost %v", g.id, len(a.Tickets), len(a.Order.Workers), a.Order.Purpose, a.Lost),
 		Age:    now.Sub(a.Order.Ordered),
 	})
 	x := &g.advice
@@ -184,9 +184,9 @@
 		x.warming = false
 	}
 	if a.Lost {
-		g.retryAt = now.Add(lostPause)
+		g.retryAt = now.Add(lostRetryDelay)
 	} else {
-		s.takeTickets(g, a)
+		s.storeTickets(g, a)
 	}
 	if a.Order.Purpose == Learn {
 		return
@@ -196,11 +196,11 @@
 		s.dropPlan(g)
 		return
 	}
-	s.usePlan(g)
+	s.commitPlan(g)
 }
 
-// takeTickets takes in which workers may run a stage.
-func (s *State) takeTickets(g *stage, a Advice) {
+// storeTickets records which workers may run a stage.
+func (s *State) storeTickets(g *stage, a Advice) {
 	x := &g.advice
 	if x.asked == nil {
 		x.asked = map[*worker]bool{}
@@ -231,32 +231,32 @@
 	}
 }
 
-// usePlan records the planned runs whose tickets hold now and gives the room
-// of the others back. Of a gang all run or none. Runs whose workers are gone
-// meanwhile are no longer counted there.
-func (s *State) usePlan(g *stage) {
+// commitPlan records the planned runs whose tickets are valid now and releases the room
+// of the others. A gang's runs are recorded all or none. Runs whose worker was lost in
+// the meantime are skipped, since they no longer take room.
+func (s *State) commitPlan(g *stage) {
 	plan := g.planned
 	g.planned = nil
 	planned := len(plan)
 	plan = slices.DeleteFunc(plan, func(r *run) bool { return r.worker.runs[r.id] != r })
 	whole := len(plan) == planned
 	for _, r := range plan {
-		whole = whole && s.usable(r)
+		whole = whole && s.startable(r)
 	}
 	for _, r := range plan {
-		if (g.step.Gang && !whole) || !s.usable(r) {
-			s.unplan(r)
+		if (g.step.Gang && !whole) || !s.startable(r) {
+			s.cancelPlanned(r)
 			continue
 		}
 		s.record(r)
 	}
 }
 
-func (s *State) usable(r *run) bool {
+func (s *State) startable(r *run) bool {
 	return r.worker.takes(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.over() && r.task.stage.advice.valid(r.worker, s.now)
 }
 
-// plan takes room for a run while its ticket is renewed.
+// plan reserves room for a run while its ticket is renewed.
 func (s *State) plan(t *task, w *worker) {
 	r := &run{
 		id: RunID{
@@ -273,26 +273,26 @@
 	t.stage.planned = append(t.stage.planned, r)
 }
 
-func (s *State) unplan(r *run) {
+func (s *State) cancelPlanned(r *run) {
 	if r.worker.runs[r.id] != r {
 		return
 	}
-	s.unbook(r)
+	s.removeRun(r)
 	r.task.run = nil
 }
 
-// keepWarm renews the tickets of a gang that waits for room before they run
-// out, so that it starts at once when there is room, instead of holding that
-// until the advisor has answered.
+// keepWarm renews the tickets of a gang that waits for room before they expire, so that
+// the gang starts as soon as there is room, instead of holding the room until the
+// advisor has answered.
 func (d *decider) keepWarm(g *stage, q *Queue) {
 	a := &g.advice
-	if q.Advisor == nil || a.warming || d.warming >= max(d.askers/warmShare, 1) {
+	if q.Advisor == nil || a.warming || d.warming >= max(d.askers/warmHostDivisor, 1) {
 		return
 	}
 	var ready []*worker
 	var lives []spoolsill.Life
 	for _, w := range a.good {
-		if w.ready && len(ready) < maxAsked {
+		if w.ready && len(ready) < maxQuestionWorkers {
 			ready = append(ready, w)
 			lives = append(lives, w.life())
 		}
@@ -305,7 +305,7 @@
 
 func (s *State) dropPlan(g *stage) {
 	for _, r := range g.planned {
-		s.unplan(r)
+		s.cancelPlanned(r)
 	}
 	g.planned = nil
 }
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -9,61 +9,64 @@
 )
 
 const (
-	// trialTime is for how long after its start a suspect's run is on trial: a crash
-	// within that time is held against it.
-	trialTime = livedMost
-	// besideTrial counts a run on trial at a worker against starting something
-	// unsuspected there, as half of its run time: what is there may go with it.
-	besideTrial = 0.5
-	// stakeCost counts what a worker has to lose against a trial there, as a factor on
-	// the run time for a whole worker; for a strong suspect it outweighs distance.
-	stakeCost       = 1.0
-	strongStakeCost = 10.0
-	// crashedCost counts a machine's crash in the last crashedLately against a trial
-	// there: machines that go down by turns are the emptiest ones, and a trial there
-	// tells nothing.
-	crashedCost   = 10.0
-	crashedLately = time.Minute
-	// namedMost bounds the runs that a line on a crash names.
-	namedMost = 8
+	// trialPeriod is how long after its start a run of a suspect task is on trial: a
+	// crash of its worker in that period counts against the task.
+	trialPeriod = maxRuntimePerCrash
+	// besideTrialCost is the cost of starting an unsuspected task beside a run on trial,
+	// with which it may be lost, as a fraction of its run time for each such run.
+	besideTrialCost = 0.5
+	// runsAtRiskCost weighs the share of a worker that is in use, and that a crash would
+	// take down, against a trial there, as a factor on the run time. For strong
+	// suspicion it outweighs data locality.
+	runsAtRiskCost       = 1.0
+	strongRunsAtRiskCost = 10.0
+	// recentCrashCost weighs against a trial on a machine that crashed within
+	// recentCrashWindow: machines that restart repeatedly are the least loaded ones, and
+	// another crash there would prove nothing about the task.
+	recentCrashCost   = 10.0
+	recentCrashWindow = time.Minute
+	// maxNamedRuns bounds the runs that a log line about a crash names.
+	maxNamedRuns = 8
 )
 
-// place names the machine of a worker; where machines are not told, a life has the
-// address of the one before.
-func (w *worker) place() string {
+// machineKey identifies the machine of a worker. Where the platform names no machine it
+// is the address, which successive lives of a machine share.
+func (w *worker) machineKey() string {
 	return cmp.Or(w.Machine, w.Address)
 }
 
-// leftAsAnnounced reports whether a worker whose life is over ended no sooner than it
-// had said that it would.
+// leftAsAnnounced reports whether a worker whose life has ended was draining and did not
+// end before the time that it had announced.
 func (w *worker) leftAsAnnounced() bool {
-	return w.Draining && !w.answered.Add(silentAfter).Before(w.leaves)
+	return w.Draining && !w.answered.Add(maxAnswerAge).Before(w.earliestExit)
 }
 
-// takenAway reports whether a worker that is gone may have been taken away without a
-// word: it answered on after its entry had gone.
-func (w *worker) takenAway() bool {
-	return !w.listed && w.lapsed.IsZero() && w.answered.After(w.unlisted)
+// mayBeDecommissioned reports whether a worker that is gone may have been removed by the
+// platform without notice: it still answered after its entry was deleted.
+func (w *worker) mayBeDecommissioned() bool {
+	return !w.listed && w.graceUntil.IsZero() && w.answered.After(w.unlisted)
 }
 
-// suspectRuns takes in that a worker has gone with its runs: its life is over, or it
-// has been out of reach for so long that its lease is.
-func (s *State) suspectRuns(w *worker, rs []*run, over bool, reason string) {
+// recordLoss records that a worker is gone with its runs. It is known to have crashed
+// (over), or has been unreachable for longer than its lease, or may have been
+// decommissioned.
+func (s *State) recordLoss(w *worker, rs []*run, over bool, reason string) {
 	if over && w.leftAsAnnounced() {
 		return
 	}
 	if over {
-		s.noteCrashed(w)
+		s.recordCrash(w)
 	}
-	s.suspect(w, rs, over, reason)
+	s.addLosses(w, rs, over, reason)
 }
 
-// suspect holds it against runs of one account that the lives went that they were for.
-func (s *State) suspect(w *worker, rs []*run, over bool, reason string) {
-	var under []*run
+// addLosses counts the loss of a worker against the tasks of its runs. Each loss names
+// the life that the run was ordered for.
+func (s *State) addLosses(w *worker, rs []*run, over bool, reason string) {
+	var affected []*run
 	for _, r := range rs {
 		if r.phase == phasePlanned || r.phase == phaseRecorded || r.task.stage.job.state.Final() {
-			continue // no order has left, or nothing is repeated
+			continue // no order was sent, or the run would not be repeated
 		}
 		r.task.evidence.add(Loss{
 			Worker: w.id,
@@ -71,52 +74,53 @@
 			Begun:  r.phase == phaseConfirmed,
 			Over:   over,
 		})
-		under = append(under, r)
+		affected = append(affected, r)
 		if !slices.Contains(s.suspects, r.task) {
 			s.suspects = append(s.suspects, r.task)
 		}
 		s.touch(r.task.stage.job)
 	}
-	if len(under) > 0 {
-		s.noteCrash(w, under, reason)
+	if len(affected) > 0 {
+		s.noteSuspects(w, affected, reason)
 	}
 }
 
-// noteCrashed keeps in mind that a machine has crashed just now.
-func (s *State) noteCrashed(w *worker) {
-	if w.place() != "" {
-		s.crashedAt[w.place()] = s.now
+// recordCrash remembers that the machine of a worker has just crashed.
+func (s *State) recordCrash(w *worker) {
+	if w.machineKey() != "" {
+		s.crashedAt[w.machineKey()] = s.now
 	}
 }
 
-// noteCrash tells which runs are under suspicion, the most suspicious first.
-func (s *State) noteCrash(w *worker, rs []*run, reason string) {
+// noteSuspects logs which tasks are now suspect, those with the most losses first.
+func (s *State) noteSuspects(w *worker, rs []*run, reason string) {
 	slices.SortStableFunc(rs, func(a, b *run) int {
 		return cmp.Compare(len(b.task.evidence.losses), len(a.task.evidence.losses))
 	})
 	var named []string
-	for _, r := range rs[:min(len(rs), namedMost)] {
+	for _, r := range rs[:min(len(rs), maxNamedRuns)] {
 		named = append(named, fmt.Sprintf("%s (%d)", r.id.Task, len(r.task.evidence.losses)))
 	}
 	s.note(Note{
 		Kind:   NoteCrash,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s; %d runs under suspicion, by how many workers went under their tasks: %s", reason, len(rs), strings.Join(named, ", ")),
+		Reason: fmt.Sprintf("%s; %d runs lost with it, with the number of workers lost by each task: %s", reason, len(rs), strings.Join(named, ", ")),
 		Age:    s.now.Sub(w.answered),
 	})
 }
 
-// loseSuspicion takes back what a worker's silence was held against: it answers.
-func (s *State) loseSuspicion(w *worker) {
+// retractLosses drops the losses that were recorded for a worker's silence: it answers
+// again.
+func (s *State) retractLosses(w *worker) {
 	for _, t := range s.suspects {
-		if t.evidence.acquit(w.life()) {
+		if t.evidence.retract(w.life()) {
 			s.touch(t.stage.job)
 		}
 	}
 }
 
-// confirmSuspicion takes in that a worker that could not be reached has crashed.
-func (s *State) confirmSuspicion(w *worker) {
+// confirmLosses records that a worker that was unreachable has crashed.
+func (s *State) confirmLosses(w *worker) {
 	for _, t := range slices.Clone(s.suspects) {
 		if t.evidence.confirm(w.life()) {
 			s.touch(t.stage.job)
@@ -125,22 +129,22 @@
 	}
 }
 
-// clearOutlived clears the task of a run that has gone on for long enough.
-func (s *State) clearOutlived(r *run) {
+// clearIfSurvived clears the task of a run that has lasted for long enough.
+func (s *State) clearIfSurvived(r *run) {
 	if r.task.evidence.clearedBy(s.now.Sub(r.begun)) {
 		r.task.evidence = evidence{}
 		s.touch(r.task.stage.job)
 	}
 }
 
-// giveUp ends the job of a stage of which a task crashes the workers that start it,
+// giveUp fails the job of a stage if one of its tasks is proven to crash its workers,
 // and reports whether it did.
 func (s *State) giveUp(g *stage) bool {
 	if g.job.state.Final() {
 		return false
 	}
 	for _, t := range g.tasks {
-		if t.done || t.evidence.suspicion() < guilty {
+		if t.done || t.evidence.suspicion() < proven {
 			continue
 		}
 		reason := fmt.Sprintf("task %s is given up, under which workers went: %v", t.id(), t.evidence.workers())
@@ -155,89 +159,90 @@
 	return false
 }
 
-// keepSuspects forgets the tasks that are cleared, done, or of jobs that have ended,
-// and the crashes that were long ago.
+// keepSuspects removes tasks that are cleared, done or of finished jobs, and crashes
+// that are no longer recent.
 func (s *State) keepSuspects() {
 	s.suspects = slices.DeleteFunc(s.suspects, func(t *task) bool {
 		return len(t.evidence.losses) == 0 || t.done || t.stage.job.state.Final()
 	})
 	for m, at := range s.crashedAt {
-		if s.now.Sub(at) > crashedLately {
+		if s.now.Sub(at) > recentCrashWindow {
 			delete(s.crashedAt, m)
 		}
 	}
 }
 
-// beginTrial has a run of a suspect on trial at its worker.
+// beginTrial puts a run on trial at its worker if its task is suspect.
 func (w *worker) beginTrial(r *run) {
 	if len(r.task.evidence.losses) > 0 {
 		w.trials = append(w.trials, r)
 	}
 }
 
-// endTrial takes a run off its worker's trials, if it is one, and counts how long it
-// went on.
+// endTrial removes a run from its worker's trials, if it is one, and adds the time that
+// it lasted to the evidence of its task.
 func (w *worker) endTrial(r *run) {
 	w.trials = slices.DeleteFunc(w.trials, func(o *run) bool { return o == r })
 	if len(r.task.evidence.losses) == 0 {
 		return
 	}
-	if r.phase == phaseConfirmed && !r.former() && w.answered.After(r.begun) {
+	if r.phase == phaseConfirmed && !r.forFormerLife() && w.answered.After(r.begun) {
 		r.task.evidence.lived += w.answered.Sub(r.begun)
 	}
 }
 
-// onTrial reports whether a run may yet crash its worker.
-func (r *run) onTrial(now time.Time) bool {
-	return r.begun.IsZero() || now.Sub(r.begun) < trialTime
+// inTrial reports whether a run may still crash its worker.
+func (r *run) inTrial(now time.Time) bool {
+	return r.begun.IsZero() || now.Sub(r.begun) < trialPeriod
 }
 
-// trialsBeside counts the runs on trial at a worker that are not of a job, and of
-// them those of strong suspects.
-func (w *worker) trialsBeside(j *job, now time.Time) (all, strong int) {
+// otherTrials counts the runs on trial at a worker that belong to other jobs than j, and
+// those of them with strong suspicion.
+func (w *worker) otherTrials(j *job, now time.Time) (all, strong int) {
 	for _, r := range w.trials {
-		if r.task.stage.job == j || !r.onTrial(now) {
+		if r.task.stage.job == j || !r.inTrial(now) {
 			continue
 		}
 		all++
-		if r.task.evidence.suspicion() > suspect {
+		if r.task.evidence.suspicion() > weakSuspicion {
 			strong++
 		}
 	}
 	return all, strong
 }
 
-// barred reports whether a strong suspect of another job is on trial at a worker:
-// nothing is started there for that time, so that a crash tells who did it.
+// barred reports whether a strongly suspect task of another job is on trial at a worker.
+// Nothing is started there for the trial period, so that a crash can be attributed.
 func (d *decider) barred(g *stage, w *worker) bool {
-	_, strong := w.trialsBeside(g.job, d.now)
+	_, strong := w.otherTrials(g.job, d.now)
 	return strong > 0
 }
 
-// trialCost is what speaks against starting a task at a worker as far as crashes go,
-// on the scale of a factor on the run time. A suspect is tried where no other one is,
-// so that a second crash tells which of them did it, and where little goes with it.
+// trialCost returns the cost of starting a task at a worker that results from the risk
+// of crashes, as a factor on the run time. A suspect task is tried away from other
+// suspects, so that a second crash tells which of them caused it, and where a crash
+// takes few other runs down.
 func (d *decider) trialCost(t *task, w *worker) float64 {
 	level := t.evidence.suspicion()
 	if level == noSuspicion && len(w.trials) == 0 {
 		return 0
 	}
-	beside, _ := w.trialsBeside(t.stage.job, d.now)
+	beside, _ := w.otherTrials(t.stage.job, d.now)
 	if level == noSuspicion {
-		return besideTrial * float64(beside)
+		return besideTrialCost * float64(beside)
 	}
-	stake := stakeCost
-	if level > suspect {
-		stake = strongStakeCost
+	riskCost := runsAtRiskCost
+	if level > weakSuspicion {
+		riskCost = strongRunsAtRiskCost
 	}
-	c := failedCost*float64(beside) + stake*w.used.DominantShare(w.Capacity)
-	if _, crashed := d.crashedAt[w.place()]; crashed {
-		c += crashedCost
+	c := failedCost*float64(beside) + riskCost*w.used.DominantShare(w.Capacity)
+	if _, crashed := d.crashedAt[w.machineKey()]; crashed {
+		c += recentCrashCost
 	}
 	return c
 }
 
-// gangTrialCost is the same for a gang, of which it takes the most suspicious member.
+// gangTrialCost is trialCost for a gang, as for its most suspect member.
 func (d *decider) gangTrialCost(g *stage, w *worker) float64 {
 	worst := g.tasks[0]
 	for _, t := range g.tasks {
--- a/sched/event.go
+++ b/sched/event.go
@@ -6,7 +6,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Worker is one life of a machine that runs tasks, as the platform lists it.
+// A Worker is the platform's entry for one life of a machine that runs tasks.
 type Worker struct {
 	ID       spoolsill.WorkerID
 	Born     spoolsill.Birth
@@ -18,11 +18,11 @@
 	Labels   []string
 	Capacity spoolsill.Resources
 	Draining bool
-	// Remaining is the least time that a draining worker stays.
+	// Remaining is the least time for which a draining worker still runs.
 	Remaining time.Duration
 }
 
-// Life returns the life that the entry speaks of.
+// Life returns the life that the entry is for.
 func (w Worker) Life() spoolsill.Life {
 	return spoolsill.Life{
 		Worker: w.ID,
@@ -36,16 +36,15 @@
 // The ways in which a run ends.
 const (
 	EndDone    EndKind = iota // the work is done
-	EndFailed                 // by its own fault or the worker's
-	EndStopped                // as ordered
-	EndLapsed                 // the worker's lease ran out
+	EndFailed                 // the task or the worker is at fault
+	EndStopped                // by a stop order
+	EndLapsed                 // the worker's lease expired
 	EndBroken                 // another member of the gang ended
-	EndAlone                  // the other members of the gang did not come
+	EndAlone                  // the other members of the gang did not start
 )
 
 var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
 
-// String returns the kind's name.
 func (k EndKind) String() string {
 	if int(k) >= len(endKindNames) {
 		return "unknown"
@@ -53,8 +52,8 @@
 	return endKindNames[k]
 }
 
-// An End is a worker's word that a run has ended. Sequence counts the ends of
-// one life of the worker.
+// An End is a worker's report that a run has ended. Sequence numbers the ends of one
+// life of the worker.
 type End struct {
 	Sequence uint64
 	Run      RunID
@@ -62,49 +61,49 @@
 	Saved    string
 }
 
-// A RunningTask is a worker's word that it has a run.
+// A RunningTask is a worker's report of a run that it has.
 type RunningTask struct {
 	Run     RunID
 	Saved   string
 	Percent int
-	// Load is the tail of its answers in milliseconds for a task that serves
-	// users, else the processor use in millicores.
+	// Load is the tail latency of its answers in milliseconds for a task that serves
+	// users, otherwise its processor use in millicores.
 	Load int
 }
 
 // A Heartbeat is a worker's answer to a lease renewal.
 type Heartbeat struct {
-	// Life is the one that answered, by its own word; Asked is the one that the call was
-	// for, whose fence it had.
+	// Life is the life that answered, as it reported itself; Asked is the life that the
+	// call was for, whose fence it carried.
 	spoolsill.Life
 	Asked spoolsill.Life
-	// Sent is when the call was sent. What the answer does not list was not
-	// there at that time or later, until something else was started.
+	// Sent is when the call was sent. A run that the answer does not list was not at the
+	// worker at that time, and is not there later unless another start order is carried
+	// out.
 	Sent    time.Time
 	Clock   ClockMillis
 	Running []RunningTask
 	Ended   []End
-	// Partial tells that more ends follow in the next answer.
+	// Partial is set when more ends follow in the next answer.
 	Partial bool
 }
 
-// A StartOutcome tells what became of a start order.
+// A StartOutcome is the result of a start order.
 type StartOutcome uint8
 
 // The outcomes of a start order.
 const (
-	StartTaken     StartOutcome = iota // the run is there
-	StartRejected                      // the worker certainly did not start it
+	StartTaken     StartOutcome = iota // the worker has the run
+	StartRejected                      // the worker did not start it, for another reason
 	StartNoRoom                        // rejected: no room at the worker
 	StartNoTicket                      // rejected: the advisor's ticket was not valid
-	StartUnhealthy                     // the worker takes nothing at the moment
-	StartOtherLife                     // this life of the worker is over
-	StartUnknown                       // no answer: it may happen until its deadline
+	StartUnhealthy                     // the worker accepts no starts at the moment
+	StartOtherLife                     // this life of the worker has ended
+	StartUnknown                       // no answer: the order may be carried out until its deadline
 )
 
 var startOutcomeNames = [...]string{"taken", "rejected", "no-room", "no-ticket", "unhealthy", "other-life", "unknown"}
 
-// String returns the outcome's name.
 func (o StartOutcome) String() string {
 	if int(o) >= len(startOutcomeNames) {
 		return "unknown"
@@ -112,13 +111,13 @@
 	return startOutcomeNames[o]
 }
 
-// A StartAnswer reports on a start order. Life is the one that the order was for: which
-// one carried it out is told by lists of runs alone.
+// A StartAnswer reports the result of a start order. Life is the one that the order was
+// for; which life carried the order out is known only from its list of runs.
 type StartAnswer struct {
 	spoolsill.Life
 	Run     RunID
 	Outcome StartOutcome
-	// Doubt tells that an earlier try of the same order was not answered.
+	// Doubt is set when an earlier try of the same order was not answered.
 	Doubt bool
 	// Deadline is the latest time on the worker's clock at which any try of
 	// the order may still be carried out.
@@ -140,12 +139,12 @@
 	Run RunID
 }
 
-// A StopAnswer reports on a stop order.
+// A StopAnswer reports the result of a stop order.
 type StopAnswer struct {
 	Order StopOrder
-	// Taken tells that the worker stops the run, or does not have it.
+	// Taken is set when the worker stops the run, or does not have it.
 	Taken bool
-	// Reason tells why not.
+	// Reason is why the order was not taken.
 	Reason string
 }
 
@@ -154,28 +153,27 @@
 	Stage    StageID
 	Workers  []spoolsill.Life
 	Priority int
-	// Urgent tells that the stage is of the first priority and can be in time.
+	// Urgent is set when the stage has the highest priority and can still end in time.
 	Urgent  bool
 	Purpose Purpose
-	// Cost is how long the advisor needs.
+	// Cost is how long the advisor takes to answer.
 	Cost time.Duration
-	// Ordered is when the question was ordered.
+	// Ordered is when the question was queued.
 	Ordered time.Time
 }
 
-// A Purpose is what a question to the advisor is for.
+// A Purpose is the reason for a question to the advisor.
 type Purpose uint8
 
 // The purposes of questions.
 const (
-	Learn Purpose = iota // which of more workers may run the stage
-	Warm                 // tickets of a gang that waits are kept valid
-	Renew                // room is held until the tickets are valid again
+	Learn Purpose = iota // which additional workers may run the stage
+	Warm                 // keeps the tickets of a waiting gang valid
+	Renew                // renews tickets while room is held for their runs
 )
 
 var purposeNames = [...]string{"learn", "keep warm", "renew"}
 
-// String returns the purpose's name.
 func (p Purpose) String() string {
 	if int(p) >= len(purposeNames) {
 		return "unknown"
@@ -183,58 +181,59 @@
 	return purposeNames[p]
 }
 
-// A Ticket allows the tasks of a stage to start at a worker.
+// A Ticket permits the tasks of a stage to start at a worker.
 type Ticket struct {
 	Worker spoolsill.WorkerID
 	Text   string
 }
 
-// Advice answers an [AdviceOrder]. Workers that were asked about and have no
-// ticket may never run the stage.
+// Advice answers an [AdviceOrder]. Workers that were asked about and have no ticket are
+// never allowed to run the stage.
 type Advice struct {
 	Order   AdviceOrder
 	Tickets []Ticket
-	// Received is when the answer came, Valid how long the tickets hold.
+	// Received is when the answer arrived, Valid how long its tickets are valid.
 	Received time.Time
 	Valid    time.Duration
-	// Lost tells that no answer came.
+	// Lost is set when no answer arrived.
 	Lost bool
 }
 
-// An Ack is the highest end of a worker's life that lasts in the store.
+// An Ack acknowledges the ends of a worker's life up to Sequence: their effect is
+// stored.
 type Ack struct {
 	spoolsill.Life
 	Sequence uint64
 }
 
-// A JobRow is what the store keeps of a job's progress.
+// A JobRow is the stored progress of a job.
 type JobRow struct {
 	ID    spoolsill.JobID
 	Value []byte
 }
 
-// A JobStatus is what may be told of a job.
+// A JobStatus is the state of a job as clients may see it.
 type JobStatus struct {
 	ID    spoolsill.JobID
 	Queue QueueID
-	Team  spoolsill.TeamID // empty: nobody's, or not known any more
+	Team  spoolsill.TeamID // empty if the job has none or it is no longer known
 	State JobState
 }
 
-// A Batch is what one write makes last: Rows go into the store, and only after
-// that the rest may leave the host.
+// A Batch is the unit of one write to the store. Starts, Acks and Statuses may leave the
+// host only after Rows have been written.
 type Batch struct {
 	Rows     []JobRow
 	Starts   []StartOrder
 	Acks     []Ack
 	Statuses []JobStatus
-	// Ended has the jobs that need no more than their progress from now on.
+	// Ended has the jobs of which only the progress is needed from now on.
 	Ended []spoolsill.JobID
 	// Forgotten has the jobs whose progress is to be deleted.
 	Forgotten []spoolsill.JobID
 }
 
-// A NoteKind tells what a [Note] is about.
+// A NoteKind is the subject of a [Note].
 type NoteKind string
 
 // The kinds of notes.
@@ -256,31 +255,32 @@
 	NoteGivenUp    NoteKind = "task given up"
 )
 
-// A Note explains one decision or change of belief, for logs.
+// A Note explains a decision or a change of state, for logs.
 type Note struct {
 	Kind   NoteKind
 	Job    spoolsill.JobID
 	Run    RunID
 	Worker spoolsill.WorkerID
 	Reason string
-	// Age is how old the input was that decided.
+	// Age is the age of the information that the decision was based on.
 	Age time.Duration
-	// Account is that of a job that ended, else nil.
+	// Account is set for a job that has ended.
 	Account *Account
-	// Gone is how many workers have gone under the run's task, where a run is gone.
+	// Gone is the number of workers that were lost with the run's task, when the run is
+	// gone.
 	Gone int
 }
 
-// An Account tells what a job's time went to, for logs.
+// An Account tells what a job spent its time on, for logs.
 type Account struct {
-	// Objective is the time within which it should have ended.
+	// Objective is the time within which the job should have ended.
 	Objective time.Duration
-	// Advice, Room and Quota are for how long its stages waited for the advisor, for
-	// room at a worker, and for its team to have less running, added up.
+	// Advice, Room and Quota are the times that the job's stages waited for the advisor,
+	// for room at a worker, and for their team to fall below its quota, added up.
 	Advice time.Duration
 	Room   time.Duration
 	Quota  time.Duration
-	// Failed counts its runs that failed, Lost those whose worker was lost.
+	// Failed counts the job's runs that failed, Lost those whose worker was lost.
 	Failed int
 	Lost   int
 }
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -7,125 +7,125 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// What follows answers a load in which a few tasks crash each worker that starts
-// them, within milliseconds, while workers also go for other causes: racks that are
-// lost, machines that go down and up by turns, halls that are cut off. A worker has
-// dozens of runs when it goes, and each of them comes under suspicion once; what
-// tells the guilty from the others is that it goes again, soon after its next start.
+// Detection of tasks that crash their workers. A few such tasks may crash every worker
+// that starts them within milliseconds, while workers are also lost for other reasons:
+// failed racks, machines that restart repeatedly, halls that are cut off. A worker has
+// dozens of runs when it is lost, and each of their tasks becomes suspect. A crashing
+// task differs from the others in that its next worker is lost too, soon after the start.
 const (
-	// crashesEnough is how many workers must have crashed under a task for it to be
-	// given up early: two would do by the platform's word, but two of a series of
-	// machines that go down by turns meet one task now and then.
-	crashesEnough = 3
-	// livedMost is for how long a task's runs may have gone on, for each worker that
-	// crashed, to be given up early: a task that crashes its workers does so at its
-	// start, one that has bad luck is met at any moment of its run.
-	livedMost = time.Second
-	// lossesMost is how many runs of a task may go with their workers at all, whatever
-	// is known of these: after three crashes the platform allows two starts more.
-	lossesMost = 5
-	// A run clears its task by going on for twice as long as the others together, for
-	// outlivedLeast at least; outlivedMost is enough in any case, since a task that lasts
-	// loses a worker now and then for as long as it lives.
-	outlivedLeast = 10 * time.Second
-	outlivedMost  = time.Minute
+	// crashLimit is how many workers must have crashed with a run of a task for its job
+	// to fail early. Two would be enough for the platform, but a harmless task may now
+	// and then run on two machines of a series that restarts repeatedly.
+	crashLimit = 3
+	// maxRuntimePerCrash bounds the time that a task's runs have lasted, per crashed
+	// worker, for its job to fail early. A task that crashes its workers does so at its
+	// start, whereas unrelated crashes occur at any time during a run.
+	maxRuntimePerCrash = time.Second
+	// lossLimit is how many runs of a task may be lost with their workers, whatever the
+	// cause: after three crashes the platform allows two more starts.
+	lossLimit = 5
+	// A run clears its task of suspicion when it lasts twice as long as the task's
+	// earlier runs together, but at least minClearTime. maxClearTime is enough in any
+	// case, since a lasting task loses a worker now and then for as long as it runs.
+	minClearTime = 10 * time.Second
+	maxClearTime = time.Minute
 )
 
-// A Loss is a worker that went while it had a run of a task, or may have had one.
+// A Loss records a worker that was lost while it had, or may have had, a run of a task.
 type Loss struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	Worker spoolsill.WorkerID
-	// Born is of the worker's life that went. It is kept in [Progress.Births].
+	// Born identifies the life of the worker that was lost. It is stored in
+	// [Progress.Births].
 	Born spoolsill.Birth `msgpack:"-"`
-	// Begun tells that the worker surely had the run.
+	// Begun is set when the worker is known to have had the run.
 	Begun bool
-	// Over tells that the worker's life is surely over and was not ended as planned;
-	// else it may only be out of reach, or may have been taken away.
+	// Over is set when the worker's life is known to have ended without an announcement;
+	// otherwise the worker may only be unreachable, or may have been decommissioned.
 	Over bool
 }
 
-// of reports whether it was a life that went.
-func (l Loss) of(x spoolsill.Life) bool {
+// matches reports whether the loss is of the life x.
+func (l Loss) matches(x spoolsill.Life) bool {
 	return l.Worker == x.Worker && x.MayBe(l.Born)
 }
 
-// crash reports whether the worker surely crashed under a run.
-func (l Loss) crash() bool {
+// isCrash reports whether the worker is known to have crashed with the run.
+func (l Loss) isCrash() bool {
 	return l.Begun && l.Over
 }
 
-// A suspicion tells how likely a task is to crash the workers that start it.
+// A suspicion is the likelihood that a task crashes the workers that start it.
 type suspicion uint8
 
 const (
-	noSuspicion   suspicion = iota
-	suspect                 // one worker went under it, as under all that ran there
-	strongSuspect           // several did
-	guilty                  // it is to be given up
+	noSuspicion     suspicion = iota
+	weakSuspicion             // one worker was lost with it, as with all other runs there
+	strongSuspicion           // several workers were lost with it
+	proven                    // its job is to fail
 )
 
-// evidence is what speaks for a task crashing the workers that start it.
+// evidence is what suggests that a task crashes the workers that start it.
 type evidence struct {
 	losses []Loss
-	// lived is for how long runs have gone on that count, as far as their workers told.
+	// lived is the total time that runs of the task have lasted since it became suspect,
+	// as far as their workers have reported.
 	lived time.Duration
 }
 
-// suspicion weighs the evidence.
 func (e *evidence) suspicion() suspicion {
 	n := e.crashes()
 	switch {
-	case len(e.losses) >= lossesMost, n >= crashesEnough && e.lived <= time.Duration(n)*livedMost:
-		return guilty
+	case len(e.losses) >= lossLimit, n >= crashLimit && e.lived <= time.Duration(n)*maxRuntimePerCrash:
+		return proven
 	case len(e.losses) > 1:
-		return strongSuspect
+		return strongSuspicion
 	case len(e.losses) > 0:
-		return suspect
+		return weakSuspicion
 	default:
 		return noSuspicion
 	}
 }
 
-// crashes returns how many workers surely crashed.
+// crashes returns how many workers are known to have crashed.
 func (e *evidence) crashes() int {
 	n := 0
 	for _, l := range e.losses {
-		if l.crash() {
+		if l.isCrash() {
 			n++
 		}
 	}
 	return n
 }
 
-// add takes in a worker that went.
 func (e *evidence) add(l Loss) {
 	e.losses = append(e.losses, l)
 }
 
-// clearedBy reports whether a run that has gone on for a time, and goes on, shows that
+// clearedBy reports whether a run that has lasted for age and still goes on shows that
 // the task does not crash its workers.
 func (e *evidence) clearedBy(age time.Duration) bool {
-	return len(e.losses) > 0 && age > min(max(2*e.lived, outlivedLeast), outlivedMost)
+	return len(e.losses) > 0 && age > min(max(2*e.lived, minClearTime), maxClearTime)
 }
 
-// acquit takes back that a life went: it has answered since. The next life under its id
-// acquits nobody. It reports whether that changes anything.
-func (e *evidence) acquit(x spoolsill.Life) bool {
+// retract drops the losses of a life that has answered since, and reports whether there
+// were any. An answer of a later life of the same worker retracts nothing.
+func (e *evidence) retract(x spoolsill.Life) bool {
 	n := len(e.losses)
-	e.losses = slices.DeleteFunc(e.losses, func(l Loss) bool { return l.of(x) && !l.Over })
+	e.losses = slices.DeleteFunc(e.losses, func(l Loss) bool { return l.matches(x) && !l.Over })
 	if len(e.losses) == 0 {
 		e.lived = 0
 	}
 	return len(e.losses) != n
 }
 
-// confirm takes in that a life that could not be reached has crashed. It reports whether
-// that changes anything.
+// confirm records that a life that was unreachable has crashed, and reports whether that
+// changes anything.
 func (e *evidence) confirm(x spoolsill.Life) bool {
 	changed := false
 	for i, l := range e.losses {
-		if l.of(x) && !l.Over {
+		if l.matches(x) && !l.Over {
 			e.losses[i].Over = true
 			changed = true
 		}
@@ -133,7 +133,7 @@
 	return changed
 }
 
-// workers returns the workers that went, for people.
+// workers returns the workers that were lost, for messages.
 func (e *evidence) workers() []spoolsill.WorkerID {
 	ids := make([]spoolsill.WorkerID, len(e.losses))
 	for i, l := range e.losses {
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -8,19 +8,19 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// An account is that of one life of a worker: what is believed of a life, its ends, its
-// clock, its tickets and its health, does not hold for the next one. The id, the machine
-// and the address may stay, and so may orders that are on their way: the next life knows
-// of no stop, and its clock may be hours behind the deadlines. So its calls have a higher
-// fence than those for the lives before, whose orders it refuses once it has heard one;
-// and what was ordered for a life before is moved to the new account, until an answer to
-// such a call tells that it is not there.
-
-// formerKept bounds how many births of former lives are known. A word of an older one
-// would have to have been on its way for as long as so many lives lasted.
-const formerKept = 16
-
-// life returns the life that an account is of.
+// A worker struct is the state of one life of a worker: the ends, the clock, the tickets
+// and the health of a life do not apply to the next one. The id, the machine and the
+// address may be the same, and orders for the former life may still arrive: the next life
+// does not know of their stops, and its clock may be hours behind their deadlines.
+// Therefore calls for the next life carry a higher fence, and a worker that has received
+// one refuses orders for its former lives. Runs that were ordered for a former life are
+// moved to the next life's state, until its answer to such a call shows that it does not
+// have them.
+
+// maxFormerLives bounds the births of former lives that are kept for a worker. A report
+// of an older life would have been delayed for as long as that many lives lasted.
+const maxFormerLives = 16
+
 func (w *worker) life() spoolsill.Life {
 	return spoolsill.Life{
 		Worker: w.id,
@@ -28,9 +28,9 @@
 	}
 }
 
-// account returns the account of a life, or nil when its worker has another one now. A
-// birth that is not told is taken for the latest: platforms that tell none give each life
-// an id of its own.
+// account returns the state of a life, or nil when its worker has another life now. An
+// unknown birth matches the latest life: platforms that report no births give each life
+// its own id.
 func (s *State) account(l spoolsill.Life) *worker {
 	w := s.workers[l.Worker]
 	if w == nil || !w.life().MayBe(l.Born) {
@@ -39,10 +39,11 @@
 	return w
 }
 
-// meet returns the account of the life that a worker's own word is of, or nil when that
-// is a former one. Of a life that is not known it begins the account: births are compared
-// for being equal only, since the next life's time of day may be behind.
-func (s *State) meet(l spoolsill.Life, word string) *worker {
+// observeLife returns the state of the life that a report of a worker is from, or nil
+// when that is a former life. A life that is not known becomes the worker's latest.
+// Births are only compared for equality, since the clock of the next life may be behind.
+// The source of the report is for the log.
+func (s *State) observeLife(l spoolsill.Life, source string) *worker {
 	w := s.worker(l.Worker)
 	switch {
 	case l.Born == 0 || l.Born == w.born:
@@ -51,28 +52,29 @@
 		return nil
 	case w.born == 0 && !w.dead:
 		w.born = l.Born
-		w.renewed = w.answered // whoever renews its lease begins anew
+		w.renewedUntil = w.answered // renewals start over with the new life
 		return w
 	default:
-		// Also after proof that the former life is over: its id is not, and a worker that
-		// is never used again is missed by the whole cell.
-		return s.startAgain(w, l.Born, word)
+		// Also when the former life is known to have ended: otherwise the capacity of
+		// a worker that reuses its id would be lost to the cell.
+		return s.beginNextLife(w, l.Born, source)
 	}
 }
 
-// startAgain begins the account of a worker's next life, which has the place of the one
-// before. Until its entry tells more it is taken to be where that one was.
-func (s *State) startAgain(old *worker, b spoolsill.Birth, word string) *worker {
+// beginNextLife creates the state of a worker's next life, which replaces that of the
+// former one. Until its entry is seen, its properties are taken to be those of the
+// former life.
+func (s *State) beginNextLife(old *worker, b spoolsill.Birth, source string) *worker {
 	w := newWorker(old.id)
 	w.born = b
 	w.restarts = old.restarts + 1
 	known := slices.Concat(old.former, []spoolsill.Birth{old.born})
-	w.former = known[max(len(known)-formerKept, 0):]
+	w.former = known[max(len(known)-maxFormerLives, 0):]
 	w.Worker = old.Worker
 	w.Draining = false
 	w.unlisted = s.now
-	w.leaves = s.now.Add(s.config.DrainTime)
-	w.leased = LeaseEnd(s.now, s.config.Lease)
+	w.earliestExit = s.now.Add(s.config.DrainTime)
+	w.leaseUntil = LeaseEnd(s.now, s.config.Lease)
 	s.workers[w.id] = w
 	i := slices.Index(s.order, old)
 	if i < 0 {
@@ -80,34 +82,34 @@
 	} else {
 		s.order[i] = w
 	}
-	w.crashed = !old.dead && !old.takenAway() && !old.leftAsAnnounced()
+	w.crashed = !old.dead && !old.mayBeDecommissioned() && !old.leftAsAnnounced()
 	if w.crashed {
-		s.noteCrashed(old)
-		s.confirmSuspicion(old)
+		s.recordCrash(old)
+		s.confirmLosses(old)
 	}
-	s.noteStartedAgain(old, w, word)
-	s.endFormer(old)
+	s.noteNextLife(old, w, source)
+	s.markFormerDead(old)
 	for _, r := range sortedRuns(old) {
-		s.move(r, w)
+		s.moveRun(r, w)
 	}
 	return w
 }
 
-func (s *State) noteStartedAgain(old, w *worker, word string) {
+func (s *State) noteNextLife(old, w *worker, source string) {
 	ended := "crashed"
 	if !w.crashed {
-		ended = "was over, or ended as announced"
+		ended = "had ended before, or left as announced"
 	}
 	s.note(Note{
 		Kind:   NoteLife,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s names a life born %d; the one born %d %s, with %d runs, %d of them in doubt, and its ends seen up to %d",
-			word, w.born, old.born, ended, len(old.runs), old.doubtful(), old.seen),
+		Reason: fmt.Sprintf("%s is of a life born %d; the one born %d %s, with %d runs, %d of them in doubt, and ends received up to %d",
+			source, w.born, old.born, ended, len(old.runs), old.doubtful(), old.lastEndSeen),
 		Age: s.now.Sub(old.answered),
 	})
 }
 
-// doubtful counts the runs that may or may not be at w.
+// doubtful counts the runs of which it is not known whether w has them.
 func (w *worker) doubtful() int {
 	n := 0
 	for _, r := range w.runs {
@@ -118,33 +120,33 @@
 	return n
 }
 
-// endFormer takes in that a life is over since the next one has begun.
-func (s *State) endFormer(old *worker) {
+// markFormerDead records that a life has ended because the next one has begun.
+func (s *State) markFormerDead(old *worker) {
 	old.dead = true
 	old.listed = false
 	old.ready = false
-	s.endLife(old)
+	s.removeLife(old)
 }
 
-// move moves a run to the account of its worker's next life, where its order may arrive
-// yet. One whose order has not left never will.
-func (s *State) move(r *run, w *worker) {
+// moveRun moves a run to the state of its worker's next life, where its order may still
+// arrive. A run whose order was not sent is dropped.
+func (s *State) moveRun(r *run, w *worker) {
 	switch r.phase {
 	case phasePlanned:
-		s.unplan(r)
+		s.cancelPlanned(r)
 	case phaseRecorded:
-		s.lose(r, "its worker started again before the order left")
+		s.lose(r, "its worker started again before the order was sent")
 	default:
-		s.unbook(r)
+		s.removeRun(r)
 		r.worker = w
 		s.book(r)
-		// A stop that the former life took means nothing here.
+		// A stop that the former life accepted does not apply to the next one.
 		r.stopped = time.Time{}
 		r.stopDue = s.now
 	}
 }
 
-// Restarts returns how many lives of a worker are known that are over.
+// Restarts returns how many lives of a worker are known to have ended before its latest.
 func (s *State) Restarts(id spoolsill.WorkerID) int {
 	if w := s.workers[id]; w != nil {
 		return w.restarts
@@ -152,23 +154,23 @@
 	return 0
 }
 
-// former reports whether a run was ordered for a former life of its worker, and is not
-// known to be there now.
-func (r *run) former() bool {
+// forFormerLife reports whether a run was ordered for a former life of its worker and
+// has not been reported by the latest one.
+func (r *run) forFormerLife() bool {
 	return !r.worker.life().MayBe(r.born)
 }
 
-// loseAbsent takes in that a worker's answer proves that it has not got some runs. Those of
-// a former life went with it, which counts against their tasks as any crash does: a task
-// that crashes its workers would else be started again for as long as they come back.
-func (s *State) loseAbsent(w *worker, rs []*run) {
-	former := slices.DeleteFunc(slices.Clone(rs), func(r *run) bool { return !r.former() })
+// dropAbsent drops runs that a worker's answer proves to be absent. Runs of a former
+// life were lost with it, which counts against their tasks as any crash does: a task
+// that crashes its workers would otherwise be restarted each time they come back.
+func (s *State) dropAbsent(w *worker, rs []*run) {
+	former := slices.DeleteFunc(slices.Clone(rs), func(r *run) bool { return !r.forFormerLife() })
 	if w.crashed || w.restarts == 0 {
-		// Of a life that a former leader knew it is not known how it ended.
-		s.suspect(w, former, w.crashed, "it started again")
+		// It is not known how a life ended that only a former leader has seen.
+		s.addLosses(w, former, w.crashed, "it started again")
 	}
 	for _, r := range rs {
-		if r.former() {
+		if r.forFormerLife() {
 			r.task.stage.job.account.Lost++
 			s.lose(r, "its worker started again")
 			continue
@@ -180,8 +182,8 @@
 	}
 }
 
-// noteUncounted notes an end that is taken for one that was seen, though its run is
-// believed to be there.
+// noteUncounted logs an end that is taken for a duplicate although its run is still
+// counted at the worker.
 func (s *State) noteUncounted(w *worker, e End) {
 	if w.runs[e.Run] == nil {
 		return
@@ -191,6 +193,6 @@
 		Job:    e.Run.Task.Stage.Job,
 		Run:    e.Run,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s, number %d, of a worker whose ends are seen up to %d", e.Kind, e.Sequence, w.seen),
+		Reason: fmt.Sprintf("%s, sequence %d, from a worker whose ends are received up to %d", e.Kind, e.Sequence, w.lastEndSeen),
 	})
 }
--- a/sched/room.go
+++ b/sched/room.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// WorkersHeard takes in that all changes of the workers' entries before a time are known.
+// WorkersHeard records that all changes of the workers' entries up to the time sent are
+// known.
 func (s *State) WorkersHeard(now, sent time.Time) {
 	s.now = now
 	if sent.After(s.entriesHeard) {
@@ -10,15 +11,15 @@
 	}
 }
 
-// roomIsKnown reports whether workers' rooms are known well enough for something to be
-// started: a worker that does not guard its room would else be brought over it.
+// roomIsKnown reports whether the workers' entries are recent enough for a start. A
+// worker that does not check its own capacity could otherwise be overcommitted.
 func (s *State) roomIsKnown() bool {
 	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesHeard) <= s.config.EntriesAge
 }
 
-// hasRoom reports whether all that is in a worker's account fits it, what is being
-// stopped and what may yet start there included. Its room may have shrunk since some of
-// that was decided.
+// hasRoom reports whether all runs that are counted at a worker fit its capacity,
+// including those being stopped and those that may still start. The capacity may have
+// been reduced since they were placed.
 func (w *worker) hasRoom() bool {
 	return !w.free().Negative()
 }
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -17,7 +17,7 @@
 	)
 }
 
-// book puts a run into its worker's account.
+// book counts a run at its worker and for its team.
 func (s *State) book(r *run) {
 	r.worker.runs[r.id] = r
 	r.worker.used = r.worker.used.Add(r.need)
@@ -28,8 +28,8 @@
 	j.team.used = j.team.used.Add(r.need)
 }
 
-// unbook takes a run out of its worker's account, and out of its team's.
-func (s *State) unbook(r *run) {
+// removeRun undoes book.
+func (s *State) removeRun(r *run) {
 	w := r.worker
 	delete(w.runs, r.id)
 	w.used = w.used.Sub(r.need)
@@ -39,21 +39,20 @@
 	j.team.used = j.team.used.Sub(r.need)
 }
 
-// release takes a run out of its worker's account: it is certainly not there.
+// release removes a run that is certainly not at its worker.
 func (s *State) release(r *run) {
 	w := r.worker
 	if w.runs[r.id] != r {
 		return
 	}
-	s.unbook(r)
+	s.removeRun(r)
 	if r.task.run == r {
 		r.task.run = nil
 	}
 	s.touch(r.task.stage.job)
 }
 
-// lose takes a run that is certainly gone out of its worker's account; its task is open
-// again.
+// lose removes a run that is certainly gone. Its task can be started again.
 func (s *State) lose(r *run, reason string) {
 	s.release(r)
 	s.note(Note{
@@ -65,11 +64,11 @@
 		Age:    s.now.Sub(r.begun),
 		Gone:   len(r.task.evidence.losses),
 	})
-	s.breakGang(r, reason)
+	s.stopGangMembers(r, reason)
 }
 
-// breakGang stops the other members of a gang of which one is gone.
-func (s *State) breakGang(r *run, reason string) {
+// stopGangMembers stops the other members of a gang after one of its runs is gone.
+func (s *State) stopGangMembers(r *run, reason string) {
 	g := r.task.stage
 	if !g.step.Gang || g.done() {
 		return
@@ -82,11 +81,11 @@
 			s.withdraw(t.run)
 			continue
 		}
-		s.stop(t.run, "gang is broken: "+reason)
+		s.stop(t.run, "another member of the gang is gone: "+reason)
 	}
 }
 
-// withdraw takes back a run whose order has not left yet.
+// withdraw cancels a run whose order has not been sent.
 func (s *State) withdraw(r *run) {
 	j := r.task.stage.job
 	kept := j.starts[:0]
@@ -99,7 +98,7 @@
 	s.release(r)
 }
 
-// StartAnswered takes in what became of a start order.
+// StartAnswered handles the result of a start order.
 func (s *State) StartAnswered(now time.Time, a StartAnswer) {
 	s.now = now
 	w := s.workers[a.Worker]
@@ -109,8 +108,8 @@
 	r := w.runs[a.Run]
 	if a.Outcome == StartOtherLife {
 		if r != nil && !a.Doubt {
-			// It surely never began there: what ended that life is something else.
-			s.lose(r, "start: "+a.Outcome.String())
+			// The run never began there, so that it can't have ended that life.
+			s.lose(r, "start order: "+a.Outcome.String())
 		}
 		s.WorkerDied(now, a.Life)
 		return
@@ -126,10 +125,10 @@
 		r.phase = phaseDoubt
 		r.deadline = a.Deadline
 	default:
-		s.reject(r, a.Outcome)
+		s.dropRejected(r, a.Outcome)
 	}
 	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.life().MayBe(a.Born) {
-		w.unwell = now.Add(unwellFor)
+		w.backoffUntil = now.Add(rejectBackoff)
 		w.health.reject(now)
 	}
 }
@@ -155,85 +154,86 @@
 	}
 	r.phase = phaseConfirmed
 	r.resolved = s.now
-	s.begins(r.task.stage.job)
+	s.markBegun(r.task.stage.job)
 }
 
-// begins takes in that a task of a job has begun. That is not written for its own
-// sake: the recorded start implies it, as far as the store tells.
-func (s *State) begins(j *job) {
+// markBegun records that a task of a job has begun. No row is written for that: as far
+// as the store shows, the recorded start implies it.
+func (s *State) markBegun(j *job) {
 	if j.state == Pending {
 		s.setState(j, Running)
 		s.told = append(s.told, j.status())
 	}
 }
 
-// reject drops a run that the worker certainly did not start.
-func (s *State) reject(r *run, o StartOutcome) {
+// dropRejected drops a run that the worker certainly did not start.
+func (s *State) dropRejected(r *run, o StartOutcome) {
 	g := r.task.stage
 	if o == StartNoTicket {
 		g.advice.expire(r.worker)
 	}
-	g.retryAt = s.now.Add(rejectedPause)
-	s.lose(r, "start: "+o.String())
+	g.retryAt = s.now.Add(rejectedRetryDelay)
+	s.lose(r, "start order: "+o.String())
 }
 
-// rejectedPause keeps a stage whose start was turned away from being tried
-// again in the same moment; about one round trip and one write.
-const rejectedPause = 50 * time.Millisecond
+// rejectedRetryDelay is the delay before a stage is tried again after a rejected start,
+// about one round trip and one write.
+const rejectedRetryDelay = 50 * time.Millisecond
 
-// Heartbeat takes in a worker's answer to a lease renewal.
+// Heartbeat handles a worker's answer to a lease renewal.
 func (s *State) Heartbeat(now time.Time, h Heartbeat) {
 	s.now = now
 	if s.workers[h.Worker] == nil {
 		return
 	}
-	w := s.meet(h.Life, "its answer")
+	w := s.observeLife(h.Life, "its answer")
 	if w == nil || w.dead {
 		return
 	}
 	if w.answered.IsZero() {
-		s.endInheritance(w)
+		s.capInheritedLease(w)
 	}
 	if s.answeredFirst.IsZero() {
 		s.answeredFirst = now
 	}
-	if w.missed || w.answered.IsZero() {
-		w.missed = false
-		s.loseSuspicion(w)
+	if w.leaseExpired || w.answered.IsZero() {
+		w.leaseExpired = false
+		s.retractLosses(w)
 	}
-	if now.Sub(w.answered) > silentAfter {
+	if now.Sub(w.answered) > maxAnswerAge {
 		s.noteWorker(w, "answers", now.Sub(w.answered))
 	}
 	w.answered = now
-	w.silent = false
+	w.unresponsive = false
 	for _, e := range h.Ended {
-		s.takeEnd(w, e)
+		s.handleEnd(w, e)
 	}
 	listed := make(map[RunID]bool, len(h.Running))
 	for _, x := range h.Running {
 		listed[x.Run] = true
-		s.seeRunning(w, x)
+		s.updateRunning(w, x)
 	}
 	maps.DeleteFunc(w.strays, func(id RunID, _ time.Time) bool { return !listed[id] })
 	if h.Partial {
-		s.takeUpStrays(w, h)
+		s.reconcileUnknownRuns(w, h)
 		return
 	}
 	var absent []*run
 	for _, r := range sortedRuns(w) {
-		if !listed[r.id] && r.absent(h) {
+		if !listed[r.id] && r.provenAbsent(h) {
 			absent = append(absent, r)
 		}
 	}
-	s.loseAbsent(w, absent)
-	s.takeUpStrays(w, h)
+	s.dropAbsent(w, absent)
+	s.reconcileUnknownRuns(w, h)
 }
 
-// absent reports whether a heartbeat that does not list r proves that the
-// worker neither has it nor may still start it.
-func (r *run) absent(h Heartbeat) bool {
-	if r.former() {
-		// Its order, and its deadline, are of a life before: the fence settles it.
+// provenAbsent reports whether a heartbeat that does not list r proves that the worker
+// neither has it nor may still start it.
+func (r *run) provenAbsent(h Heartbeat) bool {
+	if r.forFormerLife() {
+		// The order and its deadline are for a former life. A life that has answered
+		// a call of its own refuses them, as its fence is higher.
 		return h.Asked == r.worker.life()
 	}
 	if !r.stopped.IsZero() && h.Sent.After(r.stopped) {
@@ -251,22 +251,22 @@
 	}
 }
 
-func (s *State) seeRunning(w *worker, x RunningTask) {
+func (s *State) updateRunning(w *worker, x RunningTask) {
 	r := w.runs[x.Run]
 	if r == nil {
-		return // a stray, see takeUpStrays
+		return // in no record, see reconcileUnknownRuns
 	}
 	if r.phase != phaseRecorded && r.phase != phasePlanned {
 		s.confirm(r)
 	}
-	if r.begun.IsZero() || r.former() {
+	if r.begun.IsZero() || r.forFormerLife() {
 		r.begun = s.now
 	}
 	r.born = w.born
 	if x.Saved != "" {
 		r.task.saved = x.Saved
 	}
-	s.clearOutlived(r)
+	s.clearIfSurvived(r)
 	if r.moved.IsZero() || x.Percent != r.percent {
 		r.percent = x.Percent
 		r.moved = s.now
@@ -276,15 +276,15 @@
 	}
 }
 
-// takeEnd takes in one end of a run.
-func (s *State) takeEnd(w *worker, e End) {
-	if e.Sequence <= w.seen {
-		// The worker still lists it, so it has not heard the acknowledgement.
-		s.acks[w.life()] = w.seen
+// handleEnd handles a worker's report that a run has ended.
+func (s *State) handleEnd(w *worker, e End) {
+	if e.Sequence <= w.lastEndSeen {
+		// The worker still lists it, so it has not received the acknowledgement.
+		s.acks[w.life()] = w.lastEndSeen
 		s.noteUncounted(w, e)
 		return
 	}
-	w.seen = e.Sequence
+	w.lastEndSeen = e.Sequence
 	s.acks[w.life()] = e.Sequence
 	r := w.runs[e.Run]
 	s.note(Note{
@@ -293,14 +293,14 @@
 		Run:    e.Run,
 		Worker: w.id,
 		Reason: e.Kind.String(),
-		Age:    age(s.now, r),
+		Age:    runAge(s.now, r),
 	})
 	if r == nil {
-		s.lateEnd(e)
+		s.handleLateEnd(e)
 		return
 	}
 	t := r.task
-	s.begins(t.stage.job)
+	s.markBegun(t.stage.job)
 	if e.Saved != "" {
 		t.saved = e.Saved
 	}
@@ -312,20 +312,20 @@
 	case EndFailed:
 		s.taskFailed(t, r)
 	default:
-		s.breakGang(r, e.Kind.String())
+		s.stopGangMembers(r, e.Kind.String())
 	}
 }
 
-func age(now time.Time, r *run) time.Duration {
+func runAge(now time.Time, r *run) time.Duration {
 	if r == nil || r.begun.IsZero() {
 		return 0
 	}
 	return now.Sub(r.begun)
 }
 
-// lateEnd takes in an end of a run that is not counted any more: only
-// work that is done changes anything.
-func (s *State) lateEnd(e End) {
+// handleLateEnd handles the end of a run that is no longer counted. Only completed work
+// is of interest.
+func (s *State) handleLateEnd(e End) {
 	if e.Kind != EndDone {
 		return
 	}
@@ -344,7 +344,7 @@
 	s.taskDone(t, e.Run.Number)
 }
 
-// taskDone marks a task done. One member's end stands for its whole gang.
+// taskDone marks a task done. In a gang, the completion of one member completes all.
 func (s *State) taskDone(t *task, n RunNumber) {
 	g := t.stage
 	if g.step.Lasting || g.job.state.Final() || t.done {
@@ -376,7 +376,7 @@
 		s.withdraw(t.run)
 		return
 	}
-	s.stop(t.run, "an earlier run was done")
+	s.stop(t.run, "an earlier run of its task is done")
 }
 
 func (s *State) taskFailed(t *task, r *run) {
@@ -391,18 +391,18 @@
 	case !g.step.Gang:
 		t.fails++
 	case g.failedRun == r.id.Number:
-		return // another member's failure of this run was counted
+		return // already counted for another member of this run
 	default:
 		g.failedRun = r.id.Number
 		g.fails++
 	}
 	if !s.failExhausted(g) {
-		s.breakGang(r, "a member failed")
+		s.stopGangMembers(r, "a member failed")
 	}
 }
 
-// failExhausted ends the job of a stage of which a task, or the gang, has failed
-// as often as its queue allows, and reports whether it did.
+// failExhausted fails the job of a stage if a task, or the gang as a whole, has failed
+// as often as the queue allows, and reports whether it did.
 func (s *State) failExhausted(g *stage) bool {
 	most := s.queue(g.job).MaxAttempts
 	if most <= 0 {
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// stopTries is how long the tries of one stop order take at most, when none
-	// is answered; what follows it is the next order's.
-	stopTries = 1500 * time.Millisecond
-	// stopPause is between stop orders of which the worker certainly took
-	// none: a fifth of the least time within which a cancelled task must be gone.
-	stopPause = 150 * time.Millisecond
-	// stopMargin is how much longer than it needs a worker has to list the end
-	// of a run that it stops: the end is heard of with the next heartbeat.
+	// stopTryWindow bounds the time for all tries of one stop order when none is
+	// answered. After it the next order is due.
+	stopTryWindow = 1500 * time.Millisecond
+	// stopRetryDelay is the delay between stop orders that the worker is known not to
+	// have taken: a fifth of the shortest time within which a cancelled task must be
+	// gone.
+	stopRetryDelay = 150 * time.Millisecond
+	// stopMargin is the time, in addition to that for the stop itself, for a worker to
+	// report the end of the run: the end is received with the next heartbeat.
 	stopMargin = 500 * time.Millisecond
 )
 
-// stop orders a run to be stopped. From then on the run is wanted gone: the
-// order is given again for as long as the run is in its worker's account.
+// stop orders a run to be stopped. The order is repeated for as long as the run is
+// counted at its worker.
 func (s *State) stop(r *run, reason string) {
 	if r.stopping {
 		return
@@ -28,13 +29,13 @@
 	s.orderStop(r, reason)
 }
 
-// orderStop orders a run to be stopped, or has that wait until it is known where
-// its worker is reached.
+// orderStop queues a stop order for a run. Without the worker's address it does nothing;
+// the order is then given once the address is known.
 func (s *State) orderStop(r *run, reason string) {
 	if r.worker.Address == "" {
 		return
 	}
-	r.stopDue = s.dueAfterStop()
+	r.stopDue = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
 		Life: r.worker.life(),
 		Run:  r.id,
@@ -49,28 +50,28 @@
 	})
 }
 
-// dueAfterStop returns when the next order is due of a stop that is ordered now.
-func (s *State) dueAfterStop() time.Time {
-	return s.now.Add(stopTries + s.config.StopTime + stopMargin)
+// nextStopAfterOrder returns when a stop order that is given now is to be repeated.
+func (s *State) nextStopAfterOrder() time.Time {
+	return s.now.Add(stopTryWindow + s.config.StopTime + stopMargin)
 }
 
-// dueAfterAnswer returns the same of a stop that is answered now.
-func (s *State) dueAfterAnswer(a StopAnswer) time.Time {
+// nextStopAfterAnswer returns when a stop order that is answered now is to be repeated.
+func (s *State) nextStopAfterAnswer(a StopAnswer) time.Time {
 	if !a.Taken {
-		return s.now.Add(stopPause)
+		return s.now.Add(stopRetryDelay)
 	}
 	return s.now.Add(s.config.StopTime + stopMargin)
 }
 
-// seeStray takes in that a worker has a run that no record names, and orders it to
-// be stopped if that is due. A worker of many short tasks answers fifty times a
-// second and goes on listing a run while it stops it: an order for each answer makes
-// 150 in 3 s, paced they are 5 (TestStopsOfUnknownRunsArePaced).
-func (s *State) seeStray(w *worker, id RunID) {
+// stopUnknownRun orders a run that a worker lists and that is in no record to be
+// stopped, if such an order is due. A worker with many short tasks answers fifty times a
+// second and lists a run until it is stopped: one order for each answer would be 150 in
+// 3 s; with the delay it is 5 (TestStopsOfUnknownRunsArePaced).
+func (s *State) stopUnknownRun(w *worker, id RunID) {
 	if s.now.Before(w.strays[id]) {
 		return
 	}
-	w.strays[id] = s.dueAfterStop()
+	w.strays[id] = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
 		Life: w.life(),
 		Run:  id,
@@ -80,23 +81,23 @@
 		Job:    id.Task.Stage.Job,
 		Run:    id,
 		Worker: w.id,
-		Reason: "no record names it",
+		Reason: "the run is in no record",
 	})
 }
 
-// stopAgain gives the stop orders again that are due and have had no effect: a
-// worker that was out of reach when its run was cancelled would else run it to
-// its end. Cost: O(runs wanted gone).
+// stopAgain repeats the stop orders that are due and have had no effect. A worker that
+// was unreachable when its run was cancelled would otherwise run it to completion. Cost:
+// O(runs being stopped).
 func (s *State) stopAgain() {
 	s.unwanted = slices.DeleteFunc(s.unwanted, func(r *run) bool { return r.worker.runs[r.id] != r })
 	for _, r := range s.unwanted {
 		if !s.now.Before(r.stopDue) {
-			s.orderStop(r, "it may still be there")
+			s.orderStop(r, "the run may still be there")
 		}
 	}
 }
 
-// StopAnswered takes in what became of a stop order.
+// StopAnswered handles the result of a stop order.
 func (s *State) StopAnswered(now time.Time, a StopAnswer) {
 	s.now = now
 	w := s.account(a.Order.Life)
@@ -104,14 +105,14 @@
 		return
 	}
 	if _, ok := w.strays[a.Order.Run]; ok {
-		w.strays[a.Order.Run] = s.dueAfterAnswer(a)
+		w.strays[a.Order.Run] = s.nextStopAfterAnswer(a)
 		return
 	}
 	r := w.runs[a.Order.Run]
 	if r == nil {
 		return
 	}
-	r.stopDue = s.dueAfterAnswer(a)
+	r.stopDue = s.nextStopAfterAnswer(a)
 	if !a.Taken {
 		s.note(Note{
 			Kind:   NoteNotStopped,
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -9,78 +9,82 @@
 )
 
 const (
-	// clockSlack is how much slower than ours a worker's clock may run; the
-	// platform says at most 2%.
-	clockSlack = 0.02
-	// leaseMargin covers timers that go off late, on both sides.
+	// maxClockDrift is how much slower than ours a worker's clock may run; the platform
+	// specifies at most 2%.
+	maxClockDrift = 0.02
+	// leaseMargin covers late timers on both sides.
 	leaseMargin = 250 * time.Millisecond
-	// silentAfter is how old a worker's last answer may be before nothing new
-	// is started there: a heartbeat that waited for an end for half a second,
-	// one answer that got lost, and the next heartbeat.
-	silentAfter = 900 * time.Millisecond
-	// leaseLeft is how much of its lease a worker must have left to be given
+	// maxAnswerAge is the age of a worker's last answer from which on nothing new is
+	// started there. It covers a heartbeat that waited half a second for an end, one
+	// lost answer, and the next heartbeat.
+	maxAnswerAge = 900 * time.Millisecond
+	// minLeaseLeft is how much of its lease a worker must have left to be given
 	// something new.
-	leaseLeft = time.Second
-	// lateMost is for how long a worker whose entry went is looked at though nothing
-	// is known to run there: orders without an answer are carried out up to 12 s
-	// later, by the platform's word, and the last one may just have been sent.
+	minLeaseLeft = time.Second
+	// lateMost is how long a worker whose entry was deleted is still contacted although
+	// it has no known runs. The platform specifies that an unanswered order may be
+	// carried out up to 12 s later, and the last one may have been sent just before.
 	lateMost = 14 * time.Second
-	// unwellFor is how long a worker that turned an order away is left alone.
-	unwellFor = 700 * time.Millisecond
+	// rejectBackoff is how long nothing new is started at a worker that rejected a start
+	// as unhealthy or did not answer it.
+	rejectBackoff = 700 * time.Millisecond
 )
 
-// A worker is one life of a machine and the account of its runs.
+// A worker is the state of one life of a worker and of its runs.
 type worker struct {
 	Worker
 	id spoolsill.WorkerID
-	// born is that of this life, zero until it is told; former are those of lives before.
+	// born is the birth of this life, zero until it is known; former are the births of
+	// earlier lives.
 	born   spoolsill.Birth
 	former []spoolsill.Birth
-	// crashed tells that the life before this one ended otherwise than as announced.
+	// crashed is set when the life before this one ended otherwise than announced.
 	crashed bool
-	// restarts counts the lives before this one that are known.
+	// restarts counts the known earlier lives.
 	restarts int
 	listed   bool
 	dead     bool
-	// closed tells that the account is not looked at: the worker is not listed
-	// and has no runs. It is opened again when the worker is back.
+	// closed is set while the worker is not in State.order, since it is not listed and
+	// has no runs. It is reset when the worker comes back.
 	closed bool
 	used   spoolsill.Resources
 	runs   map[RunID]*run
-	// seen is the highest end of this life that was taken in: the next one counts from 1
-	// again, and its ends would be taken for those of this one.
-	seen uint64
-	// answered is when the latest heartbeat answer came under our leadership.
+	// lastEndSeen is the highest sequence of the ends received from this life. It does
+	// not apply to the next life, which counts from 1 again: its ends would be taken for
+	// duplicates.
+	lastEndSeen uint64
+	// answered is when the latest heartbeat was received under this leadership.
 	answered time.Time
-	// leased is until when, by our clock, its lease may last; renewed is
-	// until when we have asked for it.
-	leased  time.Time
-	renewed time.Time
-	// strays are the runs that it has and no record names, by when the next order
-	// to stop them is due.
+	// leaseUntil is the latest time, by our clock, at which its lease may end;
+	// renewedUntil is the time until which we have requested it.
+	leaseUntil   time.Time
+	renewedUntil time.Time
+	// strays are the runs that it lists and that are in no record, with the time at
+	// which the next order to stop them is due.
 	strays map[RunID]time.Time
-	// leaves is when a worker that drains, or is no longer listed, may be gone
-	// at the earliest; unlisted is when its entry went.
-	leaves   time.Time
-	unlisted time.Time
-	// lapsed is until when a worker whose entry went with an outage of the
-	// store is taken as listed.
-	lapsed time.Time
-	unwell time.Time // nothing new before
-	// silent tells that an order had no answer: nothing new until it answers.
-	silent bool
-	// unclear tells that its entry names no worker to use: it gets nothing new, and keeps
-	// its lease and its runs, until the entry does again.
+	// earliestExit is the earliest time at which a worker that drains, or is no longer
+	// listed, may exit; unlisted is when its entry was deleted.
+	earliestExit time.Time
+	unlisted     time.Time
+	// graceUntil is until when a worker whose entry was lost in an outage of the store
+	// is treated as listed.
+	graceUntil   time.Time
+	backoffUntil time.Time // nothing new is started before
+	// unresponsive is set while an order had no answer and the worker has not answered
+	// since: nothing new is started there.
+	unresponsive bool
+	// unclear is set while its entry can't be decoded: nothing new is started there, but
+	// its lease is renewed and its runs are kept.
 	unclear bool
-	// missed tells that its runs were given up since its lease was over.
-	missed bool
-	ready  bool // takes something new, as of the pass under way
-	health health
-	// trials are the runs of tasks under which workers went.
+	// leaseExpired is set when its runs were dropped because its lease had expired.
+	leaseExpired bool
+	ready        bool // accepts something new, as of the current pass
+	health       health
+	// trials are the runs of suspect tasks.
 	trials []*run
 }
 
-// worker returns the account of a worker, and opens it when there is none.
+// worker returns the state of a worker's latest life, which is created if there is none.
 func (s *State) worker(id spoolsill.WorkerID) *worker {
 	w := s.workers[id]
 	if w != nil {
@@ -88,7 +92,7 @@
 		return w
 	}
 	w = newWorker(id)
-	w.leased = s.config.TakenOver.Add(s.config.InheritedLease)
+	w.leaseUntil = s.config.TakenOver.Add(s.config.InheritedLease)
 	s.workers[id] = w
 	s.order = append(s.order, w)
 	return w
@@ -102,9 +106,8 @@
 	}
 }
 
-// reopen has the account of a worker that is back looked at again. It is the
-// same one: what the advisor said of this life of the worker, and what is known
-// of its health, still holds.
+// reopen adds a worker that is back to the order again. Its state is kept: the advisor's
+// answers for this life and its health still apply.
 func (s *State) reopen(w *worker) {
 	if !w.closed {
 		return
@@ -113,16 +116,16 @@
 	s.order = append(s.order, w)
 }
 
-// ListWorker takes in a worker as the platform lists it.
+// ListWorker handles a worker's entry in the platform's table.
 func (s *State) ListWorker(now time.Time, l Worker) {
 	s.now = now
-	w := s.meet(l.Life(), "its entry")
+	w := s.observeLife(l.Life(), "its entry")
 	if w == nil || w.dead {
 		return
 	}
 	if l.Draining && !w.Draining {
 		s.noteWorker(w, "draining", 0)
-		w.leaves = now.Add(l.Remaining)
+		w.earliestExit = now.Add(l.Remaining)
 	}
 	if !w.listed {
 		s.noteWorker(w, "listed", 0)
@@ -132,13 +135,13 @@
 	}
 	w.listed = true
 	w.unclear = false
-	w.lapsed = time.Time{}
+	w.graceUntil = time.Time{}
 	w.Worker = l
-	s.endOlderLives(w)
+	s.declareOlderLivesDead(w)
 }
 
-// WorkerUnclear takes in that a worker's entry can't be understood, as if someone else
-// had written it. One that is not known from before is none.
+// WorkerUnclear records that a worker's entry can't be decoded, for example because
+// another program has overwritten it. It is ignored for workers that are not known.
 func (s *State) WorkerUnclear(now time.Time, id spoolsill.WorkerID) {
 	s.now = now
 	w := s.workers[id]
@@ -146,12 +149,12 @@
 		return
 	}
 	w.unclear = true
-	s.noteWorker(w, "its entry can't be understood", now.Sub(w.answered))
+	s.noteWorker(w, "its entry can't be decoded", now.Sub(w.answered))
 }
 
-// endOlderLives declares the other lives of a machine dead: a machine has one
-// life at a time, and this one was listed later.
-func (s *State) endOlderLives(w *worker) {
+// declareOlderLivesDead declares the unlisted other lives of a machine dead: a machine
+// has one life at a time, and this one was listed later.
+func (s *State) declareOlderLivesDead(w *worker) {
 	if w.Machine == "" {
 		return
 	}
@@ -166,8 +169,8 @@
 	}
 }
 
-// endLife takes a dead life off its machine's list.
-func (s *State) endLife(w *worker) {
+// removeLife removes a dead life from the list of its machine.
+func (s *State) removeLife(w *worker) {
 	lives := slices.DeleteFunc(s.lives[w.Machine], func(o *worker) bool { return o == w })
 	s.lives[w.Machine] = lives
 	if len(lives) == 0 {
@@ -175,8 +178,8 @@
 	}
 }
 
-// UnlistWorker takes in that the platform lists a worker no more. It may still
-// run what it has.
+// UnlistWorker records that a worker's entry was deleted. The worker may continue its
+// runs.
 func (s *State) UnlistWorker(now time.Time, id spoolsill.WorkerID) {
 	s.now = now
 	w := s.workers[id]
@@ -187,8 +190,8 @@
 	s.noteWorker(w, "no longer listed", now.Sub(w.answered))
 	w.unlisted = now
 	if !w.Draining {
-		w.leaves = now.Add(s.config.DrainTime)
-		s.mayHaveLapsed(w)
+		w.earliestExit = now.Add(s.config.DrainTime)
+		s.startOutageGrace(w)
 	}
 	for _, o := range s.lives[w.Machine] {
 		if o != w && o.listed {
@@ -196,11 +199,11 @@
 			return
 		}
 	}
-	s.closeAccount(w)
+	s.closeWorker(w)
 }
 
-// WorkerDied takes in proof that this life of a worker is over: its address
-// answers for another one.
+// WorkerDied records proof that a life of a worker has ended: its address answers for
+// another life.
 func (s *State) WorkerDied(now time.Time, l spoolsill.Life) {
 	s.now = now
 	if w := s.account(l); w != nil && !w.dead {
@@ -208,139 +211,139 @@
 	}
 }
 
-// WorkerRefused takes in that nothing listens at a worker's address. That alone
-// proves nothing, since a cut may look the same; but one that said that it
-// leaves, and is no longer listed, has left.
+// WorkerRefused records that connections to a worker's address are refused. That alone
+// proves nothing, since a network partition may look the same; but a worker that was
+// draining and is no longer listed has exited.
 func (s *State) WorkerRefused(now time.Time, l spoolsill.Life) {
 	s.now = now
 	w := s.account(l)
 	if w != nil && !w.dead && w.Draining && !w.listed {
-		s.declareDead(w, "it has left as announced")
+		s.declareDead(w, "it was draining and has exited")
 	}
 }
 
-// WorkerSilent takes in that an order to a worker had no answer, and that it has
-// answered nothing since. It gets nothing new until it does: of a hall that is cut
-// off each start would else be in doubt until a lease is over.
+// WorkerSilent records that an order to a worker had no answer, and that it has answered
+// nothing since. Nothing new is started there until it answers: otherwise every start in
+// a hall that is cut off would be in doubt until a lease has expired.
 func (s *State) WorkerSilent(now time.Time, l spoolsill.Life) {
 	s.now = now
 	w := s.account(l)
-	if w == nil || w.silent || w.dead {
+	if w == nil || w.unresponsive || w.dead {
 		return
 	}
-	w.silent = true
+	w.unresponsive = true
 	s.noteWorker(w, "an order had no answer", now.Sub(w.answered))
 }
 
-// relistTime is how long after an outage of the store the entries that went with
-// it take to be back, by the platform's word: about two seconds.
-const relistTime = 2 * time.Second
+// relistDelay is how long after an outage of the store entries that were lost in it take
+// to reappear; the platform specifies about two seconds.
+const relistDelay = 2 * time.Second
 
-// StoreBack takes in that the store takes writes again after an outage. Entries
-// that went with it say nothing about their workers until they had the time to
-// be back.
+// StoreBack records that the store accepts writes again after an outage. Until
+// relistDelay has passed, an entry that was lost in the outage does not mean that its
+// worker has left.
 func (s *State) StoreBack(now time.Time) {
 	s.now = now
 	s.storeBack = now
 	for _, w := range s.order {
-		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlisted) < relistTime {
-			s.mayHaveLapsed(w)
+		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlisted) < relistDelay {
+			s.startOutageGrace(w)
 		}
 	}
 }
 
-// mayHaveLapsed has a worker that is no longer listed used on for a while, if
-// its entry may have gone with the store.
-func (s *State) mayHaveLapsed(w *worker) {
-	if s.storeBack.IsZero() || s.now.Sub(s.storeBack) >= relistTime {
+// startOutageGrace treats a worker that is no longer listed as listed for some time, if
+// its entry may have been lost in an outage of the store.
+func (s *State) startOutageGrace(w *worker) {
+	if s.storeBack.IsZero() || s.now.Sub(s.storeBack) >= relistDelay {
 		return
 	}
-	w.lapsed = s.storeBack.Add(relistTime)
-	w.leaves = w.lapsed.Add(s.config.DrainTime)
-	s.noteWorker(w, "its entry may have gone with the store", s.now.Sub(s.storeBack))
+	w.graceUntil = s.storeBack.Add(relistDelay)
+	w.earliestExit = w.graceUntil.Add(s.config.DrainTime)
+	s.noteWorker(w, "its entry may have been lost in the outage of the store", s.now.Sub(s.storeBack))
 }
 
-// present reports whether a worker is in the cell, as far as entries tell.
+// present reports whether a worker is in the cell according to its entry.
 func (w *worker) present(now time.Time) bool {
-	return w.listed || now.Before(w.lapsed)
+	return w.listed || now.Before(w.graceUntil)
 }
 
-// leaving reports whether a worker will be gone soon: it says so, or its entry
-// went without a word.
+// leaving reports whether a worker is about to exit: it is draining, or its entry was
+// deleted without an announcement.
 func (w *worker) leaving(now time.Time) bool {
 	return w.Draining || !w.present(now)
 }
 
-// saveLeaving stops what a worker about to leave can't finish, if its progress
-// is saved at the stop or it lasts: it goes on elsewhere. What ends with its worker
-// is else waited for until the worker's lease is over.
+// saveLeaving stops the runs that a worker about to exit can't finish, if their progress
+// is saved at the stop or they are lasting, so that they continue elsewhere. A run that
+// ends with its worker is otherwise only replaced once the worker's lease has expired.
 func (s *State) saveLeaving() {
 	for _, w := range s.order {
-		if !w.leaving(s.now) || w.dead || len(w.runs) == 0 || w.leaves.Sub(s.now) > s.config.StopTime+saveMargin {
+		if !w.leaving(s.now) || w.dead || len(w.runs) == 0 || w.earliestExit.Sub(s.now) > s.config.StopTime+checkpointMargin {
 			continue
 		}
 		for _, r := range sortedRuns(w) {
 			p := r.task.stage.step
 			if (p.Checkpoints || p.Lasting) && r.phase == phaseConfirmed {
-				s.stop(r, "its worker leaves")
+				s.stop(r, "its worker is about to exit")
 			}
 		}
 	}
 }
 
-// saveMargin is the time to give a stop order and to hear of its end.
-const saveMargin = 400 * time.Millisecond
+// checkpointMargin is the time for sending a stop order and receiving the end.
+const checkpointMargin = 400 * time.Millisecond
 
-// LeaseAsked takes in that a call may extend the lease of a worker's life until at most
+// LeaseAsked records that a call may extend the lease of a worker's life until at most
 // the given time by our clock. A call for a former life may reach the next one.
 func (s *State) LeaseAsked(l spoolsill.Life, until time.Time) {
 	w := s.workers[l.Worker]
 	if w == nil {
 		return
 	}
-	if until.After(w.renewed) && w.life().MayBe(l.Born) {
-		w.renewed = until
+	if until.After(w.renewedUntil) && w.life().MayBe(l.Born) {
+		w.renewedUntil = until
 	}
-	if until.After(w.leased) {
-		w.leased = until
+	if until.After(w.leaseUntil) {
+		w.leaseUntil = until
 	}
 }
 
-// endInheritance is called with a worker's first answer to us: from then on it
-// refuses former leaders, and no lease is longer than the longest.
-func (s *State) endInheritance(w *worker) {
+// capInheritedLease is called with a worker's first answer under this leadership: from
+// then on the worker refuses former leaders, so that its lease is at most Config.Lease.
+func (s *State) capInheritedLease(w *worker) {
 	most := LeaseEnd(s.now, s.config.Lease)
-	if w.leased.After(most) {
-		w.leased = most
+	if w.leaseUntil.After(most) {
+		w.leaseUntil = most
 	}
 }
 
-// LeaseEnd returns the latest time, by a clock that may run faster than the
-// worker's, at which a lease of length d asked for now has ended.
+// LeaseEnd returns the latest time at which a lease of length d that is requested now
+// may end, by a clock that may run faster than the worker's.
 func LeaseEnd(now time.Time, d time.Duration) time.Time {
-	return now.Add(d + time.Duration(float64(d)*clockSlack) + leaseMargin)
+	return now.Add(d + time.Duration(float64(d)*maxClockDrift) + leaseMargin)
 }
 
-// declareDead drops all runs of a worker that is certainly gone.
+// declareDead drops all runs of a worker that has certainly exited.
 func (s *State) declareDead(w *worker, reason string) {
-	crashed := !w.takenAway()
+	crashed := !w.mayBeDecommissioned()
 	w.dead = true
 	w.listed = false
-	s.endLife(w)
+	s.removeLife(w)
 	s.noteWorker(w, "dead: "+reason, s.now.Sub(w.answered))
 	if crashed {
-		s.confirmSuspicion(w)
+		s.confirmLosses(w)
 	}
 	s.dropRuns(w, reason, crashed)
-	s.closeAccount(w)
+	s.closeWorker(w)
 }
 
-// dropRuns takes in that all that a worker ran is gone with it: its life is over, or
-// it has been out of reach for longer than its lease. That counts against the tasks:
-// one that crashes its workers lists no end, and would be started again for ever.
+// dropRuns drops the runs of a worker that is known to have crashed (over), or that may
+// be gone. The loss counts against their tasks: a task that crashes its workers never
+// reports an end, and would otherwise be restarted forever.
 func (s *State) dropRuns(w *worker, reason string, over bool) {
 	rs := sortedRuns(w)
-	s.suspectRuns(w, rs, over, reason)
+	s.recordLoss(w, rs, over, reason)
 	for _, r := range rs {
 		r.task.stage.job.account.Lost++
 		s.lose(r, reason)
@@ -359,14 +362,13 @@
 	return rs
 }
 
-// closeAccount closes the account of a worker that is not listed and has no
-// runs. Dead ones stay as they are, so that a late list entry does not revive
-// them.
-func (s *State) closeAccount(w *worker) {
+// closeWorker removes a worker that is not listed and has no runs from the order. Dead
+// workers stay, so that a late entry does not revive them.
+func (s *State) closeWorker(w *worker) {
 	if w.present(s.now) || len(w.runs) > 0 || w.dead {
 		return
 	}
-	if s.now.Before(w.leased) {
+	if s.now.Before(w.leaseUntil) {
 		return
 	}
 	w.closed = true
@@ -374,19 +376,19 @@
 	s.order = slices.DeleteFunc(s.order, func(o *worker) bool { return o == w })
 }
 
-// expireLeases drops the runs of workers that have been silent for so long
-// that their leases are over.
+// expireLeases drops the runs of workers that have not answered for so long that their
+// leases have expired.
 func (s *State) expireLeases() {
 	for _, w := range slices.Clone(s.order) {
-		if w.dead || s.now.Before(w.leased) {
+		if w.dead || s.now.Before(w.leaseUntil) {
 			continue
 		}
 		if len(w.runs) > 0 {
 			s.noteWorker(w, "lease is over", s.now.Sub(w.answered))
-			w.missed = true
+			w.leaseExpired = true
 			s.dropRuns(w, "lease is over", false)
 		}
-		s.closeAccount(w)
+		s.closeWorker(w)
 	}
 }
 
@@ -399,21 +401,20 @@
 	})
 }
 
-// takes reports whether something new may be started at w now. Its lease must
-// have been renewed: a worker that answers again after a silence may be about
-// to end all that it runs.
+// takes reports whether something new may be started at w now. Its lease must have been
+// renewed: a worker that answers again after a silence may be about to end all its runs.
 func (w *worker) takes(now time.Time) bool {
 	return w.present(now) && !w.unclear && !w.Draining && !w.dead && len(w.strays) == 0 &&
-		now.Sub(w.answered) < silentAfter && !w.silent && !now.Before(w.unwell) &&
-		w.renewed.Sub(now) > leaseLeft
+		now.Sub(w.answered) < maxAnswerAge && !w.unresponsive && !now.Before(w.backoffUntil) &&
+		w.renewedUntil.Sub(now) > minLeaseLeft
 }
 
 func (w *worker) free() spoolsill.Resources {
 	return w.Capacity.Sub(w.used)
 }
 
-// CheckRoom returns an error when the runs of a worker need more than
-// it has, or are counted wrong. It is meant for tests.
+// CheckRoom returns an error when the runs of a worker exceed its capacity, or the sum
+// of their needs is wrong. It is meant for tests.
 func (s *State) CheckRoom() error {
 	for _, w := range s.order {
 		var sum spoolsill.Resources
@@ -421,7 +422,7 @@
 			sum = sum.Add(r.need)
 		}
 		if sum != w.used {
-			return fmt.Errorf("worker %s: account says %v, runs need %v", w.id, w.used, sum)
+			return fmt.Errorf("worker %s: %v counted as used, its runs need %v", w.id, w.used, sum)
 		}
 		if w.present(s.now) && !w.hasRoom() {
 			return fmt.Errorf("worker %s: %v used of %v", w.id, w.used, w.Capacity)
