--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// advise answers a question with tickets for some workers.
+// advise answers a question with tickets for the given workers.
 func (x *cell) advise(o sched.AdviceOrder, good ...spoolsill.WorkerID) {
 	a := sched.Advice{
 		Order:    o,
@@ -48,9 +48,9 @@
 	x.c.Assert(o[0].Ticket, qt.Equals, "ticket-b")
 }
 
-// Room stays taken while a ticket is renewed, and the question is never asked
-// twice: questions that nobody waits for any more would clog the advisor.
-func TestOldTicketIsRenewedWithRoomHeld(t *testing.T) {
+// Guards against room that another task takes while a ticket is renewed, and against
+// repeated questions: those that no stage waits for any more would overload the advisor.
+func TestExpiredTicketIsRenewedWithRoomHeld(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
@@ -76,7 +76,7 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
 
-func TestPlanForgetsWorkersThatAreGone(t *testing.T) {
+func TestPlanSkipsLostWorkers(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
@@ -86,14 +86,14 @@
 	x.renew("w")
 	x.step()
 	q := x.question()
-	// The lease ends and the worker comes back before the answer does.
+	// The lease expires and the worker answers again before the advisor does.
 	x.pass(7*time.Second, nil)
 	x.renew("w")
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
-func TestLostQuestionGivesTheRoomBack(t *testing.T) {
+func TestLostQuestionReleasesTheRoom(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
@@ -113,8 +113,9 @@
 	x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 }
 
-// As many questions are under way as hosts can ask; urgent ones always.
-func TestQuestionsFollowTheHosts(t *testing.T) {
+// The outstanding questions are bounded by the hosts that can ask. Urgent ones are
+// exempt.
+func TestQuestionsAreBoundedByHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5} {
 		x := newCell(t)
 		x.worker("w")
@@ -127,10 +128,10 @@
 	}
 }
 
-// Urgent work that can be in time asks whatever else does. What can't be any more
-// waits for hosts that are free: after an outage a heap of it would else keep the
-// hosts from the questions of what can.
-func TestOnlyTimelyUrgentQuestionsGoBeforeAll(t *testing.T) {
+// Urgent questions are exempt from the bound only while their job can still be in time.
+// After an outage there may be many jobs that can't, whose questions would otherwise
+// delay those that matter.
+func TestOnlyTimelyUrgentQuestionsExceedTheBound(t *testing.T) {
 	const hosts = 3
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
@@ -155,8 +156,8 @@
 	}
 }
 
-// Workers that don't answer look idle: their runs are given up, and nothing new
-// is started there.
+// Guards against questions about workers that don't answer: their runs are dropped, so
+// that they look idle, but nothing new is started there.
 func TestOnlyWorkersThatAnswerAreAskedAbout(t *testing.T) {
 	x := newCell(t)
 	x.worker("silent")
@@ -171,8 +172,8 @@
 	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("busy")})
 }
 
-// A gang that waits for room has its tickets renewed meanwhile, so that the
-// room does not stand idle until the advisor has answered.
+// Guards against room that stands idle until the advisor has answered: the tickets of a
+// gang that waits for room are renewed in advance.
 func TestTicketsOfAWaitingGangAreKeptValid(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
@@ -193,7 +194,8 @@
 	x.c.Assert(x.state.Advices(), qt.HasLen, 0)
 }
 
-// The answers about parts of the workers come sooner than one about all.
+// A question is split over free hosts since answers about parts of the workers arrive
+// sooner than one about all.
 func TestGangsAskInPartsAsFarAsHostsAreFree(t *testing.T) {
 	for hosts, parts := range map[int]int{1: 1, 4: 2, 20: 3} {
 		x := newCell(t)
@@ -218,8 +220,8 @@
 	}
 }
 
-// A worker that is back after its account was closed is the one that the advisor
-// named: it is not asked about again.
+// Guards against a worker that comes back after it was closed being taken for a new one:
+// the advisor's answer for it still applies.
 func TestAdviceOutlivesAWorkersAbsence(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
@@ -228,7 +230,7 @@
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	// The worker is cut off until its lease is over, and then comes back.
+	// The worker is unreachable until its lease has expired, and then comes back.
 	x.state.UnlistWorker(x.now, "w")
 	x.pass(2*lease, nil)
 	x.worker("w")
@@ -240,8 +242,7 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
-// Where the advisor refuses each question at once, asking again must not become a
-// storm.
+// Guards against a flood of questions when the advisor refuses each one at once.
 func TestLostQuestionsAreAskedAgainAfterAPause(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -17,8 +17,8 @@
 	return spoolsill.WorkerID(fmt.Sprintf("m%d-%d", machine, n))
 }
 
-// listLife lists a life of a machine of ten cores, and has it renew its lease. As on
-// some platforms, entries do not name the machine: its lives share an address.
+// listLife lists a life of a machine of ten cores and renews its lease. As on some
+// platforms, entries do not name the machine; its lives share an address.
 func (x *cell) listLife(machine, n int) spoolsill.WorkerID {
 	id := life(machine, n)
 	x.state.ListWorker(x.now, sched.Worker{
@@ -31,7 +31,7 @@
 	return id
 }
 
-// startOf returns the start of a job among orders.
+// startOf returns the start of a job's task among orders.
 func startOf(c *qt.C, j spoolsill.JobID, orders []sched.StartOrder) sched.StartOrder {
 	for _, o := range orders {
 		if o.Run.Task.Stage.Job == j {
@@ -42,22 +42,22 @@
 	return sched.StartOrder{}
 }
 
-// An ending is a way in which a worker goes that has a run.
-type ending struct {
+// A lossCase is a way in which a worker with a run may be lost.
+type lossCase struct {
 	name string
-	// end ends the worker of an order, or what is believed of it.
+	// end ends the worker of an order, or makes it appear lost.
 	end func(x *cell, o sched.StartOrder)
-	// held tells that the worker is held against the task.
-	held bool
+	// counts is set when the loss counts against the task.
+	counts bool
 }
 
-func endings() []ending {
+func lossCases() []lossCase {
 	confirm := func(x *cell, o sched.StartOrder) {
 		x.take([]sched.StartOrder{o})
 		x.now = x.now.Add(100 * time.Millisecond)
 		x.renew(o.Worker, o.Run)
 	}
-	return []ending{
+	return []lossCase{
 		{
 			name: "its address answers for another life",
 			end: func(x *cell, o sched.StartOrder) {
@@ -65,10 +65,10 @@
 				x.now = x.now.Add(3 * time.Second)
 				x.state.WorkerDied(x.now, o.Life)
 			},
-			held: true,
+			counts: true,
 		},
 		{
-			name: "its entry goes, then its machine has a new life",
+			name: "its entry is deleted, then its machine has a new life",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.now = x.now.Add(3 * time.Second)
@@ -76,18 +76,18 @@
 				x.list(o.Worker+"x", false)
 				x.state.WorkerDied(x.now, o.Life)
 			},
-			held: true,
+			counts: true,
 		},
 		{
-			name: "it never comes back",
+			name: "it never answers again",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.pass(lease+2*time.Second, nil)
 			},
-			held: true,
+			counts: true,
 		},
 		{
-			name: "its lease is over, then it answers again",
+			name: "its lease expires, then it answers again",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.pass(lease+2*time.Second, nil)
@@ -95,7 +95,7 @@
 			},
 		},
 		{
-			name: "it leaves as announced",
+			name: "it exits as announced",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.list(o.Worker, true)
@@ -106,7 +106,7 @@
 			},
 		},
 		{
-			name: "the order never met this life",
+			name: "the order is for another life",
 			end: func(x *cell, o sched.StartOrder) {
 				x.answerStart(o, sched.StartOtherLife)
 			},
@@ -122,10 +122,9 @@
 	}
 }
 
-// What counts as a worker that went under a task, and what does not: one that is held
-// against it leaves a trace in what is kept of the job.
-func TestWhichWorkersAreHeldAgainstATask(t *testing.T) {
-	for _, e := range endings() {
+// Only a loss that may have been caused by the task is stored with the job's progress.
+func TestWhichLossesCountAgainstATask(t *testing.T) {
+	for _, e := range lossCases() {
 		t.Run(e.name, func(t *testing.T) {
 			x := newCell(t)
 			x.listLife(0, 0)
@@ -136,17 +135,17 @@
 			x.listLife(1, 0)
 			x.now = x.now.Add(time.Second)
 			x.renew(life(1, 0))
-			b, err := x.rowOfJ()
+			b, err := x.jobRow()
 			x.c.Assert(err, qt.IsNil)
 			p, err := sched.DecodeProgress(b)
 			x.c.Assert(err, qt.IsNil)
-			x.c.Assert(len(p.Crashes) > 0, qt.Equals, e.held)
+			x.c.Assert(len(p.Crashes) > 0, qt.Equals, e.counts)
 		})
 	}
 }
 
-// A worker that goes before the order has left is not held against the task.
-func TestWorkersThatGoBeforeTheOrderLeavesAreNotHeldAgainstATask(t *testing.T) {
+// A worker that is lost before the order is sent does not count against the task.
+func TestLossBeforeTheOrderIsSentDoesNotCount(t *testing.T) {
 	x := newCell(t)
 	x.listLife(0, 0)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -156,15 +155,15 @@
 	x.c.Assert(b.Starts, qt.HasLen, 1)
 	x.state.WorkerDied(x.now, lifeOf(life(0, 0)))
 	x.listLife(1, 0)
-	v, err := x.rowOfJ()
+	v, err := x.jobRow()
 	x.c.Assert(err, qt.IsNil)
 	p, err := sched.DecodeProgress(v)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(p.Crashes, qt.HasLen, 0)
 }
 
-// rowOfJ decides, and returns the row of job "j" that is written with it.
-func (x *cell) rowOfJ() ([]byte, error) {
+// jobRow makes decisions and returns the row of job "j" in the next batch.
+func (x *cell) jobRow() ([]byte, error) {
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
 	for _, r := range b.Rows {
@@ -175,9 +174,9 @@
 	return nil, errors.New("no row of j")
 }
 
-// A worker that was taken away without a word, and answered on after its entry had
-// gone, is no proof: five of them are needed, not three.
-func TestWorkersTakenAwayAreNoProof(t *testing.T) {
+// A worker that answers after its entry was deleted may have been decommissioned without
+// notice. Such losses are no proof: the job fails after five of them, not three.
+func TestDecommissionedWorkersAreNoProof(t *testing.T) {
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	starts := 0
@@ -199,8 +198,8 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
-// crash has the workers of orders take them and crash at some age of the runs, and
-// their machines come back.
+// crash has the worker of an order take it and crash at the given age of the run, and
+// its machine come back.
 func (x *cell) crash(o sched.StartOrder, age time.Duration) {
 	x.take([]sched.StartOrder{o})
 	for end := x.now.Add(age); x.now.Before(end); {
@@ -211,9 +210,9 @@
 	x.state.WorkerDied(x.now, o.Life)
 }
 
-// Three workers that crash soon after the start of a task are enough; of three that
-// went while it had been running for a while, each may have had a cause of its own.
-func TestLongRunsAreBadLuck(t *testing.T) {
+// Three workers that crash soon after the start of a task are enough for its job to
+// fail. When the runs had lasted for a while, each crash may have had another cause.
+func TestCrashesAfterLongRunsNeedMoreLosses(t *testing.T) {
 	starts := func(age time.Duration) int {
 		x := newCell(t)
 		x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -233,9 +232,9 @@
 	c.Check(starts(3*time.Second), qt.Equals, 5)
 }
 
-// Workers that were only believed to be out of reach, and turn out to have crashed,
-// count as much as any other.
-func TestCrashesThatAreHeardOfLateCount(t *testing.T) {
+// Workers that are first taken to be unreachable and later found to have crashed count
+// as any other crash.
+func TestCrashesConfirmedLateCount(t *testing.T) {
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	for i := range 3 {
@@ -252,8 +251,9 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
-// A task that lasts may lose a worker now and then for as long as it lives.
-func TestLastingTaskOutlivesItsLosses(t *testing.T) {
+// Guards against failing a lasting task because it loses a worker now and then
+// throughout its life.
+func TestLastingTaskSurvivesOccasionalLosses(t *testing.T) {
 	x := newCell(t)
 	p := tasks(1, 1)
 	p.Lasting = true
@@ -267,9 +267,9 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Running)
 }
 
-// One member of a gang crashes its worker at each start. It alone is held to it, and
-// the gang's job ends; members elsewhere are stopped, which is held against nobody.
-func TestGangMemberThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+// One member of a gang crashes its worker at each start. The crashes count against that
+// member only, not against the members that are stopped because of it.
+func TestGangMemberThatCrashesItsWorkersFailsItsJob(t *testing.T) {
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", gang(2, 6)), sched.Progress{})
 	for i := range 3 {
@@ -284,7 +284,7 @@
 		x.state.WorkerDied(x.now, o[0].Life)
 		x.end(o[1], sched.EndStopped)
 		x.renew(o[1].Worker)
-		v, err := x.rowOfJ()
+		v, err := x.jobRow()
 		x.c.Assert(err, qt.IsNil)
 		p, err := sched.DecodeProgress(v)
 		x.c.Assert(err, qt.IsNil)
@@ -292,7 +292,7 @@
 			x.c.Assert(c.Index, qt.Equals, 0)
 			x.c.Assert(c.Losses, qt.HasLen, i+1)
 		}
-		// Both workers go as announced, so that the next run is on others.
+		// Both workers drain, so that the next run is on others.
 		for _, w := range []spoolsill.WorkerID{life(2*i, 0), life(2*i+1, 0)} {
 			x.list(w, true)
 		}
@@ -300,8 +300,9 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
-// The suspects of one crash are tried apart from each other, so that the next crash
-// tells which of them did it, also where one worker has less to lose than the others.
+// The suspect tasks of one crash are started on different workers, even where one worker
+// has fewer runs at risk than the others, so that the next crash tells which of them
+// caused it.
 func TestSuspectsAreTriedApart(t *testing.T) {
 	x := newCell(t)
 	x.listLife(0, 0)
@@ -328,9 +329,9 @@
 	x.c.Assert(at, qt.HasLen, 4)
 }
 
-// Single tasks and gangs that nothing speaks against start elsewhere while a suspect is on
-// trial at a worker, though they would fit more tightly there.
-func TestOthersKeepAwayFromATrial(t *testing.T) {
+// Single tasks and gangs that are not suspect start elsewhere while a suspect task is on
+// trial at a worker, even if they would fit more tightly there.
+func TestOtherTasksAvoidWorkersWithATrial(t *testing.T) {
 	for name, step := range map[string]sched.Step{
 		"single tasks": tasks(2, 1),
 		"a gang":       gang(2, 1),
@@ -353,8 +354,8 @@
 	}
 }
 
-// Where a task that two workers went under is tried, nothing else is started until it
-// has lived for a second.
+// Nothing else is started at a worker where a task with two losses is tried, until the
+// task has run for a second.
 func TestNothingElseStartsBesideAStrongSuspect(t *testing.T) {
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
--- a/sched/troubled_test.go
+++ b/sched/crashload_test.go
@@ -14,14 +14,14 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Machines go down and up by turns under gangs and single tasks that do no harm, for a
-// minute of virtual time: none of these is given up.
-func TestInnocentTasksAreNotGivenUpWhileMachinesFlap(t *testing.T) {
+// Guards against failing harmless gangs and single tasks while machines restart
+// repeatedly under them for a minute of virtual time.
+func TestHarmlessTasksDoNotFailWhileMachinesFlap(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			f := newTroubled(t, seed, 16)
-			f.flappers = 3
-			f.play(60*time.Second, func() {
+			f := newCrashLoad(t, seed, 16)
+			f.flapping = 3
+			f.simulate(60*time.Second, func() {
 				f.submitSome(3, 60)
 				f.flap()
 			})
@@ -30,20 +30,20 @@
 	}
 }
 
-// Five tasks crash each worker that starts them, on a cell that is full to three quarters,
-// and two racks are lost for good meanwhile. The five are given up after three to five
-// workers each; nothing else is, and all else is done.
-func TestCrashingTasksAmongOthersOnAFullCell(t *testing.T) {
+// Five tasks crash each worker that starts them, in a cell at three quarters of its
+// capacity that loses two racks in the meantime. The five jobs fail after three to five
+// workers each; all others complete.
+func TestOnlyCrashingTasksFailOnALoadedCell(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			f := newTroubled(t, seed, 48)
+			f := newCrashLoad(t, seed, 48)
 			for i := range 5 {
 				id := spoolsill.JobID(fmt.Sprint("crash", i))
-				f.guilty[id] = 0
+				f.crashers[id] = 0
 				f.add(job(id, "q", tasks(1, 1)))
 			}
 			at := f.x.now
-			f.play(40*time.Second, func() {
+			f.simulate(40*time.Second, func() {
 				f.busy = f.x.now.Sub(at) < 25*time.Second
 				if f.busy {
 					f.submitSome(1, 9)
@@ -53,73 +53,73 @@
 				}
 			})
 			f.assertNoneFailed()
-			for id, starts := range f.guilty {
+			for id, starts := range f.crashers {
 				s, _ := f.x.state.Job(id)
 				f.x.c.Check(s.State, qt.Equals, sched.Failed, qt.Commentf("%s", id))
 				f.x.c.Check(starts >= 3 && starts <= 5, qt.IsTrue, qt.Commentf("%s: %d starts", id, starts))
 			}
 			for id := range f.jobs {
-				if _, ok := f.guilty[id]; ok {
+				if _, ok := f.crashers[id]; ok {
 					continue
 				}
 				s, _ := f.x.state.Job(id)
 				f.x.c.Check(s.State, qt.Equals, sched.Completed, qt.Commentf("%s", id))
 			}
-			t.Logf("%d jobs, %d workers crashed, %.0f%% full on average, starts of the guilty %v",
-				len(f.jobs), f.crashes, 100*f.full/float64(f.steps), f.guilty)
+			t.Logf("%d jobs, %d workers crashed, %.0f%% full on average, starts of crashing tasks %v",
+				len(f.jobs), f.crashes, 100*f.utilization/float64(f.steps), f.crashers)
 		})
 	}
 }
 
-// A troubled is a cell whose machines go down for one cause or another.
-type troubled struct {
-	x        *cell
-	r        *rand.Rand
-	lives    []int
-	down     map[int]time.Time // until when
-	machine  map[spoolsill.WorkerID]int
-	runs     map[spoolsill.WorkerID]map[sched.RunID]time.Time
-	jobs     map[spoolsill.JobID]bool
-	guilty   map[spoolsill.JobID]int // how often they were started
-	flappers int
-	crashes  int
-	busy     bool    // jobs are handed in
-	full     float64 // share of the cores in use, summed over steps while it is
-	steps    int
+// A crashLoad is a load on a cell whose machines go down for various reasons.
+type crashLoad struct {
+	x           *cell
+	r           *rand.Rand
+	lives       []int
+	down        map[int]time.Time // when they are to come up again
+	machine     map[spoolsill.WorkerID]int
+	runs        map[spoolsill.WorkerID]map[sched.RunID]time.Time
+	jobs        map[spoolsill.JobID]bool
+	crashers    map[spoolsill.JobID]int // jobs that crash their workers, and how often they were started
+	flapping    int
+	crashes     int
+	busy        bool    // jobs are being submitted
+	utilization float64 // share of the cores in use while busy, summed over steps
+	steps       int
 }
 
 const (
-	// downFor is how long a machine stays down, forever for one that is lost.
-	downFor = 3 * time.Second
-	forever = 24 * time.Hour
+	// downFor is how long a machine stays down, lostForever for one that is lost.
+	downFor     = 3 * time.Second
+	lostForever = 24 * time.Hour
 )
 
-func newTroubled(t *testing.T, seed uint64, machines int) *troubled {
-	f := &troubled{
-		x:       newCell(t),
-		r:       rand.New(rand.NewPCG(seed, 3)),
-		lives:   make([]int, machines),
-		down:    map[int]time.Time{},
-		machine: map[spoolsill.WorkerID]int{},
-		runs:    map[spoolsill.WorkerID]map[sched.RunID]time.Time{},
-		jobs:    map[spoolsill.JobID]bool{},
-		guilty:  map[spoolsill.JobID]int{},
+func newCrashLoad(t *testing.T, seed uint64, machines int) *crashLoad {
+	f := &crashLoad{
+		x:        newCell(t),
+		r:        rand.New(rand.NewPCG(seed, 3)),
+		lives:    make([]int, machines),
+		down:     map[int]time.Time{},
+		machine:  map[spoolsill.WorkerID]int{},
+		runs:     map[spoolsill.WorkerID]map[sched.RunID]time.Time{},
+		jobs:     map[spoolsill.JobID]bool{},
+		crashers: map[spoolsill.JobID]int{},
 	}
 	for m := range f.lives {
-		f.up(m)
+		f.start(m)
 	}
 	return f
 }
 
-func (f *troubled) up(m int) {
+func (f *crashLoad) start(m int) {
 	f.lives[m]++
 	w := f.x.listLife(m, f.lives[m])
 	f.machine[w] = m
 	f.runs[w] = map[sched.RunID]time.Time{}
 }
 
-// goDown ends a machine's life.
-func (f *troubled) goDown(m int, d time.Duration) {
+// takeDown ends a machine's life and keeps it down for d.
+func (f *crashLoad) takeDown(m int, d time.Duration) {
 	if _, down := f.down[m]; down {
 		return
 	}
@@ -128,8 +128,8 @@
 	delete(f.runs, life(m, f.lives[m]))
 }
 
-// comeUp begins the lives that are due.
-func (f *troubled) comeUp() {
+// restartDue starts the machines whose time has come.
+func (f *crashLoad) restartDue() {
 	for m := range f.lives {
 		until, down := f.down[m]
 		if !down || f.x.now.Before(until) {
@@ -138,31 +138,31 @@
 		old := life(m, f.lives[m])
 		delete(f.down, m)
 		f.x.state.UnlistWorker(f.x.now, old)
-		f.up(m)
+		f.start(m)
 		f.x.state.WorkerDied(f.x.now, lifeOf(old))
 	}
 }
 
-// flap has some machines go down every few seconds.
-func (f *troubled) flap() {
-	for m := range f.flappers {
+// flap takes some machines down every few seconds.
+func (f *crashLoad) flap() {
+	for m := range f.flapping {
 		if f.r.IntN(60) == 0 {
-			f.goDown(m, downFor)
+			f.takeDown(m, downFor)
 		}
 	}
 }
 
-// loseRacks has the last machines go for good.
-func (f *troubled) loseRacks(n int) {
+// loseRacks takes the last n machines down for good.
+func (f *crashLoad) loseRacks(n int) {
 	for m := len(f.lives) - n; m < len(f.lives); m++ {
-		f.goDown(m, forever)
+		f.takeDown(m, lostForever)
 	}
 }
 
-func (f *troubled) play(d time.Duration, step func()) {
+func (f *crashLoad) simulate(d time.Duration, step func()) {
 	for end := f.x.now.Add(d); f.x.now.Before(end); {
 		step()
-		f.comeUp()
+		f.restartDue()
 		f.answer()
 		for _, o := range f.x.step() {
 			f.carryOut(o)
@@ -171,29 +171,30 @@
 	}
 }
 
-func (f *troubled) carryOut(o sched.StartOrder) {
+func (f *crashLoad) carryOut(o sched.StartOrder) {
 	runs := f.runs[o.Worker]
 	if runs == nil {
 		f.x.answerStart(o, sched.StartUnknown)
 		return
 	}
-	runs[o.Run] = f.x.now.Add(f.work(o.Run))
+	runs[o.Run] = f.x.now.Add(f.runtime(o.Run))
 	f.x.answerStart(o, sched.StartTaken)
-	if _, ok := f.guilty[o.Run.Task.Stage.Job]; ok {
-		f.guilty[o.Run.Task.Stage.Job]++
-		f.goDown(f.machine[o.Worker], downFor)
+	if _, ok := f.crashers[o.Run.Task.Stage.Job]; ok {
+		f.crashers[o.Run.Task.Stage.Job]++
+		f.takeDown(f.machine[o.Worker], downFor)
 	}
 }
 
-func (f *troubled) work(r sched.RunID) time.Duration {
+func (f *crashLoad) runtime(r sched.RunID) time.Duration {
 	if r.Task.Stage.Job[0] == 'g' {
 		return 5 * time.Second
 	}
 	return 600 * time.Millisecond
 }
 
-// submitSome hands in a pair of short tasks one time in so many, and a gang of eight.
-func (f *troubled) submitSome(short, gangs int) {
+// submitSome submits a pair of short tasks with probability 1/short, and a gang of eight
+// with probability 1/gangs.
+func (f *crashLoad) submitSome(short, gangs int) {
 	if f.r.IntN(short) == 0 {
 		f.add(job(spoolsill.JobID(fmt.Sprint("s", len(f.jobs))), "q", tasks(2, 2)))
 	}
@@ -204,14 +205,14 @@
 	}
 }
 
-func (f *troubled) add(j sched.Job) {
+func (f *crashLoad) add(j sched.Job) {
 	f.jobs[j.ID] = true
 	j.Received = f.x.now
 	f.x.state.AddJob(f.x.now, j, sched.Progress{})
 }
 
-// answer has the workers that are up end what is done, and answer.
-func (f *troubled) answer() {
+// answer has the running workers end the work that is done, and answer.
+func (f *crashLoad) answer() {
 	used, room := 0, 0
 	for m, n := range f.lives {
 		id := life(m, n)
@@ -235,12 +236,12 @@
 		f.x.renew(id, running...)
 	}
 	if f.busy {
-		f.full += float64(used) / float64(max(room, 1))
+		f.utilization += float64(used) / float64(max(room, 1))
 		f.steps++
 	}
 }
 
-func (f *troubled) cores(r sched.RunID) int {
+func (f *crashLoad) cores(r sched.RunID) int {
 	if r.Task.Stage.Job[0] == 'g' {
 		return 4
 	}
@@ -258,12 +259,12 @@
 	}
 }
 
-// assertNoneFailed asserts that no job was given up but those that crash workers.
-func (f *troubled) assertNoneFailed() {
+// assertNoneFailed asserts that no job has failed except those that crash workers.
+func (f *crashLoad) assertNoneFailed() {
 	for id := range f.jobs {
 		s, ok := f.x.state.Job(id)
 		f.x.c.Assert(ok, qt.IsTrue)
-		if _, guilty := f.guilty[id]; !guilty {
+		if _, crashes := f.crashers[id]; !crashes {
 			f.x.c.Check(s.State, qt.Not(qt.Equals), sched.Failed, qt.Commentf("%s", id))
 		}
 	}
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -10,18 +10,18 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A crashModel plays a task that crashes its workers, with workers that go for other
-// causes, cuts, orders that are late and leaders that change, and counts its starts as
-// the platform does.
+// A crashModel simulates a task that crashes its workers, among workers lost for other
+// reasons, partitions, late orders and changes of the leader, and counts the task's
+// starts as the platform does.
 type crashModel struct {
-	x       *cell
-	kept    []byte
-	next    int
-	workers []spoolsill.WorkerID
-	run     *sched.StartOrder // where the task runs, as far as the world knows
-	silent  map[spoolsill.WorkerID]bool
-	crashes int
-	after   int // its starts after three crashes
+	x           *cell
+	row         []byte
+	next        int
+	workers     []spoolsill.WorkerID
+	run         *sched.StartOrder // the run that the task actually has
+	silent      map[spoolsill.WorkerID]bool
+	crashes     int
+	startsAfter int // starts of the task after three crashes
 }
 
 func (m *crashModel) add() {
@@ -29,7 +29,8 @@
 	m.next++
 }
 
-// round has workers answer, decides, writes, and has orders carried out.
+// round has the workers answer, makes and writes decisions, and has the orders carried
+// out.
 func (m *crashModel) round(t *rapid.T) {
 	for _, w := range m.workers {
 		if m.silent[w] {
@@ -47,7 +48,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range b.Rows {
-		m.kept = r.Value
+		m.row = r.Value
 	}
 	for _, o := range m.x.state.Written(m.x.now, b) {
 		m.begin(t, o)
@@ -57,17 +58,17 @@
 func (m *crashModel) begin(t *rapid.T, o sched.StartOrder) {
 	answer := rapid.SampledFrom([]sched.StartOutcome{sched.StartTaken, sched.StartUnknown}).Draw(t, "answer")
 	if m.crashes >= 3 {
-		m.after++
+		m.startsAfter++
 	}
-	if m.after >= 3 {
+	if m.startsAfter >= 3 {
 		t.Fatalf("%s#%d is the third start after %d crashes", o.Run.Task, o.Run.Number, m.crashes)
 	}
 	m.run = &o
 	m.x.answerStart(o, answer)
 }
 
-// crash ends the worker that runs the task; the leader learns of it in one of the
-// ways that there are, or not yet.
+// crash ends the worker that runs the task. The leader learns of it in one of several
+// ways, or not yet.
 func (m *crashModel) crash(t *rapid.T) {
 	if m.run == nil {
 		return
@@ -96,13 +97,13 @@
 	return kept
 }
 
-// takeOver has another leader go on from what was written.
+// takeOver replaces the leader by one that starts from the stored row.
 func (m *crashModel) takeOver(t *rapid.T) {
 	m.x.state = m.x.newState()
 	p := sched.Progress{}
-	if m.kept != nil {
+	if m.row != nil {
 		var err error
-		p, err = sched.DecodeProgress(m.kept)
+		p, err = sched.DecodeProgress(m.row)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,9 +114,8 @@
 	}
 }
 
-// In whatever order crashes, cuts, answers that are lost and changes of the leader
-// come, and whatever of them is heard: a task is never started a third time after
-// three workers have crashed under it.
+// Checks for any sequence of crashes, partitions, lost answers and changes of the leader
+// that a task is never started a third time after three workers have crashed with it.
 func TestNeverAThirdStartAfterThreeCrashes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &crashModel{
--- a/sched/crashrow_test.go
+++ b/sched/crashrow_test.go
@@ -14,8 +14,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A former release reads a row as if nothing stood behind the progress, and this one
-// reads rows without it.
+// Checks compatibility of stored progress in both directions: an earlier release ignores
+// what follows the progress in a row, and this release reads rows without it.
 func TestRowsAreReadByBothReleases(t *testing.T) {
 	type former struct {
 		_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
@@ -69,8 +69,8 @@
 	c.Assert(got.Crashes, qt.HasLen, 0)
 }
 
-// A row names the lives at which runs are and that went under tasks. Programs that do not
-// know of births read such a row as before, and a row of theirs names none.
+// A row stores the births of the lives that have runs or were lost with tasks. Releases
+// that do not know of births read such a row as before, and their rows have none.
 func TestBirthsLastInARow(t *testing.T) {
 	c := qt.New(t)
 	p := running("kept")
@@ -102,13 +102,13 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.Births, qt.HasLen, 0)
 	c.Assert(got.Stages[0].Tasks[0].Born, qt.Equals, spoolsill.Birth(0))
-	// Births that belong to no life make a row that can't be read.
+	// A row with more births than lives is rejected.
 	_, err = sched.DecodeProgress(append(append([]byte(nil), plain...), 0xc0, 0xa0, 0x92, 1, 2))
 	c.Assert(err, qt.IsNotNil)
 }
 
-// What a row keeps of crashes is bounded: of a job whose thousand tasks went with their
-// workers, those with the most losses.
+// A row stores a bounded number of losses: of a job whose thousand tasks were lost with
+// their workers, those of the tasks with the most losses.
 func TestCrashesKeptAreBounded(t *testing.T) {
 	x := newCell(t)
 	j := job("j", "q", tasks(1000, 0))
@@ -121,7 +121,7 @@
 		x.state.WorkerDied(x.now, lifeOf(life(i, 0)))
 	}
 	x.listLife(2, 0)
-	b, err := x.rowOfJ()
+	b, err := x.jobRow()
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(len(b) < sched.ProgressBytes(j), qt.IsTrue)
 	p, err := sched.DecodeProgress(b)
@@ -129,7 +129,7 @@
 	x.c.Assert(p.Crashes, qt.HasLen, 32)
 }
 
-// The release that knows of crashes and of no teams reads a row that has a team.
+// Checks that a release that knows of crashes but not of teams reads a row with a team.
 func TestRowsWithATeamAreReadByTheFormerRelease(t *testing.T) {
 	c := qt.New(t)
 	for _, crashes := range [][]sched.TaskCrashes{
@@ -163,8 +163,8 @@
 	}
 }
 
-// Guards against rows that fill the leader's link: the row of a wide job is written anew at
-// each start and end of its tasks.
+// Guards against rows that saturate the leader's link: the row of a job with many tasks
+// is written at each start and end of one of them.
 func TestRowsOfProgressAreShort(t *testing.T) {
 	const tasks = 25
 	p := running("i-c61488dfcf")
@@ -172,6 +172,6 @@
 	p.Stages[0].Tasks = slices.Repeat([]sched.TaskProgress{one}, tasks)
 	b, err := sched.EncodeProgress(p)
 	qt.Assert(t, err, qt.IsNil)
-	each := len(one.Worker) + 6 // its length, and a byte for each other field
+	each := len(one.Worker) + 6 // its length and one byte for each other field
 	qt.Check(t, len(b) <= tasks*each+20, qt.IsTrue, qt.Commentf("%d bytes", len(b)))
 }
--- a/sched/unclear_test.go
+++ b/sched/invalidentry_test.go
@@ -10,9 +10,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A worker whose entry someone else has overwritten gets nothing new, keeps what it
-// runs, and is back with its next whole entry.
-func TestWorkerWithAnUnclearEntryKeepsItsRuns(t *testing.T) {
+// A worker whose entry was overwritten by another program gets nothing new, keeps its
+// runs, and is used again after its next valid entry.
+func TestWorkerWithAnInvalidEntryKeepsItsRuns(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -32,8 +32,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
-// What was recorded for such a worker does not leave either.
-func TestOrderToAWorkerWithAnUnclearEntryDoesNotLeave(t *testing.T) {
+// Orders that were recorded before the entry became invalid are not sent.
+func TestOrderToAWorkerWithAnInvalidEntryIsNotSent(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -45,9 +45,9 @@
 	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
 }
 
-// An entry that can't be understood makes no worker, and one of a service that no queue
-// has is not called.
-func TestEntriesOfNoUseAreNotCalled(t *testing.T) {
+// An invalid entry of an unknown worker is ignored, and a worker of a service that no
+// queue uses is not contacted.
+func TestUnusableEntriesAreNotContacted(t *testing.T) {
 	x := newCell(t)
 	x.state.WorkerUnclear(x.now, "nobody")
 	x.state.ListWorker(x.now, sched.Worker{
--- a/sched/unasked_test.go
+++ b/sched/latestart_test.go
@@ -14,70 +14,67 @@
 )
 
 const (
-	// cancelBound is within which nothing of a cancelled job may be left, on the
-	// strictest of the known deployments: 3 s, and 0.2 s for the stop itself.
+	// cancelBound is the time within which nothing of a cancelled job may be left. The
+	// strictest platform requires 3 s, and a stop takes 0.2 s.
 	cancelBound = 3200 * time.Millisecond
-	// lateMost is how much later than sent a start may be carried out.
-	lateMost = 12 * time.Second
-	// startForce is for how long after it is sent a start alone keeps its run.
-	startForce = 1500 * time.Millisecond
-	// lookEvery is how far apart a worker's heartbeats are.
-	lookEvery = 500 * time.Millisecond
-	// lateTick is the step of the clock.
-	lateTick = 50 * time.Millisecond
+	// maxStartDelay is how long after it is sent a start may be carried out.
+	maxStartDelay = 12 * time.Second
+	// startLease is how long after it is sent a start keeps its run without a renewal.
+	startLease        = 1500 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	tickLength        = 50 * time.Millisecond
 )
 
-// A heldStart is an order without an answer that is carried out later.
-type heldStart struct {
+// A delayedStart is an unanswered order that is carried out later.
+type delayedStart struct {
 	run      sched.RunID
 	at       time.Time
 	deadline time.Time
 	epoch    int
 }
 
-// A lateWorker carries orders out seconds after they were sent, and may do so for
-// as long as its lease goes on. It loses orders and answers for as long as fates say
-// so.
+// A lateWorker carries out orders seconds after they were sent, for as long as its lease
+// lasts. It loses orders and answers according to the faults of the flakyWorker.
 type lateWorker struct {
 	flakyWorker
-	began    map[sched.RunID]time.Time
-	held     []heldStart
-	highest  map[sched.TaskID]sched.RunNumber // stopped there
-	deadline time.Time
-	epoch    int
-	answered bool
-	looked   time.Time
-	// cut tells that no order reaches it.
-	cut bool
-	// bars tells that a run that is stopped before it is there never comes; else
-	// such a stop is turned away.
-	bars bool
-	// heeds tells that a start whose own deadline is over is turned away.
-	heeds bool
+	startedAt     map[sched.RunID]time.Time
+	delayed       []delayedStart
+	stopped       map[sched.TaskID]sched.RunNumber // highest run that was stopped
+	deadline      time.Time
+	epoch         int
+	answered      bool
+	lastHeartbeat time.Time
+	// partitioned is set while no order reaches it.
+	partitioned bool
+	// remembersStops is set when a run that is stopped before its start arrives is never
+	// started; otherwise such a stop is rejected.
+	remembersStops bool
+	// checksDeadlines is set when a start after its own deadline is rejected.
+	checksDeadlines bool
 }
 
-func (w *lateWorker) fate() int {
-	if w.cut {
-		return fateLost
+func (w *lateWorker) nextFault() int {
+	if w.partitioned {
+		return faultOrderLost
 	}
-	return w.flakyWorker.fate()
+	return w.flakyWorker.nextFault()
 }
 
 func (w *lateWorker) start(now time.Time, r sched.RunID) {
-	if w.highest[r.Task] >= r.Number {
+	if w.stopped[r.Task] >= r.Number {
 		return
 	}
 	w.runs[r] = true
-	w.began[r] = now
+	w.startedAt[r] = now
 }
 
-// pass ends what has lapsed and carries out the starts that are due.
-func (w *lateWorker) pass(now time.Time) {
-	w.held = slices.DeleteFunc(w.held, func(h heldStart) bool {
+// advance ends runs whose lease has expired and carries out the starts that are due.
+func (w *lateWorker) advance(now time.Time) {
+	w.delayed = slices.DeleteFunc(w.delayed, func(h delayedStart) bool {
 		if now.Before(h.at) {
 			return false
 		}
-		over := w.heeds && now.After(h.deadline)
+		over := w.checksDeadlines && now.After(h.deadline)
 		if h.epoch >= w.epoch && !over {
 			w.epoch = h.epoch
 			w.start(now, h.run)
@@ -96,34 +93,35 @@
 	}
 }
 
-// stop carries a stop out and reports whether it is answered as taken.
+// stop carries out a stop and reports whether the answer says so.
 func (w *lateWorker) stop(r sched.RunID, epoch int) bool {
-	f := w.fate()
-	if f == fateLost {
+	f := w.nextFault()
+	if f == faultOrderLost {
 		return false
 	}
 	w.epoch = epoch
-	if !w.runs[r] && !w.bars {
+	if !w.runs[r] && !w.remembersStops {
 		return false
 	}
-	w.highest[r.Task] = max(w.highest[r.Task], r.Number)
+	w.stopped[r.Task] = max(w.stopped[r.Task], r.Number)
 	delete(w.runs, r)
-	return f == fateWell
+	return f == faultNone
 }
 
-// A lateCell is a cell whose one worker "w" starts late, under one leader after
-// the other.
+// A lateCell is a cell with one worker "w" that carries out starts late, under
+// successive leaders.
 type lateCell struct {
 	*cell
 	worker *lateWorker
 	epoch  int
-	// rows is what the store keeps.
+	// rows are the rows in the store.
 	rows map[spoolsill.JobID][]byte
-	// delays are of the next starts, in lateTick; 0 means none.
+	// delays are those of the next starts, in ticks; 0 means none.
 	delays []int
-	// calm is when the latest fault, cancel or change of the leader was.
-	calm      time.Time
-	cancelled bool
+	// lastDisturbance is when the latest fault, cancellation or change of the leader
+	// occurred.
+	lastDisturbance time.Time
+	cancelled       bool
 }
 
 func newLateCell(t *testing.T) *lateCell {
@@ -134,33 +132,33 @@
 			flakyWorker: flakyWorker{
 				runs: map[sched.RunID]bool{},
 			},
-			began:   map[sched.RunID]time.Time{},
-			highest: map[sched.TaskID]sched.RunNumber{},
+			startedAt: map[sched.RunID]time.Time{},
+			stopped:   map[sched.TaskID]sched.RunNumber{},
 		},
 	}
 	x.list("w", false)
 	return x
 }
 
-// tick lets a lateTick go by.
+// tick advances the time by tickLength.
 func (x *lateCell) tick() {
-	x.now = x.now.Add(lateTick)
+	x.now = x.now.Add(tickLength)
 	w := x.worker
-	if len(w.fates) > 0 || w.cut {
-		x.calm = x.now
+	if len(w.faults) > 0 || w.partitioned {
+		x.lastDisturbance = x.now
 	}
-	w.pass(x.now)
+	w.advance(x.now)
 	x.state.Decide(x.now)
 	x.write()
 	for _, o := range x.state.Stops() {
 		x.answerStop(o, w.stop(o.Run, x.epoch))
 	}
 	if slices.Contains(x.state.Workers(), lifeOf("w")) {
-		x.look()
+		x.heartbeat()
 	}
 }
 
-// write has the decisions last, and sends the starts.
+// write writes the decisions and sends the starts.
 func (x *lateCell) write() {
 	b, any, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
@@ -175,22 +173,23 @@
 	}
 }
 
-// send sends a start that is taken at once or has no answer and comes late.
+// send sends a start, which is either taken at once or left unanswered and carried out
+// late.
 func (x *lateCell) send(o sched.StartOrder) {
 	late := 0
 	if len(x.delays) > 0 {
 		late, x.delays = x.delays[0], x.delays[1:]
 	}
-	if late == 0 && !x.worker.cut {
-		x.worker.extend(x.now.Add(startForce))
+	if late == 0 && !x.worker.partitioned {
+		x.worker.extend(x.now.Add(startLease))
 		x.worker.start(x.now, o.Run)
 		x.answerStart(o, sched.StartTaken)
 		return
 	}
-	x.worker.held = append(x.worker.held, heldStart{
+	x.worker.delayed = append(x.worker.delayed, delayedStart{
 		run:      o.Run,
-		at:       x.now.Add(time.Duration(late) * lateTick),
-		deadline: x.now.Add(startForce),
+		at:       x.now.Add(time.Duration(late) * tickLength),
+		deadline: x.now.Add(startLease),
 		epoch:    x.epoch,
 	})
 	x.state.StartAnswered(x.now, sched.StartAnswer{
@@ -198,29 +197,29 @@
 		Run:      o.Run,
 		Outcome:  sched.StartUnknown,
 		Doubt:    true,
-		Deadline: sched.ClockMillis(x.now.Add(startForce).UnixMilli()),
+		Deadline: sched.ClockMillis(x.now.Add(startLease).UnixMilli()),
 	})
 }
 
-// look has the worker answer a renewal, which extends its lease if the one
-// before was answered.
-func (x *lateCell) look() {
+// heartbeat has the worker answer a renewal, which extends its lease if the previous one
+// was answered.
+func (x *lateCell) heartbeat() {
 	w := x.worker
-	if x.now.Sub(w.looked) < lookEvery {
+	if x.now.Sub(w.lastHeartbeat) < heartbeatInterval {
 		return
 	}
-	w.looked = x.now
+	w.lastHeartbeat = x.now
 	if w.answered {
 		x.state.LeaseAsked(lifeOf("w"), sched.LeaseEnd(x.now, lease))
 	}
-	f := w.fate()
-	if f != fateLost {
+	f := w.nextFault()
+	if f != faultOrderLost {
 		w.epoch = x.epoch
 	}
-	if f != fateLost && w.answered {
+	if f != faultOrderLost && w.answered {
 		w.extend(x.now.Add(lease))
 	}
-	w.answered = f == fateWell
+	w.answered = f == faultNone
 	if !w.answered {
 		return
 	}
@@ -232,15 +231,15 @@
 }
 
 func (x *lateCell) cancel() {
-	x.calm = x.now
+	x.lastDisturbance = x.now
 	x.cancelled = true
 	x.state.CancelJob(x.now, "j")
 }
 
-// succeed has another leader go on from the rows. Of a job that is over it may
-// not even know that it was there.
-func (x *lateCell) succeed(j sched.Job, forgotten bool) {
-	x.calm = x.now
+// takeOver replaces the leader by one that starts from the rows. A job that has ended
+// may have been forgotten.
+func (x *lateCell) takeOver(j sched.Job, forgotten bool) {
+	x.lastDisturbance = x.now
 	x.epoch++
 	x.state = x.newState()
 	x.worker.answered = false
@@ -255,15 +254,15 @@
 	x.list("w", false)
 }
 
-// overdue returns a run that should be gone.
-func (x *lateCell) overdue() (sched.RunID, bool) {
+// overdueRun returns a run that should have been stopped by now.
+func (x *lateCell) overdueRun() (sched.RunID, bool) {
 	if !x.cancelled {
 		return sched.RunID{}, false
 	}
 	for r := range x.worker.runs {
-		since := x.worker.began[r]
-		if x.calm.After(since) {
-			since = x.calm
+		since := x.worker.startedAt[r]
+		if x.lastDisturbance.After(since) {
+			since = x.lastDisturbance
 		}
 		if x.now.Sub(since) > cancelBound {
 			return r, true
@@ -272,35 +271,35 @@
 	return sched.RunID{}, false
 }
 
-// drawTick draws when something happens.
+// drawTick draws the tick of an event.
 func drawTick(rt *rapid.T, label string) int {
-	return rapid.IntRange(0, int(lateMost/lateTick)).Draw(rt, label)
+	return rapid.IntRange(0, int(maxStartDelay/tickLength)).Draw(rt, label)
 }
 
 func drawStep(rt *rapid.T) sched.Step {
 	s := tasks(rapid.IntRange(1, 3).Draw(rt, "tasks"), 1)
-	s.Estimate = time.Minute // does not stand still
+	s.Estimate = time.Minute // so that it is not taken to be stuck
 	s.Gang = rapid.Bool().Draw(rt, "gang")
 	s.Lasting = !s.Gang && rapid.Bool().Draw(rt, "lasting")
 	return s
 }
 
-// A start that had no answer may be carried out after its job was cancelled and
-// forgotten, after it was written off, and after another host has taken over; the
-// worker may be leaving, or its entry gone. The run is stopped within the bound.
+// An unanswered start may be carried out after its job was cancelled and forgotten,
+// after it was given up, and after another host has become the leader; the worker may be
+// draining or unlisted. Guards against such a run outliving the bound.
 func TestRunsThatStartLateAreStopped(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newLateCell(t)
-		x.worker.bars = rapid.Bool().Draw(rt, "stops bar")
-		x.worker.heeds = rapid.Bool().Draw(rt, "heeds deadlines")
+		x.worker.remembersStops = rapid.Bool().Draw(rt, "remembers stops")
+		x.worker.checksDeadlines = rapid.Bool().Draw(rt, "checks deadlines")
 		j := job("j", "q", drawStep(rt))
 		for x.worker.deadline.IsZero() {
 			x.tick() // until the lease is renewed for the first time
 		}
-		x.delays = rapid.SliceOfN(rapid.IntRange(0, int(lateMost/lateTick)), 0, 6).Draw(rt, "delays")
+		x.delays = rapid.SliceOfN(rapid.IntRange(0, int(maxStartDelay/tickLength)), 0, 6).Draw(rt, "delays")
 		x.state.AddJob(x.now, j, sched.Progress{})
 		x.tick()
-		x.worker.fates = rapid.SliceOfN(rapid.IntRange(0, fates-1), 0, 10).Draw(rt, "fates")
+		x.worker.faults = rapid.SliceOfN(rapid.IntRange(0, faultKinds-1), 0, 10).Draw(rt, "faults")
 		at := map[int][]func(){}
 		plan := func(label string, f func()) {
 			n := drawTick(rt, label)
@@ -309,35 +308,36 @@
 		plan("cancel", x.cancel)
 		if rapid.Bool().Draw(rt, "take-over") {
 			forgotten := rapid.Bool().Draw(rt, "forgotten")
-			plan("next leader", func() { x.succeed(j, forgotten) })
+			plan("next leader", func() { x.takeOver(j, forgotten) })
 		}
 		switch rapid.IntRange(0, 2).Draw(rt, "entry") {
 		case 1:
 			plan("drains", func() { x.list("w", true) })
 		case 2:
 			plan("unlisted", func() { x.state.UnlistWorker(x.now, "w") })
-			if rapid.Bool().Draw(rt, "is back") {
+			if rapid.Bool().Draw(rt, "listed again") {
 				plan("listed", func() { x.list("w", false) })
 			}
 		}
 		if rapid.Bool().Draw(rt, "cut") {
-			plan("cut off", func() { x.worker.cut = true })
-			at[int(lateMost/lateTick)] = append(at[int(lateMost/lateTick)], func() { x.worker.cut = false })
+			plan("partition the worker", func() { x.worker.partitioned = true })
+			at[int(maxStartDelay/tickLength)] = append(at[int(maxStartDelay/tickLength)], func() { x.worker.partitioned = false })
 		}
-		for i := range int((2*lateMost + cancelBound) / lateTick) {
+		for i := range int((2*maxStartDelay + cancelBound) / tickLength) {
 			for _, f := range at[i] {
 				f()
 			}
 			x.tick()
-			if r, ok := x.overdue(); ok {
-				rt.Fatalf("%s#%d runs %v after its late start at %v", r.Task, r.Number, x.now.Sub(x.worker.began[r]), x.worker.began[r])
+			if r, ok := x.overdueRun(); ok {
+				rt.Fatalf("%s#%d runs %v after its late start at %v", r.Task, r.Number, x.now.Sub(x.worker.startedAt[r]), x.worker.startedAt[r])
 			}
 		}
 	})
 }
 
-// A worker with many short tasks answers many times while it stops a run that no
-// record names. It is told once, and again when the stop has had no effect.
+// A worker with many short tasks answers many times while it stops a run that is in no
+// record. Guards against a stop order for each answer; the order is repeated only when
+// it has had no effect.
 func TestStopsOfUnknownRunsArePaced(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
@@ -369,9 +369,9 @@
 	}
 }
 
-// A worker whose entry went may still have a lease, under which what it starts late
-// goes on: it is looked at until that is over, and no longer.
-func TestWorkerWithoutAnEntryIsLookedAtWhileItsLeaseLasts(t *testing.T) {
+// A worker whose entry was deleted may still have a lease that keeps a late start
+// running: it is contacted until the lease has expired, and no longer.
+func TestUnlistedWorkerIsContactedWhileItsLeaseLasts(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.UnlistWorker(x.now, "w")
@@ -381,9 +381,9 @@
 	x.c.Assert(x.state.Workers(), qt.HasLen, 0)
 }
 
-// One member's end stands for its whole gang, whose others are expected to end by
-// themselves. One that goes on is stopped when its job is cancelled.
-func TestMembersLeftOfADoneGangAreStoppedWithTheirJob(t *testing.T) {
+// The end of one member completes the whole gang, whose other members are expected to
+// end by themselves. A member that does not is stopped when its job is cancelled.
+func TestRemainingMembersOfADoneGangAreStoppedWithTheirJob(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	second := tasks(1, 1)
@@ -395,7 +395,7 @@
 	x.take(x.step())
 	x.state.CancelJob(x.now, "j")
 	x.state.Stops() // of the second step
-	x.now = x.now.Add(lookEvery)
+	x.now = x.now.Add(heartbeatInterval)
 	x.renew("w", o[1].Run)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
--- a/sched/leaving_test.go
+++ b/sched/leaving_test.go
@@ -10,28 +10,28 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// saving is a step whose progress workers save.
-func saving(n, c int) sched.Step {
+// checkpointed returns a step whose progress workers save.
+func checkpointed(n, c int) sched.Step {
 	s := tasks(n, c)
 	s.Checkpoints = true
-	s.Estimate = 20 * time.Second // not taken to stand still meanwhile
+	s.Estimate = 20 * time.Second // so that it is not taken to be stuck
 	return s
 }
 
-// startSaving starts a task that saves its progress at worker "w".
-func (x *cell) startSaving() sched.RunID {
+// startCheckpointed starts a task that saves its progress at worker "w".
+func (x *cell) startCheckpointed() sched.RunID {
 	x.worker("w")
-	x.state.AddJob(x.now, job("j", "q", saving(1, 1)), sched.Progress{})
+	x.state.AddJob(x.now, job("j", "q", checkpointed(1, 1)), sched.Progress{})
 	o := x.step()
 	x.take(o)
 	return o[0].Run
 }
 
-// A worker may leave without a word: its entry goes, and it goes on for as long
-// as one that says so. What it can't finish goes on elsewhere.
-func TestWorkIsSavedFromAWorkerWhoseEntryWent(t *testing.T) {
+// A worker may exit without an announcement: its entry is deleted, and it continues for
+// as long as one that drains. Checkpointed runs that it can't finish are moved.
+func TestCheckpointedWorkMovesOffAnUnlistedWorker(t *testing.T) {
 	x := newCell(t)
-	r := x.startSaving()
+	r := x.startCheckpointed()
 	x.state.UnlistWorker(x.now, "w")
 	answers := map[spoolsill.WorkerID][]sched.RunID{
 		"w": {r},
@@ -42,22 +42,22 @@
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
 
-// Entries that go with an outage of the store say nothing about the workers,
-// until they had the time to be back.
-func TestWorkersWhoseEntriesLapsedAreUsedOn(t *testing.T) {
+// Guards against moving all work when an outage of the store deletes the workers'
+// entries: a missing entry is ignored until it has had time to reappear.
+func TestWorkersStayInUseWhenAnOutageDropsTheirEntries(t *testing.T) {
 	for name, unlist := range map[string]func(x *cell){
-		"entries go after the store is back": func(x *cell) {
+		"entries are deleted after the store is back": func(x *cell) {
 			x.state.StoreBack(x.now)
 			x.state.UnlistWorker(x.now, "w")
 		},
-		"entries go before that is known": func(x *cell) {
+		"entries are deleted before that is known": func(x *cell) {
 			x.state.UnlistWorker(x.now, "w")
 			x.state.StoreBack(x.now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newCell(t)
-			r := x.startSaving()
+			r := x.startCheckpointed()
 			unlist(x)
 			answers := map[spoolsill.WorkerID][]sched.RunID{
 				"w": {r},
@@ -76,8 +76,9 @@
 	}
 }
 
-// A worker that said that it leaves gets nothing new, outage or not.
-func TestDrainingWorkerIsNotUsedOnAfterAnOutage(t *testing.T) {
+// The grace time after an outage of the store does not apply to a worker that is
+// draining.
+func TestDrainingWorkerGetsNothingNewAfterAnOutage(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.list("w", true)
@@ -87,7 +88,7 @@
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
-// A lasting task would end with its worker, and nobody would say so.
+// Guards against a lasting task that ends with its worker without a report.
 func TestLastingWorkMovesBeforeItsWorkerLeaves(t *testing.T) {
 	x := newCell(t)
 	x.worker("w1")
--- a/sched/lives_test.go
+++ b/sched/lives_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// listBorn lists a life of a worker, of ten cores.
+// listBorn lists a life of a worker with ten cores.
 func (x *cell) listBorn(l spoolsill.Life) {
 	x.state.ListWorker(x.now, sched.Worker{
 		ID:       l.Worker,
@@ -30,7 +30,7 @@
 	})
 }
 
-// reasons returns the reasons of the notes that were made since the last call.
+// reasons returns the kinds and reasons of the notes since the last call.
 func (x *cell) reasons() string {
 	var all []string
 	for _, n := range x.state.Notes() {
@@ -39,8 +39,8 @@
 	return strings.Join(all, "\n")
 }
 
-// That a worker has started again under its id is told once, with both births.
-func TestWordOfAnotherLifeIsNoted(t *testing.T) {
+// A restart of a worker under the same id is logged once, with both births.
+func TestNextLifeIsLoggedOnce(t *testing.T) {
 	x := newCell(t)
 	x.listBorn(bornIn(1000))
 	x.listBorn(bornIn(1000))
@@ -54,10 +54,10 @@
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), "7000")
 }
 
-// A start that was given up as never carried out arrives late, when its task waits to be
-// started again: the run goes on in its place. To stop it takes as long as a stop does, and
-// the next run, placed at once, would go on beside it meanwhile.
-func TestLateRunGoesOnInPlaceOfTheNext(t *testing.T) {
+// Guards against two concurrent runs of a task. A start that was given up is carried out
+// late, when its task waits to be started again. Stopping the run takes time, and the
+// next one would run beside it, so the late run is adopted instead.
+func TestLateRunIsAdopted(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -74,10 +74,10 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
-// What was ordered for a former life is gone once the next one has answered a call of its
-// own, whose fence bars it: an answer to a call for the former life does not bar anything.
-// A word of the former life that arrives after all is passed over.
-func TestRunOfAFormerLifeIsSettledByACallForTheNext(t *testing.T) {
+// A run of a former life is gone once the next life has answered a call of its own,
+// whose fence invalidates the order. An answer to a call for the former life proves
+// nothing, and late reports of the former life are ignored.
+func TestRunOfAFormerLifeIsDroppedAfterACallForTheNext(t *testing.T) {
 	x := newCell(t)
 	x.listBorn(bornIn(1000))
 	x.answerBorn(bornIn(1000), bornIn(1000))
@@ -99,7 +99,8 @@
 	x.c.Assert(x.state.Restarts("w"), qt.Equals, 1)
 }
 
-// answerBorn has a life answer, with what it runs, to a call that was for one.
+// answerBorn has a life answer a call that was for the life asked, with the runs that it
+// has.
 func (x *cell) answerBorn(l, asked spoolsill.Life, running ...sched.RunID) {
 	x.state.LeaseAsked(asked, sched.LeaseEnd(x.now, lease))
 	h := sched.Heartbeat{
@@ -116,8 +117,8 @@
 	x.state.Heartbeat(x.now, h)
 }
 
-// Guards against answers for a former life that are taken for word of the next one's account:
-// proof that the former life is over would end the worker's new one.
+// Guards against answers for a former life being applied to the next one: proof that the
+// former life has ended would end the new one.
 func TestAnswersForAFormerLifeSayNothingOfTheNext(t *testing.T) {
 	x := newCell(t)
 	x.listBorn(bornIn(1000))
--- a/sched/room_test.go
+++ b/sched/room_test.go
@@ -15,7 +15,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// listWith lists a worker with so many cores.
+// listWith lists a worker with n cores.
 func (x *cell) listWith(id spoolsill.WorkerID, n int) {
 	x.state.ListWorker(x.now, sched.Worker{
 		ID:       id,
@@ -25,9 +25,9 @@
 	})
 }
 
-// A worker's room shrinks while orders to it are being recorded: as many leave as fit,
-// and the others are placed anew.
-func TestOrdersThatFitNoMoreDoNotLeave(t *testing.T) {
+// A worker's capacity is reduced while orders to it are being written: only those that
+// fit are sent, and the other tasks are placed again.
+func TestOrdersThatNoLongerFitAreNotSent(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(3, 3)), sched.Progress{})
@@ -44,9 +44,9 @@
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
-// A room that has shrunk takes nothing until what runs there, or is being stopped, fits
-// again, and one that has grown is used at the next look.
-func TestRoomThatMoves(t *testing.T) {
+// A worker whose capacity was reduced gets nothing new until its runs, including those
+// being stopped, fit again. Added capacity is used at the next decision.
+func TestRoomFollowsTheEntry(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 4)), sched.Progress{})
@@ -75,8 +75,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 5)
 }
 
-// What is known of the workers' entries has become too old: nothing is decided, and
-// what was recorded does not leave, until they are heard of again.
+// When the workers' entries are out of date, nothing is decided and recorded orders are
+// not sent until they are current again.
 func TestNothingStartsOnOldEntries(t *testing.T) {
 	x := newCell(t)
 	x.state = sched.New(sched.Config{
@@ -108,9 +108,9 @@
 	x.c.Assert(x.step(), qt.HasLen, 2)
 }
 
-// Room that was held for a task while its ticket was renewed is lost meanwhile: the
-// start is not even recorded.
-func TestRoomThatWasHeldIsLost(t *testing.T) {
+// Room that is held for a task while its ticket is renewed is lost in the meantime: the
+// start is not recorded.
+func TestRoomLostDuringTicketRenewal(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 8)), sched.Progress{})
@@ -130,17 +130,17 @@
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
-// A roomModel plays workers whose rooms move and which do not guard them: they start
-// what they are told, and count what they have against their room.
+// A roomModel simulates workers whose capacity changes and who do not check it: they
+// start what they are told to, and the model compares their runs with their capacity.
 type roomModel struct {
-	x    *cell
-	room map[spoolsill.WorkerID]int
-	runs map[spoolsill.WorkerID]map[sched.RunID]int
-	late []lateStart // carried out later, without an answer
-	need map[spoolsill.JobID]int
+	x       *cell
+	room    map[spoolsill.WorkerID]int
+	runs    map[spoolsill.WorkerID]map[sched.RunID]int
+	pending []lateStart // carried out later or never, without an answer
+	need    map[spoolsill.JobID]int
 }
 
-// A lateStart is an order that is carried out before its time is over, or not at all.
+// A lateStart is an order that is carried out before until, or not at all.
 type lateStart struct {
 	sched.StartOrder
 	until time.Time
@@ -162,7 +162,8 @@
 	}
 }
 
-// round has workers answer, decides, writes, and has orders carried out.
+// round has the workers answer, makes and writes decisions, and has the orders carried
+// out. It calls recording while the decisions are being written.
 func (m *roomModel) round(t *rapid.T, recording func()) {
 	for w, runs := range m.runs {
 		var ids []sched.RunID
@@ -180,7 +181,7 @@
 	for _, o := range m.x.state.Written(m.x.now, b) {
 		if rapid.IntRange(0, 4).Draw(t, "late") == 0 {
 			m.x.answerStart(o, sched.StartUnknown)
-			m.late = append(m.late, lateStart{
+			m.pending = append(m.pending, lateStart{
 				StartOrder: o,
 				until:      m.x.now.Add(time.Second),
 			})
@@ -191,9 +192,8 @@
 	}
 }
 
-// In whatever series rooms shrink and grow, orders are answered or carried out late, and
-// runs end or are stopped: no order that is sent brings a worker over the room that its
-// entry tells.
+// Checks for any sequence of capacity changes, late or unanswered orders and ends of
+// runs that no order that is sent brings a worker over the capacity of its entry.
 func TestNoStartBringsAWorkerOverItsRoom(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &roomModel{
@@ -246,7 +246,7 @@
 	m.x.state.AddJob(m.x.now, job(id, "q", p), sched.Progress{})
 }
 
-// endOne has a worker end a run, as a stop would.
+// endOne has a worker report the end of a run.
 func (m *roomModel) endOne(t *rapid.T) {
 	for _, w := range slices.Sorted(maps.Keys(m.runs)) {
 		runs := slices.SortedFunc(maps.Keys(m.runs[w]), func(a, b sched.RunID) int {
@@ -264,13 +264,13 @@
 	}
 }
 
-// carryOutLate has orders carried out that were not answered. Those are not judged, but
-// they take room.
+// carryOutLate has unanswered orders carried out. They are not checked against the
+// capacity, but they take room.
 func (m *roomModel) carryOutLate(t *rapid.T) {
-	for _, o := range m.late {
+	for _, o := range m.pending {
 		if m.x.now.Before(o.until) && !rapid.Bool().Draw(t, "dropped") {
 			m.runs[o.Worker][o.Run] = m.need[o.Run.Task.Stage.Job]
 		}
 	}
-	m.late = nil
+	m.pending = nil
 }
--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -11,7 +11,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// cancelRunning has a cell with a worker "w" whose only run is cancelled.
+// cancelRunning returns a cell with a worker "w" whose only run is cancelled, and the
+// stop order.
 func cancelRunning(t *testing.T) (*cell, sched.StopOrder) {
 	x := newCell(t)
 	x.worker("w")
@@ -31,8 +32,7 @@
 	})
 }
 
-// stopsWithin returns the stop orders of some time in which the worker "w"
-// goes on listing a run.
+// stopsWithin returns the stop orders within d while the worker "w" still lists a run.
 func (x *cell) stopsWithin(d time.Duration, r sched.RunID) []sched.StopOrder {
 	x.pass(d, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {r},
@@ -67,8 +67,8 @@
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
 }
 
-// A job may be cancelled while nobody leads; the next leader knows its runs
-// from their rows before it knows where the workers are.
+// A job may be cancelled while there is no leader. The next leader knows its runs from
+// their rows before it knows the addresses of the workers.
 func TestStopWaitsForTheWorkersAddress(t *testing.T) {
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), running("w"))
@@ -80,7 +80,7 @@
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
 
-// running is the progress of a job of one task that runs at a worker.
+// running returns the progress of a job with one task that runs at a worker.
 func running(id spoolsill.WorkerID) sched.Progress {
 	return sched.Progress{
 		State: sched.Running,
@@ -97,7 +97,7 @@
 	}
 }
 
-// A worker that lists an end again has not heard that it lasts.
+// A worker that lists an end again has not received the acknowledgement.
 func TestEndThatIsListedAgainIsAcknowledgedAgain(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
@@ -120,39 +120,39 @@
 	})
 }
 
-// A flakyWorker loses orders and answers for as long as a sequence says so.
+// A flakyWorker loses orders and answers according to a list of faults.
 type flakyWorker struct {
-	runs  map[sched.RunID]bool
-	fates []int
+	runs   map[sched.RunID]bool
+	faults []int
 }
 
-// The fates of an order.
+// The faults of an order.
 const (
-	fateWell = iota
-	fateLost
-	fateUnanswered
-	fates
+	faultNone = iota
+	faultOrderLost
+	faultAnswerLost
+	faultKinds
 )
 
-func (w *flakyWorker) fate() int {
-	if len(w.fates) == 0 {
-		return fateWell
+func (w *flakyWorker) nextFault() int {
+	if len(w.faults) == 0 {
+		return faultNone
 	}
-	f := w.fates[0]
-	w.fates = w.fates[1:]
+	f := w.faults[0]
+	w.faults = w.faults[1:]
 	return f
 }
 
 func (w *flakyWorker) stop(x *cell, o sched.StopOrder) {
-	f := w.fate()
-	if f != fateLost {
+	f := w.nextFault()
+	if f != faultOrderLost {
 		delete(w.runs, o.Run)
 	}
-	x.answerStop(o, f == fateWell)
+	x.answerStop(o, f == faultNone)
 }
 
-func (w *flakyWorker) beat(x *cell) {
-	if w.fate() != fateWell {
+func (w *flakyWorker) heartbeat(x *cell) {
+	if w.nextFault() != faultNone {
 		return
 	}
 	var rs []sched.RunID
@@ -162,8 +162,8 @@
 	x.renew("w", rs...)
 }
 
-// Whatever is cancelled is gone within a bound once its worker answers again,
-// whichever orders and answers got lost before and whoever led.
+// Checks that cancelled runs end within a bound once their worker answers again,
+// whichever orders and answers were lost before and whichever host led.
 func TestCancelledRunsAreGoneOnceTheirWorkerAnswers(t *testing.T) {
 	const bound = 3 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
@@ -174,8 +174,8 @@
 		o := x.step()
 		x.take(o)
 		w := &flakyWorker{
-			runs:  map[sched.RunID]bool{},
-			fates: rapid.SliceOfN(rapid.IntRange(0, fates-1), 0, 20).Draw(rt, "fates"),
+			runs:   map[sched.RunID]bool{},
+			faults: rapid.SliceOfN(rapid.IntRange(0, faultKinds-1), 0, 20).Draw(rt, "faults"),
 		}
 		for _, s := range o {
 			w.runs[s.Run] = true
@@ -188,7 +188,7 @@
 		} else {
 			x.state.CancelJob(x.now, "j")
 		}
-		for len(w.fates) > 0 {
+		for len(w.faults) > 0 {
 			x.tick(w)
 		}
 		for end := x.now.Add(bound); x.now.Before(end); {
@@ -200,17 +200,17 @@
 	})
 }
 
-// tick lets a tenth of a second go by at one worker.
+// tick advances the time by a tenth of a second with one worker.
 func (x *cell) tick(w *flakyWorker) {
 	x.now = x.now.Add(100 * time.Millisecond)
 	x.state.Decide(x.now)
 	for _, o := range x.state.Stops() {
 		w.stop(x, o)
 	}
-	w.beat(x)
+	w.heartbeat(x)
 }
 
-// progressOf is the progress of a job whose starts have left.
+// progressOf returns the progress of a job whose starts were sent.
 func progressOf(orders []sched.StartOrder) sched.Progress {
 	p := sched.Progress{
 		State: sched.Running,
--- a/sched/unlisted_test.go
+++ b/sched/unlisted_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A worker whose entry went is not looked at for ever because it still answers, though
-// each call renews its lease.
-func TestIdleWorkerWhoseEntryWentIsLeftAfterAWhile(t *testing.T) {
+// Guards against a worker without an entry being contacted forever because it still
+// answers, as each call renews its lease.
+func TestIdleUnlistedWorkerIsNotContactedForever(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.UnlistWorker(x.now, "w")
@@ -16,8 +16,8 @@
 		if len(x.state.Workers()) == 0 {
 			return
 		}
-		x.renew("w") // as a renewer does
+		x.renew("w") // as the leader's renewals do
 		x.step()
 	}
-	x.c.Fatalf("still kept in touch with a minute after its entry went: %v", x.state.Workers())
+	x.c.Fatalf("still contacted a minute after its entry was deleted: %v", x.state.Workers())
 }
--- a/sched/silent_test.go
+++ b/sched/unresponsive_test.go
@@ -9,9 +9,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A worker that leaves an order without an answer, and answers nothing else, may
-// be cut off: what would be started there would be in doubt.
-func TestSilentWorkerGetsNothingNewUntilItAnswers(t *testing.T) {
+// A worker that leaves an order unanswered and answers nothing else may be cut off, so
+// that a start there would be in doubt.
+func TestUnresponsiveWorkerGetsNothingNewUntilItAnswers(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
 	x.state.WorkerSilent(x.now, lifeOf("w"))
@@ -29,8 +29,8 @@
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
-// A new leader asks the advisor once most workers have answered, not about the
-// first one alone.
+// Guards against a new leader that asks the advisor about the first worker alone: it
+// waits until most workers have answered.
 func TestNewLeaderWaitsForTheWorkers(t *testing.T) {
 	x := newCell(t)
 	x.state = sched.New(sched.Config{
