--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -96,7 +96,7 @@
 		queues = append(queues, k.Queue)
 	}
 	x.state.SetQueues(queues)
-	x.state.SetAskers(c.Hosts)
+	x.state.SetMaxQuestions(c.Hosts)
 	for _, p := range c.Pools {
 		x.addWorkers(p)
 	}
@@ -121,7 +121,7 @@
 		}
 		x.workers = append(x.workers, w)
 		x.byID[w.ID] = w
-		x.state.ListWorker(x.loop.Time(), w.Worker)
+		x.state.WorkerListed(x.loop.Time(), w.Worker)
 		x.loop.After(time.Duration(i)*time.Millisecond, func() { x.beat(w) })
 	}
 }
@@ -181,7 +181,7 @@
 	for _, o := range x.state.Starts() {
 		x.loop.After(callTime, func() { x.start(o) })
 	}
-	x.questions = append(x.questions, x.state.Advices()...)
+	x.questions = append(x.questions, x.state.AdviceOrders()...)
 	x.ask()
 	x.state.Notes()
 	x.state.Told()
@@ -267,7 +267,7 @@
 			})
 		}
 	}
-	x.state.Advised(x.loop.Time(), a)
+	x.state.AdviceReceived(x.loop.Time(), a)
 }
 
 // good tells by a hash whether a stage may run at a worker. Some stages may run at
@@ -423,7 +423,7 @@
 
 func (x *cell) answer(w *worker) {
 	now := x.loop.Time()
-	x.state.LeaseAsked(w.Life(), sched.LeaseEnd(now, lease))
+	x.state.LeaseRequested(w.Life(), sched.LeaseEnd(now, lease))
 	h := sched.Heartbeat{
 		Life: spoolsill.Life{
 			Worker: w.ID,
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -266,7 +266,7 @@
 		return
 	}
 	for r := range w.running {
-		f.end(w, r, sched.EndLapsed)
+		f.end(w, r, sched.EndLeaseExpired)
 	}
 }
 
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -417,7 +417,7 @@
 	case jobsHeard:
 		l.takeHeard(e.sent)
 	case workersHeard:
-		l.state.WorkersHeard(now, e.sent)
+		l.state.EntriesSynced(now, e.sent)
 	case heartbeatTaken:
 		l.state.Heartbeat(now, e.heartbeat)
 	case workerReplaced:
@@ -425,15 +425,15 @@
 	case workerRefused:
 		l.state.WorkerRefused(now, e.life)
 	case workerSilent:
-		l.state.WorkerSilent(now, e.life)
+		l.state.WorkerUnresponsive(now, e.life)
 	case leaseAsked:
-		l.state.LeaseAsked(e.life, e.until)
+		l.state.LeaseRequested(e.life, e.until)
 	case startAnswered:
 		l.state.StartAnswered(now, e.answer)
 	case stopAnswered:
 		l.state.StopAnswered(now, e.answer)
 	case adviceTaken:
-		l.state.Advised(now, e.advice)
+		l.state.AdviceReceived(now, e.advice)
 	case batchWritten:
 		l.takeWritten(now, e)
 	case probeSent:
@@ -466,7 +466,7 @@
 	for _, o := range l.state.Starts() {
 		l.sendStart(o)
 	}
-	for _, o := range l.state.Advices() {
+	for _, o := range l.state.AdviceOrders() {
 		l.advising.add(o)
 	}
 	l.advising.dispatch(ctx)
--- a/leader/load.go
+++ b/leader/load.go
@@ -59,7 +59,7 @@
 	}
 	for _, id := range l.state.Listed() {
 		if !listed[id] {
-			l.state.UnlistWorker(now, id)
+			l.state.WorkerUnlisted(now, id)
 		}
 	}
 	for id := range l.unclear {
@@ -76,16 +76,16 @@
 	id := spoolsill.WorkerID(r.Key.Name)
 	if r.Deleted {
 		l.markUnclear(id, nil)
-		l.state.UnlistWorker(now, id)
+		l.state.WorkerUnlisted(now, id)
 		return
 	}
 	w, err := l.config.DecodeWorker(r)
 	l.markUnclear(id, err)
 	if err != nil {
-		l.state.WorkerUnclear(now, id)
+		l.state.WorkerEntryInvalid(now, id)
 		return
 	}
-	l.state.ListWorker(now, w)
+	l.state.WorkerListed(now, w)
 }
 
 // markUnclear keeps count of the entries that can't be understood, and tells of each of
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -60,7 +60,7 @@
 		return
 	}
 	l.kept = now
-	l.state.SetAskers(len(l.config.Advisor.Hosts()) * l.advising.depth())
+	l.state.SetMaxQuestions(len(l.config.Advisor.Hosts()) * l.advising.depth())
 	wanted := l.wanted
 	clear(wanted)
 	lives := l.state.Workers()
--- a/sched/account.go
+++ b/sched/account.go
@@ -29,7 +29,7 @@
 func (d *decider) await(g *stage, q *Queue) {
 	g.lookedAt = d.now
 	switch {
-	case len(g.planned) > 0 || q.Advisor != nil && len(g.advice.good) == 0:
+	case len(g.planned) > 0 || q.Advisor != nil && len(g.advice.allowed) == 0:
 		g.waits = waitAdvice
 	case g.placeable():
 		g.waits = waitRoom
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -15,10 +15,10 @@
 	// ticketMargin is how much longer a ticket must be valid when a start is decided. It
 	// covers the write to the store, the call itself and some queueing.
 	ticketMargin = 200 * time.Millisecond
-	// askingEach bounds the outstanding questions per host that can ask, one being
+	// questionsPerAsker bounds the outstanding questions per host that can ask, one being
 	// answered and one queued, so that the questions of the stages ranked first are not
 	// queued behind others.
-	askingEach = 2
+	questionsPerAsker = 2
 	// perWorkerCostShare is the part of the advisor's base cost that a question may
 	// spend on additional workers.
 	perWorkerCostShare = 0.45
@@ -30,9 +30,9 @@
 	// answer. A host that is cut off from the advisor sees its calls fail within
 	// milliseconds, and would otherwise ask hundreds of times a second.
 	lostRetryDelay = 40 * time.Millisecond
-	// askMore is how long a stage waits for room at the workers that it may use before
+	// askMoreAfter is how long a stage waits for room at the workers that it may use before
 	// it asks about others.
-	askMore = 250 * time.Millisecond
+	askMoreAfter = 250 * time.Millisecond
 )
 
 // advice holds what the advisor has told about the workers that may run a stage.
@@ -41,13 +41,13 @@
 	// for one life only.
 	asked   map[*worker]bool // with an answer: a ticket, or never allowed
 	tickets map[*worker]ticket
-	good    []*worker // workers with a ticket, valid or expired
+	allowed []*worker // workers with a ticket, valid or expired
 	// learning counts the outstanding questions about workers that are not known yet;
 	// warming is set while one renews the tickets of a waiting gang. Every question gets
 	// an answer, if only one that says that it was lost.
-	learning int
-	warming  bool
-	last     time.Time // when the last answer about new workers was received
+	learning    int
+	warming     bool
+	lastLearned time.Time // when the last answer about new workers was received
 }
 
 type ticket struct {
@@ -78,9 +78,9 @@
 		return
 	}
 	switch p {
-	case Learn:
+	case PurposeLearn:
 		g.advice.learning++
-	case Warm:
+	case PurposeWarm:
 		g.advice.warming = true
 		s.warming++
 	}
@@ -96,9 +96,9 @@
 	})
 }
 
-// learnMore asks about workers that are not known yet. A gang needs many workers, so its
-// question is split over the hosts that are free to ask.
-func (d *decider) learnMore(g *stage, q *Queue, workers []spoolsill.Life) {
+// askAboutMore asks about workers that are not known yet. A gang needs many workers, so
+// its question is split over the hosts that are free to ask.
+func (d *decider) askAboutMore(g *stage, q *Queue, workers []spoolsill.Life) {
 	parts := 1
 	if g.step.Gang {
 		width := q.Advisor.questionSize()
@@ -106,7 +106,7 @@
 	}
 	size := (len(workers) + max(parts, 1) - 1) / max(parts, 1)
 	for part := range slices.Chunk(workers, size) {
-		d.ask(g, q, part, Learn)
+		d.ask(g, q, part, PurposeLearn)
 	}
 }
 
@@ -119,13 +119,13 @@
 	return min(maxQuestionWorkers, max(minQuestionWorkers, int(perWorkerCostShare*float64(a.Base)/float64(a.PerWorker))))
 }
 
-// SetAskers sets how many questions the hosts can put to the advisor at once.
-func (s *State) SetAskers(n int) {
+// SetMaxQuestions sets how many questions the hosts can put to the advisor at once.
+func (s *State) SetMaxQuestions(n int) {
 	s.askers = n
 }
 
-// Advices returns the questions to the advisor since the last call.
-func (s *State) Advices() []AdviceOrder {
+// AdviceOrders returns the questions to the advisor since the last call.
+func (s *State) AdviceOrders() []AdviceOrder {
 	o := s.advices
 	s.advices = nil
 	return o
@@ -155,11 +155,11 @@
 	return lives
 }
 
-// Advised handles an answer of the advisor.
-func (s *State) Advised(now time.Time, a Advice) {
+// AdviceReceived handles an answer of the advisor.
+func (s *State) AdviceReceived(now time.Time, a Advice) {
 	s.now = now
 	s.asking--
-	if a.Order.Purpose == Warm {
+	if a.Order.Purpose == PurposeWarm {
 		s.warming--
 	}
 	j := s.jobs[a.Order.Stage.Job]
@@ -178,9 +178,9 @@
 	})
 	x := &g.advice
 	switch a.Order.Purpose {
-	case Learn:
+	case PurposeLearn:
 		x.learning--
-	case Warm:
+	case PurposeWarm:
 		x.warming = false
 	}
 	if a.Lost {
@@ -188,7 +188,7 @@
 	} else {
 		s.storeTickets(g, a)
 	}
-	if a.Order.Purpose == Learn {
+	if a.Order.Purpose == PurposeLearn {
 		return
 	}
 	s.sendOverdue(g, a)
@@ -206,12 +206,12 @@
 		x.asked = map[*worker]bool{}
 		x.tickets = map[*worker]ticket{}
 	}
-	if a.Order.Purpose == Learn {
-		x.last = s.now
+	if a.Order.Purpose == PurposeLearn {
+		x.lastLearned = s.now
 	}
 	about := make(map[spoolsill.WorkerID]*worker, len(a.Order.Workers))
 	for _, l := range a.Order.Workers {
-		if w := s.account(l); w != nil {
+		if w := s.workerOf(l); w != nil {
 			x.asked[w] = true
 			about[l.Worker] = w
 		}
@@ -222,7 +222,7 @@
 			continue
 		}
 		if _, known := x.tickets[w]; !known {
-			x.good = append(x.good, w)
+			x.allowed = append(x.allowed, w)
 		}
 		x.tickets[w] = ticket{
 			text:  t.Text,
@@ -253,7 +253,7 @@
 }
 
 func (s *State) startable(r *run) bool {
-	return r.worker.takes(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.over() && r.task.stage.advice.valid(r.worker, s.now)
+	return r.worker.acceptsStarts(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.over() && r.task.stage.advice.valid(r.worker, s.now)
 }
 
 // plan reserves room for a run while its ticket is renewed.
@@ -269,7 +269,7 @@
 		need:   t.stage.step.room(),
 		phase:  phasePlanned,
 	}
-	s.book(r)
+	s.addRun(r)
 	t.stage.planned = append(t.stage.planned, r)
 }
 
@@ -291,7 +291,7 @@
 	}
 	var ready []*worker
 	var lives []spoolsill.Life
-	for _, w := range a.good {
+	for _, w := range a.allowed {
 		if w.ready && len(ready) < maxQuestionWorkers {
 			ready = append(ready, w)
 			lives = append(lives, w.life())
@@ -299,7 +299,7 @@
 	}
 	soon := d.now.Add(q.Advisor.cost(len(ready)) + ticketMargin)
 	if slices.ContainsFunc(ready, func(w *worker) bool { return !a.valid(w, soon) }) {
-		d.ask(g, q, lives, Warm)
+		d.ask(g, q, lives, PurposeWarm)
 	}
 }
 
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -24,11 +24,11 @@
 			Text:   "ticket-" + string(id),
 		})
 	}
-	x.state.Advised(x.now, a)
+	x.state.AdviceReceived(x.now, a)
 }
 
 func (x *cell) question() sched.AdviceOrder {
-	q := x.state.Advices()
+	q := x.state.AdviceOrders()
 	x.c.Assert(q, qt.HasLen, 1)
 	return q[0]
 }
@@ -65,13 +65,13 @@
 	x.end(big[0], sched.EndDone)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
-	x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
+	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 	x.state.AddJob(x.now, job("late", "q", tasks(1, 10)), sched.Progress{})
 	x.pass(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.c.Assert(x.state.Advices(), qt.HasLen, 0)
+	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
@@ -102,7 +102,7 @@
 	x.now = x.now.Add(1400 * time.Millisecond)
 	x.renew("w")
 	x.step()
-	x.state.Advised(x.now, sched.Advice{
+	x.state.AdviceReceived(x.now, sched.Advice{
 		Order: x.question(),
 		Lost:  true,
 	})
@@ -119,12 +119,12 @@
 	for _, hosts := range []int{1, 5} {
 		x := newCell(t)
 		x.worker("w")
-		x.state.SetAskers(hosts)
+		x.state.SetMaxQuestions(hosts)
 		for i := range 20 {
 			x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint(i)), "advised", tasks(1, 1)), sched.Progress{})
 		}
 		x.step()
-		x.c.Assert(x.state.Advices(), qt.HasLen, 2*hosts)
+		x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 2*hosts)
 	}
 }
 
@@ -136,7 +136,7 @@
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
 		x.worker("w")
-		x.state.SetAskers(hosts)
+		x.state.SetMaxQuestions(hosts)
 		for i := range 20 {
 			j := job(spoolsill.JobID(fmt.Sprint(i)), "advised-urgent", tasks(1, 1))
 			if !late {
@@ -145,7 +145,7 @@
 			x.state.AddJob(x.now, j, sched.Progress{})
 		}
 		x.step()
-		q := x.state.Advices()
+		q := x.state.AdviceOrders()
 		if !late {
 			x.c.Assert(q, qt.HasLen, 20)
 			x.c.Assert(q[0].Urgent, qt.IsTrue)
@@ -187,11 +187,11 @@
 		"w": {big[0].Run},
 	})
 	q := x.question()
-	x.c.Assert(q.Purpose, qt.Equals, sched.Warm)
+	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeWarm)
 	x.advise(q, "w")
 	x.end(big[0], sched.EndDone)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
-	x.c.Assert(x.state.Advices(), qt.HasLen, 0)
+	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 }
 
 // A question is split over free hosts since answers about parts of the workers arrive
@@ -199,14 +199,14 @@
 func TestGangsAskInPartsAsFarAsHostsAreFree(t *testing.T) {
 	for hosts, parts := range map[int]int{1: 1, 4: 2, 20: 3} {
 		x := newCell(t)
-		x.state.SetAskers(hosts)
+		x.state.SetMaxQuestions(hosts)
 		for i := range 60 {
 			x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 		}
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 		x.step()
 		asked := map[spoolsill.WorkerID]bool{}
-		questions := x.state.Advices()
+		questions := x.state.AdviceOrders()
 		for _, q := range questions {
 			for _, l := range q.Workers {
 				asked[l.Worker] = true
@@ -231,7 +231,7 @@
 	x.step()
 	x.advise(x.question(), "w")
 	// The worker is unreachable until its lease has expired, and then comes back.
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	x.pass(2*lease, nil)
 	x.worker("w")
 	x.state.CancelJob(x.now, "big")
@@ -246,14 +246,14 @@
 func TestLostQuestionsAreAskedAgainAfterAPause(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
-	x.state.SetAskers(2)
+	x.state.SetMaxQuestions(2)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	asked := 0
 	for range 100 {
 		x.step()
-		for _, o := range x.state.Advices() {
+		for _, o := range x.state.AdviceOrders() {
 			asked++
-			x.state.Advised(x.now, sched.Advice{
+			x.state.AdviceReceived(x.now, sched.Advice{
 				Order:    o,
 				Received: x.now,
 				Lost:     true,
--- a/sched/batch.go
+++ b/sched/batch.go
@@ -121,7 +121,7 @@
 			continue
 		}
 		if !s.mayLeave(r) {
-			s.lose(r, "overtaken before the order left")
+			s.dropRun(r, "overtaken before the order left")
 			continue
 		}
 		if s.ticketIsOver(r) {
@@ -136,7 +136,7 @@
 
 // recorded returns the run of an order that has not left, or nil.
 func (s *State) recorded(o StartOrder) *run {
-	w := s.account(o.Life)
+	w := s.workerOf(o.Life)
 	if w == nil {
 		return nil
 	}
@@ -152,7 +152,7 @@
 	r.phase = phaseSent
 	r.begun = s.now
 	// A start renews the lease as well.
-	s.LeaseAsked(o.Life, LeaseEnd(s.now, s.config.StartLease))
+	s.LeaseRequested(o.Life, LeaseEnd(s.now, s.config.StartLease))
 	o.Ticket = r.task.stage.advice.tickets[r.worker].text
 	return o
 }
@@ -161,8 +161,8 @@
 func (s *State) mayLeave(r *run) bool {
 	g := r.task.stage
 	return !r.task.done && !g.job.state.Final() && !r.stopping &&
-		s.roomIsKnown() && r.worker.hasRoom() && !g.job.team.over() &&
-		r.worker.present(s.now) && !r.worker.unclear && !r.worker.Draining
+		s.entriesFresh() && r.worker.hasRoom() && !g.job.team.over() &&
+		r.worker.present(s.now) && !r.worker.entryInvalid && !r.worker.Draining
 }
 
 // Workers returns the lives of the workers that are to be kept in touch with:
@@ -175,7 +175,7 @@
 		if w.dead || w.Address == "" || !s.concerns(w) {
 			continue
 		}
-		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlisted) < lateMost {
+		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlistedAt) < lateStartWindow {
 			lives = append(lives, w.life())
 		}
 	}
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -29,13 +29,13 @@
 	})
 	for i := range n {
 		id := spoolsill.WorkerID(fmt.Sprintf("worker-%d", i))
-		s.ListWorker(now, sched.Worker{
+		s.WorkerListed(now, sched.Worker{
 			ID:       id,
 			Service:  "work",
 			Address:  string(id),
 			Capacity: cores(64),
 		})
-		s.LeaseAsked(lifeOf(id), sched.LeaseEnd(now, lease))
+		s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
 		s.Heartbeat(now, sched.Heartbeat{
 			Life:  lifeOf(id),
 			Sent:  now,
@@ -69,13 +69,13 @@
 	now := time.Unix(1000, 0)
 	s := busyState(350, 0, now)
 	id := spoolsill.WorkerID("fast")
-	s.ListWorker(now, sched.Worker{
+	s.WorkerListed(now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Address:  "fast",
 		Capacity: cores(64),
 	})
-	s.LeaseAsked(lifeOf(id), sched.LeaseEnd(now, lease))
+	s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
 	var sequence uint64
 	n := 0
 	b.ReportAllocs()
@@ -119,7 +119,7 @@
 func BenchmarkDecideGangs(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := busyState(350, 0, now)
-	s.SetAskers(40)
+	s.SetMaxQuestions(40)
 	s.SetQueues([]sched.Queue{
 		{
 			ID:       "gangs",
@@ -140,7 +140,7 @@
 	}
 	for range 5 {
 		s.Decide(now)
-		for _, q := range s.Advices() {
+		for _, q := range s.AdviceOrders() {
 			a := sched.Advice{
 				Order:    q,
 				Received: now,
@@ -151,7 +151,7 @@
 					Worker: q.Workers[i].Worker,
 				})
 			}
-			s.Advised(now, a)
+			s.AdviceReceived(now, a)
 		}
 		now = now.Add(time.Second / 2)
 	}
@@ -166,7 +166,7 @@
 func BenchmarkAskLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := busyState(largeCell, 0, now)
-	s.SetAskers(300)
+	s.SetMaxQuestions(300)
 	s.SetQueues([]sched.Queue{
 		{
 			ID:       "advised",
@@ -188,8 +188,8 @@
 			s.AddJob(now, job(spoolsill.JobID(fmt.Sprintf("job-%d", n)), "advised", tasks(2, 1)), sched.Progress{})
 		}
 		s.Decide(now)
-		for _, q := range s.Advices() {
-			s.Advised(now, sched.Advice{
+		for _, q := range s.AdviceOrders() {
+			s.AdviceReceived(now, sched.Advice{
 				Order:    q,
 				Received: now,
 				Valid:    time.Second,
@@ -219,7 +219,7 @@
 	for b.Loop() {
 		n++
 		id := spoolsill.WorkerID(fmt.Sprintf("worker-%d", n%largeCell))
-		s.ListWorker(now, sched.Worker{
+		s.WorkerListed(now, sched.Worker{
 			ID:       id,
 			Machine:  string("machine-" + id),
 			Service:  "work",
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -38,13 +38,13 @@
 // leftAsAnnounced reports whether a worker whose life has ended was draining and did not
 // end before the time that it had announced.
 func (w *worker) leftAsAnnounced() bool {
-	return w.Draining && !w.answered.Add(maxAnswerAge).Before(w.earliestExit)
+	return w.Draining && !w.answeredAt.Add(maxAnswerAge).Before(w.earliestExit)
 }
 
 // mayBeDecommissioned reports whether a worker that is gone may have been removed by the
 // platform without notice: it still answered after its entry was deleted.
 func (w *worker) mayBeDecommissioned() bool {
-	return !w.listed && w.graceUntil.IsZero() && w.answered.After(w.unlisted)
+	return !w.listed && w.graceUntil.IsZero() && w.answeredAt.After(w.unlistedAt)
 }
 
 // recordLoss records that a worker is gone with its runs. It is known to have crashed
@@ -102,10 +102,10 @@
 		named = append(named, fmt.Sprintf("%s (%d)", r.id.Task, len(r.task.evidence.losses)))
 	}
 	s.note(Note{
-		Kind:   NoteCrash,
+		Kind:   NoteWorkerLost,
 		Worker: w.id,
 		Reason: fmt.Sprintf("%s; %d runs lost with it, with the number of workers lost by each task: %s", reason, len(rs), strings.Join(named, ", ")),
-		Age:    s.now.Sub(w.answered),
+		Age:    s.now.Sub(w.answeredAt),
 	})
 }
 
@@ -124,7 +124,7 @@
 	for _, t := range slices.Clone(s.suspects) {
 		if t.evidence.confirm(w.life()) {
 			s.touch(t.stage.job)
-			s.giveUp(t.stage)
+			s.failCrashing(t.stage)
 		}
 	}
 }
@@ -137,9 +137,9 @@
 	}
 }
 
-// giveUp fails the job of a stage if one of its tasks is proven to crash its workers,
+// failCrashing fails the job of a stage if one of its tasks is proven to crash its workers,
 // and reports whether it did.
-func (s *State) giveUp(g *stage) bool {
+func (s *State) failCrashing(g *stage) bool {
 	if g.job.state.Final() {
 		return false
 	}
@@ -159,9 +159,9 @@
 	return false
 }
 
-// keepSuspects removes tasks that are cleared, done or of finished jobs, and crashes
+// pruneSuspects removes tasks that are cleared, done or of finished jobs, and crashes
 // that are no longer recent.
-func (s *State) keepSuspects() {
+func (s *State) pruneSuspects() {
 	s.suspects = slices.DeleteFunc(s.suspects, func(t *task) bool {
 		return len(t.evidence.losses) == 0 || t.done || t.stage.job.state.Final()
 	})
@@ -186,8 +186,8 @@
 	if len(r.task.evidence.losses) == 0 {
 		return
 	}
-	if r.phase == phaseConfirmed && !r.forFormerLife() && w.answered.After(r.begun) {
-		r.task.evidence.lived += w.answered.Sub(r.begun)
+	if r.phase == phaseConfirmed && !r.forFormerLife() && w.answeredAt.After(r.begun) {
+		r.task.evidence.lived += w.answeredAt.Sub(r.begun)
 	}
 }
 
@@ -211,9 +211,9 @@
 	return all, strong
 }
 
-// barred reports whether a strongly suspect task of another job is on trial at a worker.
+// blockedByTrial reports whether a strongly suspect task of another job is on trial at a worker.
 // Nothing is started there for the trial period, so that a crash can be attributed.
-func (d *decider) barred(g *stage, w *worker) bool {
+func (d *decider) blockedByTrial(g *stage, w *worker) bool {
 	_, strong := w.otherTrials(g.job, d.now)
 	return strong > 0
 }
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -21,7 +21,7 @@
 // platforms, entries do not name the machine; its lives share an address.
 func (x *cell) listLife(machine, n int) spoolsill.WorkerID {
 	id := life(machine, n)
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Address:  fmt.Sprint("address of ", machine),
@@ -72,7 +72,7 @@
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.now = x.now.Add(3 * time.Second)
-				x.state.UnlistWorker(x.now, o.Worker)
+				x.state.WorkerUnlisted(x.now, o.Worker)
 				x.list(o.Worker+"x", false)
 				x.state.WorkerDied(x.now, o.Life)
 			},
@@ -101,7 +101,7 @@
 				x.list(o.Worker, true)
 				x.now = x.now.Add(3 * time.Second)
 				x.renew(o.Worker, o.Run)
-				x.state.UnlistWorker(x.now, o.Worker)
+				x.state.WorkerUnlisted(x.now, o.Worker)
 				x.state.WorkerRefused(x.now, o.Life)
 			},
 		},
@@ -188,7 +188,7 @@
 		}
 		starts++
 		x.take(o)
-		x.state.UnlistWorker(x.now, id)
+		x.state.WorkerUnlisted(x.now, id)
 		x.now = x.now.Add(50 * time.Millisecond)
 		x.renew(id, o[0].Run)
 		x.now = x.now.Add(time.Second)
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -137,7 +137,7 @@
 		}
 		old := life(m, f.lives[m])
 		delete(f.down, m)
-		f.x.state.UnlistWorker(f.x.now, old)
+		f.x.state.WorkerUnlisted(f.x.now, old)
 		f.start(m)
 		f.x.state.WorkerDied(f.x.now, lifeOf(old))
 	}
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -79,7 +79,7 @@
 	m.workers = remove(m.workers, w)
 	m.x.now = m.x.now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "back_ms")) * time.Millisecond)
 	if rapid.Bool().Draw(t, "unlisted") {
-		m.x.state.UnlistWorker(m.x.now, w)
+		m.x.state.WorkerUnlisted(m.x.now, w)
 	}
 	if rapid.Bool().Draw(t, "heard") {
 		m.x.state.WorkerDied(m.x.now, lifeOf(w))
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -14,14 +14,14 @@
 func (s *State) Decide(now time.Time) {
 	s.now = now
 	s.expireLeases()
-	s.saveLeaving()
+	s.stopOnLeaving()
 	s.stopStuck()
-	s.stopAgain()
-	s.keepSuspects()
+	s.repeatStops()
+	s.pruneSuspects()
 	s.countStrays()
 	s.stopDoubtful()
 	s.openDue()
-	if s.now.Sub(s.answeredFirst) < s.config.SettleTime || !s.roomIsKnown() {
+	if s.now.Sub(s.answeredFirst) < s.config.SettleTime || !s.entriesFresh() {
 		return
 	}
 	d := decider{
@@ -60,7 +60,7 @@
 // little for those that find no room.
 func (d *decider) collectReady() {
 	for _, w := range d.order {
-		w.ready = w.takes(d.now) && w.health.takes(d.now)
+		w.ready = w.acceptsStarts(d.now) && w.health.takes(d.now)
 		if !w.ready {
 			continue
 		}
@@ -133,7 +133,7 @@
 // place starts the tasks of a stage that can start now.
 func (d *decider) place(g *stage) {
 	q := d.queue(g.job)
-	if q.Service == "" || d.failExhausted(g) || d.giveUp(g) {
+	if q.Service == "" || d.failExhausted(g) || d.failCrashing(g) {
 		// Failures may have been heard of before the queue was known, crashes by a
 		// former leader.
 		return
@@ -161,18 +161,18 @@
 func (d *decider) advised(g *stage, q *Queue) bool {
 	a := &g.advice
 	known := a.asked != nil
-	if a.learning > 0 || known && d.now.Sub(a.last) <= askMore {
+	if a.learning > 0 || known && d.now.Sub(a.lastLearned) <= askMoreAfter {
 		return known
 	}
-	if g.tier != tierUrgent && d.asking >= askingEach*max(d.askers, 1) {
+	if g.tier != tierUrgent && d.asking >= questionsPerAsker*max(d.askers, 1) {
 		return known
 	}
 	more := d.unasked(g, q)
 	if len(more) == 0 {
-		a.last = d.now // all are known: look again after a while
+		a.lastLearned = d.now // all are known: look again after a while
 		return known
 	}
-	d.learnMore(g, q, more)
+	d.askAboutMore(g, q, more)
 	return known
 }
 
@@ -191,7 +191,7 @@
 	}
 	from := r.workers
 	if q.Advisor != nil {
-		from = g.advice.good
+		from = g.advice.allowed
 	}
 	var ws []*worker
 	for _, w := range from {
@@ -204,7 +204,7 @@
 		if h := d.held[w]; h != nil && h != g && q.Priority > 0 {
 			continue
 		}
-		if d.barred(g, w) {
+		if d.blockedByTrial(g, w) {
 			continue
 		}
 		ws = append(ws, w)
@@ -239,7 +239,7 @@
 		}
 	}
 	if len(renew) > 0 {
-		d.ask(g, q, renew, Renew)
+		d.ask(g, q, renew, PurposeRenew)
 	}
 	d.reserve(g, q, waiting)
 }
@@ -338,7 +338,7 @@
 		Run:    r.id,
 		Worker: r.worker.id,
 		Reason: "has room",
-		Age:    s.now.Sub(r.worker.answered),
+		Age:    s.now.Sub(r.worker.answeredAt),
 	})
 }
 
--- a/sched/event.go
+++ b/sched/event.go
@@ -35,12 +35,12 @@
 
 // The ways in which a run ends.
 const (
-	EndDone    EndKind = iota // the work is done
-	EndFailed                 // the task or the worker is at fault
-	EndStopped                // by a stop order
-	EndLapsed                 // the worker's lease expired
-	EndBroken                 // another member of the gang ended
-	EndAlone                  // the other members of the gang did not start
+	EndDone           EndKind = iota // the work is done
+	EndFailed                        // the task or the worker is at fault
+	EndStopped                       // by a stop order
+	EndLeaseExpired                  // the worker's lease expired
+	EndGangBroken                    // another member of the gang ended
+	EndGangIncomplete                // the other members of the gang did not start
 )
 
 var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
@@ -167,9 +167,9 @@
 
 // The purposes of questions.
 const (
-	Learn Purpose = iota // which additional workers may run the stage
-	Warm                 // keeps the tickets of a waiting gang valid
-	Renew                // renews tickets while room is held for their runs
+	PurposeLearn Purpose = iota // which additional workers may run the stage
+	PurposeWarm                 // keeps the tickets of a waiting gang valid
+	PurposeRenew                // renews tickets while room is held for their runs
 )
 
 var purposeNames = [...]string{"learn", "keep warm", "renew"}
@@ -238,21 +238,21 @@
 
 // The kinds of notes.
 const (
-	NotePlaced     NoteKind = "task placed"
-	NoteStarted    NoteKind = "task started"
-	NoteNotStarted NoteKind = "task not started"
-	NoteEnded      NoteKind = "task ended"
-	NoteUncounted  NoteKind = "end not counted"
-	NoteGone       NoteKind = "run is gone"
-	NoteStop       NoteKind = "task stop ordered"
-	NoteNotStopped NoteKind = "task stop not taken"
-	NoteJobEnded   NoteKind = "job ended"
-	NoteWorker     NoteKind = "worker changed"
-	NoteLife       NoteKind = "worker started again"
-	NoteStray      NoteKind = "unknown run at worker"
-	NoteAdvised    NoteKind = "advice received"
-	NoteCrash      NoteKind = "worker gone with its runs"
-	NoteGivenUp    NoteKind = "task given up"
+	NotePlaced          NoteKind = "task placed"
+	NoteStarted         NoteKind = "task started"
+	NoteNotStarted      NoteKind = "task not started"
+	NoteEnded           NoteKind = "task ended"
+	NoteUncounted       NoteKind = "end not counted"
+	NoteRunGone         NoteKind = "run is gone"
+	NoteStop            NoteKind = "task stop ordered"
+	NoteNotStopped      NoteKind = "task stop not taken"
+	NoteJobEnded        NoteKind = "job ended"
+	NoteWorker          NoteKind = "worker changed"
+	NoteWorkerRestarted NoteKind = "worker started again"
+	NoteUnknownRun      NoteKind = "unknown run at worker"
+	NoteAdvised         NoteKind = "advice received"
+	NoteWorkerLost      NoteKind = "worker gone with its runs"
+	NoteGivenUp         NoteKind = "task given up"
 )
 
 // A Note explains a decision or a change of state, for logs.
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -92,7 +92,7 @@
 }
 
 func (x *cell) list(id spoolsill.WorkerID, draining bool) {
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Address:  string(id),
@@ -103,7 +103,7 @@
 
 // listIn lists a worker in a rack and has it renew its lease.
 func (x *cell) listIn(id spoolsill.WorkerID, rack spoolsill.RackID) {
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Rack:     rack,
@@ -115,7 +115,7 @@
 
 // renew has a worker renew its lease and answer with what it runs.
 func (x *cell) renew(id spoolsill.WorkerID, running ...sched.RunID) {
-	x.state.LeaseAsked(lifeOf(id), sched.LeaseEnd(x.now, lease))
+	x.state.LeaseRequested(lifeOf(id), sched.LeaseEnd(x.now, lease))
 	x.answer(id, running...)
 }
 
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -28,7 +28,7 @@
 		d.start(t, seats[i])
 	}
 	if len(renew) > 0 && !g.advice.warming {
-		d.ask(g, q, renew, Renew)
+		d.ask(g, q, renew, PurposeRenew)
 	}
 }
 
@@ -52,7 +52,7 @@
 		g.gathered = nil
 		return
 	}
-	from := g.advice.good
+	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
 	}
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -106,7 +106,7 @@
 		},
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(g[1], sched.EndBroken)
+	x.end(g[1], sched.EndGangBroken)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#2", "g.0.0.1#2"})
 }
 
@@ -161,7 +161,7 @@
 // stepAdvised decides, answers all questions with tickets for one worker, and decides again.
 func (x *cell) stepAdvised(good spoolsill.WorkerID) {
 	x.step()
-	for _, o := range x.state.Advices() {
+	for _, o := range x.state.AdviceOrders() {
 		x.advise(o, good)
 	}
 	x.step()
--- a/sched/invalidentry_test.go
+++ b/sched/invalidentry_test.go
@@ -18,7 +18,7 @@
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.take(o)
-	x.state.WorkerUnclear(x.now, "w")
+	x.state.WorkerEntryInvalid(x.now, "w")
 	x.state.AddJob(x.now, job("k", "q", tasks(1, 1)), sched.Progress{})
 	for range 8 {
 		x.now = x.now.Add(500 * time.Millisecond)
@@ -41,7 +41,7 @@
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 1)
-	x.state.WorkerUnclear(x.now, "w")
+	x.state.WorkerEntryInvalid(x.now, "w")
 	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
 }
 
@@ -49,8 +49,8 @@
 // queue uses is not contacted.
 func TestUnusableEntriesAreNotContacted(t *testing.T) {
 	x := newCell(t)
-	x.state.WorkerUnclear(x.now, "nobody")
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerEntryInvalid(x.now, "nobody")
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       "other",
 		Service:  "elsewhere",
 		Address:  "other",
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -175,7 +175,7 @@
 		need:   t.stage.step.room(),
 		phase:  phaseInherited,
 	}
-	s.book(r)
+	s.addRun(r)
 }
 
 func (t *task) id() TaskID {
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -210,7 +210,7 @@
 	}
 	w.lastHeartbeat = x.now
 	if w.answered {
-		x.state.LeaseAsked(lifeOf("w"), sched.LeaseEnd(x.now, lease))
+		x.state.LeaseRequested(lifeOf("w"), sched.LeaseEnd(x.now, lease))
 	}
 	f := w.nextFault()
 	if f != faultOrderLost {
@@ -314,7 +314,7 @@
 		case 1:
 			plan("drains", func() { x.list("w", true) })
 		case 2:
-			plan("unlisted", func() { x.state.UnlistWorker(x.now, "w") })
+			plan("unlisted", func() { x.state.WorkerUnlisted(x.now, "w") })
 			if rapid.Bool().Draw(rt, "listed again") {
 				plan("listed", func() { x.list("w", false) })
 			}
@@ -374,7 +374,7 @@
 func TestUnlistedWorkerIsContactedWhileItsLeaseLasts(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	x.pass(lease-time.Second, nil)
 	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
 	x.pass(2*time.Second, nil)
--- a/sched/leaving_test.go
+++ b/sched/leaving_test.go
@@ -32,7 +32,7 @@
 func TestCheckpointedWorkMovesOffAnUnlistedWorker(t *testing.T) {
 	x := newCell(t)
 	r := x.startCheckpointed()
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	answers := map[spoolsill.WorkerID][]sched.RunID{
 		"w": {r},
 	}
@@ -48,10 +48,10 @@
 	for name, unlist := range map[string]func(x *cell){
 		"entries are deleted after the store is back": func(x *cell) {
 			x.state.StoreBack(x.now)
-			x.state.UnlistWorker(x.now, "w")
+			x.state.WorkerUnlisted(x.now, "w")
 		},
 		"entries are deleted before that is known": func(x *cell) {
-			x.state.UnlistWorker(x.now, "w")
+			x.state.WorkerUnlisted(x.now, "w")
 			x.state.StoreBack(x.now)
 		},
 	} {
@@ -82,7 +82,7 @@
 	x := newCell(t)
 	x.worker("w")
 	x.list("w", true)
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	x.state.StoreBack(x.now)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -98,7 +98,7 @@
 	o := x.step()
 	x.take(o)
 	x.worker("w2")
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:        "w1",
 		Service:   "work",
 		Address:   "w1",
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -28,10 +28,10 @@
 	}
 }
 
-// account returns the state of a life, or nil when its worker has another life now. An
+// workerOf returns the state of a life, or nil when its worker has another life now. An
 // unknown birth matches the latest life: platforms that report no births give each life
 // its own id.
-func (s *State) account(l spoolsill.Life) *worker {
+func (s *State) workerOf(l spoolsill.Life) *worker {
 	w := s.workers[l.Worker]
 	if w == nil || !w.life().MayBe(l.Born) {
 		return nil
@@ -52,7 +52,7 @@
 		return nil
 	case w.born == 0 && !w.dead:
 		w.born = l.Born
-		w.renewedUntil = w.answered // renewals start over with the new life
+		w.renewedUntil = w.answeredAt // renewals start over with the new life
 		return w
 	default:
 		// Also when the former life is known to have ended: otherwise the capacity of
@@ -72,7 +72,7 @@
 	w.former = known[max(len(known)-maxFormerLives, 0):]
 	w.Worker = old.Worker
 	w.Draining = false
-	w.unlisted = s.now
+	w.unlistedAt = s.now
 	w.earliestExit = s.now.Add(s.config.DrainTime)
 	w.leaseUntil = LeaseEnd(s.now, s.config.Lease)
 	s.workers[w.id] = w
@@ -101,11 +101,11 @@
 		ended = "had ended before, or left as announced"
 	}
 	s.note(Note{
-		Kind:   NoteLife,
+		Kind:   NoteWorkerRestarted,
 		Worker: w.id,
 		Reason: fmt.Sprintf("%s is of a life born %d; the one born %d %s, with %d runs, %d of them in doubt, and ends received up to %d",
 			source, w.born, old.born, ended, len(old.runs), old.doubtful(), old.lastEndSeen),
-		Age: s.now.Sub(old.answered),
+		Age: s.now.Sub(old.answeredAt),
 	})
 }
 
@@ -135,11 +135,11 @@
 	case phasePlanned:
 		s.cancelPlanned(r)
 	case phaseRecorded:
-		s.lose(r, "its worker started again before the order was sent")
+		s.dropRun(r, "its worker started again before the order was sent")
 	default:
 		s.removeRun(r)
 		r.worker = w
-		s.book(r)
+		s.addRun(r)
 		// A stop that the former life accepted does not apply to the next one.
 		r.stopped = time.Time{}
 		r.stopDue = s.now
@@ -172,13 +172,13 @@
 	for _, r := range rs {
 		if r.forFormerLife() {
 			r.task.stage.job.account.Lost++
-			s.lose(r, "its worker started again")
+			s.dropRun(r, "its worker started again")
 			continue
 		}
-		s.lose(r, "worker does not have it")
+		s.dropRun(r, "worker does not have it")
 	}
 	for _, r := range former {
-		s.giveUp(r.task.stage)
+		s.failCrashing(r.task.stage)
 	}
 }
 
--- a/sched/lives_test.go
+++ b/sched/lives_test.go
@@ -21,7 +21,7 @@
 
 // listBorn lists a life of a worker with ten cores.
 func (x *cell) listBorn(l spoolsill.Life) {
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       l.Worker,
 		Born:     l.Born,
 		Service:  "work",
@@ -89,7 +89,7 @@
 	x.answerBorn(bornIn(7000), bornIn(1000))
 	x.listBorn(bornIn(7000))
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteGone))
+	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteRunGone))
 	x.listBorn(bornIn(1000))
 	x.answerBorn(bornIn(1000), bornIn(1000), o[0].Run)
 	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
@@ -102,7 +102,7 @@
 // answerBorn has a life answer a call that was for the life asked, with the runs that it
 // has.
 func (x *cell) answerBorn(l, asked spoolsill.Life, running ...sched.RunID) {
-	x.state.LeaseAsked(asked, sched.LeaseEnd(x.now, lease))
+	x.state.LeaseRequested(asked, sched.LeaseEnd(x.now, lease))
 	h := sched.Heartbeat{
 		Life:  l,
 		Asked: asked,
@@ -127,7 +127,7 @@
 	x.listBorn(bornIn(7000))
 	x.answerBorn(bornIn(7000), bornIn(7000))
 	x.state.WorkerDied(x.now, bornIn(1000))
-	x.state.WorkerSilent(x.now, bornIn(1000))
+	x.state.WorkerUnresponsive(x.now, bornIn(1000))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
--- a/sched/overdue.go
+++ b/sched/overdue.go
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, g := range stages {
-		s.ask(g, s.queue(g.job), lives[g], Renew)
+		s.ask(g, s.queue(g.job), lives[g], PurposeRenew)
 	}
 }
 
@@ -69,9 +69,9 @@
 		switch {
 		case r == nil:
 		case a.Lost || s.ticketIsOver(r):
-			s.lose(r, "its ticket ran out before the order left")
+			s.dropRun(r, "its ticket ran out before the order left")
 		case !s.mayLeave(r):
-			s.lose(r, "overtaken before the order left")
+			s.dropRun(r, "overtaken before the order left")
 		default:
 			s.starts = append(s.starts, s.leave(o, r))
 		}
--- a/sched/overdue_test.go
+++ b/sched/overdue_test.go
@@ -36,7 +36,7 @@
 		x.advise(x.question(), "w")
 		x.c.Assert(x.slowly(), qt.HasLen, 0, qt.Commentf("%s", name))
 		q := x.question()
-		x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
+		x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
 		x.c.Assert(x.state.Starts(), qt.HasLen, 0)
 		x.renew("w")
@@ -61,7 +61,7 @@
 		x.step()
 		x.advise(x.question(), "w")
 		x.c.Assert(x.slowly(), qt.HasLen, 0)
-		x.state.Advised(x.now, sched.Advice{
+		x.state.AdviceReceived(x.now, sched.Advice{
 			Order:    x.question(),
 			Received: x.now,
 			Lost:     lost,
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -102,7 +102,7 @@
 		t.strays = spoolsill.Resources{}
 	}
 	for _, w := range s.order {
-		for id := range w.strays {
+		for id := range w.unknownRuns {
 			j := s.jobs[id.Task.Stage.Job]
 			if j == nil {
 				continue
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -222,7 +222,7 @@
 	j.Queue = "advised"
 	x.state.AddJob(x.now, j, sched.Progress{})
 	x.c.Check(x.step(), qt.HasLen, 0)
-	x.c.Check(x.state.Advices(), qt.HasLen, 0)
+	x.c.Check(x.state.AdviceOrders(), qt.HasLen, 0)
 	x.state.AddJob(x.now, x.teamJob("k", "", tasks(10, 1)), sched.Progress{})
 	x.c.Check(x.step(), qt.HasLen, 10)
 }
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -22,7 +22,7 @@
 	quotas []quotaSince
 	ids    []spoolsill.WorkerID
 	runs   map[spoolsill.WorkerID]map[sched.RunID]int // cores
-	late   []lateStart
+	late   []pendingStart
 	stops  map[sched.RunID]bool
 	jobs   map[spoolsill.JobID]sched.Job
 	rows   map[spoolsill.JobID][]byte
@@ -126,7 +126,7 @@
 			Doubt:    true,
 			Deadline: sched.ClockMillis(until.UnixMilli()),
 		})
-		m.late = append(m.late, lateStart{
+		m.late = append(m.late, pendingStart{
 			StartOrder: o,
 			until:      until,
 		})
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -58,7 +58,7 @@
 // soonest returns the workers that may run g, those first where room for a task
 // of it is expected first.
 func (d *decider) soonest(g *stage, q *Queue, r *readyWorkers) []*worker {
-	from := g.advice.good
+	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
 	}
--- a/sched/room.go
+++ b/sched/room.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// WorkersHeard records that all changes of the workers' entries up to the time sent are
+// EntriesSynced records that all changes of the workers' entries up to the time sent are
 // known.
-func (s *State) WorkersHeard(now, sent time.Time) {
+func (s *State) EntriesSynced(now, sent time.Time) {
 	s.now = now
 	if sent.After(s.entriesHeard) {
 		s.entriesHeard = sent
 	}
 }
 
-// roomIsKnown reports whether the workers' entries are recent enough for a start. A
+// entriesFresh reports whether the workers' entries are recent enough for a start. A
 // worker that does not check its own capacity could otherwise be overcommitted.
-func (s *State) roomIsKnown() bool {
+func (s *State) entriesFresh() bool {
 	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesHeard) <= s.config.EntriesAge
 }
 
--- a/sched/room_test.go
+++ b/sched/room_test.go
@@ -17,7 +17,7 @@
 
 // listWith lists a worker with n cores.
 func (x *cell) listWith(id spoolsill.WorkerID, n int) {
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Address:  string(id),
@@ -92,7 +92,7 @@
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 1)), sched.Progress{})
 	x.worker("w")
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.state.WorkersHeard(x.now, x.now)
+	x.state.EntriesSynced(x.now, x.now)
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
@@ -104,7 +104,7 @@
 	b, _, err = x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 0)
-	x.state.WorkersHeard(x.now, x.now)
+	x.state.EntriesSynced(x.now, x.now)
 	x.c.Assert(x.step(), qt.HasLen, 2)
 }
 
@@ -120,7 +120,7 @@
 	x.renew("w")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
-	x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
+	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 	x.listWith("w", 6)
 	x.advise(q, "w")
 	b, _, err := x.state.Batch(x.now)
@@ -136,12 +136,12 @@
 	x       *cell
 	room    map[spoolsill.WorkerID]int
 	runs    map[spoolsill.WorkerID]map[sched.RunID]int
-	pending []lateStart // carried out later or never, without an answer
+	pending []pendingStart // carried out later or never, without an answer
 	need    map[spoolsill.JobID]int
 }
 
-// A lateStart is an order that is carried out before until, or not at all.
-type lateStart struct {
+// A pendingStart is an order that is carried out before until, or not at all.
+type pendingStart struct {
 	sched.StartOrder
 	until time.Time
 }
@@ -181,7 +181,7 @@
 	for _, o := range m.x.state.Written(m.x.now, b) {
 		if rapid.IntRange(0, 4).Draw(t, "late") == 0 {
 			m.x.answerStart(o, sched.StartUnknown)
-			m.pending = append(m.pending, lateStart{
+			m.pending = append(m.pending, pendingStart{
 				StartOrder: o,
 				until:      m.x.now.Add(time.Second),
 			})
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -17,8 +17,8 @@
 	)
 }
 
-// book counts a run at its worker and for its team.
-func (s *State) book(r *run) {
+// addRun counts a run at its worker and for its team.
+func (s *State) addRun(r *run) {
 	r.worker.runs[r.id] = r
 	r.worker.used = r.worker.used.Add(r.need)
 	r.task.run = r
@@ -28,7 +28,7 @@
 	j.team.used = j.team.used.Add(r.need)
 }
 
-// removeRun undoes book.
+// removeRun undoes addRun.
 func (s *State) removeRun(r *run) {
 	w := r.worker
 	delete(w.runs, r.id)
@@ -52,11 +52,11 @@
 	s.touch(r.task.stage.job)
 }
 
-// lose removes a run that is certainly gone. Its task can be started again.
-func (s *State) lose(r *run, reason string) {
+// dropRun removes a run that is certainly gone. Its task can be started again.
+func (s *State) dropRun(r *run, reason string) {
 	s.release(r)
 	s.note(Note{
-		Kind:   NoteGone,
+		Kind:   NoteRunGone,
 		Job:    r.task.stage.job.ID,
 		Run:    r.id,
 		Worker: r.worker.id,
@@ -109,7 +109,7 @@
 	if a.Outcome == StartOtherLife {
 		if r != nil && !a.Doubt {
 			// The run never began there, so that it can't have ended that life.
-			s.lose(r, "start order: "+a.Outcome.String())
+			s.dropRun(r, "start order: "+a.Outcome.String())
 		}
 		s.WorkerDied(now, a.Life)
 		return
@@ -173,7 +173,7 @@
 		g.advice.expire(r.worker)
 	}
 	g.retryAt = s.now.Add(rejectedRetryDelay)
-	s.lose(r, "start order: "+o.String())
+	s.dropRun(r, "start order: "+o.String())
 }
 
 // rejectedRetryDelay is the delay before a stage is tried again after a rejected start,
@@ -190,20 +190,20 @@
 	if w == nil || w.dead {
 		return
 	}
-	if w.answered.IsZero() {
+	if w.answeredAt.IsZero() {
 		s.capInheritedLease(w)
 	}
 	if s.answeredFirst.IsZero() {
 		s.answeredFirst = now
 	}
-	if w.leaseExpired || w.answered.IsZero() {
+	if w.leaseExpired || w.answeredAt.IsZero() {
 		w.leaseExpired = false
 		s.retractLosses(w)
 	}
-	if now.Sub(w.answered) > maxAnswerAge {
-		s.noteWorker(w, "answers", now.Sub(w.answered))
+	if now.Sub(w.answeredAt) > maxAnswerAge {
+		s.noteWorker(w, "answers", now.Sub(w.answeredAt))
 	}
-	w.answered = now
+	w.answeredAt = now
 	w.unresponsive = false
 	for _, e := range h.Ended {
 		s.handleEnd(w, e)
@@ -213,7 +213,7 @@
 		listed[x.Run] = true
 		s.updateRunning(w, x)
 	}
-	maps.DeleteFunc(w.strays, func(id RunID, _ time.Time) bool { return !listed[id] })
+	maps.DeleteFunc(w.unknownRuns, func(id RunID, _ time.Time) bool { return !listed[id] })
 	if h.Partial {
 		s.reconcileUnknownRuns(w, h)
 		return
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -305,7 +305,7 @@
 	x.state.WorkerRefused(x.now, lifeOf("a"))
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.list("a", true)
-	x.state.UnlistWorker(x.now, "a")
+	x.state.WorkerUnlisted(x.now, "a")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.state.WorkerRefused(x.now, lifeOf("a"))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
@@ -367,7 +367,7 @@
 	x.take(o)
 	for i := range 6 {
 		x.now = x.now.Add(500 * time.Millisecond)
-		x.state.LeaseAsked(lifeOf("a"), sched.LeaseEnd(x.now, lease))
+		x.state.LeaseRequested(lifeOf("a"), sched.LeaseEnd(x.now, lease))
 		x.state.Heartbeat(x.now, sched.Heartbeat{
 			Life: lifeOf("a"),
 			Sent: x.now,
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -68,16 +68,16 @@
 // second and lists a run until it is stopped: one order for each answer would be 150 in
 // 3 s; with the delay it is 5 (TestStopsOfUnknownRunsArePaced).
 func (s *State) stopUnknownRun(w *worker, id RunID) {
-	if s.now.Before(w.strays[id]) {
+	if s.now.Before(w.unknownRuns[id]) {
 		return
 	}
-	w.strays[id] = s.nextStopAfterOrder()
+	w.unknownRuns[id] = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
 		Life: w.life(),
 		Run:  id,
 	})
 	s.note(Note{
-		Kind:   NoteStray,
+		Kind:   NoteUnknownRun,
 		Job:    id.Task.Stage.Job,
 		Run:    id,
 		Worker: w.id,
@@ -85,10 +85,10 @@
 	})
 }
 
-// stopAgain repeats the stop orders that are due and have had no effect. A worker that
+// repeatStops repeats the stop orders that are due and have had no effect. A worker that
 // was unreachable when its run was cancelled would otherwise run it to completion. Cost:
 // O(runs being stopped).
-func (s *State) stopAgain() {
+func (s *State) repeatStops() {
 	s.unwanted = slices.DeleteFunc(s.unwanted, func(r *run) bool { return r.worker.runs[r.id] != r })
 	for _, r := range s.unwanted {
 		if !s.now.Before(r.stopDue) {
@@ -100,12 +100,12 @@
 // StopAnswered handles the result of a stop order.
 func (s *State) StopAnswered(now time.Time, a StopAnswer) {
 	s.now = now
-	w := s.account(a.Order.Life)
+	w := s.workerOf(a.Order.Life)
 	if w == nil {
 		return
 	}
-	if _, ok := w.strays[a.Order.Run]; ok {
-		w.strays[a.Order.Run] = s.nextStopAfterAnswer(a)
+	if _, ok := w.unknownRuns[a.Order.Run]; ok {
+		w.unknownRuns[a.Order.Run] = s.nextStopAfterAnswer(a)
 		return
 	}
 	r := w.runs[a.Order.Run]
@@ -120,7 +120,7 @@
 			Run:    r.id,
 			Worker: w.id,
 			Reason: a.Reason,
-			Age:    now.Sub(w.answered),
+			Age:    now.Sub(w.answeredAt),
 		})
 		return
 	}
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -43,7 +43,7 @@
 	}
 	limit := time.Duration(stuckShare * float64(s.expected(s.queue(g.job), g.step)))
 	limit = min(max(limit, stuckLeast), stuckMost)
-	return r.worker.answered.Sub(r.moved) >= limit
+	return r.worker.answeredAt.Sub(r.moved) >= limit
 }
 
 // stopAsStuck stops a run and holds it against its worker.
--- a/sched/unknown.go
+++ b/sched/unknown.go
@@ -45,12 +45,12 @@
 		need:   t.stage.step.room(),
 		phase:  phaseSent,
 	}
-	delete(w.strays, x.Run)
-	s.book(r)
+	delete(w.unknownRuns, x.Run)
+	s.addRun(r)
 	s.touch(t.stage.job)
 	s.updateRunning(w, x)
 	s.note(Note{
-		Kind:   NoteStray,
+		Kind:   NoteUnknownRun,
 		Job:    t.stage.job.ID,
 		Run:    r.id,
 		Worker: w.id,
--- a/sched/unlisted_test.go
+++ b/sched/unlisted_test.go
@@ -10,7 +10,7 @@
 func TestIdleUnlistedWorkerIsNotContactedForever(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
-	x.state.UnlistWorker(x.now, "w")
+	x.state.WorkerUnlisted(x.now, "w")
 	for range 120 {
 		x.now = x.now.Add(500 * time.Millisecond)
 		if len(x.state.Workers()) == 0 {
--- a/sched/unresponsive_test.go
+++ b/sched/unresponsive_test.go
@@ -14,7 +14,7 @@
 func TestUnresponsiveWorkerGetsNothingNewUntilItAnswers(t *testing.T) {
 	x := newCell(t)
 	x.worker("w")
-	x.state.WorkerSilent(x.now, lifeOf("w"))
+	x.state.WorkerUnresponsive(x.now, lifeOf("w"))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.renew("w")
@@ -47,7 +47,7 @@
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.worker("w1")
 	x.step()
-	x.c.Assert(x.state.Advices(), qt.HasLen, 0)
+	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 	x.now = x.now.Add(50 * time.Millisecond)
 	x.worker("w2")
 	x.now = x.now.Add(50 * time.Millisecond)
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -78,7 +78,7 @@
 func (s *State) mayUse(g *stage) []*worker {
 	q := s.queue(g.job)
 	if q.Advisor != nil {
-		return g.advice.good
+		return g.advice.allowed
 	}
 	var ws []*worker
 	for _, w := range s.order {
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -21,10 +21,10 @@
 	// minLeaseLeft is how much of its lease a worker must have left to be given
 	// something new.
 	minLeaseLeft = time.Second
-	// lateMost is how long a worker whose entry was deleted is still contacted although
+	// lateStartWindow is how long a worker whose entry was deleted is still contacted although
 	// it has no known runs. The platform specifies that an unanswered order may be
 	// carried out up to 12 s later, and the last one may have been sent just before.
-	lateMost = 14 * time.Second
+	lateStartWindow = 14 * time.Second
 	// rejectBackoff is how long nothing new is started at a worker that rejected a start
 	// as unhealthy or did not answer it.
 	rejectBackoff = 700 * time.Millisecond
@@ -53,19 +53,19 @@
 	// not apply to the next life, which counts from 1 again: its ends would be taken for
 	// duplicates.
 	lastEndSeen uint64
-	// answered is when the latest heartbeat was received under this leadership.
-	answered time.Time
+	// answeredAt is when the latest heartbeat was received under this leadership.
+	answeredAt time.Time
 	// leaseUntil is the latest time, by our clock, at which its lease may end;
 	// renewedUntil is the time until which we have requested it.
 	leaseUntil   time.Time
 	renewedUntil time.Time
-	// strays are the runs that it lists and that are in no record, with the time at
+	// unknownRuns are the runs that it lists and that are in no record, with the time at
 	// which the next order to stop them is due.
-	strays map[RunID]time.Time
+	unknownRuns map[RunID]time.Time
 	// earliestExit is the earliest time at which a worker that drains, or is no longer
-	// listed, may exit; unlisted is when its entry was deleted.
+	// listed, may exit; unlistedAt is when its entry was deleted.
 	earliestExit time.Time
-	unlisted     time.Time
+	unlistedAt   time.Time
 	// graceUntil is until when a worker whose entry was lost in an outage of the store
 	// is treated as listed.
 	graceUntil   time.Time
@@ -73,9 +73,9 @@
 	// unresponsive is set while an order had no answer and the worker has not answered
 	// since: nothing new is started there.
 	unresponsive bool
-	// unclear is set while its entry can't be decoded: nothing new is started there, but
-	// its lease is renewed and its runs are kept.
-	unclear bool
+	// entryInvalid is set while its entry can't be decoded: nothing new is started
+	// there, but its lease is renewed and its runs are kept.
+	entryInvalid bool
 	// leaseExpired is set when its runs were dropped because its lease had expired.
 	leaseExpired bool
 	ready        bool // accepts something new, as of the current pass
@@ -100,9 +100,9 @@
 
 func newWorker(id spoolsill.WorkerID) *worker {
 	return &worker{
-		id:     id,
-		runs:   map[RunID]*run{},
-		strays: map[RunID]time.Time{},
+		id:          id,
+		runs:        map[RunID]*run{},
+		unknownRuns: map[RunID]time.Time{},
 	}
 }
 
@@ -116,8 +116,8 @@
 	s.order = append(s.order, w)
 }
 
-// ListWorker handles a worker's entry in the platform's table.
-func (s *State) ListWorker(now time.Time, l Worker) {
+// WorkerListed handles a worker's entry in the platform's table.
+func (s *State) WorkerListed(now time.Time, l Worker) {
 	s.now = now
 	w := s.observeLife(l.Life(), "its entry")
 	if w == nil || w.dead {
@@ -130,26 +130,26 @@
 	if !w.listed {
 		s.noteWorker(w, "listed", 0)
 	}
-	if w.unclear {
+	if w.entryInvalid {
 		s.noteWorker(w, "its entry is whole again", 0)
 	}
 	w.listed = true
-	w.unclear = false
+	w.entryInvalid = false
 	w.graceUntil = time.Time{}
 	w.Worker = l
 	s.declareOlderLivesDead(w)
 }
 
-// WorkerUnclear records that a worker's entry can't be decoded, for example because
+// WorkerEntryInvalid records that a worker's entry can't be decoded, for example because
 // another program has overwritten it. It is ignored for workers that are not known.
-func (s *State) WorkerUnclear(now time.Time, id spoolsill.WorkerID) {
+func (s *State) WorkerEntryInvalid(now time.Time, id spoolsill.WorkerID) {
 	s.now = now
 	w := s.workers[id]
-	if w == nil || w.unclear || w.dead {
+	if w == nil || w.entryInvalid || w.dead {
 		return
 	}
-	w.unclear = true
-	s.noteWorker(w, "its entry can't be decoded", now.Sub(w.answered))
+	w.entryInvalid = true
+	s.noteWorker(w, "its entry can't be decoded", now.Sub(w.answeredAt))
 }
 
 // declareOlderLivesDead declares the unlisted other lives of a machine dead: a machine
@@ -178,17 +178,17 @@
 	}
 }
 
-// UnlistWorker records that a worker's entry was deleted. The worker may continue its
+// WorkerUnlisted records that a worker's entry was deleted. The worker may continue its
 // runs.
-func (s *State) UnlistWorker(now time.Time, id spoolsill.WorkerID) {
+func (s *State) WorkerUnlisted(now time.Time, id spoolsill.WorkerID) {
 	s.now = now
 	w := s.workers[id]
 	if w == nil || !w.listed {
 		return
 	}
 	w.listed = false
-	s.noteWorker(w, "no longer listed", now.Sub(w.answered))
-	w.unlisted = now
+	s.noteWorker(w, "no longer listed", now.Sub(w.answeredAt))
+	w.unlistedAt = now
 	if !w.Draining {
 		w.earliestExit = now.Add(s.config.DrainTime)
 		s.startOutageGrace(w)
@@ -206,7 +206,7 @@
 // another life.
 func (s *State) WorkerDied(now time.Time, l spoolsill.Life) {
 	s.now = now
-	if w := s.account(l); w != nil && !w.dead {
+	if w := s.workerOf(l); w != nil && !w.dead {
 		s.declareDead(w, "its address answers for another life")
 	}
 }
@@ -216,23 +216,23 @@
 // draining and is no longer listed has exited.
 func (s *State) WorkerRefused(now time.Time, l spoolsill.Life) {
 	s.now = now
-	w := s.account(l)
+	w := s.workerOf(l)
 	if w != nil && !w.dead && w.Draining && !w.listed {
 		s.declareDead(w, "it was draining and has exited")
 	}
 }
 
-// WorkerSilent records that an order to a worker had no answer, and that it has answered
-// nothing since. Nothing new is started there until it answers: otherwise every start in
-// a hall that is cut off would be in doubt until a lease has expired.
-func (s *State) WorkerSilent(now time.Time, l spoolsill.Life) {
+// WorkerUnresponsive records that an order to a worker had no answer, and that it has
+// answered nothing since. Nothing new is started there until it answers: otherwise every
+// start in a hall that is cut off would be in doubt until a lease has expired.
+func (s *State) WorkerUnresponsive(now time.Time, l spoolsill.Life) {
 	s.now = now
-	w := s.account(l)
+	w := s.workerOf(l)
 	if w == nil || w.unresponsive || w.dead {
 		return
 	}
 	w.unresponsive = true
-	s.noteWorker(w, "an order had no answer", now.Sub(w.answered))
+	s.noteWorker(w, "an order had no answer", now.Sub(w.answeredAt))
 }
 
 // relistDelay is how long after an outage of the store entries that were lost in it take
@@ -246,7 +246,7 @@
 	s.now = now
 	s.storeBack = now
 	for _, w := range s.order {
-		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlisted) < relistDelay {
+		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlistedAt) < relistDelay {
 			s.startOutageGrace(w)
 		}
 	}
@@ -274,10 +274,10 @@
 	return w.Draining || !w.present(now)
 }
 
-// saveLeaving stops the runs that a worker about to exit can't finish, if their progress
+// stopOnLeaving stops the runs that a worker about to exit can't finish, if their progress
 // is saved at the stop or they are lasting, so that they continue elsewhere. A run that
 // ends with its worker is otherwise only replaced once the worker's lease has expired.
-func (s *State) saveLeaving() {
+func (s *State) stopOnLeaving() {
 	for _, w := range s.order {
 		if !w.leaving(s.now) || w.dead || len(w.runs) == 0 || w.earliestExit.Sub(s.now) > s.config.StopTime+checkpointMargin {
 			continue
@@ -294,9 +294,9 @@
 // checkpointMargin is the time for sending a stop order and receiving the end.
 const checkpointMargin = 400 * time.Millisecond
 
-// LeaseAsked records that a call may extend the lease of a worker's life until at most
+// LeaseRequested records that a call may extend the lease of a worker's life until at most
 // the given time by our clock. A call for a former life may reach the next one.
-func (s *State) LeaseAsked(l spoolsill.Life, until time.Time) {
+func (s *State) LeaseRequested(l spoolsill.Life, until time.Time) {
 	w := s.workers[l.Worker]
 	if w == nil {
 		return
@@ -330,7 +330,7 @@
 	w.dead = true
 	w.listed = false
 	s.removeLife(w)
-	s.noteWorker(w, "dead: "+reason, s.now.Sub(w.answered))
+	s.noteWorker(w, "dead: "+reason, s.now.Sub(w.answeredAt))
 	if crashed {
 		s.confirmLosses(w)
 	}
@@ -346,10 +346,10 @@
 	s.recordLoss(w, rs, over, reason)
 	for _, r := range rs {
 		r.task.stage.job.account.Lost++
-		s.lose(r, reason)
+		s.dropRun(r, reason)
 	}
 	for _, r := range rs {
-		s.giveUp(r.task.stage)
+		s.failCrashing(r.task.stage)
 	}
 }
 
@@ -384,7 +384,7 @@
 			continue
 		}
 		if len(w.runs) > 0 {
-			s.noteWorker(w, "lease is over", s.now.Sub(w.answered))
+			s.noteWorker(w, "lease is over", s.now.Sub(w.answeredAt))
 			w.leaseExpired = true
 			s.dropRuns(w, "lease is over", false)
 		}
@@ -401,11 +401,11 @@
 	})
 }
 
-// takes reports whether something new may be started at w now. Its lease must have been
+// acceptsStarts reports whether something new may be started at w now. Its lease must have been
 // renewed: a worker that answers again after a silence may be about to end all its runs.
-func (w *worker) takes(now time.Time) bool {
-	return w.present(now) && !w.unclear && !w.Draining && !w.dead && len(w.strays) == 0 &&
-		now.Sub(w.answered) < maxAnswerAge && !w.unresponsive && !now.Before(w.backoffUntil) &&
+func (w *worker) acceptsStarts(now time.Time) bool {
+	return w.present(now) && !w.entryInvalid && !w.Draining && !w.dead && len(w.unknownRuns) == 0 &&
+		now.Sub(w.answeredAt) < maxAnswerAge && !w.unresponsive && !now.Before(w.backoffUntil) &&
 		w.renewedUntil.Sub(now) > minLeaseLeft
 }
 
