--- a/sched/crash.go
+++ b/sched/crash.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// trialPeriod is how long after its start a run of a suspect task is on trial: a
-	// crash of its worker in that period counts against the task.
+	// trialPeriod is how long after its start a run of a suspect task is on trial, which
+	// is the time within which a task that crashes its workers does so.
 	trialPeriod = maxRuntimePerCrash
 	// besideTrialCost is the cost of starting an unsuspected task beside a run on trial,
 	// with which it may be lost, as a fraction of its run time for each such run.
--- a/sched/event.go
+++ b/sched/event.go
@@ -45,6 +45,7 @@
 
 var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}
 
+// String returns the name of k as it appears in logs and metrics.
 func (k EndKind) String() string {
 	if int(k) >= len(endKindNames) {
 		return "unknown"
@@ -104,6 +105,7 @@
 
 var startOutcomeNames = [...]string{"taken", "rejected", "no-room", "no-ticket", "unhealthy", "other-life", "unknown"}
 
+// String returns the name of o as it appears in logs and metrics.
 func (o StartOutcome) String() string {
 	if int(o) >= len(startOutcomeNames) {
 		return "unknown"
@@ -174,6 +176,7 @@
 
 var purposeNames = [...]string{"learn", "keep warm", "renew"}
 
+// String returns the name of p as it appears in logs.
 func (p Purpose) String() string {
 	if int(p) >= len(purposeNames) {
 		return "unknown"
