--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -178,13 +178,13 @@
 	for _, o := range x.state.Stops() {
 		x.loop.After(callTime, func() { x.stop(o) })
 	}
-	for _, o := range x.state.Starts() {
+	for _, o := range x.state.DeferredStarts() {
 		x.loop.After(callTime, func() { x.start(o) })
 	}
 	x.questions = append(x.questions, x.state.AdviceOrders()...)
 	x.ask()
 	x.state.Notes()
-	x.state.Told()
+	x.state.StatusUpdates()
 	x.write()
 }
 
@@ -214,7 +214,7 @@
 			delete(x.jobs, s.ID)
 		}
 	}
-	for _, o := range x.state.Written(x.loop.Time(), b) {
+	for _, o := range x.state.BatchWritten(x.loop.Time(), b) {
 		x.loop.After(callTime, func() { x.start(o) })
 	}
 	for _, a := range b.Acks {
--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return Refused, err
 	}
-	if w.MaxRow > 0 && max(len(v), sched.ProgressBytes(j)) > w.MaxRow {
+	if w.MaxRow > 0 && max(len(v), sched.MaxProgressBytes(j)) > w.MaxRow {
 		// It would be refused, and with it all that share its write.
 		return TooLarge, nil
 	}
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -278,7 +278,7 @@
 
 // takeHeard takes in that all jobs accepted before a time are known.
 func (l *Leader) takeHeard(sent time.Time) {
-	if t := l.state.Told(); len(t) > 0 {
+	if t := l.state.StatusUpdates(); len(t) > 0 {
 		l.publish(l.lastWrite, t)
 	}
 	l.mu.Lock()
@@ -457,13 +457,13 @@
 func (l *Leader) act(ctx context.Context) error {
 	now := l.config.Clock.Now()
 	l.decide(now)
-	if t := l.state.Told(); len(t) > 0 {
+	if t := l.state.StatusUpdates(); len(t) > 0 {
 		l.publish(l.lastWrite, t)
 	}
 	for _, o := range l.state.Stops() {
 		l.sendStop(ctx, o)
 	}
-	for _, o := range l.state.Starts() {
+	for _, o := range l.state.DeferredStarts() {
 		l.sendStart(o)
 	}
 	for _, o := range l.state.AdviceOrders() {
--- a/leader/load.go
+++ b/leader/load.go
@@ -57,7 +57,7 @@
 	for _, r := range rows {
 		listed[spoolsill.WorkerID(r.Key.Name)] = true
 	}
-	for _, id := range l.state.Listed() {
+	for _, id := range l.state.ListedWorkers() {
 		if !listed[id] {
 			l.state.WorkerUnlisted(now, id)
 		}
@@ -138,7 +138,7 @@
 		l.config.Log.WithError(err).WithField("job", string(id)).WithField("state", p.State.String()).Error("progress without a job")
 		return
 	}
-	l.state.AddEnded(now, id, p)
+	l.state.AddEndedJob(now, id, p)
 }
 
 // takeJob takes in a row of the jobs table: a job or the mark of a cancelled
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -63,7 +63,7 @@
 	l.state.SetMaxQuestions(len(l.config.Advisor.Hosts()) * l.advising.depth())
 	wanted := l.wanted
 	clear(wanted)
-	lives := l.state.Workers()
+	lives := l.state.HeartbeatTargets()
 	for _, life := range lives {
 		wanted[life] = true
 	}
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -82,16 +82,16 @@
 		g.advice.learning++
 	case PurposeWarm:
 		g.advice.warming = true
-		s.warming++
+		s.warmQueriesInFlight++
 	}
-	s.asking++
-	s.advices = append(s.advices, AdviceOrder{
+	s.queriesInFlight++
+	s.adviceOrders = append(s.adviceOrders, AdviceOrder{
 		Stage:    g.id,
 		Workers:  workers,
 		Priority: q.Priority,
 		Urgent:   g.tier == tierUrgent,
 		Purpose:  p,
-		Cost:     q.Advisor.cost(len(workers)),
+		Cost:     q.Advisor.queryTime(len(workers)),
 		Ordered:  s.now,
 	})
 }
@@ -102,7 +102,7 @@
 	parts := 1
 	if g.step.Gang {
 		width := q.Advisor.questionSize()
-		parts = min((len(workers)+width-1)/width, (d.askers-d.asking)/2)
+		parts = min((len(workers)+width-1)/width, (d.advisorSlots-d.queriesInFlight)/2)
 	}
 	size := (len(workers) + max(parts, 1) - 1) / max(parts, 1)
 	for part := range slices.Chunk(workers, size) {
@@ -121,13 +121,13 @@
 
 // SetMaxQuestions sets how many questions the hosts can put to the advisor at once.
 func (s *State) SetMaxQuestions(n int) {
-	s.askers = n
+	s.advisorSlots = n
 }
 
 // AdviceOrders returns the questions to the advisor since the last call.
 func (s *State) AdviceOrders() []AdviceOrder {
-	o := s.advices
-	s.advices = nil
+	o := s.adviceOrders
+	s.adviceOrders = nil
 	return o
 }
 
@@ -148,7 +148,7 @@
 		if len(lives) == most {
 			break
 		}
-		if g.allows(w) && !g.advice.asked[w] {
+		if g.labelMatches(w) && !g.advice.asked[w] {
 			lives = append(lives, w.life())
 		}
 	}
@@ -158,9 +158,9 @@
 // AdviceReceived handles an answer of the advisor.
 func (s *State) AdviceReceived(now time.Time, a Advice) {
 	s.now = now
-	s.asking--
+	s.queriesInFlight--
 	if a.Order.Purpose == PurposeWarm {
-		s.warming--
+		s.warmQueriesInFlight--
 	}
 	j := s.jobs[a.Order.Stage.Job]
 	if j == nil || j.state.Final() {
@@ -191,7 +191,7 @@
 	if a.Order.Purpose == PurposeLearn {
 		return
 	}
-	s.sendOverdue(g, a)
+	s.dispatchDeferred(g, a)
 	if a.Lost {
 		s.dropPlan(g)
 		return
@@ -253,7 +253,7 @@
 }
 
 func (s *State) startable(r *run) bool {
-	return r.worker.acceptsStarts(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.over() && r.task.stage.advice.valid(r.worker, s.now)
+	return r.worker.acceptsStarts(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.overQuota() && r.task.stage.advice.valid(r.worker, s.now)
 }
 
 // plan reserves room for a run while its ticket is renewed.
@@ -266,7 +266,7 @@
 		task:   t,
 		worker: w,
 		born:   w.born,
-		need:   t.stage.step.room(),
+		need:   t.stage.step.demand(),
 		phase:  phasePlanned,
 	}
 	s.addRun(r)
@@ -286,7 +286,7 @@
 // advisor has answered.
 func (d *decider) keepWarm(g *stage, q *Queue) {
 	a := &g.advice
-	if q.Advisor == nil || a.warming || d.warming >= max(d.askers/warmHostDivisor, 1) {
+	if q.Advisor == nil || a.warming || d.warmQueriesInFlight >= max(d.advisorSlots/warmHostDivisor, 1) {
 		return
 	}
 	var ready []*worker
@@ -297,7 +297,7 @@
 			lives = append(lives, w.life())
 		}
 	}
-	soon := d.now.Add(q.Advisor.cost(len(ready)) + ticketMargin)
+	soon := d.now.Add(q.Advisor.queryTime(len(ready)) + ticketMargin)
 	if slices.ContainsFunc(ready, func(w *worker) bool { return !a.valid(w, soon) }) {
 		d.ask(g, q, lives, PurposeWarm)
 	}
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -35,8 +35,8 @@
 
 func TestAdvisorIsAskedBeforeAStart(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
@@ -52,22 +52,22 @@
 // repeated questions: those that no stage waits for any more would overload the advisor.
 func TestExpiredTicketIsRenewedWithRoomHeld(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
 	big := x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.pass(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
-	x.end(big[0], sched.EndDone)
+	x.endRun(big[0], sched.EndDone)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
 	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 	x.state.AddJob(x.now, job("late", "q", tasks(1, 10)), sched.Progress{})
-	x.pass(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -78,29 +78,29 @@
 
 func TestPlanSkipsLostWorkers(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
-	x.renew("w")
+	x.renewLease("w")
 	x.step()
 	q := x.question()
 	// The lease expires and the worker answers again before the advisor does.
-	x.pass(7*time.Second, nil)
-	x.renew("w")
+	x.advance(7*time.Second, nil)
+	x.renewLease("w")
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
 func TestLostQuestionReleasesTheRoom(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
-	x.renew("w")
+	x.renewLease("w")
 	x.step()
 	x.state.AdviceReceived(x.now, sched.Advice{
 		Order: x.question(),
@@ -118,7 +118,7 @@
 func TestQuestionsAreBoundedByHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.SetMaxQuestions(hosts)
 		for i := range 20 {
 			x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint(i)), "advised", tasks(1, 1)), sched.Progress{})
@@ -135,7 +135,7 @@
 	const hosts = 3
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.SetMaxQuestions(hosts)
 		for i := range 20 {
 			j := job(spoolsill.JobID(fmt.Sprint(i)), "advised-urgent", tasks(1, 1))
@@ -160,13 +160,13 @@
 // that they look idle, but nothing new is started there.
 func TestOnlyWorkersThatAnswerAreAskedAbout(t *testing.T) {
 	x := newCell(t)
-	x.worker("silent")
-	x.worker("busy")
-	x.pass(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.addWorker("silent")
+	x.addWorker("busy")
+	x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"busy": nil,
 	})
 	x.state.AddJob(x.now, job("other", "q", tasks(1, 4)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
 	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("busy")})
@@ -176,20 +176,20 @@
 // gang that waits for room are renewed in advance.
 func TestTicketsOfAWaitingGangAreKeptValid(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
 	big := x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.pass(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
 	q := x.question()
 	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeWarm)
 	x.advise(q, "w")
-	x.end(big[0], sched.EndDone)
+	x.endRun(big[0], sched.EndDone)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 }
@@ -201,7 +201,7 @@
 		x := newCell(t)
 		x.state.SetMaxQuestions(hosts)
 		for i := range 60 {
-			x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
+			x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 		}
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 		x.step()
@@ -224,16 +224,16 @@
 // the advisor's answer for it still applies.
 func TestAdviceOutlivesAWorkersAbsence(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	// The worker is unreachable until its lease has expired, and then comes back.
 	x.state.WorkerUnlisted(x.now, "w")
-	x.pass(2*lease, nil)
-	x.worker("w")
+	x.advance(2*lease, nil)
+	x.addWorker("w")
 	x.state.CancelJob(x.now, "big")
 	x.step()
 	q := x.question()
@@ -245,7 +245,7 @@
 // Guards against a flood of questions when the advisor refuses each one at once.
 func TestLostQuestionsAreAskedAgainAfterAPause(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.SetMaxQuestions(2)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	asked := 0
--- a/sched/batch.go
+++ b/sched/batch.go
@@ -9,9 +9,9 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// MaxRows is how many jobs' rows a batch has at most; the store takes 100
+// MaxBatchRows is how many jobs' rows a batch has at most; the store takes 100
 // entries in a transaction, and one is the leader's.
-const MaxRows = 90
+const MaxBatchRows = 90
 
 // maxBytes is from where on a batch takes no more rows, if the configuration does not
 // say less: the store takes 1 MB, of which base64 takes a quarter, and one more row has
@@ -28,7 +28,7 @@
 	}
 	n, size := 0, 0
 	for _, j := range s.dirty {
-		if n == MaxRows || size > most {
+		if n == MaxBatchRows || size > most {
 			break
 		}
 		n++
@@ -45,7 +45,7 @@
 		b.Starts = append(b.Starts, j.starts...)
 		j.starts = nil
 		b.Statuses = append(b.Statuses, j.status())
-		if j.state.Final() && j.runs == 0 && j.stages != nil {
+		if j.state.Final() && j.activeRuns == 0 && j.stages != nil {
 			b.Ended = append(b.Ended, j.ID)
 		}
 		s.slim(j)
@@ -55,14 +55,14 @@
 		b.Acks = s.takeAcks()
 	}
 	if s.config.KeepEnded > 0 {
-		b.Forgotten = s.forgetEnded(MaxRows - n)
+		b.Forgotten = s.forgetEnded(MaxBatchRows - n)
 	}
 	return b, n > 0 || len(b.Acks) > 0 || len(b.Forgotten) > 0, nil
 }
 
 // slim drops what is not needed of a job that has ended for good.
 func (s *State) slim(j *job) {
-	if !j.state.Final() || j.runs > 0 {
+	if !j.state.Final() || j.activeRuns > 0 {
 		return
 	}
 	j.Spec = ""
@@ -110,9 +110,9 @@
 	return acks
 }
 
-// Written takes in that a batch lasts, and returns the starts that may leave
+// BatchWritten takes in that a batch lasts, and returns the starts that may leave
 // now: those that nothing has overtaken meanwhile.
-func (s *State) Written(now time.Time, b Batch) []StartOrder {
+func (s *State) BatchWritten(now time.Time, b Batch) []StartOrder {
 	s.now = now
 	var out, overdue []StartOrder
 	for _, o := range b.Starts {
@@ -150,7 +150,7 @@
 // leave takes in that an order leaves now, with the newest ticket that there is.
 func (s *State) leave(o StartOrder, r *run) StartOrder {
 	r.phase = phaseSent
-	r.begun = s.now
+	r.startedAt = s.now
 	// A start renews the lease as well.
 	s.LeaseRequested(o.Life, LeaseEnd(s.now, s.config.StartLease))
 	o.Ticket = r.task.stage.advice.tickets[r.worker].text
@@ -161,17 +161,17 @@
 func (s *State) mayLeave(r *run) bool {
 	g := r.task.stage
 	return !r.task.done && !g.job.state.Final() && !r.stopping &&
-		s.entriesFresh() && r.worker.hasRoom() && !g.job.team.over() &&
+		s.entriesFresh() && r.worker.hasRoom() && !g.job.team.overQuota() &&
 		r.worker.present(s.now) && !r.worker.entryInvalid && !r.worker.Draining
 }
 
-// Workers returns the lives of the workers that are to be kept in touch with:
+// HeartbeatTargets returns the lives of the workers that are to be kept in touch with:
 // those that are listed, and those that may have runs, known or not. A start without
 // an answer may be carried out at a worker whose entry has gone: with a lease of 6 s
 // it went on there for 5.6 s, and for 0.12 s if the worker is looked at.
-func (s *State) Workers() []spoolsill.Life {
-	lives := make([]spoolsill.Life, 0, len(s.order))
-	for _, w := range s.order {
+func (s *State) HeartbeatTargets() []spoolsill.Life {
+	lives := make([]spoolsill.Life, 0, len(s.workerList))
+	for _, w := range s.workerList {
 		if w.dead || w.Address == "" || !s.concerns(w) {
 			continue
 		}
@@ -182,10 +182,10 @@
 	return lives
 }
 
-// Listed returns the ids of the workers that the platform lists.
-func (s *State) Listed() []spoolsill.WorkerID {
+// ListedWorkers returns the ids of the workers that the platform lists.
+func (s *State) ListedWorkers() []spoolsill.WorkerID {
 	var ids []spoolsill.WorkerID
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if w.listed {
 			ids = append(ids, w.id)
 		}
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for _, o := range s.Written(now, x) {
+		for _, o := range s.BatchWritten(now, x) {
 			s.StartAnswered(now, sched.StartAnswer{
 				Life: o.Life,
 				Run:  o.Run,
@@ -110,7 +110,7 @@
 			})
 		}
 		s.Notes()
-		s.Told()
+		s.StatusUpdates()
 	}
 }
 
@@ -197,7 +197,7 @@
 			s.CancelJob(now, q.Stage.Job)
 		}
 		s.Notes()
-		s.Told()
+		s.StatusUpdates()
 	}
 }
 
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -78,7 +78,7 @@
 		if !slices.Contains(s.suspects, r.task) {
 			s.suspects = append(s.suspects, r.task)
 		}
-		s.touch(r.task.stage.job)
+		s.markDirty(r.task.stage.job)
 	}
 	if len(affected) > 0 {
 		s.noteSuspects(w, affected, reason)
@@ -114,7 +114,7 @@
 func (s *State) retractLosses(w *worker) {
 	for _, t := range s.suspects {
 		if t.evidence.retract(w.life()) {
-			s.touch(t.stage.job)
+			s.markDirty(t.stage.job)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 func (s *State) confirmLosses(w *worker) {
 	for _, t := range slices.Clone(s.suspects) {
 		if t.evidence.confirm(w.life()) {
-			s.touch(t.stage.job)
+			s.markDirty(t.stage.job)
 			s.failCrashing(t.stage)
 		}
 	}
@@ -131,9 +131,9 @@
 
 // clearIfSurvived clears the task of a run that has lasted for long enough.
 func (s *State) clearIfSurvived(r *run) {
-	if r.task.evidence.clearedBy(s.now.Sub(r.begun)) {
+	if r.task.evidence.clearedBy(s.now.Sub(r.startedAt)) {
 		r.task.evidence = evidence{}
-		s.touch(r.task.stage.job)
+		s.markDirty(r.task.stage.job)
 	}
 }
 
@@ -186,14 +186,14 @@
 	if len(r.task.evidence.losses) == 0 {
 		return
 	}
-	if r.phase == phaseConfirmed && !r.forFormerLife() && w.answeredAt.After(r.begun) {
-		r.task.evidence.lived += w.answeredAt.Sub(r.begun)
+	if r.phase == phaseConfirmed && !r.forFormerLife() && w.answeredAt.After(r.startedAt) {
+		r.task.evidence.lived += w.answeredAt.Sub(r.startedAt)
 	}
 }
 
 // inTrial reports whether a run may still crash its worker.
 func (r *run) inTrial(now time.Time) bool {
-	return r.begun.IsZero() || now.Sub(r.begun) < trialPeriod
+	return r.startedAt.IsZero() || now.Sub(r.startedAt) < trialPeriod
 }
 
 // otherTrials counts the runs on trial at a worker that belong to other jobs than j, and
@@ -235,7 +235,7 @@
 	if level > weakSuspicion {
 		riskCost = strongRunsAtRiskCost
 	}
-	c := failedCost*float64(beside) + riskCost*w.used.DominantShare(w.Capacity)
+	c := failedWorkerCost*float64(beside) + riskCost*w.used.DominantShare(w.Capacity)
 	if _, crashed := d.crashedAt[w.machineKey()]; crashed {
 		c += recentCrashCost
 	}
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -27,7 +27,7 @@
 		Address:  fmt.Sprint("address of ", machine),
 		Capacity: cores(10),
 	})
-	x.renew(id)
+	x.renewLease(id)
 	return id
 }
 
@@ -53,9 +53,9 @@
 
 func lossCases() []lossCase {
 	confirm := func(x *cell, o sched.StartOrder) {
-		x.take([]sched.StartOrder{o})
+		x.acceptStarts([]sched.StartOrder{o})
 		x.now = x.now.Add(100 * time.Millisecond)
-		x.renew(o.Worker, o.Run)
+		x.renewLease(o.Worker, o.Run)
 	}
 	return []lossCase{
 		{
@@ -73,7 +73,7 @@
 				confirm(x, o)
 				x.now = x.now.Add(3 * time.Second)
 				x.state.WorkerUnlisted(x.now, o.Worker)
-				x.list(o.Worker+"x", false)
+				x.listWorker(o.Worker+"x", false)
 				x.state.WorkerDied(x.now, o.Life)
 			},
 			counts: true,
@@ -82,7 +82,7 @@
 			name: "it never answers again",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
-				x.pass(lease+2*time.Second, nil)
+				x.advance(lease+2*time.Second, nil)
 			},
 			counts: true,
 		},
@@ -90,17 +90,17 @@
 			name: "its lease expires, then it answers again",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
-				x.pass(lease+2*time.Second, nil)
-				x.renew(o.Worker)
+				x.advance(lease+2*time.Second, nil)
+				x.renewLease(o.Worker)
 			},
 		},
 		{
 			name: "it exits as announced",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
-				x.list(o.Worker, true)
+				x.listWorker(o.Worker, true)
 				x.now = x.now.Add(3 * time.Second)
-				x.renew(o.Worker, o.Run)
+				x.renewLease(o.Worker, o.Run)
 				x.state.WorkerUnlisted(x.now, o.Worker)
 				x.state.WorkerRefused(x.now, o.Life)
 			},
@@ -116,7 +116,7 @@
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.now = x.now.Add(time.Second)
-				x.renew(o.Worker)
+				x.renewLease(o.Worker)
 			},
 		},
 	}
@@ -134,7 +134,7 @@
 			e.end(x, o[0])
 			x.listLife(1, 0)
 			x.now = x.now.Add(time.Second)
-			x.renew(life(1, 0))
+			x.renewLease(life(1, 0))
 			b, err := x.jobRow()
 			x.c.Assert(err, qt.IsNil)
 			p, err := sched.DecodeProgress(b)
@@ -187,10 +187,10 @@
 			break
 		}
 		starts++
-		x.take(o)
+		x.acceptStarts(o)
 		x.state.WorkerUnlisted(x.now, id)
 		x.now = x.now.Add(50 * time.Millisecond)
-		x.renew(id, o[0].Run)
+		x.renewLease(id, o[0].Run)
 		x.now = x.now.Add(time.Second)
 		x.state.WorkerDied(x.now, lifeOf(id))
 	}
@@ -201,10 +201,10 @@
 // crash has the worker of an order take it and crash at the given age of the run, and
 // its machine come back.
 func (x *cell) crash(o sched.StartOrder, age time.Duration) {
-	x.take([]sched.StartOrder{o})
+	x.acceptStarts([]sched.StartOrder{o})
 	for end := x.now.Add(age); x.now.Before(end); {
 		x.now = x.now.Add(min(500*time.Millisecond, end.Sub(x.now)))
-		x.renew(o.Worker, o.Run)
+		x.renewLease(o.Worker, o.Run)
 	}
 	x.now = x.now.Add(3 * time.Second)
 	x.state.WorkerDied(x.now, o.Life)
@@ -241,9 +241,9 @@
 		x.listLife(i, 0)
 		o := x.step()
 		x.c.Assert(o, qt.HasLen, 1)
-		x.take(o)
-		x.renew(life(i, 0), o[0].Run)
-		x.pass(lease+2*time.Second, nil)
+		x.acceptStarts(o)
+		x.renewLease(life(i, 0), o[0].Run)
+		x.advance(lease+2*time.Second, nil)
 	}
 	for i := range 3 {
 		x.state.WorkerDied(x.now, lifeOf(life(i, 0)))
@@ -278,12 +278,12 @@
 		o := x.step()
 		x.c.Assert(o, qt.HasLen, 2)
 		x.c.Assert(o[0].Worker, qt.Not(qt.Equals), o[1].Worker)
-		x.take(o)
+		x.acceptStarts(o)
 		x.now = x.now.Add(3 * time.Second)
-		x.renew(o[1].Worker, o[1].Run)
+		x.renewLease(o[1].Worker, o[1].Run)
 		x.state.WorkerDied(x.now, o[0].Life)
-		x.end(o[1], sched.EndStopped)
-		x.renew(o[1].Worker)
+		x.endRun(o[1], sched.EndStopped)
+		x.renewLease(o[1].Worker)
 		v, err := x.jobRow()
 		x.c.Assert(err, qt.IsNil)
 		p, err := sched.DecodeProgress(v)
@@ -294,7 +294,7 @@
 		}
 		// Both workers drain, so that the next run is on others.
 		for _, w := range []spoolsill.WorkerID{life(2*i, 0), life(2*i+1, 0)} {
-			x.list(w, true)
+			x.listWorker(w, true)
 		}
 	}
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
@@ -311,14 +311,14 @@
 	}
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 4)
-	x.take(o)
+	x.acceptStarts(o)
 	x.now = x.now.Add(3 * time.Second)
 	for i := 1; i < 4; i++ {
 		w := x.listLife(i, 0)
 		x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint("k", i)), "q", tasks(1, 6)), sched.Progress{})
 		k := x.step()
 		x.c.Assert(k[0].Worker, qt.Equals, w)
-		x.take(k)
+		x.acceptStarts(k)
 	}
 	x.listLife(4, 0)
 	x.state.WorkerDied(x.now, lifeOf(life(0, 0)))
@@ -365,12 +365,12 @@
 	}
 	w := x.listLife(2, 0)
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.state.AddJob(x.now, job("other", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	for range 3 {
 		x.now = x.now.Add(400 * time.Millisecond)
-		x.renew(w, o[0].Run)
+		x.renewLease(w, o[0].Run)
 	}
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -228,12 +228,12 @@
 				continue
 			}
 			delete(f.runs[id], r)
-			f.x.end(sched.StartOrder{
+			f.x.endRun(sched.StartOrder{
 				Life: lifeOf(id),
 				Run:  r,
 			}, sched.EndDone)
 		}
-		f.x.renew(id, running...)
+		f.x.renewLease(id, running...)
 	}
 	if f.busy {
 		f.utilization += float64(used) / float64(max(room, 1))
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -37,10 +37,10 @@
 			continue
 		}
 		if m.run != nil && m.run.Worker == w {
-			m.x.renew(w, m.run.Run)
+			m.x.renewLease(w, m.run.Run)
 			continue
 		}
-		m.x.renew(w)
+		m.x.renewLease(w)
 	}
 	m.x.state.Decide(m.x.now)
 	b, _, err := m.x.state.Batch(m.x.now)
@@ -50,7 +50,7 @@
 	for _, r := range b.Rows {
 		m.row = r.Value
 	}
-	for _, o := range m.x.state.Written(m.x.now, b) {
+	for _, o := range m.x.state.BatchWritten(m.x.now, b) {
 		m.begin(t, o)
 	}
 }
@@ -110,7 +110,7 @@
 	}
 	m.x.state.AddJob(m.x.now, job("j", "q", tasks(1, 1)), p)
 	for _, w := range m.workers {
-		m.x.list(w, false)
+		m.x.listWorker(w, false)
 	}
 }
 
--- a/sched/crashrow_test.go
+++ b/sched/crashrow_test.go
@@ -116,14 +116,14 @@
 	for i := range 2 {
 		x.listLife(i, 0)
 		o := x.step()
-		x.take(o)
+		x.acceptStarts(o)
 		x.now = x.now.Add(3 * time.Second)
 		x.state.WorkerDied(x.now, lifeOf(life(i, 0)))
 	}
 	x.listLife(2, 0)
 	b, err := x.jobRow()
 	x.c.Assert(err, qt.IsNil)
-	x.c.Assert(len(b) < sched.ProgressBytes(j), qt.IsTrue)
+	x.c.Assert(len(b) < sched.MaxProgressBytes(j), qt.IsTrue)
 	p, err := sched.DecodeProgress(b)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(p.Crashes, qt.HasLen, 32)
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -21,7 +21,7 @@
 	s.countStrays()
 	s.stopDoubtful()
 	s.openDue()
-	if s.now.Sub(s.answeredFirst) < s.config.SettleTime || !s.entriesFresh() {
+	if s.now.Sub(s.firstAnswerAt) < s.config.SettleTime || !s.entriesFresh() {
 		return
 	}
 	d := decider{
@@ -38,9 +38,9 @@
 // readyWorkers are the workers of one service that take something now.
 type readyWorkers struct {
 	workers []*worker
-	// most is no less than what any of them has free. It is not lowered as
+	// maxFree is no less than what any of them has free. It is not lowered as
 	// room is taken within a pass.
-	most spoolsill.Resources
+	maxFree spoolsill.Resources
 	// byFree are the workers with the most free processors first, as of when it
 	// was first asked for in the pass; nil before.
 	byFree []*worker
@@ -59,23 +59,23 @@
 // collectReady looks once at each worker, so that a pass over many stages costs
 // little for those that find no room.
 func (d *decider) collectReady() {
-	for _, w := range d.order {
-		w.ready = w.acceptsStarts(d.now) && w.health.takes(d.now)
+	for _, w := range d.workerList {
+		w.ready = w.acceptsStarts(d.now) && w.health.available(d.now)
 		if !w.ready {
 			continue
 		}
 		r := d.ready[w.Service]
 		if r == nil {
 			r = &readyWorkers{
-				workers: make([]*worker, 0, len(d.order)),
+				workers: make([]*worker, 0, len(d.workerList)),
 			}
 			d.ready[w.Service] = r
 		}
 		r.workers = append(r.workers, w)
 		free := w.free()
-		r.most.Processors = max(r.most.Processors, free.Processors)
-		r.most.Memory = max(r.most.Memory, free.Memory)
-		r.most.Accelerators = max(r.most.Accelerators, free.Accelerators)
+		r.maxFree.Processors = max(r.maxFree.Processors, free.Processors)
+		r.maxFree.Memory = max(r.maxFree.Memory, free.Memory)
+		r.maxFree.Accelerators = max(r.maxFree.Accelerators, free.Accelerators)
 	}
 }
 
@@ -90,9 +90,9 @@
 // ranked returns the open stages in the order in which they are served, and
 // forgets those that are done.
 func (s *State) ranked() []*stage {
-	kept := s.open[:0]
+	kept := s.openStages[:0]
 	var ready []*stage
-	for _, g := range s.open {
+	for _, g := range s.openStages {
 		if g.done() || g.job.state.Final() {
 			g.open = false
 			continue
@@ -102,8 +102,8 @@
 			ready = append(ready, g)
 		}
 	}
-	clear(s.open[len(kept):])
-	s.open = kept
+	clear(s.openStages[len(kept):])
+	s.openStages = kept
 	ranks := make(map[*stage]rank, len(ready))
 	for _, g := range ready {
 		ranks[g] = s.rank(g)
@@ -164,7 +164,7 @@
 	if a.learning > 0 || known && d.now.Sub(a.lastLearned) <= askMoreAfter {
 		return known
 	}
-	if g.tier != tierUrgent && d.asking >= questionsPerAsker*max(d.askers, 1) {
+	if g.tier != tierUrgent && d.queriesInFlight >= questionsPerAsker*max(d.advisorSlots, 1) {
 		return known
 	}
 	more := d.unasked(g, q)
@@ -176,8 +176,8 @@
 	return known
 }
 
-// allows reports whether g's tasks may run at w, as far as its label tells.
-func (g *stage) allows(w *worker) bool {
+// labelMatches reports whether g's tasks may run at w, as far as its label tells.
+func (g *stage) labelMatches(w *worker) bool {
 	return g.step.Requires == "" || slices.Contains(w.Labels, g.step.Requires)
 }
 
@@ -185,8 +185,8 @@
 // room for a task.
 func (d *decider) candidates(g *stage, q *Queue) []*worker {
 	r := d.ready[q.Service]
-	need := g.step.room()
-	if r == nil || !need.Fits(r.most) {
+	need := g.step.demand()
+	if r == nil || !need.Fits(r.maxFree) {
 		return nil
 	}
 	from := r.workers
@@ -198,7 +198,7 @@
 		if !w.ready || !need.Fits(w.free()) || w.Service != q.Service {
 			continue
 		}
-		if !g.allows(w) {
+		if !g.labelMatches(w) {
 			continue
 		}
 		if h := d.held[w]; h != nil && h != g && q.Priority > 0 {
@@ -221,7 +221,7 @@
 		if t.done || t.run != nil {
 			continue
 		}
-		if !g.job.team.takes(g.step.room()) {
+		if !g.job.team.takes(g.step.demand()) {
 			break
 		}
 		w := d.best(t, ws)
@@ -259,7 +259,7 @@
 // one where it has not failed, then the fastest, then the tightest fit.
 func (d *decider) best(t *task, ws []*worker) *worker {
 	g := t.stage
-	need := g.step.room()
+	need := g.step.demand()
 	var best *worker
 	least := math.Inf(1)
 	for _, w := range ws {
@@ -271,8 +271,8 @@
 			continue
 		}
 		c := d.cost(g, w, free.Sub(need)) + d.trialCost(t, w)
-		if slices.Contains(t.failedAt, w.life()) {
-			c += failedCost
+		if slices.Contains(t.failedOn, w.life()) {
+			c += failedWorkerCost
 		}
 		if c < least {
 			best = w
@@ -282,8 +282,8 @@
 	return best
 }
 
-// failedCost outweighs any difference in speed.
-const failedCost = 100
+// failedWorkerCost outweighs any difference in speed.
+const failedWorkerCost = 100
 
 // tightness is how much the share of a worker that is left free counts
 // against a factor on the run time; small, so that it only breaks ties between
@@ -331,7 +331,7 @@
 		Saved:  t.startFrom(),
 		Ticket: g.advice.tickets[r.worker].text,
 	})
-	s.touch(g.job)
+	s.markDirty(g.job)
 	s.note(Note{
 		Kind:   NotePlaced,
 		Job:    g.job.ID,
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -85,13 +85,13 @@
 	return s
 }
 
-// worker lists a worker of ten cores and has it answer and renew its lease.
-func (x *cell) worker(id spoolsill.WorkerID) {
-	x.list(id, false)
-	x.renew(id)
+// addWorker lists a addWorker of ten cores and has it answer and renew its lease.
+func (x *cell) addWorker(id spoolsill.WorkerID) {
+	x.listWorker(id, false)
+	x.renewLease(id)
 }
 
-func (x *cell) list(id spoolsill.WorkerID, draining bool) {
+func (x *cell) listWorker(id spoolsill.WorkerID, draining bool) {
 	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
@@ -110,17 +110,17 @@
 		Address:  string(id),
 		Capacity: cores(10),
 	})
-	x.renew(id)
+	x.renewLease(id)
 }
 
-// renew has a worker renew its lease and answer with what it runs.
-func (x *cell) renew(id spoolsill.WorkerID, running ...sched.RunID) {
+// renewLease has a worker renewLease its lease and answer with what it runs.
+func (x *cell) renewLease(id spoolsill.WorkerID, running ...sched.RunID) {
 	x.state.LeaseRequested(lifeOf(id), sched.LeaseEnd(x.now, lease))
-	x.answer(id, running...)
+	x.heartbeat(id, running...)
 }
 
-// answer has a worker answer without renewing its lease.
-func (x *cell) answer(id spoolsill.WorkerID, running ...sched.RunID) {
+// heartbeat has a worker heartbeat without renewing its lease.
+func (x *cell) heartbeat(id spoolsill.WorkerID, running ...sched.RunID) {
 	h := sched.Heartbeat{
 		Life:  lifeOf(id),
 		Sent:  x.now,
@@ -134,8 +134,8 @@
 	x.state.Heartbeat(x.now, h)
 }
 
-// end has a worker list the end of a run.
-func (x *cell) end(o sched.StartOrder, k sched.EndKind) {
+// endRun has a worker list the endRun of a run.
+func (x *cell) endRun(o sched.StartOrder, k sched.EndKind) {
 	x.ends[o.Worker]++
 	x.state.Heartbeat(x.now, sched.Heartbeat{
 		Life: lifeOf(o.Worker),
@@ -161,13 +161,13 @@
 	if !any {
 		return nil
 	}
-	out := x.state.Written(x.now, b)
+	out := x.state.BatchWritten(x.now, b)
 	x.started = append(x.started, out...)
 	return out
 }
 
-// take has workers take start orders.
-func (x *cell) take(orders []sched.StartOrder) {
+// acceptStarts has workers acceptStarts start orders.
+func (x *cell) acceptStarts(orders []sched.StartOrder) {
 	for _, o := range orders {
 		x.answerStart(o, sched.StartTaken)
 	}
@@ -183,12 +183,12 @@
 	})
 }
 
-// pass lets time go by while some workers go on answering with what they run.
-func (x *cell) pass(d time.Duration, answering map[spoolsill.WorkerID][]sched.RunID) {
+// advance lets time go by while some workers go on answering with what they run.
+func (x *cell) advance(d time.Duration, answering map[spoolsill.WorkerID][]sched.RunID) {
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(500 * time.Millisecond)
 		for id, runs := range answering {
-			x.renew(id, runs...)
+			x.renewLease(id, runs...)
 		}
 		x.state.Decide(x.now)
 	}
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -63,7 +63,7 @@
 	}
 	seats := 0
 	keep := func(w *worker) bool {
-		n := fitTimes(g.step.room(), w.Capacity)
+		n := fitTimes(g.step.demand(), w.Capacity)
 		if !w.ready || d.held[w] != nil || n == 0 || seats >= gatherFactor*len(g.tasks) {
 			return false
 		}
@@ -85,10 +85,10 @@
 func (s *State) seatable(g *stage, ws []*worker) bool {
 	seats := 0
 	for _, w := range ws {
-		if w.dead || w.leaving(s.now) || !g.allows(w) {
+		if w.dead || w.leaving(s.now) || !g.labelMatches(w) {
 			continue
 		}
-		n := fitTimes(g.step.room(), w.Capacity)
+		n := fitTimes(g.step.demand(), w.Capacity)
 		if m := g.step.MaxPerWorker; m > 0 {
 			n = min(n, m)
 		}
@@ -149,7 +149,7 @@
 }
 
 func (d *decider) seatsAmong(g *stage, ws []*worker) []*worker {
-	need := g.step.room()
+	need := g.step.demand()
 	type offer struct {
 		w     *worker
 		seats int
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -17,11 +17,11 @@
 	x := newCell(t)
 	var big []sched.StartOrder
 	for i := range 10 {
-		x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
+		x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 		x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint("big", i)), "q", tasks(1, 6)), sched.Progress{})
 	}
 	big = x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("gang", "q", gang(2, 10)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	for i := range 10 {
@@ -30,7 +30,7 @@
 	// Two tasks, three times over, at workers that hold one each: six of ten.
 	later := x.step()
 	x.c.Assert(later, qt.HasLen, 4)
-	x.take(later)
+	x.acceptStarts(later)
 	left := map[spoolsill.WorkerID]bool{}
 	for _, o := range later {
 		left[o.Worker] = true
@@ -40,7 +40,7 @@
 	n := 0
 	for _, o := range big {
 		if !left[o.Worker] && n < 2 {
-			x.end(o, sched.EndDone)
+			x.endRun(o, sched.EndDone)
 			n++
 		}
 	}
@@ -49,14 +49,14 @@
 
 func TestGangIsPlacedWholeOrNotAtAll(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("small", "q", tasks(1, 6)), sched.Progress{})
 	small := x.step()
-	x.take(small)
+	x.acceptStarts(small)
 	x.state.AddJob(x.now, job("g", "q", gang(3, 5)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(small[0], sched.EndDone)
+	x.endRun(small[0], sched.EndDone)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#1", "g.0.0.1#1", "g.0.0.2#1"})
 }
 
@@ -64,14 +64,14 @@
 // twice: the steps after it would be skipped.
 func TestGangEndsOnce(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	second := tasks(1, 3)
 	second.After = []int{0}
 	x.state.AddJob(x.now, job("j", "q", gang(2, 3), second), sched.Progress{})
 	g := x.step()
-	x.take(g)
-	x.end(g[0], sched.EndDone)
-	x.end(g[1], sched.EndDone)
+	x.acceptStarts(g)
+	x.endRun(g[0], sched.EndDone)
+	x.endRun(g[1], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Running)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.1.0#1"})
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
@@ -81,24 +81,24 @@
 // One that is still listed later is stopped.
 func TestDoneGangIsNotStopped(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", gang(2, 3)), sched.Progress{})
 	g := x.step()
-	x.take(g)
-	x.end(g[0], sched.EndDone)
+	x.acceptStarts(g)
+	x.endRun(g[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
-	x.renew("w", g[1].Run)
+	x.renewLease("w", g[1].Run)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
 
 func TestBrokenGangStartsAgainOnlyWhenAllMembersAreGone(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("g", "q", gang(2, 3)), sched.Progress{})
 	g := x.step()
-	x.take(g)
-	x.end(g[0], sched.EndFailed)
+	x.acceptStarts(g)
+	x.endRun(g[0], sched.EndFailed)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
 			Life: lifeOf("w"),
@@ -106,18 +106,18 @@
 		},
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(g[1], sched.EndGangBroken)
+	x.endRun(g[1], sched.EndGangBroken)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#2", "g.0.0.1#2"})
 }
 
 // Members of a gang that are through wait for the others.
 func TestGangThatStandsStillIsLeftAlone(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", gang(2, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.pass(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.acceptStarts(o)
+	x.advance(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"a": {o[0].Run, o[1].Run},
 	})
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
@@ -132,7 +132,7 @@
 	g.SameRack = true
 	x.state.AddJob(x.now, job("j", "q", g), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"a": nil,
 		"b": nil,
 	})
@@ -145,9 +145,9 @@
 	for _, q := range []sched.QueueID{"q", "advised"} {
 		t.Run(string(q), func(t *testing.T) {
 			x := newCell(t)
-			x.worker("a")
+			x.addWorker("a")
 			if q == "advised" {
-				x.worker("no-good")
+				x.addWorker("no-good")
 			}
 			x.state.AddJob(x.now, job("gang", q, gang(2, 8)), sched.Progress{})
 			x.stepAdvised("a")
@@ -170,10 +170,10 @@
 // Guards against a stage that waits for long without a word on what it waits for.
 func TestLongestWaitTellsWhatIsMissing(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("big", "q", tasks(2, 8)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("gang", "q", gang(2, 8)), sched.Progress{})
 	x.step()
 	w, ok := x.state.LongestWait(x.now.Add(time.Second))
--- a/sched/invalidentry_test.go
+++ b/sched/invalidentry_test.go
@@ -14,35 +14,35 @@
 // runs, and is used again after its next valid entry.
 func TestWorkerWithAnInvalidEntryKeepsItsRuns(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.state.WorkerEntryInvalid(x.now, "w")
 	x.state.AddJob(x.now, job("k", "q", tasks(1, 1)), sched.Progress{})
 	for range 8 {
 		x.now = x.now.Add(500 * time.Millisecond)
-		x.renew("w", o[0].Run)
+		x.renewLease("w", o[0].Run)
 		x.c.Assert(x.step(), qt.HasLen, 0)
 	}
-	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
-	x.end(o[0], sched.EndDone)
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+	x.endRun(o[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
-	x.worker("w")
+	x.addWorker("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
 // Orders that were recorded before the entry became invalid are not sent.
 func TestOrderToAWorkerWithAnInvalidEntryIsNotSent(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 1)
 	x.state.WorkerEntryInvalid(x.now, "w")
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 0)
 }
 
 // An invalid entry of an unknown worker is ignored, and a worker of a service that no
@@ -56,5 +56,5 @@
 		Address:  "other",
 		Capacity: cores(10),
 	})
-	x.c.Assert(x.state.Workers(), qt.HasLen, 0)
+	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
--- a/sched/job.go
+++ b/sched/job.go
@@ -171,8 +171,8 @@
 	PerWorker time.Duration
 }
 
-// cost returns how long a question about n workers takes.
-func (a *Advisor) cost(n int) time.Duration {
+// queryTime returns how long a question about n workers takes.
+func (a *Advisor) queryTime(n int) time.Duration {
 	return a.Base + time.Duration(n)*a.PerWorker
 }
 
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -19,7 +19,7 @@
 	}
 	s.jobs[j.ID] = x
 	s.setState(x, p.State)
-	s.told = append(s.told, x.status())
+	s.statusUpdates = append(s.statusUpdates, x.status())
 	if p.State.Final() && len(p.Stages) == 0 {
 		x.Spec = ""
 		x.Steps = nil
@@ -55,15 +55,15 @@
 					Round: k,
 					Step:  i,
 				},
-				job:  j,
-				step: &j.Steps[i],
-				left: j.Steps[i].Tasks,
+				job:       j,
+				step:      &j.Steps[i],
+				tasksLeft: j.Steps[i].Tasks,
 			}
 			if j.Rounds > 0 {
 				g.due = j.FirstRound.Add(time.Duration(k) * j.Interval)
 			}
 			j.stages = append(j.stages, g)
-			if g.left > 0 {
+			if g.tasksLeft > 0 {
 				j.undone++
 			}
 		}
@@ -74,11 +74,11 @@
 // begun: one is done, has failed or has saved something.
 func (j *job) surelyBegun() bool {
 	for _, g := range j.stages {
-		if g.fails > 0 || g.done() {
+		if g.gangFailures > 0 || g.done() {
 			return true
 		}
 		for _, t := range g.tasks {
-			if t.done || t.fails > 0 || t.saved != "" {
+			if t.done || t.failures > 0 || t.saved != "" {
 				return true
 			}
 		}
@@ -114,9 +114,9 @@
 	if g == nil {
 		return
 	}
-	g.fails = p.Fails
+	g.gangFailures = p.Fails
 	if p.Done && len(p.Tasks) == 0 {
-		g.left = 0
+		g.tasksLeft = 0
 		j.undone--
 		return
 	}
@@ -127,17 +127,17 @@
 		}
 		t := g.tasks[i]
 		t.done = tp.Done
-		t.fails = tp.Fails
+		t.failures = tp.Fails
 		t.lastRun = tp.Run
 		t.saved = tp.Saved
 		if t.done {
-			g.left--
+			g.tasksLeft--
 		}
 		if tp.Worker != "" {
 			s.inherit(t, tp)
 		}
 	}
-	if g.left == 0 {
+	if g.tasksLeft == 0 {
 		j.undone--
 	}
 }
@@ -172,7 +172,7 @@
 		task:   t,
 		worker: w,
 		born:   p.Born,
-		need:   t.stage.step.room(),
+		need:   t.stage.step.demand(),
 		phase:  phaseInherited,
 	}
 	s.addRun(r)
@@ -185,8 +185,8 @@
 	}
 }
 
-// room returns what a task takes of a worker's capacity.
-func (p *Step) room() spoolsill.Resources {
+// demand returns what a task takes of a worker's capacity.
+func (p *Step) demand() spoolsill.Resources {
 	r := p.Need
 	if p.Fills {
 		r.Processors = 0
@@ -212,7 +212,7 @@
 		return
 	}
 	g.makeTasks()
-	s.open = append(s.open, g)
+	s.openStages = append(s.openStages, g)
 }
 
 // openDue moves the timed stages whose time has come to those to place.
@@ -228,13 +228,13 @@
 			continue
 		}
 		g.makeTasks()
-		s.open = append(s.open, g)
+		s.openStages = append(s.openStages, g)
 	}
 	s.timed = rest
 }
 
-// AddEnded takes in a job of which only its progress is kept, which is final.
-func (s *State) AddEnded(now time.Time, id spoolsill.JobID, p Progress) {
+// AddEndedJob takes in a job of which only its progress is kept, which is final.
+func (s *State) AddEndedJob(now time.Time, id spoolsill.JobID, p Progress) {
 	s.AddJob(now, Job{
 		ID:   id,
 		Team: p.Team,
@@ -264,7 +264,7 @@
 func (s *State) endJob(j *job, to JobState, reason string) {
 	s.setState(j, to)
 	s.stopJob(j, reason)
-	s.touch(j)
+	s.markDirty(j)
 	s.note(Note{
 		Kind:   NoteJobEnded,
 		Job:    j.ID,
@@ -294,8 +294,8 @@
 	}
 }
 
-// stageDone is called when the last task of a stage is done.
-func (s *State) stageDone(g *stage) {
+// completeStage is called when the last task of a stage is done.
+func (s *State) completeStage(g *stage) {
 	j := g.job
 	j.undone--
 	if j.undone == 0 {
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -136,7 +136,7 @@
 			stopped:   map[sched.TaskID]sched.RunNumber{},
 		},
 	}
-	x.list("w", false)
+	x.listWorker("w", false)
 	return x
 }
 
@@ -153,8 +153,8 @@
 	for _, o := range x.state.Stops() {
 		x.answerStop(o, w.stop(o.Run, x.epoch))
 	}
-	if slices.Contains(x.state.Workers(), lifeOf("w")) {
-		x.heartbeat()
+	if slices.Contains(x.state.HeartbeatTargets(), lifeOf("w")) {
+		x.answerRenewal()
 	}
 }
 
@@ -168,7 +168,7 @@
 	for _, r := range b.Rows {
 		x.rows[r.ID] = r.Value
 	}
-	for _, o := range x.state.Written(x.now, b) {
+	for _, o := range x.state.BatchWritten(x.now, b) {
 		x.send(o)
 	}
 }
@@ -201,9 +201,9 @@
 	})
 }
 
-// heartbeat has the worker answer a renewal, which extends its lease if the previous one
+// answerRenewal has the worker answer a renewal, which extends its lease if the previous one
 // was answered.
-func (x *lateCell) heartbeat() {
+func (x *lateCell) answerRenewal() {
 	w := x.worker
 	if x.now.Sub(w.lastHeartbeat) < heartbeatInterval {
 		return
@@ -227,7 +227,7 @@
 	for r := range w.runs {
 		rs = append(rs, r)
 	}
-	x.answer("w", rs...)
+	x.heartbeat("w", rs...)
 }
 
 func (x *lateCell) cancel() {
@@ -251,7 +251,7 @@
 	if x.cancelled {
 		x.state.CancelJob(x.now, j.ID)
 	}
-	x.list("w", false)
+	x.listWorker("w", false)
 }
 
 // overdueRun returns a run that should have been stopped by now.
@@ -312,11 +312,11 @@
 		}
 		switch rapid.IntRange(0, 2).Draw(rt, "entry") {
 		case 1:
-			plan("drains", func() { x.list("w", true) })
+			plan("drains", func() { x.listWorker("w", true) })
 		case 2:
 			plan("unlisted", func() { x.state.WorkerUnlisted(x.now, "w") })
 			if rapid.Bool().Draw(rt, "listed again") {
-				plan("listed", func() { x.list("w", false) })
+				plan("listed", func() { x.listWorker("w", false) })
 			}
 		}
 		if rapid.Bool().Draw(rt, "cut") {
@@ -342,7 +342,7 @@
 	for _, answered := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
 			x := newCell(t)
-			x.worker("w")
+			x.addWorker("w")
 			r := sched.RunID{
 				Task: sched.TaskID{
 					Stage: sched.StageID{
@@ -354,7 +354,7 @@
 			stops := 0
 			for range 150 {
 				x.now = x.now.Add(20 * time.Millisecond)
-				x.renew("w", r)
+				x.renewLease("w", r)
 				x.state.Decide(x.now)
 				for _, o := range x.state.Stops() {
 					stops++
@@ -373,30 +373,30 @@
 // running: it is contacted until the lease has expired, and no longer.
 func TestUnlistedWorkerIsContactedWhileItsLeaseLasts(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.WorkerUnlisted(x.now, "w")
-	x.pass(lease-time.Second, nil)
-	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
-	x.pass(2*time.Second, nil)
-	x.c.Assert(x.state.Workers(), qt.HasLen, 0)
+	x.advance(lease-time.Second, nil)
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+	x.advance(2*time.Second, nil)
+	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
 
 // The end of one member completes the whole gang, whose other members are expected to
 // end by themselves. A member that does not is stopped when its job is cancelled.
 func TestRemainingMembersOfADoneGangAreStoppedWithTheirJob(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	second := tasks(1, 1)
 	second.After = []int{0}
 	x.state.AddJob(x.now, job("j", "q", gang(2, 1), second), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.end(o[0], sched.EndDone)
-	x.take(x.step())
+	x.acceptStarts(o)
+	x.endRun(o[0], sched.EndDone)
+	x.acceptStarts(x.step())
 	x.state.CancelJob(x.now, "j")
 	x.state.Stops() // of the second step
 	x.now = x.now.Add(heartbeatInterval)
-	x.renew("w", o[1].Run)
+	x.renewLease("w", o[1].Run)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
 			Life: lifeOf("w"),
--- a/sched/learn.go
+++ b/sched/learn.go
@@ -31,24 +31,24 @@
 	return time.Duration(e.ratio * float64(p.Estimate))
 }
 
-// learn takes in how a run ended.
-func (s *State) learn(r *run, k EndKind) {
+// observeEnd takes in how a run ended.
+func (s *State) observeEnd(r *run, k EndKind) {
 	switch k {
 	case EndDone:
 		s.learnTime(r)
 	case EndFailed:
-		r.worker.health.fail(s.now)
+		r.worker.health.recordFailure(s.now)
 	default:
 	}
 }
 
 func (s *State) learnTime(r *run) {
 	p := r.task.stage.step
-	if p.Estimate <= 0 || r.begun.IsZero() || r.task.saved != "" {
-		r.worker.health.done(0)
+	if p.Estimate <= 0 || r.startedAt.IsZero() || r.task.saved != "" {
+		r.worker.health.recordSuccess(0)
 		return
 	}
-	took := float64(max(s.now.Sub(r.begun), time.Millisecond))
+	took := float64(max(s.now.Sub(r.startedAt), time.Millisecond))
 	q := r.task.stage.job.Queue
 	e := s.learnt[q]
 	if e == nil {
@@ -60,7 +60,7 @@
 		e.ratio = ratio
 		e.known = true
 	}
-	r.worker.health.done(ratio / e.ratio)
+	r.worker.health.recordSuccess(ratio / e.ratio)
 	e.ratio += learnRate * (ratio/r.worker.health.slowness() - e.ratio)
 }
 
@@ -80,11 +80,11 @@
 	restMost  = 8 * time.Second
 )
 
-func (h *health) takes(now time.Time) bool {
+func (h *health) available(now time.Time) bool {
 	return !now.Before(h.until)
 }
 
-func (h *health) fail(now time.Time) {
+func (h *health) recordFailure(now time.Time) {
 	h.fails++
 	if h.fails < maxFails {
 		return
@@ -92,11 +92,11 @@
 	h.until = now.Add(min(restFirst<<min(h.fails-maxFails, 8), restMost))
 }
 
-func (h *health) reject(now time.Time) {
-	h.fail(now)
+func (h *health) recordRejection(now time.Time) {
+	h.recordFailure(now)
 }
 
-func (h *health) done(ratio float64) {
+func (h *health) recordSuccess(ratio float64) {
 	h.fails = 0
 	if ratio <= 0 {
 		return
--- a/sched/leaving_test.go
+++ b/sched/leaving_test.go
@@ -20,10 +20,10 @@
 
 // startCheckpointed starts a task that saves its progress at worker "w".
 func (x *cell) startCheckpointed() sched.RunID {
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", checkpointed(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	return o[0].Run
 }
 
@@ -36,9 +36,9 @@
 	answers := map[spoolsill.WorkerID][]sched.RunID{
 		"w": {r},
 	}
-	x.pass(time.Second, answers)
+	x.advance(time.Second, answers)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
-	x.pass(time.Second, answers)
+	x.advance(time.Second, answers)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
 
@@ -62,13 +62,13 @@
 			answers := map[spoolsill.WorkerID][]sched.RunID{
 				"w": {r},
 			}
-			x.pass(1500*time.Millisecond, answers)
+			x.advance(1500*time.Millisecond, answers)
 			x.state.AddJob(x.now, job("in-time", "q", tasks(1, 1)), sched.Progress{})
 			o := x.step()
 			x.c.Assert(taskNames(o), qt.DeepEquals, []string{"in-time.0.0.0#1"})
-			x.take(o)
+			x.acceptStarts(o)
 			answers["w"] = append(answers["w"], o[0].Run)
-			x.pass(time.Second, answers)
+			x.advance(time.Second, answers)
 			x.state.AddJob(x.now, job("too-late", "q", tasks(1, 1)), sched.Progress{})
 			x.c.Assert(x.step(), qt.HasLen, 0)
 			x.c.Assert(x.state.Stops(), qt.HasLen, 0)
@@ -80,8 +80,8 @@
 // draining.
 func TestDrainingWorkerGetsNothingNewAfterAnOutage(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.list("w", true)
+	x.addWorker("w")
+	x.listWorker("w", true)
 	x.state.WorkerUnlisted(x.now, "w")
 	x.state.StoreBack(x.now)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -91,13 +91,13 @@
 // Guards against a lasting task that ends with its worker without a report.
 func TestLastingWorkMovesBeforeItsWorkerLeaves(t *testing.T) {
 	x := newCell(t)
-	x.worker("w1")
+	x.addWorker("w1")
 	s := tasks(1, 1)
 	s.Lasting = true
 	x.state.AddJob(x.now, job("j", "q", s), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.worker("w2")
+	x.acceptStarts(o)
+	x.addWorker("w2")
 	x.state.WorkerListed(x.now, sched.Worker{
 		ID:        "w1",
 		Service:   "work",
@@ -108,12 +108,12 @@
 	})
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
-	x.pass(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
 		"w1": {o[0].Run},
 		"w2": nil,
 	})
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
-	x.end(o[0], sched.EndStopped)
+	x.endRun(o[0], sched.EndStopped)
 	again := x.step()
 	x.c.Assert(again, qt.HasLen, 1)
 	x.c.Assert(again[0].Worker, qt.Equals, spoolsill.WorkerID("w2"))
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -76,11 +76,11 @@
 	w.earliestExit = s.now.Add(s.config.DrainTime)
 	w.leaseUntil = LeaseEnd(s.now, s.config.Lease)
 	s.workers[w.id] = w
-	i := slices.Index(s.order, old)
+	i := slices.Index(s.workerList, old)
 	if i < 0 {
-		s.order = append(s.order, w)
+		s.workerList = append(s.workerList, w)
 	} else {
-		s.order[i] = w
+		s.workerList[i] = w
 	}
 	w.crashed = !old.dead && !old.mayBeDecommissioned() && !old.leftAsAnnounced()
 	if w.crashed {
@@ -113,7 +113,7 @@
 func (w *worker) doubtful() int {
 	n := 0
 	for _, r := range w.runs {
-		if r.phase == phaseDoubt || r.phase == phaseInherited {
+		if r.phase == phaseUncertain || r.phase == phaseInherited {
 			n++
 		}
 	}
@@ -141,8 +141,8 @@
 		r.worker = w
 		s.addRun(r)
 		// A stop that the former life accepted does not apply to the next one.
-		r.stopped = time.Time{}
-		r.stopDue = s.now
+		r.stopTakenAt = time.Time{}
+		r.nextStopAt = s.now
 	}
 }
 
--- a/sched/lives_test.go
+++ b/sched/lives_test.go
@@ -59,17 +59,17 @@
 // next one would run beside it, so the late run is adopted instead.
 func TestLateRunIsAdopted(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
 	x.answerStart(o[0], sched.StartUnknown)
 	x.now = x.now.Add(2 * time.Second)
-	x.renew("w") // past the order's deadline
-	x.renew("w", o[0].Run)
+	x.renewLease("w") // past the order's deadline
+	x.renewLease("w", o[0].Run)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
-	x.end(o[0], sched.EndDone)
+	x.endRun(o[0], sched.EndDone)
 	x.step()
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
@@ -84,7 +84,7 @@
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
-	x.take(o)
+	x.acceptStarts(o)
 	x.now = x.now.Add(time.Second)
 	x.answerBorn(bornIn(7000), bornIn(1000))
 	x.listBorn(bornIn(7000))
@@ -92,7 +92,7 @@
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteRunGone))
 	x.listBorn(bornIn(1000))
 	x.answerBorn(bornIn(1000), bornIn(1000), o[0].Run)
-	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.answerBorn(bornIn(7000), bornIn(7000))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
--- a/sched/load.go
+++ b/sched/load.go
@@ -35,7 +35,7 @@
 // Load returns how full the cell is. Cost: O(workers + runs + stages).
 func (s *State) Load() Load {
 	var l Load
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if w.dead {
 			continue
 		}
@@ -49,7 +49,7 @@
 		l.Capacity = l.Capacity.Add(w.Capacity)
 		l.Used = l.Used.Add(w.used)
 	}
-	for _, g := range s.open {
+	for _, g := range s.openStages {
 		if !g.placeable() || g.job.state.Final() {
 			continue
 		}
@@ -61,7 +61,7 @@
 			l.Unseatable++
 		}
 	}
-	l.Asking = s.asking
+	l.Asking = s.queriesInFlight
 	l.Suspects, l.Crashed = s.Suspects()
 	return l
 }
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -10,8 +10,8 @@
 
 func TestLoadTellsHowFullTheCellIs(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "q", tasks(3, 8)), sched.Progress{})
 	x.answerStart(x.step()[0], sched.StartUnknown)
 	x.c.Assert(x.state.Load(), qt.DeepEquals, sched.Load{
--- a/sched/overdue.go
+++ b/sched/overdue.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// sendOverdue sends the orders of a stage that waited for an answer, or drops them
+// dispatchDeferred sends the orders of a stage that waited for an answer, or drops them
 // when it did not come or is no ticket. Of a gang all leave or none.
-func (s *State) sendOverdue(g *stage, a Advice) {
+func (s *State) dispatchDeferred(g *stage, a Advice) {
 	waits := func(o StartOrder) bool { return slices.Contains(a.Order.Workers, o.Life) }
 	var orders, rest []StartOrder
 	for _, o := range g.overdue {
@@ -73,15 +73,15 @@
 		case !s.mayLeave(r):
 			s.dropRun(r, "overtaken before the order left")
 		default:
-			s.starts = append(s.starts, s.leave(o, r))
+			s.deferredStarts = append(s.deferredStarts, s.leave(o, r))
 		}
 	}
 }
 
-// Starts returns the start orders that may leave since the last call, besides those
+// DeferredStarts returns the start orders that may leave since the last call, besides those
 // that Written returned.
-func (s *State) Starts() []StartOrder {
-	o := s.starts
-	s.starts = nil
+func (s *State) DeferredStarts() []StartOrder {
+	o := s.deferredStarts
+	s.deferredStarts = nil
 	return o
 }
--- a/sched/overdue_test.go
+++ b/sched/overdue_test.go
@@ -19,7 +19,7 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(any, qt.IsTrue)
 	x.now = x.now.Add(1600 * time.Millisecond)
-	return x.state.Written(x.now, b)
+	return x.state.BatchWritten(x.now, b)
 }
 
 // An order whose ticket ran out while it was recorded would be turned away: it
@@ -30,7 +30,7 @@
 		"gang":  gang(2, 1),
 	} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", step), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
@@ -38,14 +38,14 @@
 		q := x.question()
 		x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
-		x.c.Assert(x.state.Starts(), qt.HasLen, 0)
-		x.renew("w")
+		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
+		x.renewLease("w")
 		x.advise(q, "w")
-		o := x.state.Starts()
+		o := x.state.DeferredStarts()
 		x.c.Assert(taskNames(o), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 		x.c.Assert(o[0].Ticket, qt.Equals, "ticket-w")
-		x.take(o)
-		x.c.Assert(x.state.Starts(), qt.HasLen, 0)
+		x.acceptStarts(o)
+		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 	}
 }
@@ -56,7 +56,7 @@
 func TestOrderWithoutATicketIsDropped(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 4)), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
@@ -66,10 +66,10 @@
 			Received: x.now,
 			Lost:     lost,
 		})
-		x.c.Assert(x.state.Starts(), qt.HasLen, 0)
+		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 		x.now = x.now.Add(100 * time.Millisecond) // a lost question is not asked again at once
-		x.renew("w")
+		x.renewLease("w")
 		x.step()
 		x.advise(x.question(), "w")
 		x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2", "j.0.0.1#2"})
@@ -79,7 +79,7 @@
 // What is cancelled while its order waits for a ticket never starts.
 func TestCancelledOrderDoesNotLeave(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
@@ -87,7 +87,7 @@
 	q := x.question()
 	x.state.CancelJob(x.now, "j")
 	x.advise(q, "w")
-	x.c.Assert(x.state.Starts(), qt.HasLen, 0)
+	x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 	x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 	s, _ := x.state.Job("j")
 	x.c.Assert(s.State, qt.Equals, sched.Cancelled)
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		for _, r := range d.victims(g, q, w) {
-			r.task.preempted++
+			r.task.preemptions++
 			d.stop(r, "room for "+g.id.String())
 		}
 	}
@@ -39,7 +39,7 @@
 // victims returns runs at a worker that make room for a task of g when they are
 // stopped, or none when they can't. Those whose stop is under way count as gone.
 func (d *decider) victims(g *stage, q *Queue, w *worker) []*run {
-	need := g.step.room()
+	need := g.step.demand()
 	free := w.free()
 	var may []*run
 	for _, r := range sortedRuns(w) {
@@ -74,7 +74,7 @@
 func (d *decider) preemptible(r *run, q *Queue) bool {
 	g := r.task.stage
 	p := g.step
-	if r.phase != phaseConfirmed || !p.Checkpoints || p.Lasting || p.Gang || r.task.preempted >= preemptMost {
+	if r.phase != phaseConfirmed || !p.Checkpoints || p.Lasting || p.Gang || r.task.preemptions >= preemptMost {
 		return false
 	}
 	k := d.rank(g)
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -183,8 +183,8 @@
 	teamBytes = 8
 )
 
-// ProgressBytes returns how long the progress of a job may become.
-func ProgressBytes(j Job) int {
+// MaxProgressBytes returns how long the progress of a job may become.
+func MaxProgressBytes(j Job) int {
 	n := 0
 	for i := range j.Steps {
 		n += stageBytes + j.Steps[i].Tasks*(taskBytes+birthBytes)
@@ -198,7 +198,7 @@
 		State: j.state,
 		Team:  j.Team,
 	}
-	if j.state.Final() && j.runs == 0 {
+	if j.state.Final() && j.activeRuns == 0 {
 		return p
 	}
 	for _, g := range j.stages {
@@ -250,7 +250,7 @@
 		Round: g.id.Round,
 		Step:  g.id.Step,
 		Done:  g.done(),
-		Fails: g.fails,
+		Fails: g.gangFailures,
 	}
 	if p.Done && !g.anyRun() {
 		return p
@@ -259,7 +259,7 @@
 	for i, t := range g.tasks {
 		p.Tasks[i] = TaskProgress{
 			Done:  t.done,
-			Fails: t.fails,
+			Fails: t.failures,
 			Run:   t.lastRun,
 			Saved: t.saved,
 		}
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -16,10 +16,10 @@
 	Most spoolsill.Resources
 }
 
-// A teamAccount is what a team's runs need. What may have begun counts, until it has
+// A teamState is what a team's runs need. What may have begun counts, until it has
 // surely ended: an order that is not answered may be carried out, and a run that is
 // being stopped is still there.
-type teamAccount struct {
+type teamState struct {
 	Team
 	share shareAccount
 	// named tells that a configuration has told of the team.
@@ -31,7 +31,7 @@
 }
 
 // takes reports whether a team may have runs besides what it has that need so much.
-func (t *teamAccount) takes(need spoolsill.Resources) bool {
+func (t *teamState) takes(need spoolsill.Resources) bool {
 	after := t.used.Add(t.strays).Add(need)
 	return within(int64(after.Processors), int64(t.Most.Processors)) &&
 		within(int64(after.Memory), int64(t.Most.Memory)) &&
@@ -42,8 +42,8 @@
 	return most <= 0 || n <= most
 }
 
-// over reports whether a team has more than it may, since its quota was lowered.
-func (t *teamAccount) over() bool {
+// overQuota reports whether a team has more than it may, since its quota was lowered.
+func (t *teamState) overQuota() bool {
 	return !t.takes(spoolsill.Resources{})
 }
 
@@ -64,10 +64,10 @@
 }
 
 // team returns the account of a team, and opens it when there is none.
-func (s *State) team(id spoolsill.TeamID) *teamAccount {
+func (s *State) team(id spoolsill.TeamID) *teamState {
 	t := s.teams[id]
 	if t == nil {
-		t = &teamAccount{
+		t = &teamState{
 			Team: Team{
 				ID: id,
 			},
@@ -87,7 +87,7 @@
 // underQuota reports whether the team of g may have what is started of it at once: a
 // task, or a whole gang.
 func (s *State) underQuota(g *stage) bool {
-	need := g.step.room()
+	need := g.step.demand()
 	if g.step.Gang {
 		need = need.Times(len(g.tasks))
 	}
@@ -101,14 +101,14 @@
 	for _, t := range s.teams {
 		t.strays = spoolsill.Resources{}
 	}
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		for id := range w.unknownRuns {
 			j := s.jobs[id.Task.Stage.Job]
 			if j == nil {
 				continue
 			}
 			if g := j.stage(id.Task.Stage.Round, id.Task.Stage.Step); g != nil {
-				j.team.strays = j.team.strays.Add(g.step.room())
+				j.team.strays = j.team.strays.Add(g.step.demand())
 			}
 		}
 	}
@@ -120,14 +120,14 @@
 func (s *State) stopDoubtful() {
 	any := false
 	for _, t := range s.teams {
-		any = any || t.over()
+		any = any || t.overQuota()
 	}
 	if !any {
 		return
 	}
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		for _, r := range sortedRuns(w) {
-			if r.phase == phaseDoubt && r.task.stage.job.team.over() {
+			if r.phase == phaseUncertain && r.task.stage.job.team.overQuota() {
 				s.stop(r, "its team has more than its quota")
 			}
 		}
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -33,7 +33,7 @@
 // endAll has the workers list the ends of runs.
 func (x *cell) endAll(orders []sched.StartOrder, k sched.EndKind) {
 	for _, o := range orders {
-		x.end(o, k)
+		x.endRun(o, k)
 	}
 }
 
@@ -51,14 +51,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newCell(t)
 			for i := range 4 {
-				x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
+				x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 			}
 			x.quota(8)
 			x.state.AddJob(x.now, x.teamJob("j", "a", c.steps...), sched.Progress{})
 			for i, n := range c.want {
 				out := x.step()
 				x.c.Check(out, qt.HasLen, n, qt.Commentf("round %d", i))
-				x.take(out)
+				x.acceptStarts(out)
 				x.endAll(out, sched.EndDone)
 			}
 		})
@@ -67,7 +67,7 @@
 
 func TestQuotaOfOneTeamLeavesOthersAlone(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.quota(1)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
 	x.state.AddJob(x.now, x.teamJob("k", "", tasks(5, 1)), sched.Progress{})
@@ -91,11 +91,11 @@
 		}, 4},
 		{"run that has ended", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartTaken)
-			x.end(o, sched.EndDone)
+			x.endRun(o, sched.EndDone)
 		}, 10},
 		{"run at a worker that is silent", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartTaken)
-			x.pass(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{"other": nil})
+			x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{"other": nil})
 		}, 4},
 		{"run at a worker that has died", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartTaken)
@@ -105,12 +105,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newCell(t)
-			x.worker("w")
+			x.addWorker("w")
 			x.quota(10)
 			x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), sched.Progress{})
 			out := x.step()
 			x.c.Assert(out, qt.HasLen, 1)
-			x.worker("other")
+			x.addWorker("other")
 			c.do(x, out[0])
 			x.state.AddJob(x.now, x.teamJob("k", "a", tasks(10, 1)), sched.Progress{})
 			n := 0
@@ -129,7 +129,7 @@
 func TestQuotaCountsRunsOfAFormerLeader(t *testing.T) {
 	x := newCell(t)
 	x.quota(10)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), running("never-seen"))
 	x.state.AddJob(x.now, x.teamJob("k", "a", tasks(10, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 4)
@@ -138,15 +138,15 @@
 func TestQuotaCountsUnknownRunsOfKnownJobs(t *testing.T) {
 	x := newCell(t)
 	x.quota(10)
-	x.worker("w")
-	x.worker("other")
+	x.addWorker("w")
+	x.addWorker("other")
 	j := x.teamJob("j", "a", tasks(1, 6))
 	x.state.AddJob(x.now, j, sched.Progress{
 		State: sched.Cancelled,
 	})
 	x.state.AddJob(x.now, x.teamJob("k", "a", tasks(1, 6)), sched.Progress{})
 	x.state.AddJob(x.now, x.teamJob("l", "a", tasks(10, 1)), sched.Progress{})
-	x.answer("other", sched.RunID{
+	x.heartbeat("other", sched.RunID{
 		Task: sched.TaskID{
 			Stage: sched.StageID{
 				Job: "k",
@@ -160,7 +160,7 @@
 // Jobs may come before the configuration that tells of their team.
 func TestUnknownTeamWaitsForTheConfiguration(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.quota(2)
@@ -170,21 +170,21 @@
 // A team that no configuration names any more does not wait for ever.
 func TestTeamThatIsNotNamedIsServedInTheEnd(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
-	x.pass(inForce+time.Second, map[spoolsill.WorkerID][]sched.RunID{"w": nil})
+	x.advance(inForce+time.Second, map[spoolsill.WorkerID][]sched.RunID{"w": nil})
 	x.c.Assert(x.step(), qt.HasLen, 5)
 }
 
 func TestLoweredQuota(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.worker("other")
+	x.addWorker("w")
+	x.addWorker("other")
 	x.quota(10)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(20, 1)), sched.Progress{})
 	first := x.step()
 	x.c.Assert(first, qt.HasLen, 10)
-	x.take(first[1:])
+	x.acceptStarts(first[1:])
 	x.answerStart(first[0], sched.StartUnknown)
 	x.quota(4)
 	x.c.Check(x.step(), qt.HasLen, 0)
@@ -202,7 +202,7 @@
 // Orders that wait for their rows do not leave over a quota that was lowered meanwhile.
 func TestOrdersDoNotLeaveOverALoweredQuota(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.quota(10)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(6, 1)), sched.Progress{})
 	x.state.Decide(x.now)
@@ -210,13 +210,13 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 6)
 	x.quota(2)
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 2)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 2)
 }
 
 // A team that has its quota asks the advisor nothing, and keeps no workers.
 func TestTeamAtItsQuotaHoldsNothing(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.quota(4)
 	j := x.teamJob("j", "a", gang(5, 1))
 	j.Queue = "advised"
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -47,7 +47,7 @@
 	}
 	for _, w := range m.ids {
 		m.runs[w] = map[sched.RunID]int{}
-		m.x.list(w, false)
+		m.x.listWorker(w, false)
 	}
 	m.set(12)
 	return m
@@ -98,7 +98,7 @@
 // round has workers answer, decides, writes, and has orders carried out.
 func (m *quotaModel) round(t *rapid.T, lost bool) {
 	for _, w := range m.ids {
-		m.x.renew(w, slices.Collect(maps.Keys(m.runs[w]))...)
+		m.x.renewLease(w, slices.Collect(maps.Keys(m.runs[w]))...)
 	}
 	m.x.state.Decide(m.x.now)
 	b, _, err := m.x.state.Batch(m.x.now)
@@ -111,7 +111,7 @@
 	for _, o := range m.x.state.Stops() {
 		m.stop(o)
 	}
-	for _, o := range m.x.state.Written(m.x.now, b) {
+	for _, o := range m.x.state.BatchWritten(m.x.now, b) {
 		m.send(t, o, lost)
 	}
 }
@@ -150,7 +150,7 @@
 
 func (m *quotaModel) endRun(w spoolsill.WorkerID, r sched.RunID, k sched.EndKind) {
 	delete(m.runs[w], r)
-	m.x.end(sched.StartOrder{
+	m.x.endRun(sched.StartOrder{
 		Life: lifeOf(w),
 		Run:  r,
 	}, k)
@@ -204,7 +204,7 @@
 		m.x.state.AddJob(m.x.now, m.jobs[id], p)
 	}
 	for _, w := range m.ids {
-		m.x.list(w, false)
+		m.x.listWorker(w, false)
 	}
 }
 
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -51,8 +51,8 @@
 
 // large reports whether a task of g takes much of a worker, and fits it.
 func (d *decider) large(g *stage, w *worker) bool {
-	need := g.step.room()
-	return g.allows(w) && need.Fits(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
+	need := g.step.demand()
+	return g.labelMatches(w) && need.Fits(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
 }
 
 // soonest returns the workers that may run g, those first where room for a task
@@ -76,7 +76,7 @@
 
 // freeAt returns when a worker is expected to have room for a task of g.
 func (d *decider) freeAt(g *stage, w *worker) time.Time {
-	need := g.step.room()
+	need := g.step.demand()
 	free := w.free()
 	if need.Fits(free) {
 		return d.now
@@ -105,8 +105,8 @@
 		return lost
 	}
 	takes := time.Duration(float64(s.expected(s.queue(g.job), g.step)) * r.worker.health.slowness())
-	if r.begun.IsZero() {
+	if r.startedAt.IsZero() {
 		return takes
 	}
-	return max(takes-s.now.Sub(r.begun), overrun)
+	return max(takes-s.now.Sub(r.startedAt), overrun)
 }
--- a/sched/reserve_test.go
+++ b/sched/reserve_test.go
@@ -21,7 +21,7 @@
 	x.state.AddJob(x.now, j, sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 5)
-	x.take(o)
+	x.acceptStarts(o)
 	return o
 }
 
@@ -36,7 +36,7 @@
 // that comes free: the worker is kept for it.
 func TestWorkerIsKeptForALargeTask(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	running := x.fill("q", false)
 	x.addLarge("q")
 	x.step()
@@ -45,7 +45,7 @@
 	x.state.AddJob(x.now, later, sched.Progress{})
 	for _, o := range running {
 		x.c.Assert(x.step(), qt.HasLen, 0)
-		x.end(o, sched.EndDone)
+		x.endRun(o, sched.EndDone)
 	}
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
@@ -75,7 +75,7 @@
 					Goal:        time.Second,
 				},
 			})
-			x.worker("w")
+			x.addWorker("w")
 			running := x.fill(c.queue, c.saves)
 			x.addLarge("q")
 			x.step()
@@ -85,7 +85,7 @@
 				return
 			}
 			for _, o := range running {
-				x.end(o, sched.EndStopped)
+				x.endRun(o, sched.EndStopped)
 			}
 			o := x.step()
 			x.c.Assert(o, qt.HasLen, 1)
@@ -107,7 +107,7 @@
 			Goal:        time.Second,
 		},
 	})
-	x.worker("w")
+	x.addWorker("w")
 	x.fill("tight", true)
 	x.addLarge("q")
 	x.step()
--- a/sched/room.go
+++ b/sched/room.go
@@ -6,15 +6,15 @@
 // known.
 func (s *State) EntriesSynced(now, sent time.Time) {
 	s.now = now
-	if sent.After(s.entriesHeard) {
-		s.entriesHeard = sent
+	if sent.After(s.entriesAsOf) {
+		s.entriesAsOf = sent
 	}
 }
 
 // entriesFresh reports whether the workers' entries are recent enough for a start. A
 // worker that does not check its own capacity could otherwise be overcommitted.
 func (s *State) entriesFresh() bool {
-	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesHeard) <= s.config.EntriesAge
+	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesAsOf) <= s.config.EntriesAge
 }
 
 // hasRoom reports whether all runs that are counted at a worker fit its capacity,
--- a/sched/room_test.go
+++ b/sched/room_test.go
@@ -29,18 +29,18 @@
 // fit are sent, and the other tasks are placed again.
 func TestOrdersThatNoLongerFitAreNotSent(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(3, 3)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 3)
 	x.listWith("w", 6)
-	out := x.state.Written(x.now, b)
+	out := x.state.BatchWritten(x.now, b)
 	x.c.Assert(out, qt.HasLen, 2)
-	x.take(out)
+	x.acceptStarts(out)
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.worker("v")
+	x.addWorker("v")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
@@ -48,26 +48,26 @@
 // being stopped, fit again. Added capacity is used at the next decision.
 func TestRoomFollowsTheEntry(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 4)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 2)
-	x.take(o)
+	x.acceptStarts(o)
 	x.listWith("w", 5)
 	x.state.AddJob(x.now, job("k", "q", tasks(2, 1)), sched.Progress{})
 	x.now = x.now.Add(50 * time.Millisecond)
-	x.renew("w", o[0].Run, o[1].Run)
+	x.renewLease("w", o[0].Run, o[1].Run)
 	x.state.Decide(x.now)
 	b, any, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(any && len(b.Starts) > 0, qt.IsFalse)
 	x.state.CancelJob(x.now, "j")
 	x.c.Assert(x.state.Stops(), qt.HasLen, 2)
-	x.renew("w", o[0].Run, o[1].Run)
+	x.renewLease("w", o[0].Run, o[1].Run)
 	x.state.Decide(x.now)
-	x.end(o[0], sched.EndStopped)
+	x.endRun(o[0], sched.EndStopped)
 	x.c.Assert(x.step(), qt.HasLen, 1) // four of five cores are taken by what is being stopped
-	x.end(o[1], sched.EndStopped)
+	x.endRun(o[1], sched.EndStopped)
 	x.c.Assert(x.step(), qt.HasLen, 1)
 	x.state.AddJob(x.now, job("l", "q", tasks(8, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 3)
@@ -90,7 +90,7 @@
 		},
 	})
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 1)), sched.Progress{})
-	x.worker("w")
+	x.addWorker("w")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.state.EntriesSynced(x.now, x.now)
 	x.state.Decide(x.now)
@@ -98,8 +98,8 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 2)
 	x.now = x.now.Add(5 * time.Second)
-	x.renew("w")
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
+	x.renewLease("w")
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 0)
 	x.state.Decide(x.now)
 	b, _, err = x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
@@ -112,12 +112,12 @@
 // start is not recorded.
 func TestRoomLostDuringTicketRenewal(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 8)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
 	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
@@ -126,7 +126,7 @@
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 0)
-	x.worker("w")
+	x.addWorker("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
@@ -170,7 +170,7 @@
 		for r := range runs {
 			ids = append(ids, r)
 		}
-		m.x.renew(w, ids...)
+		m.x.renewLease(w, ids...)
 	}
 	m.x.state.Decide(m.x.now)
 	b, _, err := m.x.state.Batch(m.x.now)
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	recording()
-	for _, o := range m.x.state.Written(m.x.now, b) {
+	for _, o := range m.x.state.BatchWritten(m.x.now, b) {
 		if rapid.IntRange(0, 4).Draw(t, "late") == 0 {
 			m.x.answerStart(o, sched.StartUnknown)
 			m.pending = append(m.pending, pendingStart{
@@ -255,7 +255,7 @@
 		for _, r := range runs {
 			delete(m.runs[w], r)
 			kind := rapid.SampledFrom([]sched.EndKind{sched.EndDone, sched.EndStopped, sched.EndFailed}).Draw(t, "kind")
-			m.x.end(sched.StartOrder{
+			m.x.endRun(sched.StartOrder{
 				Life: lifeOf(w),
 				Run:  r,
 			}, kind)
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -24,7 +24,7 @@
 	r.task.run = r
 	r.worker.beginTrial(r)
 	j := r.task.stage.job
-	j.runs++
+	j.activeRuns++
 	j.team.used = j.team.used.Add(r.need)
 }
 
@@ -35,7 +35,7 @@
 	w.used = w.used.Sub(r.need)
 	w.endTrial(r)
 	j := r.task.stage.job
-	j.runs--
+	j.activeRuns--
 	j.team.used = j.team.used.Sub(r.need)
 }
 
@@ -49,7 +49,7 @@
 	if r.task.run == r {
 		r.task.run = nil
 	}
-	s.touch(r.task.stage.job)
+	s.markDirty(r.task.stage.job)
 }
 
 // dropRun removes a run that is certainly gone. Its task can be started again.
@@ -61,7 +61,7 @@
 		Run:    r.id,
 		Worker: r.worker.id,
 		Reason: reason,
-		Age:    s.now.Sub(r.begun),
+		Age:    s.now.Sub(r.startedAt),
 		Gone:   len(r.task.evidence.losses),
 	})
 	s.stopGangMembers(r, reason)
@@ -122,14 +122,14 @@
 	case a.Outcome == StartTaken:
 		s.confirm(r)
 	case a.Outcome == StartUnknown || a.Doubt:
-		r.phase = phaseDoubt
+		r.phase = phaseUncertain
 		r.deadline = a.Deadline
 	default:
 		s.dropRejected(r, a.Outcome)
 	}
 	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.life().MayBe(a.Born) {
 		w.backoffUntil = now.Add(rejectBackoff)
-		w.health.reject(now)
+		w.health.recordRejection(now)
 	}
 }
 
@@ -144,7 +144,7 @@
 		Run:    r.id,
 		Worker: r.worker.id,
 		Reason: a.Outcome.String(),
-		Age:    s.now.Sub(r.begun),
+		Age:    s.now.Sub(r.startedAt),
 	})
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	r.phase = phaseConfirmed
-	r.resolved = s.now
+	r.confirmedAt = s.now
 	s.markBegun(r.task.stage.job)
 }
 
@@ -162,7 +162,7 @@
 func (s *State) markBegun(j *job) {
 	if j.state == Pending {
 		s.setState(j, Running)
-		s.told = append(s.told, j.status())
+		s.statusUpdates = append(s.statusUpdates, j.status())
 	}
 }
 
@@ -193,8 +193,8 @@
 	if w.answeredAt.IsZero() {
 		s.capInheritedLease(w)
 	}
-	if s.answeredFirst.IsZero() {
-		s.answeredFirst = now
+	if s.firstAnswerAt.IsZero() {
+		s.firstAnswerAt = now
 	}
 	if w.leaseExpired || w.answeredAt.IsZero() {
 		w.leaseExpired = false
@@ -236,15 +236,15 @@
 		// a call of its own refuses them, as its fence is higher.
 		return h.Asked == r.worker.life()
 	}
-	if !r.stopped.IsZero() && h.Sent.After(r.stopped) {
+	if !r.stopTakenAt.IsZero() && h.Sent.After(r.stopTakenAt) {
 		return true
 	}
 	switch r.phase {
 	case phaseConfirmed:
-		return h.Sent.After(r.resolved)
+		return h.Sent.After(r.confirmedAt)
 	case phaseInherited:
 		return true
-	case phaseDoubt:
+	case phaseUncertain:
 		return h.Clock > r.deadline
 	default:
 		return false
@@ -259,17 +259,17 @@
 	if r.phase != phaseRecorded && r.phase != phasePlanned {
 		s.confirm(r)
 	}
-	if r.begun.IsZero() || r.forFormerLife() {
-		r.begun = s.now
+	if r.startedAt.IsZero() || r.forFormerLife() {
+		r.startedAt = s.now
 	}
 	r.born = w.born
 	if x.Saved != "" {
 		r.task.saved = x.Saved
 	}
 	s.clearIfSurvived(r)
-	if r.moved.IsZero() || x.Percent != r.percent {
+	if r.progressedAt.IsZero() || x.Percent != r.percent {
 		r.percent = x.Percent
-		r.moved = s.now
+		r.progressedAt = s.now
 	}
 	if r.task.stage.job.state.Final() {
 		s.stop(r, "job has ended")
@@ -305,7 +305,7 @@
 		t.saved = e.Saved
 	}
 	s.release(r)
-	s.learn(r, e.Kind)
+	s.observeEnd(r, e.Kind)
 	switch e.Kind {
 	case EndDone:
 		s.taskDone(t, e.Run.Number)
@@ -317,10 +317,10 @@
 }
 
 func runAge(now time.Time, r *run) time.Duration {
-	if r == nil || r.begun.IsZero() {
+	if r == nil || r.startedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(r.begun)
+	return now.Sub(r.startedAt)
 }
 
 // handleLateEnd handles the end of a run that is no longer counted. Only completed work
@@ -357,9 +357,9 @@
 	for _, m := range members {
 		s.markDone(m, n)
 	}
-	s.touch(g.job)
+	s.markDirty(g.job)
 	if g.done() {
-		s.stageDone(g)
+		s.completeStage(g)
 	}
 }
 
@@ -368,7 +368,7 @@
 		return
 	}
 	t.done = true
-	t.stage.left--
+	t.stage.tasksLeft--
 	if t.run == nil || t.run.id.Number == n {
 		return
 	}
@@ -384,17 +384,17 @@
 	if t.done || g.step.Lasting || g.job.state.Final() {
 		return
 	}
-	s.touch(g.job)
+	s.markDirty(g.job)
 	g.job.account.Failed++
-	t.failedAt = append(t.failedAt, r.worker.life())
+	t.failedOn = append(t.failedOn, r.worker.life())
 	switch {
 	case !g.step.Gang:
-		t.fails++
-	case g.failedRun == r.id.Number:
+		t.failures++
+	case g.lastFailedRun == r.id.Number:
 		return // already counted for another member of this run
 	default:
-		g.failedRun = r.id.Number
-		g.fails++
+		g.lastFailedRun = r.id.Number
+		g.gangFailures++
 	}
 	if !s.failExhausted(g) {
 		s.stopGangMembers(r, "a member failed")
@@ -408,9 +408,9 @@
 	if most <= 0 {
 		return false
 	}
-	exhausted := g.fails >= most
+	exhausted := g.gangFailures >= most
 	for _, t := range g.tasks {
-		exhausted = exhausted || !t.done && t.fails >= most
+		exhausted = exhausted || !t.done && t.failures >= most
 	}
 	if exhausted {
 		s.endJob(g.job, Failed, "a task failed as often as its queue allows")
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -13,34 +13,34 @@
 
 func TestStepsRunOneAfterTheOther(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	second := tasks(2, 3)
 	second.After = []int{0}
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 3), second), sched.Progress{})
 	first := x.step()
 	x.c.Assert(taskNames(first), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
-	x.take(first)
-	x.end(first[0], sched.EndDone)
+	x.acceptStarts(first)
+	x.endRun(first[0], sched.EndDone)
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(first[1], sched.EndDone)
+	x.endRun(first[1], sched.EndDone)
 	rest := x.step()
 	x.c.Assert(taskNames(rest), qt.DeepEquals, []string{"j.0.1.0#1", "j.0.1.1#1"})
-	x.take(rest)
-	x.end(rest[0], sched.EndDone)
+	x.acceptStarts(rest)
+	x.endRun(rest[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Running)
-	x.end(rest[1], sched.EndDone)
+	x.endRun(rest[1], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
 func TestJobFailsAfterItsAttempts(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	for range 2 {
 		o := x.step()
 		x.c.Assert(o, qt.HasLen, 1)
-		x.take(o)
-		x.end(o[0], sched.EndFailed)
+		x.acceptStarts(o)
+		x.endRun(o[0], sched.EndFailed)
 	}
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -53,11 +53,11 @@
 	x.state = sched.New(sched.Config{
 		Lease: lease,
 	})
-	x.worker("w")
+	x.addWorker("w")
 	p := running("w")
 	p.Stages[0].Tasks[0].Fails = 1
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), p)
-	x.end(sched.StartOrder{
+	x.endRun(sched.StartOrder{
 		Life: lifeOf("w"),
 		Run: sched.RunID{
 			Task: sched.TaskID{
@@ -68,7 +68,7 @@
 			Number: 1,
 		},
 	}, sched.EndFailed)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.state.SetQueues([]sched.Queue{
 		{
@@ -83,7 +83,7 @@
 
 func TestNothingLeavesBeforeItIsWritten(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
@@ -91,17 +91,17 @@
 	x.c.Assert(b.Starts, qt.HasLen, 1)
 	// The job is cancelled while its row is being written.
 	x.state.CancelJob(x.now, "j")
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 0)
 }
 
 func TestEndsAreAcknowledgedWithTheirRows(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.step()
-	x.end(o[0], sched.EndDone)
+	x.endRun(o[0], sched.EndDone)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.DeepEquals, []sched.Ack{
@@ -118,8 +118,8 @@
 
 func TestDrainingWorkerGetsNothingNew(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.list("w", true)
+	x.addWorker("w")
+	x.listWorker("w", true)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
@@ -128,32 +128,32 @@
 // the worker shows, after the order's deadline, that it does not have it.
 func TestUnansweredStartIsNotRepeatedElsewhere(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.worker("b")
+	x.addWorker("b")
 	x.answerStart(o[0], sched.StartUnknown)
 	x.now = x.now.Add(800 * time.Millisecond)
-	x.renew("a")
-	x.renew("b")
+	x.renewLease("a")
+	x.renewLease("b")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.now = x.now.Add(300 * time.Millisecond)
-	x.renew("a")
-	x.renew("b")
+	x.renewLease("a")
+	x.renewLease("b")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
 func TestSilentWorkersTasksStartElsewhereAfterItsLease(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
-	x.take(x.step())
-	x.worker("b")
-	x.pass(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.acceptStarts(x.step())
+	x.addWorker("b")
+	x.advance(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"b": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"b": nil,
 	})
 	x.step()
@@ -166,12 +166,12 @@
 // runs: it gets nothing before its lease is renewed.
 func TestWorkerGetsNothingOnAnOldLease(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.now = x.now.Add(5500 * time.Millisecond)
-	x.answer("w")
+	x.heartbeat("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
@@ -179,29 +179,29 @@
 // not free what was started since.
 func TestStartCountsForTheLease(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.now = x.now.Add(2 * time.Second)
-	x.answer("w")
+	x.heartbeat("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 10)), sched.Progress{})
 	x.now = x.now.Add(2 * time.Second)
-	x.answer("w")
+	x.heartbeat("w")
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
-	x.take(o)
+	x.acceptStarts(o)
 	x.now = x.now.Add(2700 * time.Millisecond)
-	x.answer("w", o[0].Run)
+	x.heartbeat("w", o[0].Run)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.c.Assert(x.state.Idle("w"), qt.IsFalse)
 }
 
 func TestNextLeaderGoesOnFromTheRows(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	j := job("j", "q", tasks(2, 1))
 	x.state.AddJob(x.now, j, sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.end(o[0], sched.EndDone)
+	x.acceptStarts(o)
+	x.endRun(o[0], sched.EndDone)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	p, err := sched.DecodeProgress(b.Rows[0].Value)
@@ -209,13 +209,13 @@
 
 	x.state = x.newState()
 	x.state.AddJob(x.now, j, p)
-	x.worker("other")
+	x.addWorker("other")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	// The worker shows that it still has the second task.
-	x.list("w", false)
-	x.renew("w", o[1].Run)
+	x.listWorker("w", false)
+	x.renewLease("w", o[1].Run)
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(o[1], sched.EndDone)
+	x.endRun(o[1], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
@@ -235,12 +235,12 @@
 		},
 	}
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), p)
-	x.worker("w")
-	x.pass(11*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.addWorker("w")
+	x.advance(11*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.step()
@@ -249,7 +249,7 @@
 
 func TestUnknownRunIsStoppedAndKeepsTheWorkerFromNewWork(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	stray := sched.RunID{
 		Task: sched.TaskID{
 			Stage: sched.StageID{
@@ -258,37 +258,37 @@
 		},
 		Number: 1,
 	}
-	x.renew("w", stray)
+	x.renewLease("w", stray)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
 func TestCancelledJobIsStopped(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.state.CancelJob(x.now, "j")
 	x.c.Assert(x.jobState(), qt.Equals, sched.Cancelled)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
-	x.end(o[0], sched.EndStopped)
+	x.endRun(o[0], sched.EndStopped)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
 func TestTimedRoundsWaitForTheirTime(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	j := job("j", "q", tasks(1, 1))
 	j.Rounds = 2
 	j.FirstRound = x.now.Add(time.Second)
 	j.Interval = time.Second
 	x.state.AddJob(x.now, j, sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
@@ -298,13 +298,13 @@
 // connections is gone: its tasks need not wait for the end of its lease.
 func TestWorkerThatLeftIsNotWaitedFor(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
-	x.take(x.step())
-	x.worker("b")
+	x.acceptStarts(x.step())
+	x.addWorker("b")
 	x.state.WorkerRefused(x.now, lifeOf("a"))
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.list("a", true)
+	x.listWorker("a", true)
 	x.state.WorkerUnlisted(x.now, "a")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.state.WorkerRefused(x.now, lifeOf("a"))
@@ -315,14 +315,14 @@
 // and goes on from there.
 func TestProgressIsSavedBeforeAWorkerLeaves(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	p := tasks(1, 1)
 	p.Checkpoints = true
 	x.state.AddJob(x.now, job("j", "q", p), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.worker("b")
-	x.list("a", true) // leaves at once
+	x.acceptStarts(o)
+	x.addWorker("b")
+	x.listWorker("a", true) // leaves at once
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.Heartbeat(x.now, sched.Heartbeat{
@@ -346,12 +346,12 @@
 // A task that failed is tried at another worker: the first may be to blame.
 func TestFailedTaskGoesElsewhere(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.end(o[0], sched.EndFailed)
+	x.acceptStarts(o)
+	x.endRun(o[0], sched.EndFailed)
 	next := x.step()
 	x.c.Assert(next, qt.HasLen, 1)
 	x.c.Assert(next[0].Worker, qt.Not(qt.Equals), o[0].Worker)
@@ -361,10 +361,10 @@
 // elsewhere; one that moves on is left alone however slow it is.
 func TestRunThatStandsStillIsStopped(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	for i := range 6 {
 		x.now = x.now.Add(500 * time.Millisecond)
 		x.state.LeaseRequested(lifeOf("a"), sched.LeaseEnd(x.now, lease))
@@ -390,8 +390,8 @@
 			Run:  o[1].Run,
 		},
 	})
-	x.worker("b")
-	x.end(o[1], sched.EndStopped)
+	x.addWorker("b")
+	x.endRun(o[1], sched.EndStopped)
 	next := x.step()
 	x.c.Assert(next, qt.HasLen, 1)
 	x.c.Assert(next[0].Worker, qt.Equals, spoolsill.WorkerID("b"))
@@ -401,7 +401,7 @@
 // must not be walked one by one.
 func TestManyChainsCostLittle(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	var steps []sched.Step
 	for i := range 60 {
 		p := tasks(1, 1)
@@ -418,7 +418,7 @@
 func TestBatchesAreBounded(t *testing.T) {
 	x := newCell(t)
 	for i := range 20 {
-		x.worker(spoolsill.WorkerID(fmt.Sprintf("a-worker-with-a-long-name-%d", i)))
+		x.addWorker(spoolsill.WorkerID(fmt.Sprintf("a-worker-with-a-long-name-%d", i)))
 	}
 	for i := range 40 {
 		p := tasks(1000, 0)
@@ -431,7 +431,7 @@
 		x.c.Assert(any, qt.IsTrue)
 		size := 0
 		for _, r := range b.Rows {
-			x.c.Assert(len(r.Value) < sched.ProgressBytes(job("j", "q", tasks(1000, 0))), qt.IsTrue)
+			x.c.Assert(len(r.Value) < sched.MaxProgressBytes(job("j", "q", tasks(1000, 0))), qt.IsTrue)
 			size += len(r.Value)
 		}
 		x.c.Assert(size < 700_000, qt.IsTrue)
@@ -452,7 +452,7 @@
 			Goal:     time.Second,
 		},
 	})
-	x.worker("w")
+	x.addWorker("w")
 	for _, j := range []sched.Job{job("a", "patient", tasks(1, 10)), job("b", "q", tasks(1, 10))} {
 		j.Received = x.now
 		x.state.AddJob(x.now, j, sched.Progress{})
--- a/sched/share_test.go
+++ b/sched/share_test.go
@@ -46,13 +46,13 @@
 	for i := range 5 {
 		x.handIn(i, "usual")
 	}
-	x.worker("w")
+	x.addWorker("w")
 	var order []spoolsill.TeamID
 	for len(order) < 55 {
-		x.renew("w")
+		x.renewLease("w")
 		for _, o := range x.step() {
-			x.take([]sched.StartOrder{o})
-			x.end(o, sched.EndDone)
+			x.acceptStarts([]sched.StartOrder{o})
+			x.endRun(o, sched.EndDone)
 			id := string(o.Run.Task.Stage.Job)
 			order = append(order, spoolsill.TeamID(id[:5]))
 		}
@@ -76,7 +76,7 @@
 	beyond := x.handIn(30, "flood")
 	x.now = x.now.Add(6 * time.Second)
 	within := x.handIn(31, "flood")
-	x.worker("w")
+	x.addWorker("w")
 	out := x.step()
 	x.c.Assert(out, qt.HasLen, 1)
 	x.c.Check(out[0].Run.Task.Stage.Job, qt.Equals, within, qt.Commentf("%s is beyond the share", beyond))
--- a/sched/state.go
+++ b/sched/state.go
@@ -53,38 +53,38 @@
 	queues map[QueueID]*Queue
 	jobs   map[spoolsill.JobID]*job
 	// workers has the account of each worker's latest life.
-	workers map[spoolsill.WorkerID]*worker
-	order   []*worker // as first seen, for a stable choice
+	workers    map[spoolsill.WorkerID]*worker
+	workerList []*worker // as first seen, for a stable choice
 	// lives has the accounts of each machine's lives that are not dead.
-	lives  map[string][]*worker
-	open   []*stage // stages that may have tasks to place
-	timed  []*stage // stages that wait for their time
-	learnt map[QueueID]*experience
-	teams  map[spoolsill.TeamID]*teamAccount
+	lives      map[string][]*worker
+	openStages []*stage // stages that may have tasks to place
+	timed      []*stage // stages that wait for their time
+	learnt     map[QueueID]*experience
+	teams      map[spoolsill.TeamID]*teamState
 
 	dirty []*job
 	acks  map[spoolsill.Life]uint64
 	stops []StopOrder
-	// unwanted are the runs that were ordered to stop and may still be there.
-	unwanted []*run
+	// stoppingRuns are the runs that were ordered to stop and may still be there.
+	stoppingRuns []*run
 	// suspects are the tasks under which workers went; see evidence.
 	suspects []*task
 	// crashedAt has the machines whose workers crashed lately.
-	crashedAt map[string]time.Time
-	starts    []StartOrder // that waited for a ticket after they were recorded
-	advices   []AdviceOrder
-	asking    int // questions to the advisor that are not answered
-	warming   int // of them, those that keep tickets valid
-	askers    int // hosts that can ask it
-	notes     []Note
-	told      []JobStatus
-	// storeBack is when the store was last back after an outage.
-	storeBack time.Time
-	// entriesHeard is as of when all workers' entries are known; zero before.
-	entriesHeard time.Time
-	checked      time.Time // when runs that stand still were last looked for
-	// answeredFirst is when the first worker answered under this leadership.
-	answeredFirst time.Time
+	crashedAt           map[string]time.Time
+	deferredStarts      []StartOrder // that waited for a ticket after they were recorded
+	adviceOrders        []AdviceOrder
+	queriesInFlight     int // questions to the advisor that are not answered
+	warmQueriesInFlight int // of them, those that keep tickets valid
+	advisorSlots        int // hosts that can ask it
+	notes               []Note
+	statusUpdates       []JobStatus
+	// storeRecoveredAt is when the store was last back after an outage.
+	storeRecoveredAt time.Time
+	// entriesAsOf is as of when all workers' entries are known; zero before.
+	entriesAsOf time.Time
+	checked     time.Time // when runs that stand still were last looked for
+	// firstAnswerAt is when the first worker answered under this leadership.
+	firstAnswerAt time.Time
 	ended         []endedJob
 	waiting       map[QueueID]int
 }
@@ -98,7 +98,7 @@
 		workers: map[spoolsill.WorkerID]*worker{},
 		lives:   map[string][]*worker{},
 		learnt:  map[QueueID]*experience{},
-		teams:   map[spoolsill.TeamID]*teamAccount{},
+		teams:   map[spoolsill.TeamID]*teamState{},
 		acks:    map[spoolsill.Life]uint64{},
 
 		crashedAt: map[string]time.Time{},
@@ -115,14 +115,14 @@
 // A job is a job with its progress.
 type job struct {
 	Job
-	team   *teamAccount
+	team   *teamState
 	beyond bool // its team's share
 	state  JobState
 	stages []*stage
-	// runs counts the runs in the workers' accounts.
-	runs   int
-	undone int // stages that are not done
-	dirty  bool
+	// activeRuns counts the activeRuns in the workers' accounts.
+	activeRuns int
+	undone     int // stages that are not done
+	dirty      bool
 	// chains are the expected times of its steps' chains, as of chainsAt.
 	chains   []time.Duration
 	chainsAt time.Time
@@ -133,16 +133,16 @@
 
 // A stage is one step in one round of a job.
 type stage struct {
-	id    StageID
-	job   *job
-	step  *Step
-	tasks []*task
-	fails int // of a gang as a whole
-	// failedRun is the gang's latest run of which a member failed.
-	failedRun RunNumber
-	left      int // tasks that are not done
-	open      bool
-	due       time.Time // not before, by the wall clock
+	id           StageID
+	job          *job
+	step         *Step
+	tasks        []*task
+	gangFailures int // of a gang as a whole
+	// lastFailedRun is the gang's latest run of which a member failed.
+	lastFailedRun RunNumber
+	tasksLeft     int // tasks that are not done
+	open          bool
+	due           time.Time // not before, by the wall clock
 	// openedAt is when its turn had come.
 	openedAt time.Time
 	tier     tier // as of the pass under way
@@ -162,20 +162,20 @@
 
 // A task is one task of a stage.
 type task struct {
-	stage   *stage
-	index   int
-	done    bool
-	fails   int
-	lastRun RunNumber
-	saved   string
-	run     *run
-	// failedAt has the workers where it failed: another one tells whether
+	stage    *stage
+	index    int
+	done     bool
+	failures int
+	lastRun  RunNumber
+	saved    string
+	run      *run
+	// failedOn has the workers where it failed: another one tells whether
 	// the task or the worker is to blame.
-	failedAt []spoolsill.Life
+	failedOn []spoolsill.Life
 	// evidence is what speaks for it crashing its workers.
 	evidence evidence
-	// preempted is how often a run of it was stopped to make room.
-	preempted int
+	// preemptions is how often a run of it was stopped to make room.
+	preemptions int
 }
 
 // A phase tells how far a run has come.
@@ -185,7 +185,7 @@
 	phasePlanned   phase = iota // room is taken, nothing is recorded
 	phaseRecorded               // waits for its row to be written
 	phaseSent                   // the order is on its way
-	phaseDoubt                  // not answered: it may happen until its deadline
+	phaseUncertain              // not answered: it may happen until its deadline
 	phaseInherited              // a former leader recorded it
 	phaseConfirmed              // the worker has it
 )
@@ -198,17 +198,17 @@
 	worker *worker
 	// born is of the life that its order was for; another one of the same worker may
 	// have carried it out.
-	born     spoolsill.Birth
-	need     spoolsill.Resources
-	phase    phase
-	resolved time.Time   // when the worker confirmed it
-	deadline ClockMillis // of the latest try, for phaseDoubt
-	begun    time.Time
-	percent  int
-	moved    time.Time // when percent was last seen to change
-	stopping bool
-	stopped  time.Time // when a stop was first answered
-	stopDue  time.Time // when the next order to stop it is due
+	born         spoolsill.Birth
+	need         spoolsill.Resources
+	phase        phase
+	confirmedAt  time.Time   // when the worker confirmed it
+	deadline     ClockMillis // of the latest try, for phaseDoubt
+	startedAt    time.Time
+	percent      int
+	progressedAt time.Time // when percent was last seen to change
+	stopping     bool
+	stopTakenAt  time.Time // when a stop was first answered
+	nextStopAt   time.Time // when the next order to stop it is due
 }
 
 // SetQueues takes in the newest configuration. Queues that it lacks are kept
@@ -237,16 +237,16 @@
 	}
 }
 
-// Told returns the jobs that were added or have begun since the last call. That
+// StatusUpdates returns the jobs that were added or have begun since the last call. That
 // may be told at once, since it need not last.
-func (s *State) Told() []JobStatus {
-	t := s.told
-	s.told = nil
+func (s *State) StatusUpdates() []JobStatus {
+	t := s.statusUpdates
+	s.statusUpdates = nil
 	return t
 }
 
-// Waiting returns how many jobs of each queue are accepted and have not begun.
-func (s *State) Waiting() map[QueueID]int {
+// PendingJobs returns how many jobs of each queue are accepted and have not begun.
+func (s *State) PendingJobs() map[QueueID]int {
 	w := make(map[QueueID]int, len(s.waiting))
 	for q, n := range s.waiting {
 		w[q] = n
@@ -278,8 +278,8 @@
 	j.counted = waits
 }
 
-// touch has the job's row written with the next batch.
-func (s *State) touch(j *job) {
+// markDirty has the job's row written with the next batch.
+func (s *State) markDirty(j *job) {
 	if j.dirty {
 		return
 	}
@@ -288,11 +288,11 @@
 }
 
 func (g *stage) done() bool {
-	return g.left == 0
+	return g.tasksLeft == 0
 }
 
 func (g *stage) begun() bool {
-	if g.done() || g.fails > 0 {
+	if g.done() || g.gangFailures > 0 {
 		return true
 	}
 	for _, t := range g.tasks {
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -25,7 +25,7 @@
 		return
 	}
 	r.stopping = true
-	s.unwanted = append(s.unwanted, r)
+	s.stoppingRuns = append(s.stoppingRuns, r)
 	s.orderStop(r, reason)
 }
 
@@ -35,7 +35,7 @@
 	if r.worker.Address == "" {
 		return
 	}
-	r.stopDue = s.nextStopAfterOrder()
+	r.nextStopAt = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
 		Life: r.worker.life(),
 		Run:  r.id,
@@ -46,7 +46,7 @@
 		Run:    r.id,
 		Worker: r.worker.id,
 		Reason: reason,
-		Age:    s.now.Sub(r.begun),
+		Age:    s.now.Sub(r.startedAt),
 	})
 }
 
@@ -89,9 +89,9 @@
 // was unreachable when its run was cancelled would otherwise run it to completion. Cost:
 // O(runs being stopped).
 func (s *State) repeatStops() {
-	s.unwanted = slices.DeleteFunc(s.unwanted, func(r *run) bool { return r.worker.runs[r.id] != r })
-	for _, r := range s.unwanted {
-		if !s.now.Before(r.stopDue) {
+	s.stoppingRuns = slices.DeleteFunc(s.stoppingRuns, func(r *run) bool { return r.worker.runs[r.id] != r })
+	for _, r := range s.stoppingRuns {
+		if !s.now.Before(r.nextStopAt) {
 			s.orderStop(r, "the run may still be there")
 		}
 	}
@@ -112,7 +112,7 @@
 	if r == nil {
 		return
 	}
-	r.stopDue = s.nextStopAfterAnswer(a)
+	r.nextStopAt = s.nextStopAfterAnswer(a)
 	if !a.Taken {
 		s.note(Note{
 			Kind:   NoteNotStopped,
@@ -124,8 +124,8 @@
 		})
 		return
 	}
-	if r.stopped.IsZero() {
-		r.stopped = now
+	if r.stopTakenAt.IsZero() {
+		r.stopTakenAt = now
 	}
 }
 
--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -15,10 +15,10 @@
 // stop order.
 func cancelRunning(t *testing.T) (*cell, sched.StopOrder) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.state.CancelJob(x.now, "j")
 	stops := x.state.Stops()
 	x.c.Assert(stops, qt.HasLen, 1)
@@ -34,7 +34,7 @@
 
 // stopsWithin returns the stop orders within d while the worker "w" still lists a run.
 func (x *cell) stopsWithin(d time.Duration, r sched.RunID) []sched.StopOrder {
-	x.pass(d, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(d, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {r},
 	})
 	return x.state.Stops()
@@ -61,7 +61,7 @@
 func TestStopEndsWithTheRun(t *testing.T) {
 	x, o := cancelRunning(t)
 	x.answerStop(o, true)
-	x.pass(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
@@ -75,7 +75,7 @@
 	x.state.CancelJob(x.now, "j")
 	x.state.Decide(x.now)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
-	x.list("w", false)
+	x.listWorker("w", false)
 	x.state.Decide(x.now)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
@@ -100,16 +100,16 @@
 // A worker that lists an end again has not received the acknowledgement.
 func TestEndThatIsListedAgainIsAcknowledgedAgain(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.end(o[0], sched.EndDone)
+	x.acceptStarts(o)
+	x.endRun(o[0], sched.EndDone)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.HasLen, 1)
 	x.ends["w"] = 0
-	x.end(o[0], sched.EndDone)
+	x.endRun(o[0], sched.EndDone)
 	b, _, err = x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.DeepEquals, []sched.Ack{
@@ -159,7 +159,7 @@
 	for r := range w.runs {
 		rs = append(rs, r)
 	}
-	x.renew("w", rs...)
+	x.renewLease("w", rs...)
 }
 
 // Checks that cancelled runs end within a bound once their worker answers again,
@@ -168,11 +168,11 @@
 	const bound = 3 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		n := rapid.IntRange(1, 4).Draw(rt, "tasks")
 		x.state.AddJob(x.now, job("j", "q", tasks(n, 1)), sched.Progress{})
 		o := x.step()
-		x.take(o)
+		x.acceptStarts(o)
 		w := &flakyWorker{
 			runs:   map[sched.RunID]bool{},
 			faults: rapid.SliceOfN(rapid.IntRange(0, faultKinds-1), 0, 20).Draw(rt, "faults"),
@@ -184,7 +184,7 @@
 			x.state = x.newState()
 			x.state.AddJob(x.now, job("j", "q", tasks(n, 1)), progressOf(o))
 			x.state.CancelJob(x.now, "j")
-			x.list("w", false)
+			x.listWorker("w", false)
 		} else {
 			x.state.CancelJob(x.now, "j")
 		}
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -21,7 +21,7 @@
 		return
 	}
 	s.checked = s.now
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if w.dead || len(w.runs) == 0 {
 			continue
 		}
@@ -38,17 +38,17 @@
 // they are through, so that nothing can be told from them.
 func (s *State) stuck(r *run) bool {
 	g := r.task.stage
-	if r.phase != phaseConfirmed || r.stopping || r.moved.IsZero() || g.step.Lasting || g.step.Gang {
+	if r.phase != phaseConfirmed || r.stopping || r.progressedAt.IsZero() || g.step.Lasting || g.step.Gang {
 		return false
 	}
 	limit := time.Duration(stuckShare * float64(s.expected(s.queue(g.job), g.step)))
 	limit = min(max(limit, stuckLeast), stuckMost)
-	return r.worker.answeredAt.Sub(r.moved) >= limit
+	return r.worker.answeredAt.Sub(r.progressedAt) >= limit
 }
 
 // stopAsStuck stops a run and holds it against its worker.
 func (s *State) stopAsStuck(r *run) {
 	s.stop(r, "it stands still")
-	r.task.failedAt = append(r.task.failedAt, r.worker.life())
-	r.worker.health.fail(s.now)
+	r.task.failedOn = append(r.task.failedOn, r.worker.life())
+	r.worker.health.recordFailure(s.now)
 }
--- a/sched/unknown.go
+++ b/sched/unknown.go
@@ -42,12 +42,12 @@
 		task:   t,
 		worker: w,
 		born:   w.born,
-		need:   t.stage.step.room(),
+		need:   t.stage.step.demand(),
 		phase:  phaseSent,
 	}
 	delete(w.unknownRuns, x.Run)
 	s.addRun(r)
-	s.touch(t.stage.job)
+	s.markDirty(t.stage.job)
 	s.updateRunning(w, x)
 	s.note(Note{
 		Kind:   NoteUnknownRun,
--- a/sched/unlisted_test.go
+++ b/sched/unlisted_test.go
@@ -9,15 +9,15 @@
 // answers, as each call renews its lease.
 func TestIdleUnlistedWorkerIsNotContactedForever(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.WorkerUnlisted(x.now, "w")
 	for range 120 {
 		x.now = x.now.Add(500 * time.Millisecond)
-		if len(x.state.Workers()) == 0 {
+		if len(x.state.HeartbeatTargets()) == 0 {
 			return
 		}
-		x.renew("w") // as the leader's renewals do
+		x.renewLease("w") // as the leader's renewals do
 		x.step()
 	}
-	x.c.Fatalf("still contacted a minute after its entry was deleted: %v", x.state.Workers())
+	x.c.Fatalf("still contacted a minute after its entry was deleted: %v", x.state.HeartbeatTargets())
 }
--- a/sched/unresponsive_test.go
+++ b/sched/unresponsive_test.go
@@ -13,17 +13,17 @@
 // that a start there would be in doubt.
 func TestUnresponsiveWorkerGetsNothingNewUntilItAnswers(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.WorkerUnresponsive(x.now, lifeOf("w"))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
 func TestWorkerWithAnOldAnswerGetsNothingNew(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.now = x.now.Add(time.Second)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -45,11 +45,11 @@
 		},
 	})
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
-	x.worker("w1")
+	x.addWorker("w1")
 	x.step()
 	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 	x.now = x.now.Add(50 * time.Millisecond)
-	x.worker("w2")
+	x.addWorker("w2")
 	x.now = x.now.Add(50 * time.Millisecond)
 	x.step()
 	x.c.Assert(x.question().Workers, qt.HasLen, 2)
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// A Wait tells why a stage has not been placed, for operators.
-type Wait struct {
+// A StageWait tells why a stage has not been placed, for operators.
+type StageWait struct {
 	Stage StageID
 	// Waited is since its turn had come.
 	Waited time.Duration
@@ -31,17 +31,17 @@
 
 // LongestWait returns the stage that has waited longest to be placed; false when none
 // waits. Cost: O(stages + workers).
-func (s *State) LongestWait(now time.Time) (Wait, bool) {
+func (s *State) LongestWait(now time.Time) (StageWait, bool) {
 	var first *stage
-	for _, g := range s.open {
+	for _, g := range s.openStages {
 		if g.placeable() && !g.job.state.Final() && (first == nil || g.openedAt.Before(first.openedAt)) {
 			first = g
 		}
 	}
 	if first == nil {
-		return Wait{}, false
+		return StageWait{}, false
 	}
-	w := Wait{
+	w := StageWait{
 		Stage:     first.id,
 		Waited:    now.Sub(first.openedAt),
 		For:       waitNames[first.waits],
@@ -56,12 +56,12 @@
 }
 
 // count takes in a worker that a stage may use.
-func (w *Wait) count(g *stage, x *worker, kept bool) {
+func (w *StageWait) count(g *stage, x *worker, kept bool) {
 	w.Usable++
 	if x.ready {
 		w.Ready++
 	}
-	if x.ready && g.step.room().Fits(x.free()) {
+	if x.ready && g.step.demand().Fits(x.free()) {
 		w.Fitting++
 	}
 	if kept {
@@ -81,8 +81,8 @@
 		return g.advice.allowed
 	}
 	var ws []*worker
-	for _, w := range s.order {
-		if !w.dead && w.Service == q.Service && g.allows(w) {
+	for _, w := range s.workerList {
+		if !w.dead && w.Service == q.Service && g.labelMatches(w) {
 			ws = append(ws, w)
 		}
 	}
@@ -92,7 +92,7 @@
 // keptFromOthers returns the workers that stages but g keep while they wait.
 func (s *State) keptFromOthers(g *stage) map[*worker]bool {
 	kept := map[*worker]bool{}
-	for _, o := range s.open {
+	for _, o := range s.openStages {
 		if o == g {
 			continue
 		}
--- a/sched/waiting_test.go
+++ b/sched/waiting_test.go
@@ -23,17 +23,17 @@
 			state:   sched.Pending,
 		},
 		"it is not there": {
-			hear:    func(x *cell, _ sched.RunID) { x.renew("w") },
+			hear:    func(x *cell, _ sched.RunID) { x.renewLease("w") },
 			waiting: 1,
 			state:   sched.Pending,
 		},
 		"it runs": {
-			hear:  func(x *cell, r sched.RunID) { x.renew("w", r) },
+			hear:  func(x *cell, r sched.RunID) { x.renewLease("w", r) },
 			state: sched.Running,
 		},
 		"it has failed": {
 			hear: func(x *cell, r sched.RunID) {
-				x.end(sched.StartOrder{
+				x.endRun(sched.StartOrder{
 					Life: lifeOf("w"),
 					Run:  r,
 				}, sched.EndFailed)
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := newCell(t)
 			x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), running("w"))
-			x.list("w", false)
+			x.listWorker("w", false)
 			c.hear(x, sched.RunID{
 				Task: sched.TaskID{
 					Stage: sched.StageID{
@@ -53,7 +53,7 @@
 				},
 				Number: 1,
 			})
-			x.c.Assert(x.state.Waiting()["q"], qt.Equals, c.waiting)
+			x.c.Assert(x.state.PendingJobs()["q"], qt.Equals, c.waiting)
 			x.c.Assert(x.jobState(), qt.Equals, c.state)
 		})
 	}
@@ -74,13 +74,13 @@
 			Service: "work",
 		},
 	})
-	x.worker("w")
+	x.addWorker("w")
 	j := job("j", "q", tasks(1, 1))
 	j.Rounds = 1
 	j.FirstRound = x.now.Round(0).Add(-ahead + time.Second)
 	x.state.AddJob(x.now, j, sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.now = x.now.Add(time.Second)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -94,7 +94,7 @@
 	w = newWorker(id)
 	w.leaseUntil = s.config.TakenOver.Add(s.config.InheritedLease)
 	s.workers[id] = w
-	s.order = append(s.order, w)
+	s.workerList = append(s.workerList, w)
 	return w
 }
 
@@ -113,7 +113,7 @@
 		return
 	}
 	w.closed = false
-	s.order = append(s.order, w)
+	s.workerList = append(s.workerList, w)
 }
 
 // WorkerListed handles a worker's entry in the platform's table.
@@ -244,8 +244,8 @@
 // worker has left.
 func (s *State) StoreBack(now time.Time) {
 	s.now = now
-	s.storeBack = now
-	for _, w := range s.order {
+	s.storeRecoveredAt = now
+	for _, w := range s.workerList {
 		if !w.listed && !w.dead && !w.Draining && now.Sub(w.unlistedAt) < relistDelay {
 			s.startOutageGrace(w)
 		}
@@ -255,12 +255,12 @@
 // startOutageGrace treats a worker that is no longer listed as listed for some time, if
 // its entry may have been lost in an outage of the store.
 func (s *State) startOutageGrace(w *worker) {
-	if s.storeBack.IsZero() || s.now.Sub(s.storeBack) >= relistDelay {
+	if s.storeRecoveredAt.IsZero() || s.now.Sub(s.storeRecoveredAt) >= relistDelay {
 		return
 	}
-	w.graceUntil = s.storeBack.Add(relistDelay)
+	w.graceUntil = s.storeRecoveredAt.Add(relistDelay)
 	w.earliestExit = w.graceUntil.Add(s.config.DrainTime)
-	s.noteWorker(w, "its entry may have been lost in the outage of the store", s.now.Sub(s.storeBack))
+	s.noteWorker(w, "its entry may have been lost in the outage of the store", s.now.Sub(s.storeRecoveredAt))
 }
 
 // present reports whether a worker is in the cell according to its entry.
@@ -278,7 +278,7 @@
 // is saved at the stop or they are lasting, so that they continue elsewhere. A run that
 // ends with its worker is otherwise only replaced once the worker's lease has expired.
 func (s *State) stopOnLeaving() {
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if !w.leaving(s.now) || w.dead || len(w.runs) == 0 || w.earliestExit.Sub(s.now) > s.config.StopTime+checkpointMargin {
 			continue
 		}
@@ -373,13 +373,13 @@
 	}
 	w.closed = true
 	w.ready = false
-	s.order = slices.DeleteFunc(s.order, func(o *worker) bool { return o == w })
+	s.workerList = slices.DeleteFunc(s.workerList, func(o *worker) bool { return o == w })
 }
 
 // expireLeases drops the runs of workers that have not answered for so long that their
 // leases have expired.
 func (s *State) expireLeases() {
-	for _, w := range slices.Clone(s.order) {
+	for _, w := range slices.Clone(s.workerList) {
 		if w.dead || s.now.Before(w.leaseUntil) {
 			continue
 		}
@@ -416,7 +416,7 @@
 // CheckRoom returns an error when the runs of a worker exceed its capacity, or the sum
 // of their needs is wrong. It is meant for tests.
 func (s *State) CheckRoom() error {
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		var sum spoolsill.Resources
 		for _, r := range w.runs {
 			sum = sum.Add(r.need)
