--- a/sched/room.go
+++ b/sched/room.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// EntriesSynced takes in that all changes of the workers' entries before a time are known.
+// EntriesSynced records that all changes of the workers' entries up to the time sent are
+// known.
 func (s *State) EntriesSynced(now, sent time.Time) {
 	s.now = now
 	if sent.After(s.entriesAsOf) {
@@ -10,15 +11,15 @@
 	}
 }
 
-// entriesFresh reports whether workers' rooms are known well enough for something to be
-// started: a worker that does not guard its room would else be brought over it.
+// entriesFresh reports whether the workers' entries are recent enough for a start. A
+// worker that does not check its own capacity could otherwise be overcommitted.
 func (s *State) entriesFresh() bool {
 	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesAsOf) <= s.config.EntriesAge
 }
 
-// hasRoom reports whether all that is in a worker's account fits it, what is being
-// stopped and what may yet start there included. Its room may have shrunk since some of
-// that was decided.
+// hasRoom reports whether all runs that are counted at a worker fit its capacity,
+// including those being stopped and those that may still start. The capacity may have
+// been reduced since they were placed.
 func (w *worker) hasRoom() bool {
 	return !w.free().Negative()
 }
--- a/sched/unlisted_test.go
+++ b/sched/unlisted_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A worker whose entry went is not looked at for ever because it still answers, though
-// each call renews its lease.
-func TestIdleWorkerWhoseEntryWentIsLeftAfterAWhile(t *testing.T) {
+// Guards against a worker without an entry being contacted forever because it still
+// answers, as each call renews its lease.
+func TestIdleUnlistedWorkerIsNotContactedForever(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.WorkerUnlisted(x.now, "w")
@@ -16,8 +16,8 @@
 		if len(x.state.HeartbeatTargets()) == 0 {
 			return
 		}
-		x.renewLease("w") // as a renewer does
+		x.renewLease("w") // as the leader's renewals do
 		x.step()
 	}
-	x.c.Fatalf("still kept in touch with a minute after its entry went: %v", x.state.HeartbeatTargets())
+	x.c.Fatalf("still contacted a minute after its entry was deleted: %v", x.state.HeartbeatTargets())
 }
