--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return Refused, err
 	}
-	if w.MaxRow > 0 && max(len(v), sched.ProgressBytes(j)) > w.MaxRow {
+	if w.MaxRow > 0 && max(len(v), sched.MaxProgressBytes(j)) > w.MaxRow {
 		// The store would refuse it together with all other jobs in its batch.
 		return TooLarge, nil
 	}
--- a/leader/load.go
+++ b/leader/load.go
@@ -57,9 +57,9 @@
 	for _, r := range rows {
 		listed[spoolsill.WorkerID(r.Key.Name)] = true
 	}
-	for _, id := range l.state.Listed() {
+	for _, id := range l.state.ListedWorkers() {
 		if !listed[id] {
-			l.state.UnlistWorker(now, id)
+			l.state.WorkerUnlisted(now, id)
 		}
 	}
 	for id := range l.unclear {
@@ -76,16 +76,16 @@
 	id := spoolsill.WorkerID(r.Key.Name)
 	if r.Deleted {
 		l.markUnclear(id, nil)
-		l.state.UnlistWorker(now, id)
+		l.state.WorkerUnlisted(now, id)
 		return
 	}
 	w, err := l.config.DecodeWorker(r)
 	l.markUnclear(id, err)
 	if err != nil {
-		l.state.WorkerUnclear(now, id)
+		l.state.WorkerEntryInvalid(now, id)
 		return
 	}
-	l.state.ListWorker(now, w)
+	l.state.WorkerListed(now, w)
 }
 
 // markUnclear keeps count of the entries that can't be understood, and tells of each of
@@ -138,7 +138,7 @@
 		l.config.Log.WithError(err).WithField("job", string(id)).WithField("state", p.State.String()).Error("progress without a job")
 		return
 	}
-	l.state.AddEnded(now, id, p)
+	l.state.AddEndedJob(now, id, p)
 }
 
 // takeJob takes in a row of the jobs table: a job or the mark of a cancelled
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -60,10 +60,10 @@
 		return
 	}
 	l.kept = now
-	l.state.SetAskers(len(l.config.Advisor.Hosts()) * l.advising.depth())
+	l.state.SetMaxQuestions(len(l.config.Advisor.Hosts()) * l.advising.depth())
 	wanted := l.wanted
 	clear(wanted)
-	lives := l.state.Workers()
+	lives := l.state.HeartbeatTargets()
 	for _, life := range lives {
 		wanted[life] = true
 	}
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// advise answers a question with tickets for some workers.
+// advise answers a question with tickets for the given workers.
 func (x *cell) advise(o sched.AdviceOrder, good ...spoolsill.WorkerID) {
 	a := sched.Advice{
 		Order:    o,
@@ -24,19 +24,19 @@
 			Text:   "ticket-" + string(id),
 		})
 	}
-	x.state.Advised(x.now, a)
+	x.state.AdviceReceived(x.now, a)
 }
 
 func (x *cell) question() sched.AdviceOrder {
-	q := x.state.Advices()
+	q := x.state.AdviceOrders()
 	x.c.Assert(q, qt.HasLen, 1)
 	return q[0]
 }
 
 func TestAdvisorIsAskedBeforeAStart(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
@@ -48,61 +48,61 @@
 	x.c.Assert(o[0].Ticket, qt.Equals, "ticket-b")
 }
 
-// Room stays taken while a ticket is renewed, and the question is never asked
-// twice: questions that nobody waits for any more would clog the advisor.
-func TestOldTicketIsRenewedWithRoomHeld(t *testing.T) {
+// Guards against room that another task takes while a ticket is renewed, and against
+// repeated questions: those that no stage waits for any more would overload the advisor.
+func TestExpiredTicketIsRenewedWithRoomHeld(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
 	big := x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.pass(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
-	x.end(big[0], sched.EndDone)
+	x.endRun(big[0], sched.EndDone)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	q := x.question()
-	x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
+	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 	x.state.AddJob(x.now, job("late", "q", tasks(1, 10)), sched.Progress{})
-	x.pass(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.c.Assert(x.state.Advices(), qt.HasLen, 0)
+	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
 
-func TestPlanForgetsWorkersThatAreGone(t *testing.T) {
+func TestPlanSkipsLostWorkers(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
-	x.renew("w")
+	x.renewLease("w")
 	x.step()
 	q := x.question()
-	// The lease ends and the worker comes back before the answer does.
-	x.pass(7*time.Second, nil)
-	x.renew("w")
+	// The lease expires and the worker answers again before the advisor does.
+	x.advance(7*time.Second, nil)
+	x.renewLease("w")
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
-func TestLostQuestionGivesTheRoomBack(t *testing.T) {
+func TestLostQuestionReleasesTheRoom(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
-	x.renew("w")
+	x.renewLease("w")
 	x.step()
-	x.state.Advised(x.now, sched.Advice{
+	x.state.AdviceReceived(x.now, sched.Advice{
 		Order: x.question(),
 		Lost:  true,
 	})
@@ -113,29 +113,30 @@
 	x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 }
 
-// As many questions are under way as hosts can ask; urgent ones always.
-func TestQuestionsFollowTheHosts(t *testing.T) {
+// The outstanding questions are bounded by the hosts that can ask. Urgent ones are
+// exempt.
+func TestQuestionsAreBoundedByHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5} {
 		x := newCell(t)
-		x.worker("w")
-		x.state.SetAskers(hosts)
+		x.addWorker("w")
+		x.state.SetMaxQuestions(hosts)
 		for i := range 20 {
 			x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint(i)), "advised", tasks(1, 1)), sched.Progress{})
 		}
 		x.step()
-		x.c.Assert(x.state.Advices(), qt.HasLen, 2*hosts)
+		x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 2*hosts)
 	}
 }
 
-// Urgent work that can be in time asks whatever else does. What can't be any more
-// waits for hosts that are free: after an outage a heap of it would else keep the
-// hosts from the questions of what can.
-func TestOnlyTimelyUrgentQuestionsGoBeforeAll(t *testing.T) {
+// Urgent questions are exempt from the bound only while their job can still be in time.
+// After an outage there may be many jobs that can't, whose questions would otherwise
+// delay those that matter.
+func TestOnlyTimelyUrgentQuestionsExceedTheBound(t *testing.T) {
 	const hosts = 3
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
-		x.worker("w")
-		x.state.SetAskers(hosts)
+		x.addWorker("w")
+		x.state.SetMaxQuestions(hosts)
 		for i := range 20 {
 			j := job(spoolsill.JobID(fmt.Sprint(i)), "advised-urgent", tasks(1, 1))
 			if !late {
@@ -144,7 +145,7 @@
 			x.state.AddJob(x.now, j, sched.Progress{})
 		}
 		x.step()
-		q := x.state.Advices()
+		q := x.state.AdviceOrders()
 		if !late {
 			x.c.Assert(q, qt.HasLen, 20)
 			x.c.Assert(q[0].Urgent, qt.IsTrue)
@@ -155,56 +156,57 @@
 	}
 }
 
-// Workers that don't answer look idle: their runs are given up, and nothing new
-// is started there.
+// Guards against questions about workers that don't answer: their runs are dropped, so
+// that they look idle, but nothing new is started there.
 func TestOnlyWorkersThatAnswerAreAskedAbout(t *testing.T) {
 	x := newCell(t)
-	x.worker("silent")
-	x.worker("busy")
-	x.pass(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.addWorker("silent")
+	x.addWorker("busy")
+	x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"busy": nil,
 	})
 	x.state.AddJob(x.now, job("other", "q", tasks(1, 4)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
 	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("busy")})
 }
 
-// A gang that waits for room has its tickets renewed meanwhile, so that the
-// room does not stand idle until the advisor has answered.
+// Guards against room that stands idle until the advisor has answered: the tickets of a
+// gang that waits for room are renewed in advance.
 func TestTicketsOfAWaitingGangAreKeptValid(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
 	big := x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.pass(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
 	q := x.question()
-	x.c.Assert(q.Purpose, qt.Equals, sched.Warm)
+	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeWarm)
 	x.advise(q, "w")
-	x.end(big[0], sched.EndDone)
+	x.endRun(big[0], sched.EndDone)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
-	x.c.Assert(x.state.Advices(), qt.HasLen, 0)
+	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 }
 
-// The answers about parts of the workers come sooner than one about all.
+// A question is split over free hosts since answers about parts of the workers arrive
+// sooner than one about all.
 func TestGangsAskInPartsAsFarAsHostsAreFree(t *testing.T) {
 	for hosts, parts := range map[int]int{1: 1, 4: 2, 20: 3} {
 		x := newCell(t)
-		x.state.SetAskers(hosts)
+		x.state.SetMaxQuestions(hosts)
 		for i := range 60 {
-			x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
+			x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 		}
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 		x.step()
 		asked := map[spoolsill.WorkerID]bool{}
-		questions := x.state.Advices()
+		questions := x.state.AdviceOrders()
 		for _, q := range questions {
 			for _, l := range q.Workers {
 				asked[l.Worker] = true
@@ -218,20 +220,20 @@
 	}
 }
 
-// A worker that is back after its account was closed is the one that the advisor
-// named: it is not asked about again.
+// Guards against a worker that comes back after it was closed being taken for a new one:
+// the advisor's answer for it still applies.
 func TestAdviceOutlivesAWorkersAbsence(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	// The worker is cut off until its lease is over, and then comes back.
-	x.state.UnlistWorker(x.now, "w")
-	x.pass(2*lease, nil)
-	x.worker("w")
+	// The worker is unreachable until its lease has expired, and then comes back.
+	x.state.WorkerUnlisted(x.now, "w")
+	x.advance(2*lease, nil)
+	x.addWorker("w")
 	x.state.CancelJob(x.now, "big")
 	x.step()
 	q := x.question()
@@ -240,19 +242,18 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
-// Where the advisor refuses each question at once, asking again must not become a
-// storm.
+// Guards against a flood of questions when the advisor refuses each one at once.
 func TestLostQuestionsAreAskedAgainAfterAPause(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.state.SetAskers(2)
+	x.addWorker("w")
+	x.state.SetMaxQuestions(2)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	asked := 0
 	for range 100 {
 		x.step()
-		for _, o := range x.state.Advices() {
+		for _, o := range x.state.AdviceOrders() {
 			asked++
-			x.state.Advised(x.now, sched.Advice{
+			x.state.AdviceReceived(x.now, sched.Advice{
 				Order:    o,
 				Received: x.now,
 				Lost:     true,
--- a/sched/batch.go
+++ b/sched/batch.go
@@ -9,26 +9,27 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// MaxRows is how many jobs' rows a batch has at most; the store takes 100
-// entries in a transaction, and one is the leader's.
-const MaxRows = 90
+// MaxBatchRows is the maximum number of job rows in a batch. The store accepts 100
+// entries per transaction; one of them is the leader's.
+const MaxBatchRows = 90
 
-// maxBytes is from where on a batch takes no more rows, if the configuration does not
-// say less: the store takes 1 MB, of which base64 takes a quarter, and one more row has
-// 64 KB.
-const maxBytes = 600 << 10
+// maxBatchBytes is the size at which a batch takes no more rows, unless
+// Config.BatchBytes is lower. The store accepts 1 MB, of which base64 encoding costs a
+// quarter, and the last row may add 64 KB.
+const maxBatchBytes = 600 << 10
 
-// Batch returns what is to be written next, and whether there is anything.
+// Batch returns the next rows to write and what depends on them. It reports false if
+// there is nothing to write.
 func (s *State) Batch(now time.Time) (Batch, bool, error) {
 	s.now = now
 	var b Batch
-	most := maxBytes
+	limit := maxBatchBytes
 	if s.config.BatchBytes > 0 {
-		most = min(most, s.config.BatchBytes)
+		limit = min(limit, s.config.BatchBytes)
 	}
 	n, size := 0, 0
 	for _, j := range s.dirty {
-		if n == MaxRows || size > most {
+		if n == MaxBatchRows || size > limit {
 			break
 		}
 		n++
@@ -45,59 +46,61 @@
 		b.Starts = append(b.Starts, j.starts...)
 		j.starts = nil
 		b.Statuses = append(b.Statuses, j.status())
-		if j.state.Final() && j.runs == 0 && j.stages != nil {
+		if j.state.Final() && j.activeRuns == 0 && j.stages != nil {
 			b.Ended = append(b.Ended, j.ID)
 		}
-		s.slim(j)
+		s.dropDetails(j)
 	}
 	s.dirty = slices.Delete(s.dirty, 0, n)
 	if len(s.dirty) == 0 {
-		b.Acks = s.takeAcks()
+		b.Acks = s.collectAcks()
 	}
 	if s.config.KeepEnded > 0 {
-		b.Forgotten = s.forgetEnded(MaxRows - n)
+		b.Forgotten = s.expireEnded(MaxBatchRows - n)
 	}
 	return b, n > 0 || len(b.Acks) > 0 || len(b.Forgotten) > 0, nil
 }
 
-// slim drops what is not needed of a job that has ended for good.
-func (s *State) slim(j *job) {
-	if !j.state.Final() || j.runs > 0 {
+// dropDetails frees the parts of a job that are not needed once it has ended and has no
+// runs left.
+func (s *State) dropDetails(j *job) {
+	if !j.state.Final() || j.activeRuns > 0 {
 		return
 	}
 	j.Spec = ""
 	j.Steps = nil
 	j.stages = nil
-	s.keepEnded(j.ID)
+	s.retainEnded(j.ID)
 }
 
-// An endedJob is to be forgotten some time after its end.
+// An endedJob is a finished job and the time of its end.
 type endedJob struct {
 	id spoolsill.JobID
 	at time.Time
 }
 
-func (s *State) keepEnded(id spoolsill.JobID) {
-	s.ended = append(s.ended, endedJob{
+func (s *State) retainEnded(id spoolsill.JobID) {
+	s.endedJobs = append(s.endedJobs, endedJob{
 		id: id,
 		at: s.now,
 	})
 }
 
-// forgetEnded forgets the jobs that ended long ago, and returns at most n of
-// them: their progress need not be kept either.
-func (s *State) forgetEnded(n int) []spoolsill.JobID {
+// expireEnded deletes up to n jobs whose retention time after their end has passed. It
+// returns their ids, whose stored progress can be deleted too.
+func (s *State) expireEnded(n int) []spoolsill.JobID {
 	var ids []spoolsill.JobID
-	for len(s.ended) > 0 && len(ids) < n && s.now.Sub(s.ended[0].at) > s.config.KeepEnded {
-		ids = append(ids, s.ended[0].id)
-		delete(s.jobs, s.ended[0].id)
-		s.ended = s.ended[1:]
+	for len(s.endedJobs) > 0 && len(ids) < n && s.now.Sub(s.endedJobs[0].at) > s.config.KeepEnded {
+		ids = append(ids, s.endedJobs[0].id)
+		delete(s.jobs, s.endedJobs[0].id)
+		s.endedJobs = s.endedJobs[1:]
 	}
 	return ids
 }
 
-// takeAcks returns the ends whose rows are all in this batch or earlier ones.
-func (s *State) takeAcks() []Ack {
+// collectAcks returns the pending acknowledgements, sorted by worker. The rows of the
+// acknowledged ends are in this batch or in earlier ones.
+func (s *State) collectAcks() []Ack {
 	var acks []Ack
 	for l, n := range s.acks {
 		acks = append(acks, Ack{
@@ -110,33 +113,33 @@
 	return acks
 }
 
-// Written takes in that a batch lasts, and returns the starts that may leave
-// now: those that nothing has overtaken meanwhile.
-func (s *State) Written(now time.Time, b Batch) []StartOrder {
+// BatchWritten records that b is durable. It returns the start orders of b that can be
+// sent now: those that are still valid and whose tickets have not expired.
+func (s *State) BatchWritten(now time.Time, b Batch) []StartOrder {
 	s.now = now
-	var out, overdue []StartOrder
+	var out, expired []StartOrder
 	for _, o := range b.Starts {
-		r := s.recorded(o)
+		r := s.recordedRun(o)
 		if r == nil {
 			continue
 		}
-		if !s.mayLeave(r) {
-			s.lose(r, "overtaken before the order left")
+		if !s.canDispatch(r) {
+			s.dropRun(r, "start no longer valid before dispatch")
 			continue
 		}
-		if s.ticketIsOver(r) {
-			overdue = append(overdue, o)
+		if s.ticketExpired(r) {
+			expired = append(expired, o)
 			continue
 		}
-		out = append(out, s.leave(o, r))
+		out = append(out, s.dispatch(o, r))
 	}
-	s.renewOverdue(overdue)
+	s.deferOrders(expired)
 	return out
 }
 
-// recorded returns the run of an order that has not left, or nil.
-func (s *State) recorded(o StartOrder) *run {
-	w := s.account(o.Life)
+// recordedRun returns the run of an order that has been recorded but not sent, or nil.
+func (s *State) recordedRun(o StartOrder) *run {
+	w := s.workerOf(o.Life)
 	if w == nil {
 		return nil
 	}
@@ -147,45 +150,46 @@
 	return r
 }
 
-// leave takes in that an order leaves now, with the newest ticket that there is.
-func (s *State) leave(o StartOrder, r *run) StartOrder {
+// dispatch marks the run of an order as sent and returns the order with its current
+// ticket.
+func (s *State) dispatch(o StartOrder, r *run) StartOrder {
 	r.phase = phaseSent
-	r.begun = s.now
-	// A start renews the lease as well.
-	s.LeaseAsked(o.Life, LeaseEnd(s.now, s.config.StartLease))
+	r.startedAt = s.now
+	// A start order also renews the worker's lease.
+	s.LeaseRequested(o.Life, LeaseEnd(s.now, s.config.StartLease))
 	o.Ticket = r.task.stage.advice.tickets[r.worker].text
 	return o
 }
 
-// mayLeave reports whether an order that is recorded still makes sense.
-func (s *State) mayLeave(r *run) bool {
+// canDispatch reports whether a recorded start order is still valid.
+func (s *State) canDispatch(r *run) bool {
 	g := r.task.stage
 	return !r.task.done && !g.job.state.Final() && !r.stopping &&
-		s.roomIsKnown() && r.worker.hasRoom() && !g.job.team.over() &&
-		r.worker.present(s.now) && !r.worker.unclear && !r.worker.Draining
-}
-
-// Workers returns the lives of the workers that are to be kept in touch with:
-// those that are listed, and those that may have runs, known or not. A start without
-// an answer may be carried out at a worker whose entry has gone: with a lease of 6 s
-// it went on there for 5.6 s, and for 0.12 s if the worker is looked at.
-func (s *State) Workers() []spoolsill.Life {
-	lives := make([]spoolsill.Life, 0, len(s.order))
-	for _, w := range s.order {
-		if w.dead || w.Address == "" || !s.concerns(w) {
+		s.entriesFresh() && r.worker.hasRoom() && !g.job.team.overQuota() &&
+		r.worker.present(s.now) && !r.worker.entryInvalid && !r.worker.Draining
+}
+
+// HeartbeatTargets returns the lives of the workers to send heartbeats to: the listed ones
+// that are relevant, and unlisted ones that may still have runs, known or not. An
+// unanswered start may be carried out at a worker whose entry has gone. With a lease of 6 s
+// such a run went on for 5.6 s without heartbeats and for 0.12 s with them.
+func (s *State) HeartbeatTargets() []spoolsill.Life {
+	lives := make([]spoolsill.Life, 0, len(s.workerList))
+	for _, w := range s.workerList {
+		if w.dead || w.Address == "" || !s.isRelevant(w) {
 			continue
 		}
-		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlisted) < lateMost {
+		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlistedAt) < lateStartWindow {
 			lives = append(lives, w.life())
 		}
 	}
 	return lives
 }
 
-// Listed returns the ids of the workers that the platform lists.
-func (s *State) Listed() []spoolsill.WorkerID {
+// ListedWorkers returns the ids of the workers that the platform lists.
+func (s *State) ListedWorkers() []spoolsill.WorkerID {
 	var ids []spoolsill.WorkerID
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		if w.listed {
 			ids = append(ids, w.id)
 		}
@@ -193,10 +197,9 @@
 	return ids
 }
 
-// concerns reports whether a worker may have something to do with the cell: a queue has
-// its service, or it has runs. Entries of other services are not called. Before queues
-// are known all of them are.
-func (s *State) concerns(w *worker) bool {
+// isRelevant reports whether a worker has runs or provides the service of a queue. Before
+// any queue is known, every worker is relevant.
+func (s *State) isRelevant(w *worker) bool {
 	if len(s.queues) == 0 || len(w.runs) > 0 {
 		return true
 	}
@@ -208,7 +211,7 @@
 	return false
 }
 
-// Address returns where a worker is reached.
+// Address returns the network address of a worker, or "" if it is not known.
 func (s *State) Address(id spoolsill.WorkerID) string {
 	if w := s.workers[id]; w != nil {
 		return w.Address
@@ -216,7 +219,7 @@
 	return ""
 }
 
-// Hall returns where a worker stands.
+// Hall returns the hall of a worker, or "" if it is not known.
 func (s *State) Hall(id spoolsill.WorkerID) spoolsill.HallID {
 	if w := s.workers[id]; w != nil {
 		return w.Hall
@@ -230,7 +233,7 @@
 	return w == nil || len(w.runs) == 0
 }
 
-// Jobs returns the states of all jobs, in the order of their ids.
+// Jobs returns the status of all jobs, sorted by id.
 func (s *State) Jobs() []JobStatus {
 	out := make([]JobStatus, 0, len(s.jobs))
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -9,9 +9,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// busyState returns a state of n workers that are full, with stages waiting for
-// room: what a leader looks at again and again when the cell is overloaded.
-func busyState(n, waiting int, now time.Time) *sched.State {
+// fullState returns a state with n fully used workers and stages that wait for capacity, as
+// a leader has it in an overloaded cell.
+func fullState(n, waiting int, now time.Time) *sched.State {
 	s := sched.New(sched.Config{
 		Lease:      lease,
 		StartLease: 3 * time.Second,
@@ -29,13 +29,13 @@
 	})
 	for i := range n {
 		id := spoolsill.WorkerID(fmt.Sprintf("worker-%d", i))
-		s.ListWorker(now, sched.Worker{
+		s.WorkerListed(now, sched.Worker{
 			ID:       id,
 			Service:  "work",
 			Address:  string(id),
 			Capacity: cores(64),
 		})
-		s.LeaseAsked(lifeOf(id), sched.LeaseEnd(now, lease))
+		s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
 		s.Heartbeat(now, sched.Heartbeat{
 			Life:  lifeOf(id),
 			Sent:  now,
@@ -52,30 +52,30 @@
 	return s
 }
 
-// BenchmarkDecideFull measures one look at a full cell of 350 workers with 200
-// stages that wait: the grown deployments at their peak.
+// BenchmarkDecideFull measures a pass over 200 waiting stages in a full cell of 350
+// workers, as at peak load in the scaled-up deployments.
 func BenchmarkDecideFull(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(350, 200, now)
+	s := fullState(350, 200, now)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Decide(now)
 	}
 }
 
-// BenchmarkJob measures all decisions on one job of two tasks, from its
-// acceptance to its end, in a cell of 350 workers.
+// BenchmarkJob measures all decisions about one job of two tasks, from acceptance to end,
+// in a cell of 350 workers.
 func BenchmarkJob(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(350, 0, now)
+	s := fullState(350, 0, now)
 	id := spoolsill.WorkerID("fast")
-	s.ListWorker(now, sched.Worker{
+	s.WorkerListed(now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Address:  "fast",
 		Capacity: cores(64),
 	})
-	s.LeaseAsked(lifeOf(id), sched.LeaseEnd(now, lease))
+	s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
 	var sequence uint64
 	n := 0
 	b.ReportAllocs()
@@ -91,7 +91,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for _, o := range s.Written(now, x) {
+		for _, o := range s.BatchWritten(now, x) {
 			s.StartAnswered(now, sched.StartAnswer{
 				Life: o.Life,
 				Run:  o.Run,
@@ -110,16 +110,16 @@
 			})
 		}
 		s.Notes()
-		s.Told()
+		s.StatusUpdates()
 	}
 }
 
-// BenchmarkDecideGangs measures one look at a full cell of 350 workers with 60
-// gangs that wait, each of which may use a quarter of the workers.
+// BenchmarkDecideGangs measures a pass over 60 waiting gangs in a full cell of 350 workers.
+// Each gang may use a quarter of the workers.
 func BenchmarkDecideGangs(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(350, 0, now)
-	s.SetAskers(40)
+	s := fullState(350, 0, now)
+	s.SetMaxQuestions(40)
 	s.SetQueues([]sched.Queue{
 		{
 			ID:       "gangs",
@@ -140,7 +140,7 @@
 	}
 	for range 5 {
 		s.Decide(now)
-		for _, q := range s.Advices() {
+		for _, q := range s.AdviceOrders() {
 			a := sched.Advice{
 				Order:    q,
 				Received: now,
@@ -151,7 +151,7 @@
 					Worker: q.Workers[i].Worker,
 				})
 			}
-			s.Advised(now, a)
+			s.AdviceReceived(now, a)
 		}
 		now = now.Add(time.Second / 2)
 	}
@@ -161,12 +161,12 @@
 	}
 }
 
-// BenchmarkAskLarge measures the first look at a job in a cell of 3,000 workers
-// that have room, and the question to the advisor that comes of it.
+// BenchmarkAskLarge measures the first pass over new jobs in a cell of 3,000 workers with
+// free capacity, and the advisor queries that result.
 func BenchmarkAskLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(largeCell, 0, now)
-	s.SetAskers(300)
+	s := fullState(largeCellWorkers, 0, now)
+	s.SetMaxQuestions(300)
 	s.SetQueues([]sched.Queue{
 		{
 			ID:       "advised",
@@ -183,13 +183,13 @@
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
-		for range looksShared {
+		for range jobsPerDecide {
 			n++
 			s.AddJob(now, job(spoolsill.JobID(fmt.Sprintf("job-%d", n)), "advised", tasks(2, 1)), sched.Progress{})
 		}
 		s.Decide(now)
-		for _, q := range s.Advices() {
-			s.Advised(now, sched.Advice{
+		for _, q := range s.AdviceOrders() {
+			s.AdviceReceived(now, sched.Advice{
 				Order:    q,
 				Received: now,
 				Valid:    time.Second,
@@ -197,29 +197,28 @@
 			s.CancelJob(now, q.Stage.Job)
 		}
 		s.Notes()
-		s.Told()
+		s.StatusUpdates()
 	}
 }
 
 const (
-	// largeCell is how many workers the cell of BenchmarkAskLarge and
-	// BenchmarkListLarge has.
-	largeCell = 3000
-	// looksShared is how many jobs come between two looks.
-	looksShared = 10
+	// largeCellWorkers is the number of workers in BenchmarkAskLarge and
+	// BenchmarkListLarge.
+	largeCellWorkers = 3000
+	// jobsPerDecide is the number of jobs that are added between two passes.
+	jobsPerDecide = 10
 )
 
-// BenchmarkListLarge measures one worker's entry that is written anew, in a cell
-// of 3,000 workers.
+// BenchmarkListLarge measures the update of one worker's entry in a cell of 3,000 workers.
 func BenchmarkListLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
-	s := busyState(largeCell, 0, now)
+	s := fullState(largeCellWorkers, 0, now)
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		id := spoolsill.WorkerID(fmt.Sprintf("worker-%d", n%largeCell))
-		s.ListWorker(now, sched.Worker{
+		id := spoolsill.WorkerID(fmt.Sprintf("worker-%d", n%largeCellWorkers))
+		s.WorkerListed(now, sched.Worker{
 			ID:       id,
 			Machine:  string("machine-" + id),
 			Service:  "work",
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -9,25 +9,26 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Decide starts what can start at now. The starts leave with the next batch.
-// Cost: O(stages that wait * workers).
+// Decide places the tasks that can start at now. Their start orders are part of the next
+// batch.
+// Cost: O(waiting stages * workers).
 func (s *State) Decide(now time.Time) {
 	s.now = now
 	s.expireLeases()
-	s.saveLeaving()
+	s.stopOnLeaving()
 	s.stopStuck()
-	s.stopAgain()
-	s.keepSuspects()
-	s.countStrays()
-	s.stopDoubtful()
+	s.repeatStops()
+	s.pruneSuspects()
+	s.sumStrayUsage()
+	s.stopUncertainOverQuota()
 	s.openDue()
-	if s.now.Sub(s.answeredFirst) < s.config.SettleTime || !s.roomIsKnown() {
+	if s.now.Sub(s.firstAnswerAt) < s.config.SettleTime || !s.entriesFresh() {
 		return
 	}
 	d := decider{
-		State: s,
-		held:  map[*worker]*stage{},
-		ready: map[spoolsill.ServiceID]*readyWorkers{},
+		State:       s,
+		reservedFor: map[*worker]*stage{},
+		ready:       map[spoolsill.ServiceID]*readyWorkers{},
 	}
 	d.collectReady()
 	for _, g := range s.ranked() {
@@ -35,19 +36,19 @@
 	}
 }
 
-// readyWorkers are the workers of one service that take something now.
+// readyWorkers are the workers of one service that accept new tasks.
 type readyWorkers struct {
 	workers []*worker
-	// most is no less than what any of them has free. It is not lowered as
-	// room is taken within a pass.
-	most spoolsill.Resources
-	// byFree are the workers with the most free processors first, as of when it
-	// was first asked for in the pass; nil before.
+	// maxFree is an upper bound of the free resources of any of them. It is not
+	// lowered while resources are allocated during a pass.
+	maxFree spoolsill.Resources
+	// byFree has the workers sorted by free processors, highest first, as of the first
+	// call of freest in the pass; nil before.
 	byFree []*worker
 }
 
-// freest returns the workers with the most free processors first. They are
-// sorted once in a pass, which has many stages ask about them.
+// freest returns the workers sorted by free processors, highest first. They are sorted
+// only once per pass since many stages need the order.
 func (r *readyWorkers) freest() []*worker {
 	if r.byFree == nil {
 		r.byFree = slices.Clone(r.workers)
@@ -56,43 +57,43 @@
 	return r.byFree
 }
 
-// collectReady looks once at each worker, so that a pass over many stages costs
-// little for those that find no room.
+// collectReady determines the ready workers once per pass, so that stages that do not
+// fit anywhere are rejected cheaply.
 func (d *decider) collectReady() {
-	for _, w := range d.order {
-		w.ready = w.takes(d.now) && w.health.takes(d.now)
+	for _, w := range d.workerList {
+		w.ready = w.acceptsStarts(d.now) && w.health.available(d.now)
 		if !w.ready {
 			continue
 		}
 		r := d.ready[w.Service]
 		if r == nil {
 			r = &readyWorkers{
-				workers: make([]*worker, 0, len(d.order)),
+				workers: make([]*worker, 0, len(d.workerList)),
 			}
 			d.ready[w.Service] = r
 		}
 		r.workers = append(r.workers, w)
 		free := w.free()
-		r.most.Processors = max(r.most.Processors, free.Processors)
-		r.most.Memory = max(r.most.Memory, free.Memory)
-		r.most.Accelerators = max(r.most.Accelerators, free.Accelerators)
+		r.maxFree.Processors = max(r.maxFree.Processors, free.Processors)
+		r.maxFree.Memory = max(r.maxFree.Memory, free.Memory)
+		r.maxFree.Accelerators = max(r.maxFree.Accelerators, free.Accelerators)
 	}
 }
 
-// A decider is one pass over the stages that wait.
+// A decider is one pass over the waiting stages.
 type decider struct {
 	*State
-	// held has the workers that gangs gather room at, by gang.
-	held  map[*worker]*stage
-	ready map[spoolsill.ServiceID]*readyWorkers
+	// reservedFor maps a reserved worker to the stage that it is reserved for.
+	reservedFor map[*worker]*stage
+	ready       map[spoolsill.ServiceID]*readyWorkers
 }
 
-// ranked returns the open stages in the order in which they are served, and
-// forgets those that are done.
+// ranked returns the stages that can be placed, sorted by rank, and removes finished ones
+// from the open stages.
 func (s *State) ranked() []*stage {
-	kept := s.open[:0]
+	kept := s.openStages[:0]
 	var ready []*stage
-	for _, g := range s.open {
+	for _, g := range s.openStages {
 		if g.done() || g.job.state.Final() {
 			g.open = false
 			continue
@@ -102,8 +103,8 @@
 			ready = append(ready, g)
 		}
 	}
-	clear(s.open[len(kept):])
-	s.open = kept
+	clear(s.openStages[len(kept):])
+	s.openStages = kept
 	ranks := make(map[*stage]rank, len(ready))
 	for _, g := range ready {
 		ranks[g] = s.rank(g)
@@ -113,7 +114,7 @@
 	return ready
 }
 
-// placeable reports whether a task of g waits for a worker; of a gang, all.
+// placeable reports whether a task of g needs a worker. For a gang all of them must.
 func (g *stage) placeable() bool {
 	if len(g.planned) > 0 {
 		return false
@@ -130,81 +131,82 @@
 	return g.step.Gang
 }
 
-// place starts the tasks of a stage that can start now.
+// place starts the tasks of g that can start now.
 func (d *decider) place(g *stage) {
 	q := d.queue(g.job)
-	if q.Service == "" || d.failExhausted(g) || d.giveUp(g) {
-		// Failures may have been heard of before the queue was known, crashes by a
-		// former leader.
+	if q.Service == "" || d.failExhausted(g) || d.failCrashing(g) {
+		// Failures may have been reported before the queue was known, and crashes
+		// counted by a former leader.
 		return
 	}
-	d.charge(g)
-	if !d.underQuota(g) {
-		g.gathered = nil
-		g.lookedAt = d.now
-		g.waits = waitQuota
+	d.recordWait(g)
+	if !d.fitsQuota(g) {
+		g.reserved = nil
+		g.waitUpdatedAt = d.now
+		g.waitingFor = waitQuota
 		return
 	}
 	switch {
-	case q.Advisor != nil && !d.advised(g, q):
+	case q.Advisor != nil && !d.ensureAdvice(g, q):
 	case g.step.Gang:
 		d.placeGang(g, q)
 	default:
 		d.placeEach(g, q)
 	}
-	d.await(g, q)
+	d.beginWait(g, q)
 }
 
-// advised asks the advisor where nothing is known yet, and about more workers
-// when the known ones have had no room for a while. It reports whether any
-// worker is known.
-func (d *decider) advised(g *stage, q *Queue) bool {
+// ensureAdvice queries the advisor if nothing is known for g yet, and about more workers
+// if the known ones have had no capacity for a while. It reports whether any answer is
+// known.
+func (d *decider) ensureAdvice(g *stage, q *Queue) bool {
 	a := &g.advice
 	known := a.asked != nil
-	if a.learning > 0 || known && d.now.Sub(a.last) <= askMore {
+	if a.learning > 0 || known && d.now.Sub(a.lastLearned) <= askMoreAfter {
 		return known
 	}
-	if g.tier != tierUrgent && d.asking >= askingEach*max(d.askers, 1) {
+	if g.tier != tierUrgent && d.queriesInFlight >= questionsPerAsker*max(d.advisorSlots, 1) {
 		return known
 	}
 	more := d.unasked(g, q)
 	if len(more) == 0 {
-		a.last = d.now // all are known: look again after a while
+		a.lastLearned = d.now // all known; look again after askMore
 		return known
 	}
-	d.learnMore(g, q, more)
+	d.askAboutMore(g, q, more)
 	return known
 }
 
-// allows reports whether g's tasks may run at w, as far as its label tells.
-func (g *stage) allows(w *worker) bool {
+// labelMatches reports whether w has the label that g requires, if any.
+func (g *stage) labelMatches(w *worker) bool {
 	return g.step.Requires == "" || slices.Contains(w.Labels, g.step.Requires)
 }
 
-// candidates returns the workers where g may start something now and that have
-// room for a task.
+// candidates returns the workers where g may start a task and that have the capacity for
+// it. It leaves out workers that are reserved for other stages, except for queues of the
+// highest priority.
 func (d *decider) candidates(g *stage, q *Queue) []*worker {
 	r := d.ready[q.Service]
-	need := g.step.room()
-	if r == nil || !need.Fits(r.most) {
+	need := g.step.demand()
+	if r == nil || !need.Fits(r.maxFree) {
 		return nil
 	}
 	from := r.workers
 	if q.Advisor != nil {
-		from = g.advice.good
+		from = g.advice.allowed
 	}
 	var ws []*worker
 	for _, w := range from {
 		if !w.ready || !need.Fits(w.free()) || w.Service != q.Service {
 			continue
 		}
-		if !g.allows(w) {
+		if !g.labelMatches(w) {
 			continue
 		}
-		if h := d.held[w]; h != nil && h != g && q.Priority > 0 {
+		if h := d.reservedFor[w]; h != nil && h != g && q.Priority > 0 {
 			continue
 		}
-		if d.barred(g, w) {
+		if d.blockedByTrial(g, w) {
 			continue
 		}
 		ws = append(ws, w)
@@ -212,7 +214,7 @@
 	return ws
 }
 
-// placeEach starts the waiting tasks one by one.
+// placeEach starts the waiting tasks independently of each other.
 func (d *decider) placeEach(g *stage, q *Queue) {
 	ws := d.candidates(g, q)
 	var renew []spoolsill.Life
@@ -221,10 +223,10 @@
 		if t.done || t.run != nil {
 			continue
 		}
-		if !g.job.team.takes(g.step.room()) {
+		if !g.job.team.allows(g.step.demand()) {
 			break
 		}
-		w := d.best(t, ws)
+		w := d.bestWorker(t, ws)
 		if w == nil {
 			waiting++
 			continue
@@ -239,13 +241,13 @@
 		}
 	}
 	if len(renew) > 0 {
-		d.ask(g, q, renew, Renew)
+		d.ask(g, q, renew, PurposeRenew)
 	}
-	d.reserve(g, q, waiting)
+	d.reserveForLarge(g, q, waiting)
 }
 
-// at returns how many runs of g a worker has.
-func (g *stage) at(w *worker) int {
+// runsAt returns the number of runs of g at w.
+func (g *stage) runsAt(w *worker) int {
 	n := 0
 	for _, t := range g.tasks {
 		if t.run != nil && t.run.worker == w {
@@ -255,53 +257,53 @@
 	return n
 }
 
-// best returns the worker where a task costs least, or nil when none has room:
-// one where it has not failed, then the fastest, then the tightest fit.
-func (d *decider) best(t *task, ws []*worker) *worker {
+// bestWorker returns the worker with the lowest cost for t, or nil if none has capacity.
+// It prefers workers where t has not failed, then fast ones, then the tightest fit.
+func (d *decider) bestWorker(t *task, ws []*worker) *worker {
 	g := t.stage
-	need := g.step.room()
+	need := g.step.demand()
 	var best *worker
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, w := range ws {
 		free := w.free()
 		if !need.Fits(free) {
 			continue
 		}
-		if m := g.step.MaxPerWorker; m > 0 && g.at(w) >= m {
+		if m := g.step.MaxPerWorker; m > 0 && g.runsAt(w) >= m {
 			continue
 		}
-		c := d.cost(g, w, free.Sub(need)) + d.trialCost(t, w)
-		if slices.Contains(t.failedAt, w.life()) {
-			c += failedCost
+		c := d.placementCost(g, w, free.Sub(need)) + d.trialCost(t, w)
+		if slices.Contains(t.failedOn, w.life()) {
+			c += failedWorkerCost
 		}
-		if c < least {
+		if c < lowest {
 			best = w
-			least = c
+			lowest = c
 		}
 	}
 	return best
 }
 
-// failedCost outweighs any difference in speed.
-const failedCost = 100
+// failedWorkerCost exceeds any difference in speed.
+const failedWorkerCost = 100
 
-// tightness is how much the share of a worker that is left free counts
-// against a factor on the run time; small, so that it only breaks ties between
-// workers that are about as fast.
-const tightness = 0.1
+// freeShareWeight is the weight of the share of a worker's processors that stays free,
+// relative to the run time factor. It is small so that it only decides between workers
+// of about the same speed.
+const freeShareWeight = 0.1
 
-func (d *decider) cost(g *stage, w *worker, left spoolsill.Resources) float64 {
+func (d *decider) placementCost(g *stage, w *worker, left spoolsill.Resources) float64 {
 	c := w.health.slowness()
 	if g.step.NearRack != "" && g.step.NearRack != w.Rack {
 		c *= d.config.FarFactor
 	}
 	if w.Capacity.Processors > 0 {
-		c += tightness * float64(left.Processors) / float64(w.Capacity.Processors)
+		c += freeShareWeight * float64(left.Processors) / float64(w.Capacity.Processors)
 	}
 	return c
 }
 
-// start records a run at once.
+// start plans a run of t at w and records it at once.
 func (d *decider) start(t *task, w *worker) {
 	d.plan(t, w)
 	g := t.stage
@@ -309,7 +311,7 @@
 	d.record(t.run)
 }
 
-// record makes a planned run a decision that is written with the next batch.
+// record adds the start order of a planned run to the next batch.
 func (s *State) record(r *run) {
 	t := r.task
 	g := t.stage
@@ -328,23 +330,23 @@
 		Life:   r.worker.life(),
 		Run:    r.id,
 		Spec:   g.job.Spec,
-		Saved:  t.startFrom(),
+		Saved:  t.lastCheckpoint(),
 		Ticket: g.advice.tickets[r.worker].text,
 	})
-	s.touch(g.job)
+	s.markDirty(g.job)
 	s.note(Note{
 		Kind:   NotePlaced,
 		Job:    g.job.ID,
 		Run:    r.id,
 		Worker: r.worker.id,
 		Reason: "has room",
-		Age:    s.now.Sub(r.worker.answered),
+		Age:    s.now.Sub(r.worker.answeredAt),
 	})
 }
 
-// startFrom returns the saved progress to go on from. One member's is good
-// for its whole gang.
-func (t *task) startFrom() string {
+// lastCheckpoint returns the saved progress to resume from. The progress that any member
+// of a gang has saved is valid for the whole gang.
+func (t *task) lastCheckpoint() string {
 	if !t.stage.step.Gang {
 		return t.saved
 	}
--- a/sched/overdue_test.go
+++ b/sched/deferred_test.go
@@ -10,84 +10,84 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// slowly writes the next batch in a store that needs longer for it than tickets
-// hold, and returns the orders that leave.
-func (x *cell) slowly() []sched.StartOrder {
+// stepWithSlowStore is step with a store that takes longer for the write than tickets are
+// valid.
+func (x *cell) stepWithSlowStore() []sched.StartOrder {
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
 	b, any, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(any, qt.IsTrue)
 	x.now = x.now.Add(1600 * time.Millisecond)
-	return x.state.Written(x.now, b)
+	return x.state.BatchWritten(x.now, b)
 }
 
-// An order whose ticket ran out while it was recorded would be turned away: it
-// leaves with a new one.
-func TestOrderWaitsForATicketThatRanOut(t *testing.T) {
+// A worker would reject an order whose ticket expired while it was recorded. The order is
+// sent with a renewed ticket instead.
+func TestOrderWaitsForRenewalOfExpiredTicket(t *testing.T) {
 	for name, step := range map[string]sched.Step{
 		"tasks": tasks(2, 1),
 		"gang":  gang(2, 1),
 	} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", step), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
-		x.c.Assert(x.slowly(), qt.HasLen, 0, qt.Commentf("%s", name))
+		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0, qt.Commentf("%s", name))
 		q := x.question()
-		x.c.Assert(q.Purpose, qt.Equals, sched.Renew)
+		x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
-		x.c.Assert(x.state.Starts(), qt.HasLen, 0)
-		x.renew("w")
+		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
+		x.renewLease("w")
 		x.advise(q, "w")
-		o := x.state.Starts()
+		o := x.state.DeferredStarts()
 		x.c.Assert(taskNames(o), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 		x.c.Assert(o[0].Ticket, qt.Equals, "ticket-w")
-		x.take(o)
-		x.c.Assert(x.state.Starts(), qt.HasLen, 0)
+		x.acceptStarts(o)
+		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 	}
 }
 
-// Without an answer, or a ticket in it, nothing leaves; the room is free again and
-// the tasks are placed anew under a higher number. So are those of a gang, as a
-// whole.
+// If the renewal is not answered or yields no ticket, the orders are dropped, their
+// capacity is free again and the tasks are placed under a new run number, those of a gang
+// together.
 func TestOrderWithoutATicketIsDropped(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		x := newCell(t)
-		x.worker("w")
+		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 4)), sched.Progress{})
 		x.step()
 		x.advise(x.question(), "w")
-		x.c.Assert(x.slowly(), qt.HasLen, 0)
-		x.state.Advised(x.now, sched.Advice{
+		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0)
+		x.state.AdviceReceived(x.now, sched.Advice{
 			Order:    x.question(),
 			Received: x.now,
 			Lost:     lost,
 		})
-		x.c.Assert(x.state.Starts(), qt.HasLen, 0)
+		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
-		x.now = x.now.Add(100 * time.Millisecond) // a lost question is not asked again at once
-		x.renew("w")
+		x.now = x.now.Add(100 * time.Millisecond) // longer than the delay after a lost query
+		x.renewLease("w")
 		x.step()
 		x.advise(x.question(), "w")
 		x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2", "j.0.0.1#2"})
 	}
 }
 
-// What is cancelled while its order waits for a ticket never starts.
-func TestCancelledOrderDoesNotLeave(t *testing.T) {
+// A job that is cancelled while its order waits for a ticket never starts.
+func TestCancelledOrderIsNotSent(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
 	x.advise(x.question(), "w")
-	x.c.Assert(x.slowly(), qt.HasLen, 0)
+	x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0)
 	q := x.question()
 	x.state.CancelJob(x.now, "j")
 	x.advise(q, "w")
-	x.c.Assert(x.state.Starts(), qt.HasLen, 0)
+	x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 	x.c.Assert(x.state.CheckRoom(), qt.IsNil)
 	s, _ := x.state.Job("j")
 	x.c.Assert(s.State, qt.Equals, sched.Cancelled)
--- /dev/null
+++ b/sched/estimate.go
@@ -0,0 +1,127 @@
+package sched
+
+import (
+	"time"
+)
+
+const (
+	// runTimeWeight is the weight of the newest observation in the moving average of run
+	// times. About ten observations carry most of the average, so that it follows a
+	// change within a second or two.
+	runTimeWeight = 0.1
+	// slownessWeight is the same for the slowness of a worker. Client estimates are off
+	// by half or more in both directions, so that it takes about twenty runs to tell a
+	// slow worker.
+	slownessWeight = 0.05
+	// minSlowness and maxSlowness bound the slowness of a worker.
+	minSlowness = 0.5
+	maxSlowness = 10.0
+)
+
+// A runTimeEstimate is the observed run time of the tasks of a queue.
+type runTimeEstimate struct {
+	ratio float64 // moving average of run time divided by the client's estimate
+	known bool
+}
+
+// expected returns the expected run time of a task of a step.
+func (s *State) expected(q *Queue, p *Step) time.Duration {
+	e := s.runTimes[q.ID]
+	if e == nil || !e.known {
+		return p.Estimate
+	}
+	return time.Duration(e.ratio * float64(p.Estimate))
+}
+
+// observeEnd updates the run time and worker estimates from the end of a run.
+func (s *State) observeEnd(r *run, k EndKind) {
+	switch k {
+	case EndDone:
+		s.observeRunTime(r)
+	case EndFailed:
+		r.worker.health.recordFailure(s.now)
+	default:
+	}
+}
+
+// observeRunTime updates the estimates from the run time of a completed run. Runs that
+// were resumed or have no client estimate only count as a success of their worker.
+func (s *State) observeRunTime(r *run) {
+	p := r.task.stage.step
+	if p.Estimate <= 0 || r.startedAt.IsZero() || r.task.saved != "" {
+		r.worker.health.recordSuccess(0)
+		return
+	}
+	runTime := float64(max(s.now.Sub(r.startedAt), time.Millisecond))
+	q := r.task.stage.job.Queue
+	e := s.runTimes[q]
+	if e == nil {
+		e = &runTimeEstimate{}
+		s.runTimes[q] = e
+	}
+	ratio := runTime / float64(p.Estimate)
+	if !e.known {
+		e.ratio = ratio
+		e.known = true
+	}
+	r.worker.health.recordSuccess(ratio / e.ratio)
+	e.ratio += runTimeWeight * (ratio/r.worker.health.slowness() - e.ratio)
+}
+
+// health is the estimate of a worker's condition from the runs that ended there.
+type health struct {
+	slowEstimate float64   // moving average of run time relative to other workers; 0 means unknown
+	failures     int       // consecutive
+	backoffUntil time.Time // no new tasks before
+}
+
+const (
+	// maxConsecutiveFailures is the number of failures in a row from which on they are
+	// attributed to the worker. At failure rates of a few percent, two in a row are rarely
+	// a coincidence.
+	maxConsecutiveFailures = 2
+	// minBackoff doubles with each further failure, up to maxBackoff.
+	minBackoff = 2 * time.Second
+	maxBackoff = 8 * time.Second
+)
+
+// available reports whether the worker's backoff has passed.
+func (h *health) available(now time.Time) bool {
+	return !now.Before(h.backoffUntil)
+}
+
+// recordFailure counts a failed run and starts a backoff after repeated failures.
+func (h *health) recordFailure(now time.Time) {
+	h.failures++
+	if h.failures < maxConsecutiveFailures {
+		return
+	}
+	h.backoffUntil = now.Add(min(minBackoff<<min(h.failures-maxConsecutiveFailures, 8), maxBackoff))
+}
+
+// recordRejection counts a rejected start as a failure.
+func (h *health) recordRejection(now time.Time) {
+	h.recordFailure(now)
+}
+
+// recordSuccess counts a completed run. Its ratio is the run time relative to other
+// workers; 0 means unknown.
+func (h *health) recordSuccess(ratio float64) {
+	h.failures = 0
+	if ratio <= 0 {
+		return
+	}
+	ratio = min(max(ratio, minSlowness), maxSlowness)
+	if h.slowEstimate == 0 {
+		h.slowEstimate = 1
+	}
+	h.slowEstimate += slownessWeight * (ratio - h.slowEstimate)
+}
+
+// slowness returns the run time of tasks at the worker relative to other workers.
+func (h *health) slowness() float64 {
+	if h.slowEstimate == 0 {
+		return 1
+	}
+	return h.slowEstimate
+}
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -12,18 +12,17 @@
 )
 
 const (
-	lease   = 6 * time.Second
-	inForce = 3 * time.Second
+	lease             = 6 * time.Second
+	configPropagation = 3 * time.Second
 )
 
-// A cell is a State under test with a clock of its own and workers that do as
-// they are told.
+// A cell is a State under test with its own clock and simulated workers.
 type cell struct {
 	c       *qt.C
 	now     time.Time
 	state   *sched.State
 	started []sched.StartOrder
-	// ends numbers the ends of each worker.
+	// ends has the latest end sequence number of each worker.
 	ends map[spoolsill.WorkerID]uint64
 }
 
@@ -46,7 +45,7 @@
 		StopTime:       200 * time.Millisecond,
 		DrainTime:      2 * time.Second,
 		FarFactor:      2,
-		ConfigInForce:  inForce,
+		ConfigInForce:  configPropagation,
 	})
 	s.SetQueues([]sched.Queue{
 		{
@@ -85,14 +84,14 @@
 	return s
 }
 
-// worker lists a worker of ten cores and has it answer and renew its lease.
-func (x *cell) worker(id spoolsill.WorkerID) {
-	x.list(id, false)
-	x.renew(id)
+// addWorker lists a worker with ten cores that answers and renews its lease.
+func (x *cell) addWorker(id spoolsill.WorkerID) {
+	x.listWorker(id, false)
+	x.renewLease(id)
 }
 
-func (x *cell) list(id spoolsill.WorkerID, draining bool) {
-	x.state.ListWorker(x.now, sched.Worker{
+func (x *cell) listWorker(id spoolsill.WorkerID, draining bool) {
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Address:  string(id),
@@ -101,26 +100,26 @@
 	})
 }
 
-// listIn lists a worker in a rack and has it renew its lease.
-func (x *cell) listIn(id spoolsill.WorkerID, rack spoolsill.RackID) {
-	x.state.ListWorker(x.now, sched.Worker{
+// addWorkerInRack is addWorker with a rack.
+func (x *cell) addWorkerInRack(id spoolsill.WorkerID, rack spoolsill.RackID) {
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
 		Rack:     rack,
 		Address:  string(id),
 		Capacity: cores(10),
 	})
-	x.renew(id)
+	x.renewLease(id)
 }
 
-// renew has a worker renew its lease and answer with what it runs.
-func (x *cell) renew(id spoolsill.WorkerID, running ...sched.RunID) {
-	x.state.LeaseAsked(lifeOf(id), sched.LeaseEnd(x.now, lease))
-	x.answer(id, running...)
+// renewLease renews a worker's lease; the worker answers with its running tasks.
+func (x *cell) renewLease(id spoolsill.WorkerID, running ...sched.RunID) {
+	x.state.LeaseRequested(lifeOf(id), sched.LeaseEnd(x.now, lease))
+	x.heartbeat(id, running...)
 }
 
-// answer has a worker answer without renewing its lease.
-func (x *cell) answer(id spoolsill.WorkerID, running ...sched.RunID) {
+// heartbeat has a worker answer without a lease renewal.
+func (x *cell) heartbeat(id spoolsill.WorkerID, running ...sched.RunID) {
 	h := sched.Heartbeat{
 		Life:  lifeOf(id),
 		Sent:  x.now,
@@ -134,8 +133,8 @@
 	x.state.Heartbeat(x.now, h)
 }
 
-// end has a worker list the end of a run.
-func (x *cell) end(o sched.StartOrder, k sched.EndKind) {
+// endRun has a worker report the end of a run.
+func (x *cell) endRun(o sched.StartOrder, k sched.EndKind) {
 	x.ends[o.Worker]++
 	x.state.Heartbeat(x.now, sched.Heartbeat{
 		Life: lifeOf(o.Worker),
@@ -151,7 +150,7 @@
 	})
 }
 
-// step decides, writes and sends; it returns the starts that left.
+// step makes one pass, writes the batch and returns the start orders that were sent.
 func (x *cell) step() []sched.StartOrder {
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
@@ -161,13 +160,13 @@
 	if !any {
 		return nil
 	}
-	out := x.state.Written(x.now, b)
+	out := x.state.BatchWritten(x.now, b)
 	x.started = append(x.started, out...)
 	return out
 }
 
-// take has workers take start orders.
-func (x *cell) take(orders []sched.StartOrder) {
+// acceptStarts has the workers accept start orders.
+func (x *cell) acceptStarts(orders []sched.StartOrder) {
 	for _, o := range orders {
 		x.answerStart(o, sched.StartTaken)
 	}
@@ -183,12 +182,12 @@
 	})
 }
 
-// pass lets time go by while some workers go on answering with what they run.
-func (x *cell) pass(d time.Duration, answering map[spoolsill.WorkerID][]sched.RunID) {
+// advance moves the clock on while the given workers keep renewing their leases.
+func (x *cell) advance(d time.Duration, answering map[spoolsill.WorkerID][]sched.RunID) {
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(500 * time.Millisecond)
 		for id, runs := range answering {
-			x.renew(id, runs...)
+			x.renewLease(id, runs...)
 		}
 		x.state.Decide(x.now)
 	}
@@ -238,7 +237,7 @@
 	return names
 }
 
-// lifeOf returns the life of a worker whose platform tells no births.
+// lifeOf returns the life of a worker whose platform reports no births.
 func lifeOf(id spoolsill.WorkerID) spoolsill.Life {
 	return spoolsill.Life{
 		Worker: id,
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -9,102 +9,102 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// placeGang starts all tasks of a gang, or none.
+// placeGang starts all tasks of a gang or none.
 func (d *decider) placeGang(g *stage, q *Queue) {
 	ws := d.candidates(g, q)
-	seats := d.seats(g, q, ws)
-	if seats == nil {
-		d.gather(g, q)
+	workers := d.assignGang(g, q, ws)
+	if workers == nil {
+		d.reserveForGang(g, q)
 		d.keepWarm(g, q)
 		return
 	}
-	g.gathered = nil
-	renew := d.stale(g, q, seats)
+	g.reserved = nil
+	renew := d.ticketsToRenew(g, q, workers)
 	for i, t := range g.tasks {
 		if len(renew) > 0 {
-			d.plan(t, seats[i])
+			d.plan(t, workers[i])
 			continue
 		}
-		d.start(t, seats[i])
+		d.start(t, workers[i])
 	}
 	if len(renew) > 0 && !g.advice.warming {
-		d.ask(g, q, renew, Renew)
+		d.ask(g, q, renew, PurposeRenew)
 	}
 }
 
 const (
-	// gatherFactor is for how many times its tasks a gang that waits keeps
-	// workers from stages ranked below it, by what they hold when empty: with
-	// just enough of them it would wait for the last run to end, and with all
-	// that it may use, room would stand idle. Tried on the grown deployments,
-	// see docs/DECISIONS.md.
-	gatherFactor = 3
-	// gatherShare is the part of the workers that gangs ranked below the first
-	// may keep besides, one in so many.
-	gatherShare = 3
+	// gangReserveFactor is the number of times that a waiting gang must fit into the total
+	// capacity of the workers reserved for it. Reserving just enough workers for one fit
+	// makes it wait for the last of their runs to end; reserving all usable workers
+	// leaves capacity idle.
+	gangReserveFactor = 3
+	// reserveDivisor limits reservations. Once 1/reserveDivisor of the ready workers are
+	// reserved, further gangs reserve none, and large tasks never reserve more than that.
+	reserveDivisor = 3
 )
 
-// gather keeps workers for a gang that waits, so that it does not wait for
-// ever. It goes on with those that it kept in the last pass.
-func (d *decider) gather(g *stage, q *Queue) {
+// reserveForGang reserves workers for a waiting gang so that smaller tasks can't starve
+// it. Reservations of the last pass are kept.
+func (d *decider) reserveForGang(g *stage, q *Queue) {
 	r := d.ready[q.Service]
-	if r == nil || len(d.held) > 0 && len(d.held) >= len(r.workers)/gatherShare {
-		g.gathered = nil
+	if r == nil || len(d.reservedFor) > 0 && len(d.reservedFor) >= len(r.workers)/reserveDivisor {
+		g.reserved = nil
 		return
 	}
-	from := g.advice.good
+	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
 	}
-	if !d.seatable(g, from) {
-		// The workers that it would keep may be the only ones that others can use.
-		g.gathered = nil
+	if !d.fitsEmptyWorkers(g, from) {
+		// The reserved workers might be the only ones that other stages can use.
+		g.reserved = nil
 		return
 	}
-	seats := 0
+	slots := 0
 	keep := func(w *worker) bool {
-		n := fitTimes(g.step.room(), w.Capacity)
-		if !w.ready || d.held[w] != nil || n == 0 || seats >= gatherFactor*len(g.tasks) {
+		n := fitCount(g.step.demand(), w.Capacity)
+		if !w.ready || d.reservedFor[w] != nil || n == 0 || slots >= gangReserveFactor*len(g.tasks) {
 			return false
 		}
-		d.held[w] = g
-		seats += n
+		d.reservedFor[w] = g
+		slots += n
 		return true
 	}
-	g.gathered = slices.DeleteFunc(g.gathered, func(w *worker) bool { return !keep(w) })
+	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !keep(w) })
 	from = slices.Clone(from)
 	sortByFree(from)
 	for _, w := range from {
 		if keep(w) {
-			g.gathered = append(g.gathered, w)
+			g.reserved = append(g.reserved, w)
 		}
 	}
 }
 
-// seatable reports whether workers could seat a gang if they were empty.
-func (s *State) seatable(g *stage, ws []*worker) bool {
-	seats := 0
+// fitsEmptyWorkers reports whether the whole gang would fit on ws if they had no runs.
+func (s *State) fitsEmptyWorkers(g *stage, ws []*worker) bool {
+	slots := 0
 	for _, w := range ws {
-		if w.dead || w.leaving(s.now) || !g.allows(w) {
+		if w.dead || w.leaving(s.now) || !g.labelMatches(w) {
 			continue
 		}
-		n := fitTimes(g.step.room(), w.Capacity)
+		n := fitCount(g.step.demand(), w.Capacity)
 		if m := g.step.MaxPerWorker; m > 0 {
 			n = min(n, m)
 		}
-		seats += n
+		slots += n
 	}
-	return seats >= len(g.tasks)
+	return slots >= len(g.tasks)
 }
 
-// stale returns the workers of seats whose tickets must be renewed first.
-func (d *decider) stale(g *stage, q *Queue, seats []*worker) []spoolsill.Life {
+// ticketsToRenew returns the lives of the assigned workers if one of their tickets must
+// be renewed before the gang can start, and nil otherwise.
+func (d *decider) ticketsToRenew(g *stage, q *Queue, workers []*worker) []spoolsill.Life {
 	if q.Advisor == nil {
 		return nil
 	}
 	var lives []spoolsill.Life
 	fresh := true
-	for _, w := range seats {
+	for _, w := range workers {
 		if !slices.Contains(lives, w.life()) {
 			lives = append(lives, w.life())
 		}
@@ -116,23 +116,23 @@
 	return lives
 }
 
-// seats returns a worker for each task of a gang, or nil. A gang that should be
-// in one rack is spread over several once it has waited for as long as that
-// costs.
-func (d *decider) seats(g *stage, q *Queue, ws []*worker) []*worker {
-	costs := time.Duration((d.config.FarFactor - 1) * float64(d.expected(q, g.step)))
-	if !g.step.SameRack || d.now.Sub(g.openedAt) >= costs {
-		return d.seatsAmong(g, ws)
+// assignGang returns a worker for each task of a gang, or nil if they don't all fit. A
+// gang with SameRack is spread over several racks once it has waited for as long as the
+// slowdown is expected to cost.
+func (d *decider) assignGang(g *stage, q *Queue, ws []*worker) []*worker {
+	spreadCost := time.Duration((d.config.FarFactor - 1) * float64(d.expected(q, g.step)))
+	if !g.step.SameRack || d.now.Sub(g.openedAt) >= spreadCost {
+		return d.assignGangTo(g, ws)
 	}
 	for _, rack := range racksOf(ws) {
-		var in []*worker
+		var inRack []*worker
 		for _, w := range ws {
 			if w.Rack == rack {
-				in = append(in, w)
+				inRack = append(inRack, w)
 			}
 		}
-		if seats := d.seatsAmong(g, in); seats != nil {
-			return seats
+		if workers := d.assignGangTo(g, inRack); workers != nil {
+			return workers
 		}
 	}
 	return nil
@@ -148,27 +148,29 @@
 	return racks
 }
 
-func (d *decider) seatsAmong(g *stage, ws []*worker) []*worker {
-	need := g.step.room()
-	type offer struct {
+// assignGangTo returns a worker in ws for each task of a gang, or nil if they don't all
+// fit.
+func (d *decider) assignGangTo(g *stage, ws []*worker) []*worker {
+	need := g.step.demand()
+	type candidate struct {
 		w     *worker
-		seats int
+		slots int
 		trial float64
 	}
-	offers := make([]offer, 0, len(ws))
+	candidates := make([]candidate, 0, len(ws))
 	total := 0
 	for _, w := range ws {
-		n := fitTimes(need, w.free())
+		n := fitCount(need, w.free())
 		if m := g.step.MaxPerWorker; m > 0 {
-			n = min(n, m-g.at(w))
+			n = min(n, m-g.runsAt(w))
 		}
 		n = min(n, len(g.tasks))
 		if n <= 0 {
 			continue
 		}
-		offers = append(offers, offer{
+		candidates = append(candidates, candidate{
 			w:     w,
-			seats: n,
+			slots: n,
 			trial: d.gangTrialCost(g, w),
 		})
 		total += n
@@ -176,26 +178,26 @@
 	if total < len(g.tasks) {
 		return nil
 	}
-	slices.SortStableFunc(offers, func(a, b offer) int {
+	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.trial, b.trial),
 			cmp.Compare(a.w.health.slowness(), b.w.health.slowness()),
-			cmp.Compare(b.seats, a.seats),
+			cmp.Compare(b.slots, a.slots),
 		)
 	})
-	seats := make([]*worker, 0, len(g.tasks))
-	for _, o := range offers {
-		for range o.seats {
-			if len(seats) < len(g.tasks) {
-				seats = append(seats, o.w)
+	workers := make([]*worker, 0, len(g.tasks))
+	for _, c := range candidates {
+		for range c.slots {
+			if len(workers) < len(g.tasks) {
+				workers = append(workers, c.w)
 			}
 		}
 	}
-	return seats
+	return workers
 }
 
-// fitTimes returns how often need fits into free.
-func fitTimes(need, free spoolsill.Resources) int {
+// fitCount returns how many times need fits into free.
+func fitCount(need, free spoolsill.Resources) int {
 	n := math.MaxInt32
 	if need.Processors > 0 {
 		n = min(n, int(free.Processors/need.Processors))
@@ -209,16 +211,16 @@
 	return max(n, 0)
 }
 
-// nextGangRun returns the number that all members of the gang's next run
-// share: one more than any member has had, or that of the members that are
-// already recorded.
+// nextGangRun returns the run number that all members of the gang's next run share. It is
+// that of the members that are already recorded, or else one more than any member's last
+// run.
 func (g *stage) nextGangRun() RunNumber {
-	var most RunNumber
+	var last RunNumber
 	for _, t := range g.tasks {
-		most = max(most, t.lastRun)
+		last = max(last, t.lastRun)
 		if t.run != nil && t.run.phase == phaseRecorded {
 			return t.run.id.Number
 		}
 	}
-	return most + 1
+	return last + 1
 }
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -11,36 +11,35 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A gang that waits keeps some workers for itself, and leaves the rest to
-// others: with all of them, room would stand idle until the last run ends.
+// A waiting gang reserves only some of the workers it may use. If it reserved all of them,
+// capacity would be idle until the last run ends.
 func TestWaitingGangLeavesRoomToOthers(t *testing.T) {
 	x := newCell(t)
 	var big []sched.StartOrder
 	for i := range 10 {
-		x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
+		x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 		x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint("big", i)), "q", tasks(1, 6)), sched.Progress{})
 	}
 	big = x.step()
-	x.take(big)
+	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("gang", "q", gang(2, 10)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	for i := range 10 {
 		x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint("later", i)), "q", tasks(1, 4)), sched.Progress{})
 	}
-	// Two tasks, three times over, at workers that hold one each: six of ten.
+	// Two tasks times gangReserveFactor on workers that fit one each: six of ten.
 	later := x.step()
 	x.c.Assert(later, qt.HasLen, 4)
-	x.take(later)
+	x.acceptStarts(later)
 	left := map[spoolsill.WorkerID]bool{}
 	for _, o := range later {
 		left[o.Worker] = true
 	}
-	// The workers that it keeps become free one by one, and the gang starts as
-	// soon as there are two.
+	// The gang starts as soon as two of its reserved workers are free.
 	n := 0
 	for _, o := range big {
 		if !left[o.Worker] && n < 2 {
-			x.end(o, sched.EndDone)
+			x.endRun(o, sched.EndDone)
 			n++
 		}
 	}
@@ -49,56 +48,56 @@
 
 func TestGangIsPlacedWholeOrNotAtAll(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("small", "q", tasks(1, 6)), sched.Progress{})
 	small := x.step()
-	x.take(small)
+	x.acceptStarts(small)
 	x.state.AddJob(x.now, job("g", "q", gang(3, 5)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(small[0], sched.EndDone)
+	x.endRun(small[0], sched.EndDone)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#1", "g.0.0.1#1", "g.0.0.2#1"})
 }
 
-// Two members of a gang that end in one answer must not count their stage done
-// twice: the steps after it would be skipped.
+// Guards against counting a stage as done twice when two members of a gang end in one
+// answer, which would skip the steps that depend on it.
 func TestGangEndsOnce(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	second := tasks(1, 3)
 	second.After = []int{0}
 	x.state.AddJob(x.now, job("j", "q", gang(2, 3), second), sched.Progress{})
 	g := x.step()
-	x.take(g)
-	x.end(g[0], sched.EndDone)
-	x.end(g[1], sched.EndDone)
+	x.acceptStarts(g)
+	x.endRun(g[0], sched.EndDone)
+	x.endRun(g[1], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Running)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.1.0#1"})
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
 }
 
-// The members of a gang end by themselves: stopping them would only cost calls.
-// One that is still listed later is stopped.
+// The members of a gang end without being stopped, so stop orders would be wasted calls. A
+// member that a worker lists after the end is stopped.
 func TestDoneGangIsNotStopped(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", gang(2, 3)), sched.Progress{})
 	g := x.step()
-	x.take(g)
-	x.end(g[0], sched.EndDone)
+	x.acceptStarts(g)
+	x.endRun(g[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
-	x.renew("w", g[1].Run)
+	x.renewLease("w", g[1].Run)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
 
 func TestBrokenGangStartsAgainOnlyWhenAllMembersAreGone(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("g", "q", gang(2, 3)), sched.Progress{})
 	g := x.step()
-	x.take(g)
-	x.end(g[0], sched.EndFailed)
+	x.acceptStarts(g)
+	x.endRun(g[0], sched.EndFailed)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
 			Life: lifeOf("w"),
@@ -106,74 +105,75 @@
 		},
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(g[1], sched.EndBroken)
+	x.endRun(g[1], sched.EndGangBroken)
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"g.0.0.0#2", "g.0.0.1#2"})
 }
 
-// Members of a gang that are through wait for the others.
-func TestGangThatStandsStillIsLeftAlone(t *testing.T) {
+// Members of a gang that are done wait for the others without progress.
+func TestGangWithoutProgressIsNotStopped(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", gang(2, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.pass(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.acceptStarts(o)
+	x.advance(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"a": {o[0].Run, o[1].Run},
 	})
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
 }
 
-// A gang that should be in one rack waits for one, but not for ever.
+// A gang with SameRack waits for one rack, but only for as long as spreading it would cost.
 func TestGangIsSpreadOverRacksWhenWaitingCostsMore(t *testing.T) {
 	x := newCell(t)
-	x.listIn("a", "rack1")
-	x.listIn("b", "rack2")
+	x.addWorkerInRack("a", "rack1")
+	x.addWorkerInRack("b", "rack2")
 	g := gang(4, 4)
 	g.SameRack = true
 	x.state.AddJob(x.now, job("j", "q", g), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"a": nil,
 		"b": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 4)
 }
 
-// Guards against a gang that keeps workers though those that it may use can't seat it: a job
-// that could use only these never started, in a cell that stood empty.
-func TestGangThatCannotBeSeatedKeepsNoWorkers(t *testing.T) {
+// Guards against a gang that reserves workers although it doesn't fit on those it may use:
+// a job that could use only these workers never started, in an empty cell.
+func TestGangThatCannotFitReservesNoWorkers(t *testing.T) {
 	for _, q := range []sched.QueueID{"q", "advised"} {
 		t.Run(string(q), func(t *testing.T) {
 			x := newCell(t)
-			x.worker("a")
+			x.addWorker("a")
 			if q == "advised" {
-				x.worker("no-good")
+				x.addWorker("no-good")
 			}
 			x.state.AddJob(x.now, job("gang", q, gang(2, 8)), sched.Progress{})
-			x.stepAdvised("a")
+			x.stepWithAdvice("a")
 			x.state.AddJob(x.now, job("j", q, tasks(1, 6)), sched.Progress{})
-			x.stepAdvised("a")
+			x.stepWithAdvice("a")
 			x.c.Assert(taskNames(x.started), qt.DeepEquals, []string{"j.0.0.0#1"})
 		})
 	}
 }
 
-// stepAdvised decides, answers all questions with tickets for one worker, and decides again.
-func (x *cell) stepAdvised(good spoolsill.WorkerID) {
+// stepWithAdvice makes a pass, answers all advisor queries with tickets for one worker, and
+// makes another pass.
+func (x *cell) stepWithAdvice(good spoolsill.WorkerID) {
 	x.step()
-	for _, o := range x.state.Advices() {
+	for _, o := range x.state.AdviceOrders() {
 		x.advise(o, good)
 	}
 	x.step()
 }
 
-// Guards against a stage that waits for long without a word on what it waits for.
-func TestLongestWaitTellsWhatIsMissing(t *testing.T) {
+// Guards against stages that wait for long without a reported cause.
+func TestLongestWaitReportsTheCause(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("big", "q", tasks(2, 8)), sched.Progress{})
-	x.take(x.step())
+	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("gang", "q", gang(2, 8)), sched.Progress{})
 	x.step()
 	w, ok := x.state.LongestWait(x.now.Add(time.Second))
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -6,8 +6,8 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// AddJob takes in an accepted job with its progress; the zero Progress is that
-// of a new job. A job that is known is left as it is.
+// AddJob adds an accepted job with its stored progress, which is the zero Progress for a
+// new job. It does nothing if the job is known.
 func (s *State) AddJob(now time.Time, j Job, p Progress) {
 	s.now = now
 	if s.jobs[j.ID] != nil {
@@ -19,14 +19,14 @@
 	}
 	s.jobs[j.ID] = x
 	s.setState(x, p.State)
-	s.told = append(s.told, x.status())
+	s.statusUpdates = append(s.statusUpdates, x.status())
 	if p.State.Final() && len(p.Stages) == 0 {
 		x.Spec = ""
 		x.Steps = nil
-		s.keepEnded(j.ID)
+		s.retainEnded(j.ID)
 		return
 	}
-	x.beyond = x.team.share.take(j.Received, x.team.Weight)
+	x.overShare = x.team.share.observe(j.Received, x.team.Weight)
 	s.makeStages(x)
 	for _, sp := range p.Stages {
 		s.restoreStage(x, sp)
@@ -36,9 +36,9 @@
 		s.stopJob(x, "job has ended")
 		return
 	}
-	if !x.surelyBegun() {
-		// A recorded start may never have reached its worker: the job waits
-		// until a worker tells of it.
+	if !x.provablyStarted() {
+		// A recorded start may never have reached its worker: the job stays pending
+		// until a worker reports a run of it.
 		s.setState(x, Pending)
 	}
 	for _, g := range x.stages {
@@ -46,6 +46,7 @@
 	}
 }
 
+// makeStages creates the stages of all rounds, without their tasks.
 func (s *State) makeStages(j *job) {
 	for k := range j.rounds() {
 		for i := range j.Steps {
@@ -55,30 +56,30 @@
 					Round: k,
 					Step:  i,
 				},
-				job:  j,
-				step: &j.Steps[i],
-				left: j.Steps[i].Tasks,
+				job:       j,
+				step:      &j.Steps[i],
+				tasksLeft: j.Steps[i].Tasks,
 			}
 			if j.Rounds > 0 {
 				g.due = j.FirstRound.Add(time.Duration(k) * j.Interval)
 			}
 			j.stages = append(j.stages, g)
-			if g.left > 0 {
-				j.undone++
+			if g.tasksLeft > 0 {
+				j.stagesLeft++
 			}
 		}
 	}
 }
 
-// surelyBegun reports whether the progress of a job proves that a task of it has
-// begun: one is done, has failed or has saved something.
-func (j *job) surelyBegun() bool {
+// provablyStarted reports whether the stored progress proves that a task of the job has
+// started: one is done, has failed or has saved progress.
+func (j *job) provablyStarted() bool {
 	for _, g := range j.stages {
-		if g.fails > 0 || g.done() {
+		if g.gangFailures > 0 || g.done() {
 			return true
 		}
 		for _, t := range g.tasks {
-			if t.done || t.fails > 0 || t.saved != "" {
+			if t.done || t.failures > 0 || t.saved != "" {
 				return true
 			}
 		}
@@ -86,8 +87,8 @@
 	return false
 }
 
-// makeTasks makes the stage's tasks; they are made late since a timed job may
-// have many rounds.
+// makeTasks creates the tasks of a stage when they are needed, since a timed job may have
+// many rounds.
 func (g *stage) makeTasks() {
 	if g.tasks != nil {
 		return
@@ -101,6 +102,7 @@
 	}
 }
 
+// stage returns a stage by its position, or nil if there is none.
 func (j *job) stage(round, step int) *stage {
 	i := round*len(j.Steps) + step
 	if round < 0 || step < 0 || step >= len(j.Steps) || i >= len(j.stages) {
@@ -109,15 +111,16 @@
 	return j.stages[i]
 }
 
+// restoreStage restores the progress of one stage as stored by a former leader.
 func (s *State) restoreStage(j *job, p StageProgress) {
 	g := j.stage(p.Round, p.Step)
 	if g == nil {
 		return
 	}
-	g.fails = p.Fails
+	g.gangFailures = p.Fails
 	if p.Done && len(p.Tasks) == 0 {
-		g.left = 0
-		j.undone--
+		g.tasksLeft = 0
+		j.stagesLeft--
 		return
 	}
 	g.makeTasks()
@@ -127,22 +130,22 @@
 		}
 		t := g.tasks[i]
 		t.done = tp.Done
-		t.fails = tp.Fails
+		t.failures = tp.Fails
 		t.lastRun = tp.Run
 		t.saved = tp.Saved
 		if t.done {
-			g.left--
+			g.tasksLeft--
 		}
 		if tp.Worker != "" {
-			s.inherit(t, tp)
+			s.restoreRun(t, tp)
 		}
 	}
-	if g.left == 0 {
-		j.undone--
+	if g.tasksLeft == 0 {
+		j.stagesLeft--
 	}
 }
 
-// restoreCrashes takes in what a former leader knew of crashes.
+// restoreCrashes restores the evidence of crashes as stored by a former leader.
 func (s *State) restoreCrashes(j *job, cs []TaskCrashes) {
 	for _, c := range cs {
 		g := j.stage(c.Round, c.Step)
@@ -161,8 +164,8 @@
 	}
 }
 
-// inherit puts a run that a former leader recorded into its worker's account.
-func (s *State) inherit(t *task, p TaskProgress) {
+// restoreRun adds a run that a former leader recorded to its worker.
+func (s *State) restoreRun(t *task, p TaskProgress) {
 	w := s.worker(p.Worker)
 	r := &run{
 		id: RunID{
@@ -172,10 +175,10 @@
 		task:   t,
 		worker: w,
 		born:   p.Born,
-		need:   t.stage.step.room(),
+		need:   t.stage.step.demand(),
 		phase:  phaseInherited,
 	}
-	s.book(r)
+	s.addRun(r)
 }
 
 func (t *task) id() TaskID {
@@ -185,8 +188,8 @@
 	}
 }
 
-// room returns what a task takes of a worker's capacity.
-func (p *Step) room() spoolsill.Resources {
+// demand returns the resources that a task occupies at a worker.
+func (p *Step) demand() spoolsill.Resources {
 	r := p.Need
 	if p.Fills {
 		r.Processors = 0
@@ -194,7 +197,8 @@
 	return r
 }
 
-// openIfReady puts a stage among those to place when its turn has come.
+// openIfReady opens a stage if its dependencies are done. A timed stage is placed once it
+// is due.
 func (s *State) openIfReady(g *stage) {
 	if g.open || g.done() || g.job.state.Final() {
 		return
@@ -208,33 +212,33 @@
 	g.open = true
 	g.openedAt = s.now
 	if !g.due.IsZero() {
-		s.timed = append(s.timed, g)
+		s.timedStages = append(s.timedStages, g)
 		return
 	}
 	g.makeTasks()
-	s.open = append(s.open, g)
+	s.openStages = append(s.openStages, g)
 }
 
-// openDue moves the timed stages whose time has come to those to place.
+// openDue opens the timed stages that are due.
 func (s *State) openDue() {
-	if len(s.timed) == 0 {
+	if len(s.timedStages) == 0 {
 		return
 	}
-	wall := s.wall()
-	rest := s.timed[:0]
-	for _, g := range s.timed {
+	wall := s.wallClock()
+	rest := s.timedStages[:0]
+	for _, g := range s.timedStages {
 		if wall.Before(g.due) {
 			rest = append(rest, g)
 			continue
 		}
 		g.makeTasks()
-		s.open = append(s.open, g)
+		s.openStages = append(s.openStages, g)
 	}
-	s.timed = rest
+	s.timedStages = rest
 }
 
-// AddEnded takes in a job of which only its progress is kept, which is final.
-func (s *State) AddEnded(now time.Time, id spoolsill.JobID, p Progress) {
+// AddEndedJob adds a finished job of which only the progress has been kept.
+func (s *State) AddEndedJob(now time.Time, id spoolsill.JobID, p Progress) {
 	s.AddJob(now, Job{
 		ID:   id,
 		Team: p.Team,
@@ -243,14 +247,14 @@
 	})
 }
 
-// Settled reports whether a job has ended and nothing of it is left to be
-// written or stopped.
+// Settled reports whether a job has ended, its progress has been written and none of its
+// runs is left to stop.
 func (s *State) Settled(id spoolsill.JobID) bool {
 	j := s.jobs[id]
 	return j != nil && j.state.Final() && j.stages == nil && !j.dirty
 }
 
-// CancelJob takes in that the client gave a job up.
+// CancelJob cancels a job for its client.
 func (s *State) CancelJob(now time.Time, id spoolsill.JobID) {
 	s.now = now
 	j := s.jobs[id]
@@ -260,29 +264,30 @@
 	s.endJob(j, Cancelled, "cancelled by its client")
 }
 
-// endJob makes a state final and stops what still runs.
+// endJob moves a job to a final state and stops its runs.
 func (s *State) endJob(j *job, to JobState, reason string) {
 	s.setState(j, to)
 	s.stopJob(j, reason)
-	s.touch(j)
+	s.markDirty(j)
 	s.note(Note{
 		Kind:   NoteJobEnded,
 		Job:    j.ID,
 		Reason: to.String() + ": " + reason,
-		Age:    s.wall().Sub(j.Received),
+		Age:    s.wallClock().Sub(j.Received),
 
-		Account: s.accountOf(j),
+		Account: s.finalAccount(j),
 	})
 }
 
+// stopJob drops the starts of a job that have not been sent and stops its runs.
 func (s *State) stopJob(j *job, reason string) {
 	j.starts = nil
 	for _, g := range j.stages {
 		s.dropPlan(g)
 		for _, t := range g.tasks {
 			if t.run == nil || t.done {
-				// A gang's members end together; those that don't are stopped
-				// when their worker lists them again.
+				// The members of a done gang end by themselves; one that doesn't is
+				// stopped when its worker lists it again.
 				continue
 			}
 			if t.run.phase == phaseRecorded {
@@ -294,11 +299,12 @@
 	}
 }
 
-// stageDone is called when the last task of a stage is done.
-func (s *State) stageDone(g *stage) {
+// completeStage ends the job, or opens the stages that depend on g. It is called when the
+// last task of g is done.
+func (s *State) completeStage(g *stage) {
 	j := g.job
-	j.undone--
-	if j.undone == 0 {
+	j.stagesLeft--
+	if j.stagesLeft == 0 {
 		s.endJob(j, Completed, "all tasks are done")
 		return
 	}
--- a/sched/lives_test.go
+++ b/sched/lives_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// listBorn lists a life of a worker, of ten cores.
+// listBorn lists a life of a worker with ten cores.
 func (x *cell) listBorn(l spoolsill.Life) {
-	x.state.ListWorker(x.now, sched.Worker{
+	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       l.Worker,
 		Born:     l.Born,
 		Service:  "work",
@@ -30,7 +30,7 @@
 	})
 }
 
-// reasons returns the reasons of the notes that were made since the last call.
+// reasons returns the kinds and reasons of the notes since the last call.
 func (x *cell) reasons() string {
 	var all []string
 	for _, n := range x.state.Notes() {
@@ -39,8 +39,8 @@
 	return strings.Join(all, "\n")
 }
 
-// That a worker has started again under its id is told once, with both births.
-func TestWordOfAnotherLifeIsNoted(t *testing.T) {
+// A restart of a worker under the same id is logged once, with both births.
+func TestNextLifeIsLoggedOnce(t *testing.T) {
 	x := newCell(t)
 	x.listBorn(bornIn(1000))
 	x.listBorn(bornIn(1000))
@@ -54,54 +54,55 @@
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), "7000")
 }
 
-// A start that was given up as never carried out arrives late, when its task waits to be
-// started again: the run goes on in its place. To stop it takes as long as a stop does, and
-// the next run, placed at once, would go on beside it meanwhile.
-func TestLateRunGoesOnInPlaceOfTheNext(t *testing.T) {
+// Guards against two concurrent runs of a task. A start that was given up is carried out
+// late, when its task waits to be started again. Stopping the run takes time, and the
+// next one would run beside it, so the late run is adopted instead.
+func TestLateRunIsAdopted(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
 	x.answerStart(o[0], sched.StartUnknown)
 	x.now = x.now.Add(2 * time.Second)
-	x.renew("w") // past the order's deadline
-	x.renew("w", o[0].Run)
+	x.renewLease("w") // past the order's deadline
+	x.renewLease("w", o[0].Run)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
-	x.end(o[0], sched.EndDone)
+	x.endRun(o[0], sched.EndDone)
 	x.step()
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
-// What was ordered for a former life is gone once the next one has answered a call of its
-// own, whose fence bars it: an answer to a call for the former life does not bar anything.
-// A word of the former life that arrives after all is passed over.
-func TestRunOfAFormerLifeIsSettledByACallForTheNext(t *testing.T) {
+// A run of a former life is gone once the next life has answered a call of its own,
+// whose fence invalidates the order. An answer to a call for the former life proves
+// nothing, and late reports of the former life are ignored.
+func TestRunOfAFormerLifeIsDroppedAfterACallForTheNext(t *testing.T) {
 	x := newCell(t)
 	x.listBorn(bornIn(1000))
 	x.answerBorn(bornIn(1000), bornIn(1000))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
-	x.take(o)
+	x.acceptStarts(o)
 	x.now = x.now.Add(time.Second)
 	x.answerBorn(bornIn(7000), bornIn(1000))
 	x.listBorn(bornIn(7000))
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteGone))
+	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteRunGone))
 	x.listBorn(bornIn(1000))
 	x.answerBorn(bornIn(1000), bornIn(1000), o[0].Run)
-	x.c.Assert(x.state.Workers(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.answerBorn(bornIn(7000), bornIn(7000))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 	x.c.Assert(x.state.Restarts("w"), qt.Equals, 1)
 }
 
-// answerBorn has a life answer, with what it runs, to a call that was for one.
+// answerBorn has a life answer a call that was for the life asked, with the runs that it
+// has.
 func (x *cell) answerBorn(l, asked spoolsill.Life, running ...sched.RunID) {
-	x.state.LeaseAsked(asked, sched.LeaseEnd(x.now, lease))
+	x.state.LeaseRequested(asked, sched.LeaseEnd(x.now, lease))
 	h := sched.Heartbeat{
 		Life:  l,
 		Asked: asked,
@@ -116,8 +117,8 @@
 	x.state.Heartbeat(x.now, h)
 }
 
-// Guards against answers for a former life that are taken for word of the next one's account:
-// proof that the former life is over would end the worker's new one.
+// Guards against answers for a former life being applied to the next one: proof that the
+// former life has ended would end the new one.
 func TestAnswersForAFormerLifeSayNothingOfTheNext(t *testing.T) {
 	x := newCell(t)
 	x.listBorn(bornIn(1000))
@@ -126,7 +127,7 @@
 	x.listBorn(bornIn(7000))
 	x.answerBorn(bornIn(7000), bornIn(7000))
 	x.state.WorkerDied(x.now, bornIn(1000))
-	x.state.WorkerSilent(x.now, bornIn(1000))
+	x.state.WorkerUnresponsive(x.now, bornIn(1000))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
--- a/sched/load_test.go
+++ b/sched/load_test.go
@@ -8,10 +8,10 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-func TestLoadTellsHowFullTheCellIs(t *testing.T) {
+func TestLoadReportsUtilization(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "q", tasks(3, 8)), sched.Progress{})
 	x.answerStart(x.step()[0], sched.StartUnknown)
 	x.c.Assert(x.state.Load(), qt.DeepEquals, sched.Load{
@@ -22,6 +22,6 @@
 		Runs:     2,
 		Doubtful: 1,
 		Stages:   1,
-		Late:     1, // it was handed in at the beginning of time
+		Late:     1, // its submission time is the zero time
 	})
 }
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// teamJob returns a job of a team that was handed in at x's time.
+// teamJob returns a job of a team that is submitted now.
 func (x *cell) teamJob(id spoolsill.JobID, t spoolsill.TeamID, steps ...sched.Step) sched.Job {
 	j := job(id, "q", steps...)
 	j.Team = t
@@ -19,8 +19,8 @@
 	return j
 }
 
-// quota sets what the team "a" may have at once, in cores.
-func (x *cell) quota(n int) {
+// setQuota sets the quota of the team "a" in cores.
+func (x *cell) setQuota(n int) {
 	x.state.SetTeams(x.now, []sched.Team{
 		{
 			ID:     "a",
@@ -30,10 +30,10 @@
 	})
 }
 
-// endAll has the workers list the ends of runs.
-func (x *cell) endAll(orders []sched.StartOrder, k sched.EndKind) {
+// endRuns has the workers report the ends of runs.
+func (x *cell) endRuns(orders []sched.StartOrder, k sched.EndKind) {
 	for _, o := range orders {
-		x.end(o, k)
+		x.endRun(o, k)
 	}
 }
 
@@ -41,7 +41,7 @@
 	for _, c := range []struct {
 		name  string
 		steps []sched.Step
-		want  []int // tasks that start in each round, all of which end then
+		want  []int // number of tasks that start in each round; all end before the next
 	}{
 		{"tasks in waves", []sched.Step{tasks(10, 2)}, []int{4, 4, 2}},
 		{"gang that fits", []sched.Step{gang(4, 2)}, []int{4}},
@@ -51,15 +51,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newCell(t)
 			for i := range 4 {
-				x.worker(spoolsill.WorkerID(fmt.Sprint("w", i)))
+				x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 			}
-			x.quota(8)
+			x.setQuota(8)
 			x.state.AddJob(x.now, x.teamJob("j", "a", c.steps...), sched.Progress{})
 			for i, n := range c.want {
 				out := x.step()
 				x.c.Check(out, qt.HasLen, n, qt.Commentf("round %d", i))
-				x.take(out)
-				x.endAll(out, sched.EndDone)
+				x.acceptStarts(out)
+				x.endRuns(out, sched.EndDone)
 			}
 		})
 	}
@@ -67,19 +67,19 @@
 
 func TestQuotaOfOneTeamLeavesOthersAlone(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.quota(1)
+	x.addWorker("w")
+	x.setQuota(1)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
 	x.state.AddJob(x.now, x.teamJob("k", "", tasks(5, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 6)
 }
 
-// What may yet begin, and what may still run, counts.
-func TestQuotaCountsUntilTheEndIsSure(t *testing.T) {
+// Runs that may still start or may not have ended yet count against the quota.
+func TestQuotaCountsRunsUntilTheyHaveEnded(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(x *cell, o sched.StartOrder)
-		left int // cores of ten that the team may have besides
+		left int // cores of the quota of ten that are left
 	}{
 		{"order under way", func(*cell, sched.StartOrder) {}, 4},
 		{"order without an answer", func(x *cell, o sched.StartOrder) { x.answerStart(o, sched.StartUnknown) }, 4},
@@ -91,11 +91,11 @@
 		}, 4},
 		{"run that has ended", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartTaken)
-			x.end(o, sched.EndDone)
+			x.endRun(o, sched.EndDone)
 		}, 10},
 		{"run at a worker that is silent", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartTaken)
-			x.pass(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{"other": nil})
+			x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{"other": nil})
 		}, 4},
 		{"run at a worker that has died", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartTaken)
@@ -105,12 +105,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newCell(t)
-			x.worker("w")
-			x.quota(10)
+			x.addWorker("w")
+			x.setQuota(10)
 			x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), sched.Progress{})
 			out := x.step()
 			x.c.Assert(out, qt.HasLen, 1)
-			x.worker("other")
+			x.addWorker("other")
 			c.do(x, out[0])
 			x.state.AddJob(x.now, x.teamJob("k", "a", tasks(10, 1)), sched.Progress{})
 			n := 0
@@ -128,8 +128,8 @@
 
 func TestQuotaCountsRunsOfAFormerLeader(t *testing.T) {
 	x := newCell(t)
-	x.quota(10)
-	x.worker("w")
+	x.setQuota(10)
+	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), running("never-seen"))
 	x.state.AddJob(x.now, x.teamJob("k", "a", tasks(10, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 4)
@@ -137,16 +137,16 @@
 
 func TestQuotaCountsUnknownRunsOfKnownJobs(t *testing.T) {
 	x := newCell(t)
-	x.quota(10)
-	x.worker("w")
-	x.worker("other")
+	x.setQuota(10)
+	x.addWorker("w")
+	x.addWorker("other")
 	j := x.teamJob("j", "a", tasks(1, 6))
 	x.state.AddJob(x.now, j, sched.Progress{
 		State: sched.Cancelled,
 	})
 	x.state.AddJob(x.now, x.teamJob("k", "a", tasks(1, 6)), sched.Progress{})
 	x.state.AddJob(x.now, x.teamJob("l", "a", tasks(10, 1)), sched.Progress{})
-	x.answer("other", sched.RunID{
+	x.heartbeat("other", sched.RunID{
 		Task: sched.TaskID{
 			Stage: sched.StageID{
 				Job: "k",
@@ -157,72 +157,73 @@
 	x.c.Assert(x.step(), qt.HasLen, 4)
 }
 
-// Jobs may come before the configuration that tells of their team.
+// A job may arrive before the configuration that names its team.
 func TestUnknownTeamWaitsForTheConfiguration(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.quota(2)
+	x.setQuota(2)
 	x.c.Assert(x.step(), qt.HasLen, 2)
 }
 
-// A team that no configuration names any more does not wait for ever.
-func TestTeamThatIsNotNamedIsServedInTheEnd(t *testing.T) {
+// A job of a team that no configuration names starts once any configuration that was valid
+// at its submission must have arrived.
+func TestUnconfiguredTeamIsEventuallyServed(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(5, 1)), sched.Progress{})
-	x.pass(inForce+time.Second, map[spoolsill.WorkerID][]sched.RunID{"w": nil})
+	x.advance(configPropagation+time.Second, map[spoolsill.WorkerID][]sched.RunID{"w": nil})
 	x.c.Assert(x.step(), qt.HasLen, 5)
 }
 
 func TestLoweredQuota(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.worker("other")
-	x.quota(10)
+	x.addWorker("w")
+	x.addWorker("other")
+	x.setQuota(10)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(20, 1)), sched.Progress{})
 	first := x.step()
 	x.c.Assert(first, qt.HasLen, 10)
-	x.take(first[1:])
+	x.acceptStarts(first[1:])
 	x.answerStart(first[0], sched.StartUnknown)
-	x.quota(4)
+	x.setQuota(4)
 	x.c.Check(x.step(), qt.HasLen, 0)
 	stops := x.state.Stops()
-	x.c.Assert(stops, qt.HasLen, 1, qt.Commentf("the run in doubt may begin when the lower quota is in force; others go on"))
+	x.c.Assert(stops, qt.HasLen, 1, qt.Commentf("the unconfirmed run may start when the lower quota is in force; the others continue"))
 	x.c.Check(stops[0].Run, qt.Equals, first[0].Run)
-	x.endAll(first[1:7], sched.EndDone)
+	x.endRuns(first[1:7], sched.EndDone)
 	x.c.Check(x.step(), qt.HasLen, 0)
-	x.endAll(first[7:9], sched.EndDone)
-	x.c.Check(x.step(), qt.HasLen, 2, qt.Commentf("one runs and one is in doubt"))
-	x.quota(0)
-	x.c.Check(x.step(), qt.HasLen, 8, qt.Commentf("a quota of 0 is none: all the others start"))
+	x.endRuns(first[7:9], sched.EndDone)
+	x.c.Check(x.step(), qt.HasLen, 2, qt.Commentf("one is running and one is unconfirmed"))
+	x.setQuota(0)
+	x.c.Check(x.step(), qt.HasLen, 8, qt.Commentf("a quota of 0 means no limit: all other tasks start"))
 }
 
-// Orders that wait for their rows do not leave over a quota that was lowered meanwhile.
-func TestOrdersDoNotLeaveOverALoweredQuota(t *testing.T) {
+// Orders that wait for their rows are not sent if the quota was lowered meanwhile.
+func TestOrdersOverALoweredQuotaAreNotSent(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.quota(10)
+	x.addWorker("w")
+	x.setQuota(10)
 	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(6, 1)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 6)
-	x.quota(2)
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 2)
+	x.setQuota(2)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 2)
 }
 
-// A team that has its quota asks the advisor nothing, and keeps no workers.
-func TestTeamAtItsQuotaHoldsNothing(t *testing.T) {
+// A team that has reached its quota makes no advisor queries and reserves no workers.
+func TestTeamAtItsQuotaReservesNothing(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.quota(4)
+	x.addWorker("w")
+	x.setQuota(4)
 	j := x.teamJob("j", "a", gang(5, 1))
 	j.Queue = "advised"
 	x.state.AddJob(x.now, j, sched.Progress{})
 	x.c.Check(x.step(), qt.HasLen, 0)
-	x.c.Check(x.state.Advices(), qt.HasLen, 0)
+	x.c.Check(x.state.AdviceOrders(), qt.HasLen, 0)
 	x.state.AddJob(x.now, x.teamJob("k", "", tasks(10, 1)), sched.Progress{})
 	x.c.Check(x.step(), qt.HasLen, 10)
 }
--- a/sched/rank.go
+++ b/sched/rank.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// A tier groups stages by what running them still earns.
+// A tier classifies stages by the worth that they can still earn.
 type tier int
 
 const (
-	tierUrgent tier = iota // of the first priority, and can be in time
-	tierTimely             // can be in time
-	tierLate               // can't be in time, still earns a part
-	tierBeyond             // could be in time or earn a part, and is beyond its team's share
-	tierLost               // earns nothing any more
+	tierUrgent    tier = iota // highest priority, can meet its objective
+	tierOnTime                // can meet its objective
+	tierLate                  // can't meet its objective, earns partial worth
+	tierOverShare             // would be in a tier above, but exceeds its team's share
+	tierWorthless             // earns nothing any more
 )
 
-// A rank orders stages: by tier, by the priority of their queue, then by the time
-// that is left.
+// A rank orders stages by tier, then by the priority of their queue, then by slack.
 type rank struct {
 	tier     tier
 	priority int
@@ -33,10 +32,12 @@
 	)
 }
 
-// lateFactor is up to how many times its objective a job earns a part, by the
+// lateFactor is the multiple of its objective up to which a job earns partial worth in the
 // platform's accounting.
 const lateFactor = 3
 
+// rank returns the rank of g. Its slack is the objective minus the critical path from g on
+// and the time since the job was submitted or, for a timed round, due.
 func (s *State) rank(g *stage) rank {
 	q := s.queue(g.job)
 	objective := s.objective(g, q)
@@ -44,11 +45,11 @@
 	if !g.due.IsZero() {
 		since = g.due
 	}
-	waited := s.wall().Sub(since)
-	chain := s.chainLeft(g)
+	waited := s.wallClock().Sub(since)
+	chain := s.criticalPath(g)
 	slack := objective - waited - chain
 	r := rank{
-		tier:     tierTimely,
+		tier:     tierOnTime,
 		priority: q.Priority,
 		slack:    slack,
 	}
@@ -56,46 +57,46 @@
 	case g.step.Lasting:
 		r.slack = 0
 	case waited+chain > lateFactor*objective:
-		r.tier = tierLost
+		r.tier = tierWorthless
 	case slack < 0:
 		r.tier = tierLate
 	case q.Priority == 0:
 		r.tier = tierUrgent
 	}
-	if g.job.beyond {
-		r.tier = max(r.tier, tierBeyond)
+	if g.job.overShare {
+		r.tier = max(r.tier, tierOverShare)
 	}
 	return r
 }
 
-// objective is the time within which the stage's round should be done.
+// objective returns the time within which the round of g should be done.
 func (s *State) objective(g *stage, q *Queue) time.Duration {
-	return time.Duration(q.Stretch*float64(slices.Max(s.chains(g.job, q)))) + q.Goal
+	return time.Duration(q.Stretch*float64(slices.Max(s.criticalPathsOf(g.job, q)))) + q.Goal
 }
 
-// chainLeft is the expected time of the longest chain that begins with g.
-func (s *State) chainLeft(g *stage) time.Duration {
-	return s.chains(g.job, s.queue(g.job))[g.id.Step]
+// criticalPath returns the expected time of the longest dependency chain from g on.
+func (s *State) criticalPath(g *stage) time.Duration {
+	return s.criticalPathsOf(g.job, s.queue(g.job))[g.id.Step]
 }
 
-// chainsKept is how long a job's chains are kept: what is expected of its tasks
-// changes slowly.
-const chainsKept = 500 * time.Millisecond
+// criticalPathTTL is how long the critical paths of a job are cached. Estimates of run
+// times change slowly.
+const criticalPathTTL = 500 * time.Millisecond
 
-// chains returns for each step of a job the expected time of the longest chain
-// that begins with it. Steps wait only for earlier ones.
-func (s *State) chains(j *job, q *Queue) []time.Duration {
-	if j.chains != nil && s.now.Sub(j.chainsAt) < chainsKept {
-		return j.chains
+// criticalPathsOf returns for each step of a job the expected time of the longest
+// dependency chain that begins with it. A step depends only on earlier steps.
+func (s *State) criticalPathsOf(j *job, q *Queue) []time.Duration {
+	if j.criticalPaths != nil && s.now.Sub(j.criticalPathsAt) < criticalPathTTL {
+		return j.criticalPaths
 	}
-	j.chainsAt = s.now
-	j.chains = make([]time.Duration, len(j.Steps))
+	j.criticalPathsAt = s.now
+	j.criticalPaths = make([]time.Duration, len(j.Steps))
 	for i := len(j.Steps) - 1; i >= 0; i-- {
 		p := &j.Steps[i]
-		j.chains[i] += s.expected(q, p)
+		j.criticalPaths[i] += s.expected(q, p)
 		for _, a := range p.After {
-			j.chains[a] = max(j.chains[a], j.chains[i])
+			j.criticalPaths[a] = max(j.criticalPaths[a], j.criticalPaths[i])
 		}
 	}
-	return j.chains
+	return j.criticalPaths
 }
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -7,66 +7,68 @@
 )
 
 const (
-	// largeShare is from what share of a worker on a task is large: room for it
-	// is seldom free at once where smaller tasks run, so it is gathered. On the
-	// fake cell of cellbench, with accelerators and full load, 0.801 of all worth
-	// is earned, with 0.5 in its place 0.794.
+	// largeShare is the share of a worker from which on a task is large. Capacity for it
+	// is rarely free at once where smaller tasks run, so workers are reserved. On the
+	// fake cell of cellbench with accelerators and full load, 0.25 earns 0.801 of the
+	// total worth and 0.5 earns 0.794.
 	largeShare = 0.25
-	// overrun is how much longer a run is taken to need that has run for longer
-	// than expected.
-	overrun = 300 * time.Millisecond
+	// minRemaining is the expected remaining time of a run that has exceeded its
+	// expected run time.
+	minRemaining = 300 * time.Millisecond
 )
 
-// reserve keeps workers for the large tasks of a stage that wait for room: one for
-// each, the ones where it is free first. Stages ranked below may not use them. Large
-// tasks earn 0.69 of their worth instead of 0.64 by it, 0.73 together with preempt
-// (cellbench, accelerators, full load, eight seeds).
-func (d *decider) reserve(g *stage, q *Queue, waiting int) {
+// reserveForLarge reserves a worker for each large task of g that waits, choosing those
+// where capacity is expected first. Stages of lower rank can't use reserved workers, except
+// those of queues of the highest priority. This raises what large tasks earn from 0.64 to
+// 0.69 of their worth, and to 0.73 together with preemption (cellbench, accelerators, full
+// load, eight seeds).
+func (d *decider) reserveForLarge(g *stage, q *Queue, waiting int) {
 	r := d.ready[q.Service]
-	if r == nil || g.tier > tierTimely {
-		g.gathered = nil
+	if r == nil || g.tier > tierOnTime {
+		g.reserved = nil
 		return
 	}
-	most := max(len(r.workers)/gatherShare, 1)
+	limit := max(len(r.workers)/reserveDivisor, 1)
 	keep := func(w *worker) bool {
-		if !w.ready || d.held[w] != nil || waiting == 0 || len(d.held) >= most || !d.large(g, w) {
+		if !w.ready || d.reservedFor[w] != nil || waiting == 0 || len(d.reservedFor) >= limit || !d.isLarge(g, w) {
 			return false
 		}
-		d.held[w] = g
+		d.reservedFor[w] = g
 		waiting--
 		return true
 	}
-	g.gathered = slices.DeleteFunc(g.gathered, func(w *worker) bool { return !keep(w) })
-	for _, w := range d.soonest(g, q, r) {
+	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !keep(w) })
+	for _, w := range d.byRoomAt(g, q, r) {
 		if keep(w) {
-			g.gathered = append(g.gathered, w)
+			g.reserved = append(g.reserved, w)
 		}
 	}
-	if len(g.gathered) == 0 {
+	if len(g.reserved) == 0 {
 		return
 	}
 	d.keepWarm(g, q)
 	d.preempt(g, q)
 }
 
-// large reports whether a task of g takes much of a worker, and fits it.
-func (d *decider) large(g *stage, w *worker) bool {
-	need := g.step.room()
-	return g.allows(w) && need.Fits(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
+// isLarge reports whether a task of g fits on w when empty and needs at least largeShare
+// of it.
+func (d *decider) isLarge(g *stage, w *worker) bool {
+	need := g.step.demand()
+	return g.labelMatches(w) && need.Fits(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
 }
 
-// soonest returns the workers that may run g, those first where room for a task
-// of it is expected first.
-func (d *decider) soonest(g *stage, q *Queue, r *readyWorkers) []*worker {
-	from := g.advice.good
+// byRoomAt returns the workers that can be reserved for large tasks of g, sorted by when
+// capacity is expected.
+func (d *decider) byRoomAt(g *stage, q *Queue, r *readyWorkers) []*worker {
+	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
 	}
 	at := map[*worker]time.Time{}
 	var ws []*worker
 	for _, w := range from {
-		if w.ready && d.held[w] == nil && d.large(g, w) {
-			at[w] = d.freeAt(g, w)
+		if w.ready && d.reservedFor[w] == nil && d.isLarge(g, w) {
+			at[w] = d.roomAt(g, w)
 			ws = append(ws, w)
 		}
 	}
@@ -74,39 +76,39 @@
 	return ws
 }
 
-// freeAt returns when a worker is expected to have room for a task of g.
-func (d *decider) freeAt(g *stage, w *worker) time.Time {
-	need := g.step.room()
+// roomAt returns when w is expected to have capacity for a task of g.
+func (d *decider) roomAt(g *stage, w *worker) time.Time {
+	need := g.step.demand()
 	free := w.free()
 	if need.Fits(free) {
 		return d.now
 	}
 	rs := sortedRuns(w)
-	slices.SortStableFunc(rs, func(a, b *run) int { return cmp.Compare(d.left(a), d.left(b)) })
+	slices.SortStableFunc(rs, func(a, b *run) int { return cmp.Compare(d.remaining(a), d.remaining(b)) })
 	for _, r := range rs {
 		free = free.Add(r.need)
 		if need.Fits(free) {
-			return d.now.Add(d.left(r))
+			return d.now.Add(d.remaining(r))
 		}
 	}
-	return d.now.Add(lost)
+	return d.now.Add(never)
 }
 
-// lost stands for a time that does not come.
-const lost = time.Hour
+// never is the remaining time of a run that is not expected to end.
+const never = time.Hour
 
-// left returns for how much longer a run is expected to go on.
-func (s *State) left(r *run) time.Duration {
+// remaining returns the expected remaining time of a run.
+func (s *State) remaining(r *run) time.Duration {
 	if r.stopping {
 		return s.config.StopTime
 	}
 	g := r.task.stage
 	if g.step.Lasting {
-		return lost
+		return never
 	}
-	takes := time.Duration(float64(s.expected(s.queue(g.job), g.step)) * r.worker.health.slowness())
-	if r.begun.IsZero() {
-		return takes
+	total := time.Duration(float64(s.expected(s.queue(g.job), g.step)) * r.worker.health.slowness())
+	if r.startedAt.IsZero() {
+		return total
 	}
-	return max(takes-s.now.Sub(r.begun), overrun)
+	return max(total-s.now.Sub(r.startedAt), minRemaining)
 }
--- a/sched/reserve_test.go
+++ b/sched/reserve_test.go
@@ -10,9 +10,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// fill has a job of small tasks take all of the worker "w"; they save their
-// progress if that is wanted.
-func (x *cell) fill(queue sched.QueueID, saves bool) []sched.StartOrder {
+// fillWithSmallTasks starts small tasks on all of the worker "w", with checkpoints if saves
+// is set.
+func (x *cell) fillWithSmallTasks(queue sched.QueueID, saves bool) []sched.StartOrder {
 	s := tasks(5, 2)
 	s.Estimate = 5 * time.Second
 	s.Checkpoints = saves
@@ -21,31 +21,31 @@
 	x.state.AddJob(x.now, j, sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 5)
-	x.take(o)
+	x.acceptStarts(o)
 	return o
 }
 
-// addLarge adds a job with a task that needs all of a worker.
-func (x *cell) addLarge(queue sched.QueueID) {
+// addLargeJob adds a job with a task that needs a whole worker.
+func (x *cell) addLargeJob(queue sched.QueueID) {
 	j := job("large", queue, tasks(1, 10))
 	j.Received = x.now
 	x.state.AddJob(x.now, j, sched.Progress{})
 }
 
-// Room for a large task is never free at once where small ones take each place
-// that comes free: the worker is kept for it.
+// Where smaller tasks take all freed capacity, a large task never finds enough at once. A
+// worker is reserved for it.
 func TestWorkerIsKeptForALargeTask(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	running := x.fill("q", false)
-	x.addLarge("q")
+	x.addWorker("w")
+	running := x.fillWithSmallTasks("q", false)
+	x.addLargeJob("q")
 	x.step()
 	later := job("later", "q", tasks(1, 2))
 	later.Received = x.now.Add(time.Second)
 	x.state.AddJob(x.now, later, sched.Progress{})
 	for _, o := range running {
 		x.c.Assert(x.step(), qt.HasLen, 0)
-		x.end(o, sched.EndDone)
+		x.endRun(o, sched.EndDone)
 	}
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
@@ -75,9 +75,9 @@
 					Goal:        time.Second,
 				},
 			})
-			x.worker("w")
-			running := x.fill(c.queue, c.saves)
-			x.addLarge("q")
+			x.addWorker("w")
+			running := x.fillWithSmallTasks(c.queue, c.saves)
+			x.addLargeJob("q")
 			x.step()
 			stops := x.state.Stops()
 			x.c.Assert(stops, qt.HasLen, c.stops)
@@ -85,7 +85,7 @@
 				return
 			}
 			for _, o := range running {
-				x.end(o, sched.EndStopped)
+				x.endRun(o, sched.EndStopped)
 			}
 			o := x.step()
 			x.c.Assert(o, qt.HasLen, 1)
@@ -94,7 +94,7 @@
 	}
 }
 
-// Work that would not be in time any more if it began again is left alone.
+// A run that would miss its objective after a restart is not preempted.
 func TestWorkWithoutTimeIsNotStopped(t *testing.T) {
 	x := newCell(t)
 	x.state.SetQueues([]sched.Queue{
@@ -107,9 +107,9 @@
 			Goal:        time.Second,
 		},
 	})
-	x.worker("w")
-	x.fill("tight", true)
-	x.addLarge("q")
+	x.addWorker("w")
+	x.fillWithSmallTasks("tight", true)
+	x.addLargeJob("q")
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
 }
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -13,51 +13,51 @@
 
 func TestStepsRunOneAfterTheOther(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	second := tasks(2, 3)
 	second.After = []int{0}
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 3), second), sched.Progress{})
 	first := x.step()
 	x.c.Assert(taskNames(first), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
-	x.take(first)
-	x.end(first[0], sched.EndDone)
+	x.acceptStarts(first)
+	x.endRun(first[0], sched.EndDone)
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(first[1], sched.EndDone)
+	x.endRun(first[1], sched.EndDone)
 	rest := x.step()
 	x.c.Assert(taskNames(rest), qt.DeepEquals, []string{"j.0.1.0#1", "j.0.1.1#1"})
-	x.take(rest)
-	x.end(rest[0], sched.EndDone)
+	x.acceptStarts(rest)
+	x.endRun(rest[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Running)
-	x.end(rest[1], sched.EndDone)
+	x.endRun(rest[1], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
 func TestJobFailsAfterItsAttempts(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	for range 2 {
 		o := x.step()
 		x.c.Assert(o, qt.HasLen, 1)
-		x.take(o)
-		x.end(o[0], sched.EndFailed)
+		x.acceptStarts(o)
+		x.endRun(o[0], sched.EndFailed)
 	}
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
-// A new leader may hear of the last failure that a task is allowed before it
-// knows the configuration.
+// A new leader may hear of the last failure that MaxAttempts allows before it knows the
+// configuration.
 func TestFailuresCountBeforeTheQueueIsKnown(t *testing.T) {
 	x := newCell(t)
 	x.state = sched.New(sched.Config{
 		Lease: lease,
 	})
-	x.worker("w")
+	x.addWorker("w")
 	p := running("w")
 	p.Stages[0].Tasks[0].Fails = 1
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), p)
-	x.end(sched.StartOrder{
+	x.endRun(sched.StartOrder{
 		Life: lifeOf("w"),
 		Run: sched.RunID{
 			Task: sched.TaskID{
@@ -68,7 +68,7 @@
 			Number: 1,
 		},
 	}, sched.EndFailed)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.state.SetQueues([]sched.Queue{
 		{
@@ -81,9 +81,9 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
-func TestNothingLeavesBeforeItIsWritten(t *testing.T) {
+func TestNoStartIsSentBeforeItIsWritten(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
@@ -91,17 +91,17 @@
 	x.c.Assert(b.Starts, qt.HasLen, 1)
 	// The job is cancelled while its row is being written.
 	x.state.CancelJob(x.now, "j")
-	x.c.Assert(x.state.Written(x.now, b), qt.HasLen, 0)
+	x.c.Assert(x.state.BatchWritten(x.now, b), qt.HasLen, 0)
 }
 
 func TestEndsAreAcknowledgedWithTheirRows(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.step()
-	x.end(o[0], sched.EndDone)
+	x.endRun(o[0], sched.EndDone)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.DeepEquals, []sched.Ack{
@@ -118,42 +118,42 @@
 
 func TestDrainingWorkerGetsNothingNew(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
-	x.list("w", true)
+	x.addWorker("w")
+	x.listWorker("w", true)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
-// A start without an answer may yet be carried out: the task stays there until
-// the worker shows, after the order's deadline, that it does not have it.
+// An unanswered start may still be carried out. The task stays assigned until the worker
+// shows, after the order's deadline, that it does not have the run.
 func TestUnansweredStartIsNotRepeatedElsewhere(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.worker("b")
+	x.addWorker("b")
 	x.answerStart(o[0], sched.StartUnknown)
 	x.now = x.now.Add(800 * time.Millisecond)
-	x.renew("a")
-	x.renew("b")
+	x.renewLease("a")
+	x.renewLease("b")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.now = x.now.Add(300 * time.Millisecond)
-	x.renew("a")
-	x.renew("b")
+	x.renewLease("a")
+	x.renewLease("b")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
 func TestSilentWorkersTasksStartElsewhereAfterItsLease(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
-	x.take(x.step())
-	x.worker("b")
-	x.pass(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.acceptStarts(x.step())
+	x.addWorker("b")
+	x.advance(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"b": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"b": nil,
 	})
 	x.step()
@@ -162,46 +162,46 @@
 	x.c.Assert(x.started[1].Worker, qt.Equals, spoolsill.WorkerID("b"))
 }
 
-// A worker that answers again after a silence may be about to end all that it
-// runs: it gets nothing before its lease is renewed.
-func TestWorkerGetsNothingOnAnOldLease(t *testing.T) {
+// A worker that answers after a silence may be about to stop all its runs since its lease
+// expires. It gets no task before its lease is renewed.
+func TestWorkerGetsNoTaskBeforeLeaseRenewal(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.now = x.now.Add(5500 * time.Millisecond)
-	x.answer("w")
+	x.heartbeat("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
-// A start renews a worker's lease as well, so the end of the former lease does
-// not free what was started since.
-func TestStartCountsForTheLease(t *testing.T) {
+// A start also renews the worker's lease, so the end of the former lease does not release
+// runs that were started since.
+func TestStartExtendsTheLease(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.now = x.now.Add(2 * time.Second)
-	x.answer("w")
+	x.heartbeat("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 10)), sched.Progress{})
 	x.now = x.now.Add(2 * time.Second)
-	x.answer("w")
+	x.heartbeat("w")
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
-	x.take(o)
+	x.acceptStarts(o)
 	x.now = x.now.Add(2700 * time.Millisecond)
-	x.answer("w", o[0].Run)
+	x.heartbeat("w", o[0].Run)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.c.Assert(x.state.Idle("w"), qt.IsFalse)
 }
 
-func TestNextLeaderGoesOnFromTheRows(t *testing.T) {
+func TestNewLeaderResumesFromStoredProgress(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	j := job("j", "q", tasks(2, 1))
 	x.state.AddJob(x.now, j, sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.end(o[0], sched.EndDone)
+	x.acceptStarts(o)
+	x.endRun(o[0], sched.EndDone)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	p, err := sched.DecodeProgress(b.Rows[0].Value)
@@ -209,17 +209,17 @@
 
 	x.state = x.newState()
 	x.state.AddJob(x.now, j, p)
-	x.worker("other")
+	x.addWorker("other")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	// The worker shows that it still has the second task.
-	x.list("w", false)
-	x.renew("w", o[1].Run)
+	x.listWorker("w", false)
+	x.renewLease("w", o[1].Run)
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.end(o[1], sched.EndDone)
+	x.endRun(o[1], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
-func TestNextLeaderWaitsOutWorkersThatItCannotReach(t *testing.T) {
+func TestNewLeaderWaitsForLeasesOfUnreachableWorkers(t *testing.T) {
 	x := newCell(t)
 	p := sched.Progress{
 		State: sched.Running,
@@ -235,12 +235,12 @@
 		},
 	}
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), p)
-	x.worker("w")
-	x.pass(11*time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.addWorker("w")
+	x.advance(11*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.step()
@@ -249,7 +249,7 @@
 
 func TestUnknownRunIsStoppedAndKeepsTheWorkerFromNewWork(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	stray := sched.RunID{
 		Task: sched.TaskID{
 			Stage: sched.StageID{
@@ -258,71 +258,71 @@
 		},
 		Number: 1,
 	}
-	x.renew("w", stray)
+	x.renewLease("w", stray)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.renew("w")
+	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
 func TestCancelledJobIsStopped(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	x.state.CancelJob(x.now, "j")
 	x.c.Assert(x.jobState(), qt.Equals, sched.Cancelled)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
-	x.end(o[0], sched.EndStopped)
+	x.endRun(o[0], sched.EndStopped)
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
 func TestTimedRoundsWaitForTheirTime(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	j := job("j", "q", tasks(1, 1))
 	j.Rounds = 2
 	j.FirstRound = x.now.Add(time.Second)
 	j.Interval = time.Second
 	x.state.AddJob(x.now, j, sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.pass(time.Second, map[spoolsill.WorkerID][]sched.RunID{
+	x.advance(time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": nil,
 	})
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
 
-// A worker that announced that it leaves, is no longer listed and refuses
-// connections is gone: its tasks need not wait for the end of its lease.
-func TestWorkerThatLeftIsNotWaitedFor(t *testing.T) {
+// A worker that has announced to leave, is no longer listed and refuses connections is
+// gone. Its tasks restart without waiting for the end of its lease.
+func TestTasksOfADepartedWorkerRestartAtOnce(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
-	x.take(x.step())
-	x.worker("b")
+	x.acceptStarts(x.step())
+	x.addWorker("b")
 	x.state.WorkerRefused(x.now, lifeOf("a"))
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.list("a", true)
-	x.state.UnlistWorker(x.now, "a")
+	x.listWorker("a", true)
+	x.state.WorkerUnlisted(x.now, "a")
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.state.WorkerRefused(x.now, lifeOf("a"))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
-// What a leaving worker can't finish is stopped in time to save its progress,
-// and goes on from there.
+// A run that a leaving worker can't finish is stopped in time to save its progress, and
+// resumes from it elsewhere.
 func TestProgressIsSavedBeforeAWorkerLeaves(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	p := tasks(1, 1)
 	p.Checkpoints = true
 	x.state.AddJob(x.now, job("j", "q", p), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.worker("b")
-	x.list("a", true) // leaves at once
+	x.acceptStarts(o)
+	x.addWorker("b")
+	x.listWorker("a", true) // leaves at once
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.Heartbeat(x.now, sched.Heartbeat{
@@ -343,31 +343,31 @@
 	x.c.Assert(next[0].Saved, qt.Equals, "half")
 }
 
-// A task that failed is tried at another worker: the first may be to blame.
-func TestFailedTaskGoesElsewhere(t *testing.T) {
+// A failed task is retried on another worker since the first may be at fault.
+func TestFailedTaskIsRetriedOnAnotherWorker(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
-	x.worker("b")
+	x.addWorker("a")
+	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
-	x.end(o[0], sched.EndFailed)
+	x.acceptStarts(o)
+	x.endRun(o[0], sched.EndFailed)
 	next := x.step()
 	x.c.Assert(next, qt.HasLen, 1)
 	x.c.Assert(next[0].Worker, qt.Not(qt.Equals), o[0].Worker)
 }
 
-// A run that stands still while its worker answers is stopped, and its task goes
-// elsewhere; one that moves on is left alone however slow it is.
-func TestRunThatStandsStillIsStopped(t *testing.T) {
+// A run without progress is stopped although its worker answers, and its task is retried
+// elsewhere. A run that progresses is not stopped however slow it is.
+func TestRunWithoutProgressIsStopped(t *testing.T) {
 	x := newCell(t)
-	x.worker("a")
+	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 1)), sched.Progress{})
 	o := x.step()
-	x.take(o)
+	x.acceptStarts(o)
 	for i := range 6 {
 		x.now = x.now.Add(500 * time.Millisecond)
-		x.state.LeaseAsked(lifeOf("a"), sched.LeaseEnd(x.now, lease))
+		x.state.LeaseRequested(lifeOf("a"), sched.LeaseEnd(x.now, lease))
 		x.state.Heartbeat(x.now, sched.Heartbeat{
 			Life: lifeOf("a"),
 			Sent: x.now,
@@ -390,18 +390,18 @@
 			Run:  o[1].Run,
 		},
 	})
-	x.worker("b")
-	x.end(o[1], sched.EndStopped)
+	x.addWorker("b")
+	x.endRun(o[1], sched.EndStopped)
 	next := x.step()
 	x.c.Assert(next, qt.HasLen, 1)
 	x.c.Assert(next[0].Worker, qt.Equals, spoolsill.WorkerID("b"))
 }
 
-// A job whose every step waits for all earlier ones has very many chains; they
-// must not be walked one by one.
-func TestManyChainsCostLittle(t *testing.T) {
+// Guards against an enumeration of dependency chains: a job whose steps each depend on all
+// earlier ones has exponentially many.
+func TestManyDependencyChainsAreCheap(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	var steps []sched.Step
 	for i := range 60 {
 		p := tasks(1, 1)
@@ -414,11 +414,11 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
 
-// A write holds at most what the store takes.
+// A batch must not exceed what the store accepts.
 func TestBatchesAreBounded(t *testing.T) {
 	x := newCell(t)
 	for i := range 20 {
-		x.worker(spoolsill.WorkerID(fmt.Sprintf("a-worker-with-a-long-name-%d", i)))
+		x.addWorker(spoolsill.WorkerID(fmt.Sprintf("a-worker-with-a-long-name-%d", i)))
 	}
 	for i := range 40 {
 		p := tasks(1000, 0)
@@ -431,7 +431,7 @@
 		x.c.Assert(any, qt.IsTrue)
 		size := 0
 		for _, r := range b.Rows {
-			x.c.Assert(len(r.Value) < sched.ProgressBytes(job("j", "q", tasks(1000, 0))), qt.IsTrue)
+			x.c.Assert(len(r.Value) < sched.MaxProgressBytes(job("j", "q", tasks(1000, 0))), qt.IsTrue)
 			size += len(r.Value)
 		}
 		x.c.Assert(size < 700_000, qt.IsTrue)
@@ -439,8 +439,8 @@
 	}
 }
 
-// Of two stages that can both be in time, that of the queue that goes first is
-// served first, however little time the other has left.
+// Of two stages that can both meet their objective, the one of the queue with the higher
+// priority goes first, whatever their slack.
 func TestPriorityGoesBeforeSlack(t *testing.T) {
 	x := newCell(t)
 	x.state.SetQueues([]sched.Queue{
@@ -452,7 +452,7 @@
 			Goal:     time.Second,
 		},
 	})
-	x.worker("w")
+	x.addWorker("w")
 	for _, j := range []sched.Job{job("a", "patient", tasks(1, 10)), job("b", "q", tasks(1, 10))} {
 		j.Received = x.now
 		x.state.AddJob(x.now, j, sched.Progress{})
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// stuckEvery is how often runs that stand still are looked for.
-	stuckEvery = 200 * time.Millisecond
-	// stuckLeast and stuckMost bound for how long a run's percent may stay as
-	// it is. Workers answer each second at least; a run of ten seconds on a
-	// worker that is ten times slower moves on each second.
-	stuckLeast = 1500 * time.Millisecond
-	stuckMost  = 4 * time.Second
-	// stuckShare of its expected time without a move is too long as well.
+	// stuckCheckInterval is the interval between checks for runs without progress.
+	stuckCheckInterval = 200 * time.Millisecond
+	// minStuckTime and maxStuckTime bound the time after which a run without progress is
+	// stuck. Workers answer at least once per second, and a run of ten seconds at a worker
+	// that is ten times slower still progresses every second.
+	minStuckTime = 1500 * time.Millisecond
+	maxStuckTime = 4 * time.Second
+	// stuckShare is the same as a share of the expected run time.
 	stuckShare = 0.25
 )
 
-// stopStuck stops the runs that stand still while their worker answers: they
-// are tried elsewhere.
+// stopStuck stops the runs that make no progress although their worker answers, so that
+// their tasks are retried elsewhere.
 func (s *State) stopStuck() {
-	if s.now.Sub(s.checked) < stuckEvery {
+	if s.now.Sub(s.stuckCheckedAt) < stuckCheckInterval {
 		return
 	}
-	s.checked = s.now
-	for _, w := range s.order {
+	s.stuckCheckedAt = s.now
+	for _, w := range s.workerList {
 		if w.dead || len(w.runs) == 0 {
 			continue
 		}
@@ -33,22 +33,21 @@
 	}
 }
 
-// stuck reports whether r's worker has answered again and again without r
-// having moved on. Members of a gang wait for each other, at the start and when
-// they are through, so that nothing can be told from them.
+// stuck reports whether r's worker has kept answering without progress of r. Members of a
+// gang are never stuck, since they wait for each other at the start and at the end.
 func (s *State) stuck(r *run) bool {
 	g := r.task.stage
-	if r.phase != phaseConfirmed || r.stopping || r.moved.IsZero() || g.step.Lasting || g.step.Gang {
+	if r.phase != phaseConfirmed || r.stopping || r.progressedAt.IsZero() || g.step.Lasting || g.step.Gang {
 		return false
 	}
 	limit := time.Duration(stuckShare * float64(s.expected(s.queue(g.job), g.step)))
-	limit = min(max(limit, stuckLeast), stuckMost)
-	return r.worker.answered.Sub(r.moved) >= limit
+	limit = min(max(limit, minStuckTime), maxStuckTime)
+	return r.worker.answeredAt.Sub(r.progressedAt) >= limit
 }
 
-// stopAsStuck stops a run and holds it against its worker.
+// stopAsStuck stops a run and counts it as a failure of its worker.
 func (s *State) stopAsStuck(r *run) {
-	s.stop(r, "it stands still")
-	r.task.failedAt = append(r.task.failedAt, r.worker.life())
-	r.worker.health.fail(s.now)
+	s.stop(r, "no progress")
+	r.task.failedOn = append(r.task.failedOn, r.worker.life())
+	r.worker.health.recordFailure(s.now)
 }
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -2,103 +2,103 @@
 
 import "time"
 
-// A Wait tells why a stage has not been placed, for operators.
-type Wait struct {
+// A StageWait describes for operators why a stage has not been placed.
+type StageWait struct {
 	Stage StageID
-	// Waited is since its turn had come.
+	// Waited is the time since the stage was opened.
 	Waited time.Duration
-	// For is what it waits for: advice, room, quota or nothing known.
+	// For is the cause: advice, room, quota or nothing known.
 	For string
-	// Usable counts the workers that it may use as far as is known, Ready those of them
-	// that take something now, Fitting those of these that have room for a task, and Kept
-	// those that are kept for other stages.
+	// Usable counts the workers that the stage may use as far as is known, Ready those of
+	// them that accept new tasks, Fitting those of the ready ones with capacity for a
+	// task, and Kept those of the usable ones that are reserved for other stages.
 	Usable  int
 	Ready   int
 	Fitting int
 	Kept    int
-	// Asked counts the workers that the advisor was asked about, Questions the questions
-	// about others that are under way.
+	// Asked counts the workers that the advisor was queried about, Questions the queries
+	// about further workers in flight.
 	Asked     int
 	Questions int
 }
 
 var waitNames = [...]string{
-	waitNothing: "nothing known",
-	waitAdvice:  "advice",
-	waitRoom:    "room",
-	waitQuota:   "quota",
+	waitUnknown:  "nothing known",
+	waitAdvice:   "advice",
+	waitCapacity: "room",
+	waitQuota:    "quota",
 }
 
-// LongestWait returns the stage that has waited longest to be placed; false when none
-// waits. Cost: O(stages + workers).
-func (s *State) LongestWait(now time.Time) (Wait, bool) {
-	var first *stage
-	for _, g := range s.open {
-		if g.placeable() && !g.job.state.Final() && (first == nil || g.openedAt.Before(first.openedAt)) {
-			first = g
+// LongestWait describes the stage that has waited longest to be placed. It reports false
+// if none waits. Cost: O(stages + workers).
+func (s *State) LongestWait(now time.Time) (StageWait, bool) {
+	var longest *stage
+	for _, g := range s.openStages {
+		if g.placeable() && !g.job.state.Final() && (longest == nil || g.openedAt.Before(longest.openedAt)) {
+			longest = g
 		}
 	}
-	if first == nil {
-		return Wait{}, false
+	if longest == nil {
+		return StageWait{}, false
 	}
-	w := Wait{
-		Stage:     first.id,
-		Waited:    now.Sub(first.openedAt),
-		For:       waitNames[first.waits],
-		Asked:     len(first.advice.asked),
-		Questions: first.advice.learning,
+	w := StageWait{
+		Stage:     longest.id,
+		Waited:    now.Sub(longest.openedAt),
+		For:       waitNames[longest.waitingFor],
+		Asked:     len(longest.advice.asked),
+		Questions: longest.advice.learning,
 	}
-	kept := s.keptFromOthers(first)
-	for _, x := range s.mayUse(first) {
-		w.count(first, x, kept[x])
+	reserved := s.reservedByOthers(longest)
+	for _, x := range s.usableWorkers(longest) {
+		w.count(longest, x, reserved[x])
 	}
 	return w, true
 }
 
-// count takes in a worker that a stage may use.
-func (w *Wait) count(g *stage, x *worker, kept bool) {
+// count adds a worker that g may use to the counts.
+func (w *StageWait) count(g *stage, x *worker, reserved bool) {
 	w.Usable++
 	if x.ready {
 		w.Ready++
 	}
-	if x.ready && g.step.room().Fits(x.free()) {
+	if x.ready && g.step.demand().Fits(x.free()) {
 		w.Fitting++
 	}
-	if kept {
+	if reserved {
 		w.Kept++
 	}
 }
 
-// advisedOnce reports whether it is known for any worker whether a stage may use it.
-func (s *State) advisedOnce(g *stage) bool {
+// hasAdvice reports whether g needs no advisor or has had an answer from it.
+func (s *State) hasAdvice(g *stage) bool {
 	return s.queue(g.job).Advisor == nil || g.advice.asked != nil
 }
 
-// mayUse returns the workers that a stage may use as far as is known.
-func (s *State) mayUse(g *stage) []*worker {
+// usableWorkers returns the workers that g may use as far as is known.
+func (s *State) usableWorkers(g *stage) []*worker {
 	q := s.queue(g.job)
 	if q.Advisor != nil {
-		return g.advice.good
+		return g.advice.allowed
 	}
 	var ws []*worker
-	for _, w := range s.order {
-		if !w.dead && w.Service == q.Service && g.allows(w) {
+	for _, w := range s.workerList {
+		if !w.dead && w.Service == q.Service && g.labelMatches(w) {
 			ws = append(ws, w)
 		}
 	}
 	return ws
 }
 
-// keptFromOthers returns the workers that stages but g keep while they wait.
-func (s *State) keptFromOthers(g *stage) map[*worker]bool {
-	kept := map[*worker]bool{}
-	for _, o := range s.open {
+// reservedByOthers returns the workers that are reserved for other stages than g.
+func (s *State) reservedByOthers(g *stage) map[*worker]bool {
+	workers := map[*worker]bool{}
+	for _, o := range s.openStages {
 		if o == g {
 			continue
 		}
-		for _, w := range o.gathered {
-			kept[w] = true
+		for _, w := range o.reserved {
+			workers[w] = true
 		}
 	}
-	return kept
+	return workers
 }
--- a/sched/account_test.go
+++ b/sched/waittime_test.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// accountOf returns the account that the end of the job "j" is noted with.
-func (x *cell) accountOf() sched.Account {
+// endedAccount returns the account in the note about the end of a job.
+func (x *cell) endedAccount() sched.Account {
 	for _, n := range x.state.Notes() {
 		if n.Kind == sched.NoteJobEnded {
 			return *n.Account
@@ -20,28 +20,28 @@
 	return sched.Account{}
 }
 
-func TestJobsEndWithAnAccountOfTheirWaits(t *testing.T) {
+func TestEndedJobReportsWaitTimes(t *testing.T) {
 	x := newCell(t)
-	x.worker("w")
+	x.addWorker("w")
 	x.state.AddJob(x.now, job("first", "q", tasks(1, 10)), sched.Progress{})
 	first := x.step()
-	x.take(first)
+	x.acceptStarts(first)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 10)), sched.Progress{})
 	x.step()
 	for range 10 {
 		x.now = x.now.Add(90 * time.Millisecond)
 		x.step()
 	}
-	x.end(first[0], sched.EndDone)
+	x.endRun(first[0], sched.EndDone)
 	x.state.Notes()
 	again := x.step()
-	x.take(again)
-	x.end(again[0], sched.EndFailed)
+	x.acceptStarts(again)
+	x.endRun(again[0], sched.EndFailed)
 	last := x.step()
-	x.take(last)
+	x.acceptStarts(last)
 	x.state.Notes()
-	x.end(last[0], sched.EndDone)
-	a := x.accountOf()
+	x.endRun(last[0], sched.EndDone)
+	a := x.endedAccount()
 	x.c.Assert(a.Room >= 900*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a))
 	x.c.Assert(a.Advice, qt.Equals, time.Duration(0))
 	x.c.Assert(a.Failed, qt.Equals, 1)
