--- a/delegate/directory.go
+++ b/delegate/directory.go
@@ -55,8 +55,8 @@
 	d.chosen = nil
 }
 
-// Fail takes in that a host left a call unanswered, or did not take it.
-func (d *Directory) Fail(h spoolsill.HostID, now time.Time) {
+// MarkFailed takes in that a host left a call unanswered, or did not take it.
+func (d *Directory) MarkFailed(h spoolsill.HostID, now time.Time) {
 	if d.resting == nil {
 		d.resting = map[spoolsill.HostID]time.Time{}
 	}
@@ -74,11 +74,11 @@
 	return len(d.hosts), resting
 }
 
-// Of returns the host that carries out the next call to a worker, of which so many in
+// DelegateFor returns the host that carries out the next call to a worker, of which so many in
 // a row had no answer: each of them leads to another host, every other time to one of
 // any hall. It returns false when there is none.
 // Cost: O(1), O(hosts) after a change and for a worker that does not answer.
-func (d *Directory) Of(w spoolsill.WorkerID, hall spoolsill.HallID, unanswered int, now time.Time) (spoolsill.HostID, bool) {
+func (d *Directory) DelegateFor(w spoolsill.WorkerID, hall spoolsill.HallID, unanswered int, now time.Time) (spoolsill.HostID, bool) {
 	if unanswered > 0 {
 		if unanswered%2 == 1 {
 			hall = ""
--- a/delegate/directory_test.go
+++ b/delegate/directory_test.go
@@ -29,14 +29,14 @@
 	m := map[spoolsill.WorkerID]spoolsill.HostID{}
 	for i := range workers {
 		w := spoolsill.WorkerID(fmt.Sprintf("w%d", i))
-		m[w], _ = d.Of(w, hall, 0, now)
+		m[w], _ = d.DelegateFor(w, hall, 0, now)
 	}
 	return m
 }
 
 func TestNobodyIsChosenOfNone(t *testing.T) {
 	var d delegate.Directory
-	_, ok := d.Of("w", "hall0", 0, time.Now())
+	_, ok := d.DelegateFor("w", "hall0", 0, time.Now())
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
@@ -77,7 +77,7 @@
 		d.SetHosts(hs)
 		before := assigned(&d, 100, "hall0", now)
 		if fails {
-			d.Fail(hs[lost].ID, now)
+			d.MarkFailed(hs[lost].ID, now)
 		} else {
 			d.SetHosts(append(append([]delegate.Host{}, hs[:lost]...), hs[lost+1:]...))
 		}
@@ -100,8 +100,8 @@
 	var d delegate.Directory
 	d.SetHosts(hosts(3, 1))
 	before := assigned(&d, 50, "hall0", now)
-	d.Fail("host1", now)
-	d.Fail("host2", now.Add(time.Second)) // more than half: none of them is passed over
+	d.MarkFailed("host1", now)
+	d.MarkFailed("host2", now.Add(time.Second)) // more than half: none of them is passed over
 	all, resting := d.Count(now.Add(time.Second))
 	c.Assert([]int{all, resting}, qt.DeepEquals, []int{3, 2})
 	c.Assert(assigned(&d, 50, "hall0", now.Add(time.Second)), qt.DeepEquals, before)
@@ -118,7 +118,7 @@
 	d.SetHosts(hs)
 	for _, h := range hs {
 		if h.Hall == "hall1" {
-			d.Fail(h.ID, now)
+			d.MarkFailed(h.ID, now)
 		}
 	}
 	for _, h := range assigned(&d, 50, "hall1", now) {
@@ -127,7 +127,7 @@
 			c.Check(x.ID == h && x.Hall == "hall1", qt.IsFalse)
 		}
 	}
-	h, ok := d.Of("w", "nowhere", 0, now)
+	h, ok := d.DelegateFor("w", "nowhere", 0, now)
 	c.Check(ok, qt.IsTrue)
 	c.Check(h, qt.Not(qt.Equals), spoolsill.HostID(""))
 }
@@ -145,7 +145,7 @@
 	askers := map[spoolsill.HostID]bool{}
 	halls := map[spoolsill.HallID]bool{}
 	for i := range 10 {
-		h, _ := d.Of("w", "hall0", i, time.Now())
+		h, _ := d.DelegateFor("w", "hall0", i, time.Now())
 		askers[h] = true
 		halls[hall[h]] = true
 		if i%2 == 0 {
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -375,7 +375,7 @@
 		})
 	}
 	return h, leader.Reply{
-		Kind:  leader.Taken,
+		Kind:  leader.Accepted,
 		Clock: w.clock(),
 	}
 }
@@ -386,7 +386,7 @@
 	}
 	most := w.clock() + sched.ClockMillis(f.Lease.Milliseconds())
 	w.deadline = max(w.deadline, min(r.Deadline, most))
-	for len(w.ended) > 0 && w.ended[0].Sequence <= r.LastSeen {
+	for len(w.ended) > 0 && w.ended[0].Sequence <= r.LastAcked {
 		if w.ended[0].Kind == sched.EndDone {
 			f.done[w.ended[0].Run.Task] = true
 		}
@@ -452,14 +452,14 @@
 		return leader.TooLate
 	}
 	if _, ok := w.running[r]; ok {
-		return leader.Taken
+		return leader.Accepted
 	}
 	if w.highest[r.Task] >= r.Number {
-		return leader.RunIsOver
+		return leader.RunEnded
 	}
 	w.highest[r.Task] = r.Number
 	f.begin(w, r)
-	return leader.Taken
+	return leader.Accepted
 }
 
 func (f *Workers) begin(w *worker, r sched.RunID) {
@@ -511,7 +511,7 @@
 	reply := noAnswer(errLost)
 	stop := func(w *worker) {
 		reply = leader.Reply{
-			Kind:  leader.Taken,
+			Kind:  leader.Accepted,
 			Clock: w.clock(),
 		}
 		if !w.admit(o.Fence) {
--- a/internal/soak/view_test.go
+++ b/internal/soak/view_test.go
@@ -28,10 +28,10 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, h, qt.Equals, leader.Head{})
 	want := leader.Head{
-		Epoch:   7,
-		Host:    "host0",
-		Address: fmt.Sprint("127.0.0.9:", soak.PeerPort),
-		Write:   12,
+		Epoch:      7,
+		Host:       "host0",
+		Address:    fmt.Sprint("127.0.0.9:", soak.PeerPort),
+		WriteCount: 12,
 	}
 	b, err := msgpack.Marshal(want)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -45,13 +45,13 @@
 	m.Use(func(next http.Handler) http.Handler { return onlyLife(id, next) })
 	m.Post("/api/hold", handle(func(w http.ResponseWriter, r *http.Request, o order) {
 		h, p := f.Renew(r.Context(), leader.Renewal{
-			Target:   t,
-			Fence:    o.Fence,
-			Deadline: o.DeadlineMS,
-			LastSeen: o.LastSeen,
-			Wait:     time.Duration(o.WaitMS) * time.Millisecond,
+			Target:    t,
+			Fence:     o.Fence,
+			Deadline:  o.DeadlineMS,
+			LastAcked: o.LastSeen,
+			Wait:      time.Duration(o.WaitMS) * time.Millisecond,
 		})
-		if p.Kind != leader.Taken {
+		if p.Kind != leader.Accepted {
 			reply(w, p)
 			return
 		}
@@ -113,11 +113,11 @@
 }
 
 var conflicts = map[leader.ReplyKind]string{
-	leader.Fenced:    "fence",
-	leader.RunIsOver: "old",
-	leader.TooLate:   "late",
-	leader.NoRoom:    "room",
-	leader.NoTicket:  "ticket",
+	leader.Fenced:   "fence",
+	leader.RunEnded: "old",
+	leader.TooLate:  "late",
+	leader.NoRoom:   "room",
+	leader.NoTicket: "ticket",
 }
 
 func reply(w http.ResponseWriter, r leader.Reply) {
@@ -125,7 +125,7 @@
 		"clockMs": r.Clock,
 	}
 	switch r.Kind {
-	case leader.Taken:
+	case leader.Accepted:
 		answer(w, http.StatusOK, body, nil)
 	case leader.NoAnswer:
 		panic(http.ErrAbortHandler)
--- a/leader/adviser_test.go
+++ b/leader/adviser_test.go
@@ -76,7 +76,7 @@
 			for _, j := range jobs {
 				r, err := jobstore.Row("host", j)
 				x.c.Assert(err, qt.IsNil)
-				l.Tell(r)
+				l.NotifyRow(r)
 			}
 			jobs = nil
 		}
--- a/leader/chain.go
+++ b/leader/chain.go
@@ -21,8 +21,8 @@
 	Name:      "head",
 }
 
-// ErrDeposed is returned once another host leads.
-var ErrDeposed = errors.New("leader: another host leads")
+// ErrLeadershipLost is returned once another host leads.
+var ErrLeadershipLost = errors.New("leader: another host leads")
 
 // A Head says who leads the cell.
 type Head struct {
@@ -30,22 +30,22 @@
 	Host  spoolsill.HostID `msgpack:"h"`
 	// Address is where the leader's peers reach it.
 	Address string `msgpack:"a"`
-	// Life tells the leader's processes apart.
-	Life spoolsill.Incarnation `msgpack:"l"`
-	// Write counts the writes of the epoch.
-	Write uint64 `msgpack:"w"`
-	// MostCores is that of the largest host that has led or was known to a
+	// Incarnation tells the leader's processes apart.
+	Incarnation spoolsill.Incarnation `msgpack:"l"`
+	// WriteCount counts the writes of the epoch.
+	WriteCount uint64 `msgpack:"w"`
+	// MaxCores is that of the largest host that has led or was known to a
 	// leader, so that small hosts let others go first also when all hosts
 	// have been restarted.
-	MostCores float64 `msgpack:"c"`
+	MaxCores float64 `msgpack:"c"`
 	// Hosts is how many hosts there are, as far as the leader knew when it
 	// took over; 0 means that it did not.
 	Hosts int `msgpack:"n"`
 	// Released tells that the leader has ended as planned.
 	Released bool `msgpack:"r"`
-	// Unsettled counts the leaderships in a row, this one included, that have not
+	// UnfinishedLoads counts the leaderships in a row, this one included, that have not
 	// read all jobs: what one has read, the next one reads anew.
-	Unsettled int `msgpack:"u"`
+	UnfinishedLoads int `msgpack:"u"`
 }
 
 // ReadHead returns the head and its version; version 0 means that nobody has
@@ -89,33 +89,33 @@
 	usual time.Duration
 }
 
-// Take tries once to become the leader in place of the head that was read with
+// Acquire tries once to become the leader in place of the head that was read with
 // a version.
-func Take(ctx context.Context, s store.Store, old Head, v store.Version, me Head) (*Chain, error) {
+func Acquire(ctx context.Context, s store.Store, old Head, v store.Version, me Head) (*Chain, error) {
 	c := &Chain{
 		store:   s,
 		head:    me,
 		version: v,
 	}
 	c.first = old.Epoch + 1
-	c.epoch = old.Epoch + FencesEach
+	c.epoch = old.Epoch + FencesPerEpoch
 	c.head.Epoch = c.epoch
-	c.head.MostCores = max(old.MostCores, me.MostCores)
+	c.head.MaxCores = max(old.MaxCores, me.MaxCores)
 	if me.Hosts == 0 {
 		c.head.Hosts = old.Hosts
 	}
-	c.head.Unsettled = old.Unsettled + 1
+	c.head.UnfinishedLoads = old.UnfinishedLoads + 1
 	if err := c.write(ctx, c.head, nil, nil); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// FencesEach is how many fences a leadership has, one for each life of a worker that it
+// FencesPerEpoch is how many fences a leadership has, one for each life of a worker that it
 // meets: enough for one that starts again each second for hours. Its epoch is the highest
 // of them, so that those of the next leadership, of the release before fences of lives as
 // well, are higher.
-const FencesEach = 10_000
+const FencesPerEpoch = 10_000
 
 // Epoch returns the epoch of this leadership.
 func (c *Chain) Epoch() spoolsill.Epoch {
@@ -131,27 +131,27 @@
 // Writes returns how many writes of this leadership last. It must not be called
 // while a write is under way.
 func (c *Chain) Writes() uint64 {
-	return c.head.Write
+	return c.head.WriteCount
 }
 
-// Settle tells with the next write that all jobs are read. It must not be called while
+// MarkLoaded tells with the next write that all jobs are read. It must not be called while
 // a write is under way.
-func (c *Chain) Settle() {
-	c.head.Unsettled = 0
+func (c *Chain) MarkLoaded() {
+	c.head.UnfinishedLoads = 0
 }
 
 // Write puts and deletes rows, whatever it takes, until ctx ends or another host
 // leads.
 func (c *Chain) Write(ctx context.Context, puts []store.Put, deletes []store.Key) error {
 	h := c.head
-	h.Write++
+	h.WriteCount++
 	return c.write(ctx, h, puts, deletes)
 }
 
 // Release gives the leadership up as planned.
 func (c *Chain) Release(ctx context.Context) error {
 	h := c.head
-	h.Write++
+	h.WriteCount++
 	h.Released = true
 	return c.write(ctx, h, nil, nil)
 }
@@ -235,5 +235,5 @@
 			return nil
 		}
 	}
-	return ErrDeposed
+	return ErrLeadershipLost
 }
--- a/leader/fixture_test.go
+++ b/leader/fixture_test.go
@@ -110,7 +110,7 @@
 	for {
 		old, v, err := leader.ReadHead(x.ctx, x.store)
 		x.c.Assert(err, qt.IsNil)
-		c, err := leader.Take(x.ctx, x.store, old, v, leader.Head{
+		c, err := leader.Acquire(x.ctx, x.store, old, v, leader.Head{
 			Host: host,
 		})
 		if err != nil {
--- a/leader/gauges.go
+++ b/leader/gauges.go
@@ -20,7 +20,7 @@
 	return l.gauges.suspects.Load(), l.gauges.crashed.Load()
 }
 
-// Unclear returns how many workers' entries can't be understood.
-func (l *Leader) Unclear() int64 {
+// InvalidWorkerEntries returns how many workers' entries can't be understood.
+func (l *Leader) InvalidWorkerEntries() int64 {
 	return l.gauges.unclear.Load()
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -205,9 +205,9 @@
 	})
 }
 
-// Tell takes in a row of the jobs table that lasts, from the host that wrote it:
+// NotifyRow takes in a row of the jobs table that lasts, from the host that wrote it:
 // sooner than the feed, which tells of it as well.
-func (l *Leader) Tell(r store.Row) {
+func (l *Leader) NotifyRow(r store.Row) {
 	l.send(jobChanged{
 		row: r,
 	})
@@ -222,10 +222,10 @@
 	return s, ok
 }
 
-// Settle returns the state of a job like Status, and for one that is not known
+// AwaitStatus returns the state of a job like Status, and for one that is not known
 // waits until every job that was accepted before the call is. It returns false
 // for sure when ctx ends before.
-func (l *Leader) Settle(ctx context.Context, id spoolsill.JobID) (s sched.JobStatus, known, sure bool) {
+func (l *Leader) AwaitStatus(ctx context.Context, id spoolsill.JobID) (s sched.JobStatus, known, sure bool) {
 	asked := l.config.Clock.Now()
 	for {
 		// In this order: what is heard of in between is known by the second look.
@@ -260,10 +260,10 @@
 	return l.taken, l.hears
 }
 
-// Waiting returns the waiting jobs of a queue. It returns false when that is
+// WaitingJobs returns the waiting jobs of a queue. It returns false when that is
 // not known: before all jobs are loaded, and while the store keeps what other
 // hosts accept from this one.
-func (l *Leader) Waiting(q sched.QueueID) (int, bool) {
+func (l *Leader) WaitingJobs(q sched.QueueID) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting[q], l.known && l.config.Clock.Since(l.taken) < countAge
@@ -288,15 +288,15 @@
 	l.hears = make(chan struct{})
 }
 
-// Fresh returns when the latest write that lasts was begun.
-func (l *Leader) Fresh() time.Time {
-	t, _ := l.Latest()
+// LastWriteTime returns when the latest write that lasts was begun.
+func (l *Leader) LastWriteTime() time.Time {
+	t, _ := l.LastWrite()
 	return t
 }
 
-// Latest returns when the latest write that lasts was begun, and how many writes
+// LastWrite returns when the latest write that lasts was begun, and how many writes
 // of this leadership last.
-func (l *Leader) Latest() (begun time.Time, writes uint64) {
+func (l *Leader) LastWrite() (begun time.Time, writes uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fresh, l.writes
@@ -319,7 +319,7 @@
 }
 
 // run leads until ctx ends or another host leads; then it returns
-// [ErrDeposed]. All its calls have ended when it returns.
+// [ErrLeadershipLost]. All its calls have ended when it returns.
 func (l *Leader) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer l.calls.Wait()
@@ -506,7 +506,7 @@
 	switch {
 	case errors.Is(err, ErrOverloaded), errors.Is(err, ErrYielded):
 		return errors.Join(err, l.config.Chain.Release(writes))
-	case errors.Is(err, ErrDeposed), ctx.Err() == nil:
+	case errors.Is(err, ErrLeadershipLost), ctx.Err() == nil:
 		return err
 	default:
 		return l.config.Chain.Release(writes)
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -217,16 +217,16 @@
 		defer x.end()
 		l := x.lead("a")
 		pause.For(x.ctx, 2*time.Second)
-		n, ok := l.Waiting("plain")
+		n, ok := l.WaitingJobs("plain")
 		x.c.Assert(ok, qt.IsTrue)
 		x.c.Assert(n, qt.Equals, 0)
 		x.store.TurnAway(true)
 		pause.For(x.ctx, 3*time.Second)
-		_, ok = l.Waiting("plain")
+		_, ok = l.WaitingJobs("plain")
 		x.c.Assert(ok, qt.IsFalse)
 		x.store.TurnAway(false)
 		pause.For(x.ctx, 2*time.Second)
-		_, ok = l.Waiting("plain")
+		_, ok = l.WaitingJobs("plain")
 		x.c.Assert(ok, qt.IsTrue)
 	})
 }
@@ -325,7 +325,7 @@
 			pause.For(x.ctx, 20*time.Millisecond)
 		}
 		x.c.Check(longest < unchanged, qt.IsTrue, qt.Commentf("the row did not change for %s", longest))
-		x.c.Check(time.Since(l.Fresh()) < unchanged, qt.IsTrue, qt.Commentf("latest write %s ago", time.Since(l.Fresh())))
+		x.c.Check(time.Since(l.LastWriteTime()) < unchanged, qt.IsTrue, qt.Commentf("latest write %s ago", time.Since(l.LastWriteTime())))
 		x.store.SlowLists(jobstore.ProgressTable, 0)
 		pause.For(x.ctx, 20*time.Second)
 		x.assertCompleted(l, ids)
@@ -335,7 +335,7 @@
 		l = x.lead("b")
 		begun = time.Now()
 		for range told {
-			l.Tell(row)
+			l.NotifyRow(row)
 		}
 		x.c.Check(time.Since(begun) < load/2, qt.IsTrue, qt.Commentf("telling took %s", time.Since(begun)))
 		x.store.SlowLists(jobstore.ProgressTable, 0)
--- a/leader/order.go
+++ b/leader/order.go
@@ -77,7 +77,7 @@
 			a.Deadline = max(a.Deadline, deadline)
 			h.reportSilence(begun)
 			continue
-		case Unreachable, NobodyThere:
+		case Unreachable, ConnectionRefused:
 			continue
 		case Fenced:
 			h.fenced()
@@ -120,7 +120,7 @@
 
 func startOutcome(k ReplyKind) sched.StartOutcome {
 	switch k {
-	case Taken:
+	case Accepted:
 		return sched.StartTaken
 	case NoRoom:
 		return sched.StartNoRoom
@@ -167,10 +167,10 @@
 		}
 		r := h.stopOnce(ctx, o)
 		switch r.Kind {
-		case Taken:
+		case Accepted:
 			a.Taken = true
 			return a
-		case NoAnswer, Unreachable, NobodyThere, Unhealthy:
+		case NoAnswer, Unreachable, ConnectionRefused, Unhealthy:
 			a.Reason = r.Kind.String()
 		default:
 			a.Reason = r.Kind.String()
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -154,7 +154,7 @@
 		}
 		b, r := h.renew(ctx, acked, wait, unanswered)
 		unanswered++
-		if r.Kind == Taken && !h.target.MayBe(b.Born) {
+		if r.Kind == Accepted && !h.target.MayBe(b.Born) {
 			// Of the next life, or on its way since the one before: the account tells, and
 			// whoever renews the lease of the next one begins anew.
 			h.leader.send(heartbeatTaken{
@@ -163,11 +163,11 @@
 			pause.For(ctx, renewRetry)
 			continue
 		}
-		if r.Kind == Taken {
+		if r.Kind == Accepted {
 			unanswered = 0
 		}
 		switch r.Kind {
-		case Taken:
+		case Accepted:
 			for _, e := range b.Ended {
 				seen = max(seen, e.Sequence)
 			}
@@ -184,7 +184,7 @@
 				life: h.target.Life,
 			})
 			return
-		case NobodyThere:
+		case ConnectionRefused:
 			h.leader.send(workerRefused{
 				life: h.target.Life,
 			})
@@ -252,7 +252,7 @@
 		return
 	}
 	h.leader.send(leadershipEnded{
-		err: ErrDeposed,
+		err: ErrLeadershipLost,
 	})
 }
 
@@ -289,17 +289,17 @@
 		return sched.Heartbeat{}, unsent()
 	}
 	b, r := h.leader.config.Workers.Renew(ctx, Renewal{
-		Target:   h.target,
-		Fence:    h.fence,
-		Deadline: deadline,
-		LastSeen: acked,
-		Wait:     wait,
-		Within:   h.leader.answers.heartbeat(unanswered),
+		Target:    h.target,
+		Fence:     h.fence,
+		Deadline:  deadline,
+		LastAcked: acked,
+		Wait:      wait,
+		Within:    h.leader.answers.heartbeat(unanswered),
 	})
 	b.Asked = h.target.Life
 	now := h.leader.config.Clock.Now()
 	h.setClock(r.Clock, now)
-	if r.Kind == Taken && (wait == 0 || len(b.Ended) == 0) {
+	if r.Kind == Accepted && (wait == 0 || len(b.Ended) == 0) {
 		// A worker that has an end to tell of has waited for some shorter time.
 		h.leader.answers.observe(max(now.Sub(begun)-wait, 0))
 	}
@@ -351,7 +351,7 @@
 		return 0
 	}
 	lease := h.leader.config.Sched.Lease
-	left := min(lease, h.leader.Fresh().Add(2*lease).Sub(now))
+	left := min(lease, h.leader.LastWriteTime().Add(2*lease).Sub(now))
 	if left <= 0 {
 		return 0
 	}
--- a/leader/suspend_test.go
+++ b/leader/suspend_test.go
@@ -39,7 +39,7 @@
 	defer w.mu.Unlock()
 	var last time.Time
 	for f, at := range w.last {
-		if f <= e && f+leader.FencesEach > e && at.After(last) {
+		if f <= e && f+leader.FencesPerEpoch > e && at.After(last) {
 			last = at
 		}
 	}
@@ -90,7 +90,7 @@
 				suspended.Add(int64(30 * time.Millisecond))
 				suspended.Add(int64(5 * time.Second))
 				woke := time.Now()
-				fresh := a.Fresh()
+				fresh := a.LastWriteTime()
 				x.c.Check(x.clock.Since(fresh) >= 5*time.Second, qt.IsTrue)
 				pause.For(x.ctx, time.Second)
 				x.c.Check(w.of(a.Epoch()).After(woke), qt.IsFalse)
--- a/leader/told_test.go
+++ b/leader/told_test.go
@@ -40,7 +40,7 @@
 		})
 		v, err := jobstore.EncodeJob(j)
 		x.c.Assert(err, qt.IsNil)
-		l.Tell(store.Row{
+		l.NotifyRow(store.Row{
 			Key: store.Key{
 				Table:     jobstore.JobsTable,
 				Partition: "host",
@@ -49,7 +49,7 @@
 			Value: v,
 		})
 		x.c.Assert(jobstore.Cancel(x.ctx, x.store, "host", "j"), qt.IsNil)
-		l.Tell(jobstore.CancelRow("host", "j"))
+		l.NotifyRow(jobstore.CancelRow("host", "j"))
 		pause.For(x.ctx, 6*time.Second)
 		_, known, err := jobstore.State(x.ctx, x.store, "j")
 		x.c.Assert(err, qt.IsNil)
--- a/leader/unasked_test.go
+++ b/leader/unasked_test.go
@@ -71,7 +71,7 @@
 
 func (w *lateWorkers) Renew(ctx context.Context, r leader.Renewal) (sched.Heartbeat, leader.Reply) {
 	h, p := w.Workers.Renew(ctx, r)
-	if p.Kind == leader.Taken {
+	if p.Kind == leader.Accepted {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.clock = p.Clock
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -23,9 +23,9 @@
 	Fence spoolsill.Epoch
 	// Deadline is when the lease ends, on the worker's clock; 0 renews nothing.
 	Deadline sched.ClockMillis
-	// LastSeen is the highest end that lasts in the store: the worker forgets
+	// LastAcked is the highest end that lasts in the store: the worker forgets
 	// it and those before.
-	LastSeen uint64
+	LastAcked uint64
 	// Wait is how long the worker may wait for an end before it answers.
 	Wait time.Duration
 	// Within is how much longer the beginning of the answer is waited for. An
@@ -63,18 +63,18 @@
 
 // The kinds of replies.
 const (
-	Taken       ReplyKind = iota // carried out, or it was so already
-	Rejected                     // not understood
-	Fenced                       // it has seen a later leader
-	NoRoom                       // it guards its capacity
-	NoTicket                     // the ticket does not hold
-	TooLate                      // the order's deadline is over
-	RunIsOver                    // this run or a later one has ended there
-	Unhealthy                    // it takes nothing at the moment
-	OtherLife                    // the address answers for another life
-	Unreachable                  // the order was not sent
-	NobodyThere                  // the same: nothing listens at the address
-	NoAnswer                     // it may have been carried out, or may be later
+	Accepted          ReplyKind = iota // carried out, or it was so already
+	Rejected                           // not understood
+	Fenced                             // it has seen a later leader
+	NoRoom                             // it guards its capacity
+	NoTicket                           // the ticket does not hold
+	TooLate                            // the order's deadline is over
+	RunEnded                           // this run or a later one has ended there
+	Unhealthy                          // it takes nothing at the moment
+	OtherLife                          // the address answers for another life
+	Unreachable                        // the order was not sent
+	ConnectionRefused                  // the same: nothing listens at the address
+	NoAnswer                           // it may have been carried out, or may be later
 )
 
 var replyKindNames = [...]string{
@@ -95,7 +95,7 @@
 	Kind ReplyKind
 	// Clock is the worker's clock; 0 if it did not say.
 	Clock sched.ClockMillis
-	// Err explains every kind but Taken.
+	// Err explains every kind but Accepted.
 	Err error
 }
 
--- a/leader/write.go
+++ b/leader/write.go
@@ -24,7 +24,7 @@
 	}
 	l.writing = true
 	if l.loaded {
-		l.config.Chain.Settle()
+		l.config.Chain.MarkLoaded()
 	}
 	// The write goes on when the leadership is being given up: its fate must
 	// be known before the row can be written again.
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -47,7 +47,7 @@
 		d.listed = now
 		d.directory.SetHosts(d.node.hosts.delegates(d.node.silentSince(now)))
 	}
-	return d.directory.Of(t.Worker, t.Hall, d.unanswered[t.Worker], now)
+	return d.directory.DelegateFor(t.Worker, t.Hall, d.unanswered[t.Worker], now)
 }
 
 // hosts returns how many hosts make calls for this one, and how many of them rest.
@@ -61,7 +61,7 @@
 func (d *delegatedWorkers) fail(h spoolsill.HostID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.directory.Fail(h, d.node.clock.Now())
+	d.directory.MarkFailed(h, d.node.clock.Now())
 }
 
 // heard takes in what came of a call to a worker. The next one after a call without an
@@ -70,7 +70,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch k {
-	case leader.NoAnswer, leader.Unreachable, leader.NobodyThere:
+	case leader.NoAnswer, leader.Unreachable, leader.ConnectionRefused:
 		if d.unanswered == nil {
 			d.unanswered = map[spoolsill.WorkerID]int{}
 		}
--- a/node/delegatewire.go
+++ b/node/delegatewire.go
@@ -85,7 +85,7 @@
 	return renewRequest{
 		Target:   targetOf(l.Target, l.Fence),
 		Deadline: l.Deadline,
-		LastSeen: l.LastSeen,
+		LastSeen: l.LastAcked,
 		Wait:     l.Wait,
 		Within:   l.Within,
 	}
@@ -93,12 +93,12 @@
 
 func (q renewRequest) renewal() leader.Renewal {
 	return leader.Renewal{
-		Target:   q.Target.target(),
-		Fence:    q.Target.Fence,
-		Deadline: q.Deadline,
-		LastSeen: q.LastSeen,
-		Wait:     q.Wait,
-		Within:   q.Within,
+		Target:    q.Target.target(),
+		Fence:     q.Target.Fence,
+		Deadline:  q.Deadline,
+		LastAcked: q.LastSeen,
+		Wait:      q.Wait,
+		Within:    q.Within,
 	}
 }
 
--- a/node/elect.go
+++ b/node/elect.go
@@ -175,7 +175,7 @@
 	n.mu.Lock()
 	most := n.mostCores
 	if most == 0 {
-		most = n.head.MostCores
+		most = n.head.MaxCores
 	}
 	late := n.clock.Since(n.resignedAt) < resigned
 	n.mu.Unlock()
@@ -248,14 +248,14 @@
 // backoff returns how long is waited for a leadership instead of d: twice as long for
 // each one before it that ended before it had read all jobs.
 func backoff(d time.Duration, h leader.Head) time.Duration {
-	return d << min(max(h.Unsettled-1, 0), backoffMost)
+	return d << min(max(h.UnfinishedLoads-1, 0), backoffMost)
 }
 
 // lead tries to take over and leads until it is deposed or ctx ends.
 func (n *Node) lead(ctx context.Context, old leader.Head, v store.Version) {
 	c, err := n.take(ctx, old, v)
 	if err != nil {
-		if !errors.Is(err, leader.ErrDeposed) && ctx.Err() == nil {
+		if !errors.Is(err, leader.ErrLeadershipLost) && ctx.Err() == nil {
 			n.log.WithError(err).Warn("could not take over")
 		}
 		return
@@ -279,12 +279,12 @@
 func (n *Node) take(ctx context.Context, old leader.Head, v store.Version) (*leader.Chain, error) {
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	return leader.Take(ctx, n.store, old, v, leader.Head{
-		Host:      n.settings.Host,
-		Address:   n.peerAddress(),
-		Life:      n.life,
-		MostCores: max(n.settings.Cores, n.knownCores()),
-		Hosts:     n.knownHosts(),
+	return leader.Acquire(ctx, n.store, old, v, leader.Head{
+		Host:        n.settings.Host,
+		Address:     n.peerAddress(),
+		Incarnation: n.life,
+		MaxCores:    max(n.settings.Cores, n.knownCores()),
+		Hosts:       n.knownHosts(),
 	})
 }
 
@@ -310,10 +310,10 @@
 	if l != nil {
 		n.fitness.larger = time.Time{}
 		n.head = leader.Head{
-			Epoch:   e,
-			Host:    n.settings.Host,
-			Address: n.peerAddress(),
-			Life:    n.life,
+			Epoch:       e,
+			Host:        n.settings.Host,
+			Address:     n.peerAddress(),
+			Incarnation: n.life,
 		}
 	}
 }
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -109,7 +109,7 @@
 	defer n.mu.Unlock()
 	row := ledWrite{
 		epoch:  h.Epoch,
-		writes: h.Write,
+		writes: h.WriteCount,
 	}
 	if n.heard == row && n.heardBegun.Before(now) {
 		return n.heardBegun
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -120,7 +120,7 @@
 // answer. What gets lost, the leader learns from the store.
 func (n *Node) tell(ctx context.Context, id spoolsill.JobID, row store.Row) {
 	if l := n.leaderHere(); l != nil {
-		l.Tell(row)
+		l.NotifyRow(row)
 		return
 	}
 	h, ok := n.leaderToTell()
@@ -354,7 +354,7 @@
 // Waiting implements [platform.Jobs].
 func (n *Node) Waiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
 	if l := n.leaderHere(); l != nil {
-		w, ok := l.Waiting(q)
+		w, ok := l.WaitingJobs(q)
 		return w, knownOutcome(ok), nil
 	}
 	h, ok := n.leaderHost()
--- a/node/node.go
+++ b/node/node.go
@@ -461,7 +461,7 @@
 // none is.
 func (n *Node) unclear() int64 {
 	if l := n.leaderHere(); l != nil {
-		return l.Unclear()
+		return l.InvalidWorkerEntries()
 	}
 	return 0
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -190,7 +190,7 @@
 		n.yieldTo(now, l, c.Host, q)
 		r.Leads = true
 		r.Epoch = l.Epoch()
-		begun, writes := l.Latest()
+		begun, writes := l.LastWrite()
 		r.Age = n.clock.Since(begun)
 		r.Writes = writes
 		r.UsualWrite = n.health.usualWrite()
@@ -218,7 +218,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	s, known, sure := l.Settle(ctx, q.Job)
+	s, known, sure := l.AwaitStatus(ctx, q.Job)
 	if known && !s.State.Final() && !n.leadsAlone(l) {
 		return stateReply{}, nil
 	}
@@ -249,7 +249,7 @@
 // them that the store turns it away. A leader that was paused or is cut from the
 // store would else tell that a job runs which the next one has completed.
 func (n *Node) leadsAlone(l *leader.Leader) bool {
-	begun, writes := l.Latest()
+	begun, writes := l.LastWrite()
 	w := ledWrite{
 		epoch:  l.Epoch(),
 		writes: writes,
@@ -264,7 +264,7 @@
 	if l == nil {
 		return waitingReply{}, errNotLeading
 	}
-	w, ok := l.Waiting(q.Queue)
+	w, ok := l.WaitingJobs(q.Queue)
 	return waitingReply{
 		Known:   ok,
 		Waiting: w,
@@ -296,7 +296,7 @@
 	if l == nil {
 		return tellReply{}, errNotLeading
 	}
-	l.Tell(q.Row)
+	l.NotifyRow(q.Row)
 	return tellReply{}, nil
 }
 
--- a/team/team.go
+++ b/team/team.go
@@ -30,8 +30,8 @@
 	return "(key)"
 }
 
-// A Member is a team with the keys that it holds.
-type Member struct {
+// A Entry is a team with the keys that it holds.
+type Entry struct {
 	ID   spoolsill.TeamID
 	Keys []Key
 }
@@ -69,7 +69,7 @@
 
 // NewDirectory returns the directory of some teams. Of a key that two teams hold the
 // first one is the holder; an empty key is nobody's; teams of one name are one team.
-func NewDirectory(teams []Member) *Directory {
+func NewDirectory(teams []Entry) *Directory {
 	d := &Directory{
 		salt: make([]byte, saltBytes),
 		keys: map[digest]holder{},
@@ -86,7 +86,7 @@
 	return d
 }
 
-func (d *Directory) add(t Member) {
+func (d *Directory) add(t Entry) {
 	if t.ID == "" {
 		d.fault(t.ID, "has no name, its keys are nobody's")
 		return
@@ -126,9 +126,9 @@
 	return sha256.Sum256(append(b, k...))
 }
 
-// Holder returns the team that holds a key, and false if none does. How long it takes
+// TeamOf returns the team that holds a key, and false if none does. How long it takes
 // does not tell how much of a key is right.
-func (d *Directory) Holder(k Key) (spoolsill.TeamID, bool) {
+func (d *Directory) TeamOf(k Key) (spoolsill.TeamID, bool) {
 	if k == "" {
 		return "", false
 	}
--- a/team/team_test.go
+++ b/team/team_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestHolder(t *testing.T) {
-	d := team.NewDirectory([]team.Member{
+	d := team.NewDirectory([]team.Entry{
 		{
 			ID:   "a",
 			Keys: []team.Key{"ka1", "ka2", ""},
@@ -49,7 +49,7 @@
 		{"of a team without a name", "nobody's", "", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			id, known := d.Holder(c.key)
+			id, known := d.TeamOf(c.key)
 			qt.Check(t, known, qt.Equals, c.known)
 			qt.Check(t, id, qt.Equals, c.team)
 		})
@@ -69,13 +69,13 @@
 
 func TestKeysAreNotPrinted(t *testing.T) {
 	const secret = "secret-key"
-	m := team.Member{
+	m := team.Entry{
 		ID:   "a",
 		Keys: []team.Key{secret},
 	}
 	for _, f := range []string{"%v", "%+v", "%s", "%q", "%#v"} {
 		qt.Check(t, strings.Contains(fmt.Sprintf(f, m), secret), qt.IsFalse, qt.Commentf("%s", f))
-		d := fmt.Sprintf(f, team.NewDirectory([]team.Member{m}))
+		d := fmt.Sprintf(f, team.NewDirectory([]team.Entry{m}))
 		qt.Check(t, strings.Contains(d, secret), qt.IsFalse, qt.Commentf("%s", f))
 	}
 }
