--- /dev/null
+++ b/leader/advice.go
@@ -0,0 +1,252 @@
+package leader
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"time"
+
+	"github.com/spoolsill/spoolsill"
+	"github.com/spoolsill/spoolsill/sched"
+)
+
+// An Advisor asks the advisor service through the hosts of the cell. The service answers one
+// question of a host at a time, so a high rate takes many hosts.
+type Advisor interface {
+	// Hosts returns the hosts that can ask now.
+	Hosts() []spoolsill.HostID
+	// Ask makes a host ask which of the workers may run a stage.
+	Ask(ctx context.Context, h spoolsill.HostID, stage sched.StageID, workers []spoolsill.WorkerID) ([]sched.Ticket, time.Duration, error)
+}
+
+const (
+	// askMargin is added to the cost of a question to get its timeout.
+	askMargin = 300 * time.Millisecond
+	// longQuestionCost is the cost from which a question counts as long. The last
+	// reservedHosts hosts get no long questions, so that short ones soon find a free host.
+	longQuestionCost = 150 * time.Millisecond
+	reservedHosts    = 2
+	// failedHostBackoff is how long a host whose question failed is avoided if others are
+	// available: as long as most problems of a single host last.
+	failedHostBackoff = 3 * time.Second
+	// maxDepth bounds the questions in flight from one host.
+	maxDepth = 3
+	// overheadWeight is the weight of the newest answer in the moving averages.
+	overheadWeight = 0.1
+	// hostsCacheTime is how long the list of hosts is cached: many questions are sent
+	// within it, and hosts come and go less often.
+	hostsCacheTime = 20 * time.Millisecond
+)
+
+// An adviceDispatcher distributes questions over hosts. Each host gets one at a time, or several
+// where answers travel for longer than the service needs for a question: otherwise the host would
+// be idle meanwhile.
+type adviceDispatcher struct {
+	leader *Leader
+	queue  []sched.AdviceOrder // most urgent first
+	busy   map[spoolsill.HostID]int
+	// overhead is a moving average of the latency of answers beyond the cost of the
+	// question; averageCost is that of the cost.
+	overhead, averageCost time.Duration
+	failed                map[spoolsill.HostID]time.Time
+	answered              chan answeredQuestion
+	// hosts is the cached list of available hosts, as of listed.
+	hosts  []spoolsill.HostID
+	listed time.Time
+}
+
+// An answeredQuestion reports that a question of a host is over.
+type answeredQuestion struct {
+	host   spoolsill.HostID
+	failed bool
+	// took is the time from question to answer; cost is the service's time for the question,
+	// and ahead its time for the questions in flight before it.
+	took, ahead, cost time.Duration
+}
+
+func newAdviceDispatcher(l *Leader) *adviceDispatcher {
+	return &adviceDispatcher{
+		leader:   l,
+		busy:     map[spoolsill.HostID]int{},
+		failed:   map[spoolsill.HostID]time.Time{},
+		answered: make(chan answeredQuestion, eventBuffer),
+	}
+}
+
+func (a *adviceDispatcher) enqueue(o sched.AdviceOrder) {
+	i, _ := slices.BinarySearchFunc(a.queue, o, func(e, o sched.AdviceOrder) int {
+		return cmp.Or(compareQuestions(e, o), -1) // behind equal ones
+	})
+	a.queue = slices.Insert(a.queue, i, o)
+}
+
+// dispatch sends questions to free hosts, the most urgent first.
+func (a *adviceDispatcher) dispatch(ctx context.Context) {
+	a.collectAnswers()
+	if len(a.queue) == 0 {
+		return
+	}
+	hosts := a.availableHosts(a.leader.config.Clock.Now())
+	rest := a.queue[:0]
+	longBusy := false // all hosts for long questions are busy
+	for i, o := range a.queue {
+		long := o.Cost > longQuestionCost
+		if long && longBusy {
+			rest = append(rest, o)
+			continue
+		}
+		h, ok := a.pickHost(hosts, long)
+		switch {
+		case ok:
+			a.ask(ctx, h, o)
+		case long:
+			longBusy = true
+			rest = append(rest, o)
+		default: // all hosts are busy
+			a.queue = slices.Delete(a.queue, len(rest), i)
+			return
+		}
+	}
+	a.queue = rest
+}
+
+func (a *adviceDispatcher) collectAnswers() {
+	for {
+		select {
+		case f := <-a.answered:
+			a.busy[f.host]--
+			delete(a.failed, f.host)
+			if f.failed {
+				a.failed[f.host] = a.leader.config.Clock.Now()
+				a.listed = time.Time{}
+				continue
+			}
+			a.observe(f)
+		default:
+			return
+		}
+	}
+}
+
+// observe updates the averages with an answer.
+func (a *adviceDispatcher) observe(f answeredQuestion) {
+	transit := max(f.took-f.ahead-f.cost, 0)
+	a.overhead += time.Duration(overheadWeight * float64(transit-a.overhead))
+	a.averageCost += time.Duration(overheadWeight * float64(f.cost-a.averageCost))
+}
+
+// depth returns how many questions a host may have in flight.
+func (a *adviceDispatcher) depth() int {
+	if a.averageCost <= 0 {
+		return 1
+	}
+	return 1 + min(int(a.overhead/a.averageCost), maxDepth-1)
+}
+
+// availableHosts returns the hosts without a recent failure, or all hosts if each had one.
+func (a *adviceDispatcher) availableHosts(now time.Time) []spoolsill.HostID {
+	if now.Sub(a.listed) < hostsCacheTime {
+		return a.hosts
+	}
+	hosts := a.leader.config.Advisor.Hosts()
+	slices.Sort(hosts)
+	var available []spoolsill.HostID
+	for _, h := range hosts {
+		if now.Sub(a.failed[h]) >= failedHostBackoff {
+			available = append(available, h)
+		}
+	}
+	if len(available) == 0 {
+		available = hosts
+	}
+	a.hosts = available
+	a.listed = now
+	return available
+}
+
+// compareQuestions orders urgent questions first, then those with reserved room, then those
+// for gangs that wait.
+func compareQuestions(a, b sched.AdviceOrder) int {
+	return cmp.Or(
+		-compareBools(a.Urgent, b.Urgent),
+		cmp.Compare(b.Purpose, a.Purpose),
+		cmp.Compare(a.Priority, b.Priority),
+	)
+}
+
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return 1
+	default:
+		return -1
+	}
+}
+
+// pickHost returns the host with the fewest questions in flight. Long questions go to the first
+// hosts only, short ones to the last of those hosts.
+func (a *adviceDispatcher) pickHost(hosts []spoolsill.HostID, long bool) (spoolsill.HostID, bool) {
+	if long {
+		hosts = hosts[:max(len(hosts)-reservedHosts, (len(hosts)+1)/2)]
+	}
+	for n := range a.depth() {
+		for _, h := range slices.Backward(hosts) {
+			if a.busy[h] == n {
+				return h, true
+			}
+		}
+	}
+	return "", false
+}
+
+func (a *adviceDispatcher) ask(ctx context.Context, h spoolsill.HostID, o sched.AdviceOrder) {
+	ahead := time.Duration(a.busy[h]) * max(a.averageCost, o.Cost)
+	a.busy[h]++
+	l := a.leader
+	l.spawn(func() {
+		c, cancel := context.WithTimeout(ctx, ahead+o.Cost+askMargin)
+		defer cancel()
+		begun := l.config.Clock.Now()
+		tickets, valid, err := l.config.Advisor.Ask(c, h, o.Stage, workerIDs(o.Workers))
+		took := l.config.Clock.Since(begun)
+		l.config.Observer.Asked(outcome(err), took)
+		if err != nil {
+			l.config.Log.WithError(err).WithField("host", string(h)).WithField("stage", o.Stage.String()).Warn("question to the advisor failed")
+		}
+		a.answered <- answeredQuestion{
+			host:   h,
+			failed: err != nil,
+			took:   took,
+			ahead:  ahead,
+			cost:   o.Cost,
+		}
+		l.send(adviceReceived{
+			advice: sched.Advice{
+				Order:    o,
+				Tickets:  tickets,
+				Received: l.config.Clock.Now(),
+				Valid:    valid,
+				Lost:     err != nil,
+			},
+		})
+	})
+}
+
+// workerIDs returns the ids of the workers.
+func workerIDs(lives []spoolsill.Life) []spoolsill.WorkerID {
+	ids := make([]spoolsill.WorkerID, len(lives))
+	for i, l := range lives {
+		ids[i] = l.Worker
+	}
+	return ids
+}
+
+func outcome(err error) string {
+	if err != nil {
+		return "failed"
+	}
+	return "answered"
+}
--- a/leader/adviser_test.go
+++ b/leader/advice_test.go
@@ -16,8 +16,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A host that does not reach the advisor must not be asked again and again
-// while others do.
+// A host that can't reach the advisor must not be asked repeatedly while others can.
 func TestHostWithoutTheAdvisorIsLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
@@ -40,20 +39,19 @@
 	})
 }
 
-// Questions for urgent work go before those that wait already, in their order, and
-// none is forgotten.
+// Questions for urgent work precede those that wait already, in order, and none is lost.
 func TestUrgentQuestionsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
 		var mu sync.Mutex
 		var asked []string
-		x.asked = func(stage sched.StageID) {
+		x.onQuestion = func(stage sched.StageID) {
 			mu.Lock()
 			defer mu.Unlock()
 			asked = append(asked, string(stage.Job))
 		}
-		x.advice = 100 * time.Millisecond
+		x.advisorDelay = 100 * time.Millisecond
 		l := x.lead("a")
 		pause.For(x.ctx, 2*time.Second)
 		const later, urgent = 20, 6
@@ -82,7 +80,7 @@
 		}
 		add("later", "advised", later)
 		tell()
-		pause.For(x.ctx, 80*time.Millisecond) // two questions are under way, two wait
+		pause.For(x.ctx, 80*time.Millisecond) // two questions are in flight, two wait
 		mu.Lock()
 		before := len(asked)
 		mu.Unlock()
@@ -103,13 +101,13 @@
 	})
 }
 
-// Guards against a backlog that waits for advice while the hosts that ask stand idle, since
-// their answers are under way for longer than the advisor needs.
+// Guards against a backlog of questions with idle hosts, when answers travel for longer than
+// the advisor needs.
 func TestSlowAnswersDoNotHoldQuestionsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
-		x.advice = 300 * time.Millisecond
+		x.advisorDelay = 300 * time.Millisecond
 		l := x.lead("a")
 		pause.For(x.ctx, 2*time.Second)
 		var ids []spoolsill.JobID
--- a/leader/told_test.go
+++ b/leader/cancelload_test.go
@@ -14,9 +14,9 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A job and its cancel are told to a leader that has not read all jobs yet, and the
-// store does not take the leader's write of its end: the job's rows are not deleted
-// before the end lasts, or nobody would know of the job.
+// A host reports a job and its cancellation to a leader that has not read all jobs yet, while
+// the store refuses the leader's write of the end. The job's rows must not be deleted before
+// the end is stored, or the job would be lost.
 func TestRowsOfAJobThatEndsWhileJobsAreReadAreKeptUntilItsEndLasts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
--- a/leader/chain.go
+++ b/leader/chain.go
@@ -14,7 +14,7 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// HeadKey is the key of the row that says who leads.
+// HeadKey is the key of the leader row.
 var HeadKey = store.Key{
 	Table:     "cell",
 	Partition: jobstore.CellPartition,
@@ -24,32 +24,30 @@
 // ErrLeadershipLost is returned once another host leads.
 var ErrLeadershipLost = errors.New("leader: another host leads")
 
-// A Head says who leads the cell.
+// A Head is the content of the leader row: which host leads the cell.
 type Head struct {
 	Epoch spoolsill.Epoch  `msgpack:"e"`
 	Host  spoolsill.HostID `msgpack:"h"`
-	// Address is where the leader's peers reach it.
+	// Address is where peers reach the leader.
 	Address string `msgpack:"a"`
-	// Incarnation tells the leader's processes apart.
+	// Incarnation identifies the leader's process among those of its host.
 	Incarnation spoolsill.Incarnation `msgpack:"l"`
 	// WriteCount counts the writes of the epoch.
 	WriteCount uint64 `msgpack:"w"`
-	// MaxCores is that of the largest host that has led or was known to a
-	// leader, so that small hosts let others go first also when all hosts
-	// have been restarted.
+	// MaxCores is the core count of the largest host that has led or was known to a
+	// leader. It lets small hosts defer to larger ones even after all hosts restarted.
 	MaxCores float64 `msgpack:"c"`
-	// Hosts is how many hosts there are, as far as the leader knew when it
-	// took over; 0 means that it did not.
+	// Hosts is the number of hosts that the leader knew of when it took over; 0 means
+	// that it did not know.
 	Hosts int `msgpack:"n"`
-	// Released tells that the leader has ended as planned.
+	// Released is set when the leader has stopped as planned.
 	Released bool `msgpack:"r"`
-	// UnfinishedLoads counts the leaderships in a row, this one included, that have not
-	// read all jobs: what one has read, the next one reads anew.
+	// UnfinishedLoads counts the consecutive leaderships, including this one, that have
+	// not read all jobs. Each of them starts reading from the beginning.
 	UnfinishedLoads int `msgpack:"u"`
 }
 
-// ReadHead returns the head and its version; version 0 means that nobody has
-// led yet.
+// ReadHead returns the leader row and its version; version 0 means that no host has led yet.
 func ReadHead(ctx context.Context, s store.Store) (Head, store.Version, error) {
 	r, err := store.Get(ctx, s, HeadKey)
 	if err != nil || r.Version == 0 {
@@ -61,43 +59,44 @@
 }
 
 const (
-	// tryFirst is how long the first try of a write is waited for before another
-	// one is sent: the platform needs some 8 ms for it, and the store may be
-	// several times slower.
-	tryFirst = 150 * time.Millisecond
-	// tryMost bounds it when the store is slow.
-	tryMost = 1200 * time.Millisecond
-	// triesAtOnce is how many tries are waited for side by side, and tryWithin for
-	// how long: the slowest store of the known deployments needs less than two
-	// seconds for a write.
-	triesAtOnce = 5
-	tryWithin   = 4 * time.Second
-	// tryPause is between tries that the store refused.
-	tryPause = 40 * time.Millisecond
-	// pauseMost bounds the pause when it goes on refusing.
-	pauseMost = 250 * time.Millisecond
+	// firstTryTimeout is how long the first attempt of a write runs alone before another
+	// one is sent in parallel: the platform needs about 8 ms for a write, and the store
+	// may be several times slower.
+	firstTryTimeout = 150 * time.Millisecond
+	// maxTryTimeout bounds that time, which grows with the latency of the store and
+	// doubles with each attempt.
+	maxTryTimeout = 1200 * time.Millisecond
+	// maxConcurrentTries is how many attempts may be in flight, and triesTimeout for how
+	// long: the slowest store of the known deployments needs less than two seconds for a
+	// write.
+	maxConcurrentTries = 5
+	triesTimeout       = 4 * time.Second
+	// retryDelay is the delay before a retry when the store refused an attempt.
+	retryDelay = 40 * time.Millisecond
+	// maxRetryDelay bounds the exponential delay while the store keeps refusing.
+	maxRetryDelay = 250 * time.Millisecond
 )
 
 // A Chain is the leadership of one host. Only Epoch and Fence are safe for concurrent use.
 type Chain struct {
-	store   store.Store
-	epoch   spoolsill.Epoch // does not change
-	first   spoolsill.Epoch // the lowest of its fences; epoch is the highest
-	head    Head
-	version store.Version
-	// usual is a moving average of how long a try takes that is answered.
-	usual time.Duration
+	store      store.Store
+	epoch      spoolsill.Epoch // immutable
+	firstFence spoolsill.Epoch // lowest fence; epoch is the highest
+	head       Head
+	version    store.Version
+	// commitLatency is a moving average of the latency of answered attempts.
+	commitLatency time.Duration
 }
 
-// Acquire tries once to become the leader in place of the head that was read with
-// a version.
+// Acquire tries once to become the leader by replacing the leader row old, which was read
+// at version v.
 func Acquire(ctx context.Context, s store.Store, old Head, v store.Version, me Head) (*Chain, error) {
 	c := &Chain{
 		store:   s,
 		head:    me,
 		version: v,
 	}
-	c.first = old.Epoch + 1
+	c.firstFence = old.Epoch + 1
 	c.epoch = old.Epoch + FencesPerEpoch
 	c.head.Epoch = c.epoch
 	c.head.MaxCores = max(old.MaxCores, me.MaxCores)
@@ -111,10 +110,10 @@
 	return c, nil
 }
 
-// FencesPerEpoch is how many fences a leadership has, one for each life of a worker that it
-// meets: enough for one that starts again each second for hours. Its epoch is the highest
-// of them, so that those of the next leadership, of the release before fences of lives as
-// well, are higher.
+// FencesPerEpoch is how many fences a leadership has. Each incarnation of a worker that it
+// meets uses one, which is enough for a worker that restarts every second for hours. The
+// epoch is the highest fence, so that all fences of the next leadership are higher, also if
+// the next leader runs an older release, which has one fence per epoch.
 const FencesPerEpoch = 10_000
 
 // Epoch returns the epoch of this leadership.
@@ -122,33 +121,33 @@
 	return c.epoch
 }
 
-// Fence returns the fence of the calls to a worker that has started again so often under
-// this leadership: a later life refuses orders for those before.
+// Fence returns the fencing token of calls to a worker that has restarted so many times under
+// this leadership. A later incarnation rejects orders for the earlier ones.
 func (c *Chain) Fence(restarts int) spoolsill.Epoch {
-	return min(c.first+spoolsill.Epoch(restarts), c.epoch)
+	return min(c.firstFence+spoolsill.Epoch(restarts), c.epoch)
 }
 
-// Writes returns how many writes of this leadership last. It must not be called
-// while a write is under way.
+// Writes returns the number of successful writes of this leadership. It must not be called
+// during a write.
 func (c *Chain) Writes() uint64 {
 	return c.head.WriteCount
 }
 
-// MarkLoaded tells with the next write that all jobs are read. It must not be called while
-// a write is under way.
+// MarkLoaded records that all jobs are read; the next write stores it. It must not be called
+// during a write.
 func (c *Chain) MarkLoaded() {
 	c.head.UnfinishedLoads = 0
 }
 
-// Write puts and deletes rows, whatever it takes, until ctx ends or another host
-// leads.
+// Write puts and deletes rows in one transaction. It retries until the transaction is
+// applied, ctx ends or another host leads.
 func (c *Chain) Write(ctx context.Context, puts []store.Put, deletes []store.Key) error {
 	h := c.head
 	h.WriteCount++
 	return c.write(ctx, h, puts, deletes)
 }
 
-// Release gives the leadership up as planned.
+// Release gives up the leadership, so that another host can take over at once.
 func (c *Chain) Release(ctx context.Context) error {
 	h := c.head
 	h.WriteCount++
@@ -176,53 +175,53 @@
 		}, puts...),
 		Deletes: deletes,
 	}
-	delay := tryPause
+	delay := retryDelay
 	for {
 		r, err := c.try(ctx, t)
 		switch {
 		case err == nil:
-			return c.settle(h, v, r)
+			return c.resolve(h, v, r)
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, store.ErrRefused):
 			pause.For(ctx, delay)
-			delay = min(2*delay, pauseMost)
+			delay = min(2*delay, maxRetryDelay)
 		case errors.Is(err, context.DeadlineExceeded):
-			// It has been waited for long enough.
+			// All attempts timed out; retry at once.
 		default:
-			// The connection broke: the store may come back at any moment.
-			pause.For(ctx, tryPause)
+			// The connection failed, and the store may be reachable again at any moment.
+			pause.For(ctx, retryDelay)
 		}
 	}
 }
 
 func (c *Chain) try(ctx context.Context, t store.Transaction) (store.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryWithin)
+	ctx, cancel := context.WithTimeout(ctx, triesTimeout)
 	defer cancel()
 	r, took, err := store.CommitPatiently(ctx, c.store, t, store.Patience{
-		First: min(max(tryFirst, 4*c.usual), tryMost),
-		Most:  tryMost,
-		Tries: triesAtOnce,
+		First: min(max(firstTryTimeout, 4*c.commitLatency), maxTryTimeout),
+		Most:  maxTryTimeout,
+		Tries: maxConcurrentTries,
 	})
 	if err == nil {
-		c.learn(took)
+		c.observe(took)
 	}
 	return r, err
 }
 
-// learn takes in how long a try took that was answered. A store that has become
-// slow is believed at once: more tries than needed make it slower.
-func (c *Chain) learn(took time.Duration) {
+// observe records the latency of an answered attempt. Rises are weighted more than falls:
+// needless attempts would slow down a slow store further.
+func (c *Chain) observe(took time.Duration) {
 	weight := time.Duration(8)
-	if took > c.usual {
+	if took > c.commitLatency {
 		weight = 2
 	}
-	c.usual += (took - c.usual) / weight
+	c.commitLatency += (took - c.commitLatency) / weight
 }
 
-// settle takes in the fate of a write. A head that reads as ours was written
-// by an earlier try.
-func (c *Chain) settle(h Head, written []byte, r store.Result) error {
+// resolve records the outcome of a write. If the row was not replaced but equals the one to
+// be written, an earlier attempt was applied.
+func (c *Chain) resolve(h Head, written []byte, r store.Result) error {
 	if r.Applied {
 		c.head = h
 		c.version = r.Version
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// crashAfter is how long after its start a task crashed its worker in the
-	// record, backAfter when the machine was back as another worker.
+	// crashAfter is the time from the start of a task to the crash of its worker, as was
+	// recorded; backAfter is the time until the machine is back as another worker.
 	crashAfter = 10 * time.Millisecond
 	backAfter  = 3300 * time.Millisecond
 )
 
-// A machines keeps what is needed of machines whose workers crash and come back.
+// A machines is a cell whose machines restart when their workers crash.
 type machines struct {
 	*cell
 
@@ -31,8 +31,8 @@
 	lives map[string]int
 }
 
-// newMachines has the machines of a cell come back after each crash, as other
-// workers at the same address.
+// newMachines makes the machines of a cell come back after each crash, as other workers at the
+// same address.
 func newMachines(x *cell) *machines {
 	m := &machines{
 		cell:  x,
@@ -45,7 +45,7 @@
 	return m
 }
 
-// machineOf returns the machine of a worker, whose first life is worker 0 of it.
+// machineOf returns the machine of a worker, by its id.
 func (m *machines) machineOf(id spoolsill.WorkerID) string {
 	var i, life int
 	if _, err := fmt.Sscanf(string(id), "w%d/%d", &i, &life); err == nil {
@@ -87,7 +87,7 @@
 	})
 }
 
-// keepIDs has workers that crash start again under their ids after a time.
+// keepIDs makes workers that crash restart under their ids after a time.
 func (m *machines) keepIDs(back time.Duration) {
 	m.workers.Crashed = func(id spoolsill.WorkerID, _ []sched.RunID) {
 		time.AfterFunc(back, func() {
@@ -114,17 +114,14 @@
 	})
 }
 
-// A customer's task crashed each worker 10 ms after its start, with all that ran
-// there, and was started again some thirty times in two minutes: only ends that a
-// worker told of counted as attempts, and a run that went with its worker put its
-// task back at no cost. The leader's log of one such round, 3.4 s after the start:
+// Guards against a task that crashes worker after worker, with all that runs there. Only ends
+// that a worker reported counted as attempts, and a run that was lost with its worker was
+// retried without limit, some thirty times in two minutes. The log of one such retry, 3.4 s
+// after the start before:
 //
 //	28.7725 run is gone, its address answers for another life, run 6
 //	28.7826 task placed, has room, run 7
 //	28.8238 task started, taken, run 7
-//
-// Two of the tasks were started a third time after three workers had crashed under
-// them, and jobs beside them went down with worker after worker.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachines(newCell(t.Context(), t, 8))
@@ -154,8 +151,8 @@
 	})
 }
 
-// The leader is replaced again and again, at any moment of a crash and what follows
-// it, and the next one is not told: what it knows of the crashes is what was written.
+// The leader is replaced repeatedly, at any moment of a crash and its handling. The next leader
+// knows only of the crashes that were stored.
 func TestCrashesOfATaskLastOverTakeOvers(t *testing.T) {
 	for seed := range 8 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -166,7 +163,7 @@
 				m.submitCrashing()
 				for i := range 20 {
 					pause.For(m.ctx, time.Duration(1700+137*seed+211*i%1900)*time.Millisecond)
-					m.kills[i]()
+					m.cancels[i]()
 					l = m.lead(spoolsill.HostID(fmt.Sprintf("host%d", i+1)))
 				}
 				pause.For(m.ctx, 40*time.Second)
@@ -179,9 +176,9 @@
 	}
 }
 
-// The same on machines whose workers come back under their ids, at once or after a while.
-// Their crashes were seen as runs that the worker does not have, which counts against
-// nobody: the task was started again for as long as its workers came back.
+// The same when workers come back under their ids, at once or after a while. Such crashes showed
+// only as runs that the worker does not have, which did not count as attempts: the task was
+// started again each time.
 func TestTaskThatCrashesWorkersThatKeepTheirIDsIsGivenUp(t *testing.T) {
 	for _, back := range []time.Duration{0, 100 * time.Millisecond, backAfter} {
 		t.Run(back.String(), func(t *testing.T) {
@@ -204,8 +201,8 @@
 	}
 }
 
-// The same again where the leader is replaced between the crashes: the next one knows from
-// what was written which lives went.
+// The same when the leader is replaced between the crashes: the next one knows from the store
+// which incarnations have crashed.
 func TestCrashesOfWorkersThatKeepTheirIDsLastOverTakeOvers(t *testing.T) {
 	for seed := range 8 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -217,7 +214,7 @@
 				m.submitCrashing()
 				for i := range 20 {
 					pause.For(m.ctx, time.Duration(300+137*seed+211*i%1900)*time.Millisecond)
-					m.kills[i]()
+					m.cancels[i]()
 					l = m.lead(spoolsill.HostID(fmt.Sprintf("host%d", i+1)))
 				}
 				pause.For(m.ctx, 40*time.Second)
--- a/leader/fixture_test.go
+++ b/leader/fixture_test.go
@@ -27,30 +27,30 @@
 	workersTable = "workers"
 )
 
-// A cell is a store, workers and the hosts that lead one after the other.
+// A cell is a store, workers, and hosts that lead one after the other.
 type cell struct {
 	c       *qt.C
 	ctx     context.Context
 	store   *cellfake.Store
 	workers *cellfake.Workers
-	// orders is what leaders give orders to, if it is not workers.
-	orders  leader.Workers
-	ids     []spoolsill.WorkerID
-	hosts   sync.WaitGroup
-	leaders []*leader.Leader
-	kills   []context.CancelFunc
-	ends    sync.Map // why leaderships have ended, by epoch
-	// clock is the leaders'; nil is the system's.
+	// orders replaces workers as the callee of the leaders; may be nil.
+	orders    leader.Workers
+	ids       []spoolsill.WorkerID
+	hosts     sync.WaitGroup
+	leaders   []*leader.Leader
+	cancels   []context.CancelFunc
+	endErrors sync.Map // error of each ended leadership, by epoch
+	// clock is the leaders' clock; nil is the system's.
 	clock *clock.Clock
 	// observer of the leaders; may be nil.
 	observer leader.Observer
-	// cutHost does not reach the advisor.
+	// cutHost can't reach the advisor.
 	cutHost spoolsill.HostID
-	// asked is told of questions to the advisor; may be nil.
-	asked func(stage sched.StageID)
-	// advice is how much longer than usual the advisor takes.
-	advice time.Duration
-	// logs takes in what leaders log; may be nil.
+	// onQuestion is called for each question to the advisor; may be nil.
+	onQuestion func(stage sched.StageID)
+	// advisorDelay is added to the latency of the advisor.
+	advisorDelay time.Duration
+	// logs receives the log entries of the leaders; may be nil.
 	logs logrus.Hook
 }
 
@@ -100,7 +100,7 @@
 	return w, err
 }
 
-// lead has a host take the cell over. The former leader is not told.
+// lead makes a host take over the cell. The former leader is not notified.
 func (x *cell) lead(host spoolsill.HostID) *leader.Leader {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -114,7 +114,7 @@
 			Host: host,
 		})
 		if err != nil {
-			continue // the former leader was faster
+			continue // the former leader has just written the row
 		}
 		l := leader.New(leader.Config{
 			Store:   x.store,
@@ -123,8 +123,8 @@
 			Advisor: &cellfake.Advisor{
 				HostIDs: []spoolsill.HostID{host, "other"},
 				Cut:     x.cutHost,
-				Asked:   x.asked,
-				Takes:   x.advice,
+				Asked:   x.onQuestion,
+				Takes:   x.advisorDelay,
 			},
 			WorkersTable: workersTable,
 			DecodeWorker: decodeWorker,
@@ -140,15 +140,15 @@
 		l.SetConfig(1, queues(), nil)
 		ctx, cancel := context.WithCancel(x.ctx)
 		x.leaders = append(x.leaders, l)
-		x.kills = append(x.kills, cancel)
-		x.hosts.Go(func() { x.ends.Store(l.Epoch(), l.Lead(ctx, time.Second)) })
+		x.cancels = append(x.cancels, cancel)
+		x.hosts.Go(func() { x.endErrors.Store(l.Epoch(), l.Lead(ctx, time.Second)) })
 		return l
 	}
 }
 
 // end stops all hosts.
 func (x *cell) end() {
-	for _, k := range x.kills {
+	for _, k := range x.cancels {
 		k()
 	}
 	x.hosts.Wait()
@@ -199,7 +199,7 @@
 	}
 }
 
-// submit keeps jobs in the store as a host does, with one write.
+// submit stores jobs in one write, as a host does.
 func (x *cell) submit(jobs ...sched.Job) {
 	var puts []store.Put
 	for _, j := range jobs {
--- a/leader/gauges.go
+++ b/leader/gauges.go
@@ -2,25 +2,25 @@
 
 import "sync/atomic"
 
-// gauges are figures that the loop sets and metrics read.
+// gauges are values that the loop sets and that metrics read concurrently.
 type gauges struct {
-	suspects atomic.Int64 // tasks under which workers went
-	crashed  atomic.Int64 // machines whose workers crashed in the last minute
-	unclear  atomic.Int64 // workers' entries that can't be understood
+	suspects        atomic.Int64 // tasks suspected of crashing their workers
+	crashedMachines atomic.Int64 // machines whose workers crashed in the last minute
+	invalidEntries  atomic.Int64 // worker entries that can't be decoded
 }
 
 func (g *gauges) setSuspects(tasks, crashed int) {
 	g.suspects.Store(int64(tasks))
-	g.crashed.Store(int64(crashed))
+	g.crashedMachines.Store(int64(crashed))
 }
 
-// Suspects returns how many tasks are suspected of crashing their workers, and on how
-// many machines workers crashed in the last minute.
+// Suspects returns the number of tasks suspected of crashing their workers, and the number
+// of machines whose workers crashed in the last minute.
 func (l *Leader) Suspects() (tasks, crashed int64) {
-	return l.gauges.suspects.Load(), l.gauges.crashed.Load()
+	return l.gauges.suspects.Load(), l.gauges.crashedMachines.Load()
 }
 
-// InvalidWorkerEntries returns how many workers' entries can't be understood.
+// InvalidWorkerEntries returns the number of worker entries that can't be decoded.
 func (l *Leader) InvalidWorkerEntries() int64 {
-	return l.gauges.unclear.Load()
+	return l.gauges.invalidEntries.Load()
 }
--- a/leader/unclear_test.go
+++ b/leader/invalidentry_test.go
@@ -15,9 +15,9 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// Someone else writes among the workers' entries, again and again: bytes that can't be
-// read under names of their own, and once over a worker's entry. Work goes on, a line
-// is logged for each name, and the count goes back when the rows go.
+// Another writer repeatedly puts undecodable rows among the worker entries, under names of its
+// own and over a worker's entry. Work continues, each name is logged once, and the count falls
+// when the rows are gone.
 func TestEntriesOfAnotherWriterDoNoHarm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
--- a/leader/unasked_test.go
+++ b/leader/latestart_test.go
@@ -19,51 +19,50 @@
 )
 
 const (
-	// lateBound is within which a run of a cancelled job that starts late has to
-	// be gone, on the strictest of the known deployments: 3 s, and 0.2 s for the
-	// stop itself.
+	// lateBound is within which a run of a cancelled job that starts late has to be stopped,
+	// by the strictest of the known deployments: 3 s, and 0.2 s for the stop itself.
 	lateBound = 3200 * time.Millisecond
-	// lateTakes is within which a start that is carried out late is.
-	lateTakes = 5 * time.Millisecond
-	// writtenOff is after how long nobody expects a start any more.
-	writtenOff = 5 * time.Second
+	// lateValidity is the time from a late start to the deadline of its order.
+	lateValidity = 5 * time.Millisecond
+	// writeOffTime is the time after which the leader no longer expects a start.
+	writeOffTime = 5 * time.Second
 )
 
-// lateWorkers are workers that leave some starts unanswered and carry them out
-// when they are told to, whatever their deadlines say.
+// lateWorkers are workers that leave some starts unanswered and carry them out later on
+// demand, whatever their deadlines are.
 type lateWorkers struct {
 	*cellfake.Workers
 
 	mu sync.Mutex
-	// late is how many tasks' starts are held, those of the lowest indices.
+	// late is the number of tasks, from index 0 on, whose starts are held.
 	late int
 	held map[sched.RunID]leader.Start
-	// over tells that held starts were carried out.
-	over bool
-	// again is what a held start is answered when it is sent again.
-	again leader.ReplyKind
-	// known tells that runs may be stopped before they are there, which bars
-	// them; else such a stop is turned away.
-	known bool
-	// deaf is until when stops are carried out without an answer.
-	deaf time.Time
-	// force is how long a late start alone keeps its run; where it is short, the
-	// worker's lease does.
-	force time.Duration
-	// clock is what the worker's clock showed at clockAt.
+	// released is set once the held starts were carried out.
+	released bool
+	// retryReply is the reply to retries of a held start.
+	retryReply leader.ReplyKind
+	// stopsUnknown makes workers accept the stop of a run that has not started, which then
+	// can't start. Otherwise such a stop is rejected.
+	stopsUnknown bool
+	// muteUntil is the time until which stops are carried out without a response.
+	muteUntil time.Time
+	// validity is the time from a late start to the deadline of its order, up to which the
+	// order alone keeps the run. After that it depends on the worker's lease.
+	validity time.Duration
+	// clock is the time of the worker's clock at clockAt.
 	clock   sched.ClockMillis
 	clockAt time.Time
 }
 
-// set changes the fields while leaders give orders.
-func (w *lateWorkers) set(f func(w *lateWorkers)) {
+// update changes fields under the lock, while leaders make calls.
+func (w *lateWorkers) update(f func(w *lateWorkers)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(w)
 }
 
-// holds returns how many starts are held.
-func (w *lateWorkers) holds() int {
+// heldCount returns the number of held starts.
+func (w *lateWorkers) heldCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.held)
@@ -92,28 +91,28 @@
 	return w.Workers.Start(ctx, o)
 }
 
-// hold keeps a start back and returns how it is answered.
+// hold holds back a start if it is to be late, and returns the reply to it.
 func (w *lateWorkers) hold(o leader.Start) (leader.ReplyKind, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := o.Order.Run
-	if w.over || r.Task.Index >= w.late || r.Number > 1 {
+	if w.released || r.Task.Index >= w.late || r.Number > 1 {
 		return 0, false
 	}
 	if _, ok := w.held[r]; ok {
-		return w.again, true
+		return w.retryReply, true
 	}
 	w.held[r] = o
 	return leader.NoAnswer, true
 }
 
-// release carries the held starts out, as if they were in time.
+// release carries out the held starts as if they were in time.
 func (w *lateWorkers) release(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.over = true
+	w.released = true
 	for _, o := range w.held {
-		until := time.Since(w.clockAt) + w.force
+		until := time.Since(w.clockAt) + w.validity
 		o.Deadline = w.clock + sched.ClockMillis(until.Milliseconds())
 		w.Workers.Start(ctx, o)
 	}
@@ -122,8 +121,8 @@
 func (w *lateWorkers) Stop(ctx context.Context, o leader.Stop) leader.Reply {
 	w.mu.Lock()
 	_, held := w.held[o.Run]
-	reject := held && !w.over && !w.known
-	deaf := time.Now().Before(w.deaf)
+	reject := held && !w.released && !w.stopsUnknown
+	deaf := time.Now().Before(w.muteUntil)
 	w.mu.Unlock()
 	if reject {
 		return leader.Reply{
@@ -141,7 +140,7 @@
 	}
 }
 
-// A lateCell is a cell of one worker that starts late.
+// A lateCell is a cell of one worker that carries out starts late.
 type lateCell struct {
 	*cell
 	late *lateWorkers
@@ -153,11 +152,11 @@
 	}
 	x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
 	x.late = &lateWorkers{
-		Workers: x.workers,
-		late:    1,
-		held:    map[sched.RunID]leader.Start{},
-		again:   leader.NoAnswer,
-		force:   lateTakes,
+		Workers:    x.workers,
+		late:       1,
+		held:       map[sched.RunID]leader.Start{},
+		retryReply: leader.NoAnswer,
+		validity:   lateValidity,
 	}
 	x.orders = x.late
 	return x
@@ -167,19 +166,19 @@
 	x.c.Assert(jobstore.Cancel(x.ctx, x.store, "host", "j"), qt.IsNil)
 }
 
-// cancelAndForget cancels the job and waits until its start is not expected any
-// more and the rows are deleted.
+// cancelAndForget cancels the job and waits until the leader no longer expects its start and
+// the rows are deleted.
 func (x *lateCell) cancelAndForget() {
 	x.cancel()
-	pause.For(x.ctx, writtenOff)
+	pause.For(x.ctx, writeOffTime)
 	p, err := x.store.List(x.ctx, jobstore.JobsTable, "host", "", 0)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(p.Rows, qt.HasLen, 0)
 }
 
-// removeStarter ends the leader that gave the order, for good.
-func (x *lateCell) removeStarter() {
-	x.kills[0]()
+// stopFirstLeader stops the leader that sent the order, for good.
+func (x *lateCell) stopFirstLeader() {
+	x.cancels[0]()
 	x.hosts.Wait()
 }
 
@@ -197,7 +196,7 @@
 	})
 }
 
-// waitUntilGone waits until all runs are gone.
+// waitUntilGone waits until no run is left.
 func (x *lateCell) waitUntilGone() {
 	begun := time.Now()
 	for x.workers.Running() > 0 && time.Since(begun) < time.Minute {
@@ -217,16 +216,16 @@
 	return s
 }
 
-// A start that had no answer is carried out late, in whatever state its job, its
-// worker and the leadership are by then: the run is stopped within the bound.
+// An unanswered start is carried out late, with its job, its worker and the leadership in
+// various states: the run is stopped within the bound.
 func TestRunsThatStartLateAreStopped(t *testing.T) {
 	for name, c := range map[string]struct {
 		step sched.Step
-		// until the start is carried out
+		// until runs before the start is carried out.
 		until func(x *lateCell)
-		// since then
+		// since runs after the start was carried out; may be nil.
 		since func(x *lateCell)
-		// barred tells that the run must not begin at all.
+		// barred means that the run must not start at all.
 		barred bool
 	}{
 		"cancelled": {
@@ -262,7 +261,7 @@
 		},
 		"starter removed, then cancelled": {
 			step:  step(1, 1),
-			until: (*lateCell).removeStarter,
+			until: (*lateCell).stopFirstLeader,
 			since: func(x *lateCell) {
 				x.cancel()
 				x.lead("b")
@@ -272,7 +271,7 @@
 			step: step(1, 1),
 			until: func(x *lateCell) {
 				x.cancelAndForget()
-				x.removeStarter()
+				x.stopFirstLeader()
 			},
 			since: func(x *lateCell) { x.lead("b") },
 		},
@@ -280,7 +279,7 @@
 			step: step(1, 1),
 			until: func(x *lateCell) {
 				x.cancel()
-				x.removeStarter()
+				x.stopFirstLeader()
 				x.lead("b")
 				pause.For(x.ctx, time.Second)
 			},
@@ -308,44 +307,44 @@
 		"worker was cut off": {
 			step: step(1, 1),
 			until: func(x *lateCell) {
-				x.late.set(func(w *lateWorkers) { w.force = lease })
+				x.late.update(func(w *lateWorkers) { w.validity = lease })
 				x.workers.Cut("w0", true)
 				x.cancel()
-				pause.For(x.ctx, 2*lease+writtenOff)
+				pause.For(x.ctx, 2*lease+writeOffTime)
 				x.workers.Cut("w0", false)
 			},
 		},
 		"worker was cut off and unlisted": {
 			step: step(1, 1),
 			until: func(x *lateCell) {
-				x.late.set(func(w *lateWorkers) { w.force = lease })
+				x.late.update(func(w *lateWorkers) { w.validity = lease })
 				x.workers.Cut("w0", true)
 				x.store.Delete(workerKey("w0"))
 				x.cancel()
-				pause.For(x.ctx, 2*lease+writtenOff)
+				pause.For(x.ctx, 2*lease+writeOffTime)
 				x.workers.Cut("w0", false)
 			},
 			since: func(x *lateCell) {
-				pause.For(x.ctx, 1500*time.Millisecond) // until it writes again
+				pause.For(x.ctx, 1500*time.Millisecond) // until the worker writes its entry again
 				x.list("w0")
 			},
 		},
 		"stops are not answered": {
 			step: step(1, 1),
 			until: func(x *lateCell) {
-				x.late.set(func(w *lateWorkers) {
-					w.known = true
-					w.deaf = time.Now().Add(2 * writtenOff)
+				x.late.update(func(w *lateWorkers) {
+					w.stopsUnknown = true
+					w.muteUntil = time.Now().Add(2 * writeOffTime)
 				})
 				x.cancel()
-				pause.For(x.ctx, writtenOff)
+				pause.For(x.ctx, writeOffTime)
 			},
 			barred: true,
 		},
 		"rejected when sent again": {
 			step: step(1, 1),
 			until: func(x *lateCell) {
-				x.late.set(func(w *lateWorkers) { w.again = leader.NoRoom })
+				x.late.update(func(w *lateWorkers) { w.retryReply = leader.NoRoom })
 				x.cancelAndForget()
 			},
 		},
@@ -362,7 +361,7 @@
 					Steps: []sched.Step{c.step},
 				})
 				pause.For(x.ctx, 500*time.Millisecond)
-				x.c.Assert(x.late.holds(), qt.Equals, 1)
+				x.c.Assert(x.late.heldCount(), qt.Equals, 1)
 				c.until(x)
 				starts := x.workers.Starts()
 				x.late.release(x.ctx)
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -16,35 +16,37 @@
 )
 
 const (
-	// followWait is how long a feed waits for a change: half of the time
-	// within which a draining worker must get nothing new.
+	// followWait is how long a feed request waits for a change: half of the time within
+	// which a draining worker must stop receiving tasks.
 	followWait = time.Second
-	// jobsPause lets changes of the jobs gather. Hosts tell of the jobs that
-	// they accept; the feed is for those that got lost on the way, and a
-	// client's most urgent work bears such a wait.
+	// jobsPause is the delay between requests for job changes, so that changes arrive
+	// in batches. Hosts also notify the leader of the jobs that they accept, so only
+	// jobs whose notification was lost wait for the feed; the most urgent work of a
+	// client tolerates this delay.
 	jobsPause = 60 * time.Millisecond
-	// workersPause lets the workers' entries gather, each of which is written
-	// anew every second or two. A draining worker is heard of so much later.
+	// workersPause is the same delay for worker entries, each of which is rewritten
+	// every second or two. A worker's request to drain is seen that much later.
 	workersPause = 200 * time.Millisecond
-	// keepAlive is how often the leader writes its row when it has nothing
-	// else to write. Others take over when the row does not change for twice
-	// as long.
-	keepAlive = 150 * time.Millisecond
-	// writeEvery lets decisions gather for one write.
-	writeEvery = 10 * time.Millisecond
-	// decideEvery bounds how often stages are looked at; so does decideShare:
-	// looks take one in so many parts of the time, however long they are, so
-	// that answers and starts are not late for them. decideMost is the longest
-	// pause: half of the time in which urgent work is placed on a calm day.
-	decideEvery = 4 * time.Millisecond
-	decideShare = 4
-	decideMost  = 50 * time.Millisecond
-	// tickEvery is how often time alone may change a decision.
-	tickEvery = 50 * time.Millisecond
-	// countAge is how old the count of waiting jobs may be: the platform allows
-	// two seconds, and a feed that has nothing to tell answers each second.
-	countAge = 2 * time.Second
-	// eventBuffer is how many events may wait for the loop.
+	// keepAliveInterval is how often the leader writes its row when it has nothing else
+	// to write. Other hosts take over when the row has not changed for twice as long.
+	keepAliveInterval = 150 * time.Millisecond
+	// writeInterval is the minimum interval between writes, so that decisions are batched.
+	writeInterval = 10 * time.Millisecond
+	// minDecideInterval is the minimum interval between scheduling rounds. An interval is
+	// also at least decideCostFactor times as long as the last round took, so that rounds
+	// use a bounded share of the event loop and don't delay responses and starts.
+	// maxDecideInterval caps it at half of the time in which urgent work is placed under
+	// normal load.
+	minDecideInterval = 4 * time.Millisecond
+	decideCostFactor  = 4
+	maxDecideInterval = 50 * time.Millisecond
+	// tickInterval is how often the loop runs without an event: some decisions depend
+	// on the time alone.
+	tickInterval = 50 * time.Millisecond
+	// maxCountAge is the maximum age of the counts of waiting jobs: the platform allows
+	// two seconds, and a feed without changes responds every second.
+	maxCountAge = 2 * time.Second
+	// eventBuffer is the capacity of the loop's event queue.
 	eventBuffer = 4096
 )
 
@@ -54,34 +56,34 @@
 	Chain   *Chain
 	Workers Workers
 	Advisor Advisor
-	// DecodeWorker reads a row of WorkersTable.
+	// DecodeWorker decodes a row of WorkersTable.
 	WorkersTable string
 	DecodeWorker func(store.Row) (sched.Worker, error)
-	// ReadBytes is about how much may be under way from the store while all is
-	// read at a take-over; 0 bounds nothing.
+	// ReadBytes bounds, approximately, the bytes in flight from the store while all
+	// rows are read after a takeover; 0 means no limit.
 	ReadBytes int
-	// Sched configures the decisions; its times of taking over are set here.
+	// Sched configures the decisions; the leader sets the fields about its takeover.
 	Sched sched.Config
 	Log   *logrus.Entry
-	// Clock tells the time; nil means the system's.
+	// Clock is the time source; nil means the system clock.
 	Clock *clock.Clock
-	// Observer is told what happens, for metrics; nil means nobody is.
+	// Observer receives events for metrics; nil means none.
 	Observer Observer
 }
 
-// An Observer takes in what a leader does.
+// An Observer receives the events of a leader, for metrics.
 type Observer interface {
 	Note(n sched.Note)
 	Asked(outcome string, took time.Duration)
 	TookOver(took time.Duration)
 }
 
-// nobody is the observer that takes nothing in.
-type nobody struct{}
+// discardObserver is an [Observer] that ignores all events.
+type discardObserver struct{}
 
-func (nobody) Note(sched.Note)             {}
-func (nobody) Asked(string, time.Duration) {}
-func (nobody) TookOver(time.Duration)      {}
+func (discardObserver) Note(sched.Note)             {}
+func (discardObserver) Asked(string, time.Duration) {}
+func (discardObserver) TookOver(time.Duration)      {}
 
 // A Leader leads the cell for one epoch.
 type Leader struct {
@@ -89,52 +91,52 @@
 	state  *sched.State
 	events chan event
 	calls  sync.WaitGroup
-	// writeCtx ends later than the calls; written counts the write under way.
-	writeCtx context.Context //nolint:containedctx // like ctx
-	written  sync.WaitGroup
-	ctx      context.Context //nolint:containedctx // calls outlive the functions that order them, not the leadership
-
-	renewers map[spoolsill.Life]*renewer
-	wanted   map[spoolsill.Life]bool // used by keepRenewers, each time anew
-	advising *adviser
-	sweeper  *sweeper
-	losses   losses
-	answers  answers
-	inTouch  atomic.Int64                // workers that are kept in touch with
-	unclear  map[spoolsill.WorkerID]bool // entries that can't be understood
-	gauges   gauges
-	pace     *store.Pace
-	rows     map[spoolsill.JobID][]byte
-
-	version   spoolsill.Version // of the queues and teams
-	writing   bool
-	lastWrite time.Time // when the latest write that lasts was begun
-	decided   time.Time
-	// looking is how long the latest look at the stages took.
-	looking  time.Duration
-	late     time.Duration // a moving average of how late the loop is
-	loadTold time.Time     // when the log last told how full the cell is
-	kept     time.Time     // when the renewers were last compared with the workers
-	// following is set once the progress is read, and the tables are followed by
-	// feeds; loaded once all jobs are known.
-	following bool
-	feeds     []*store.Follower
-	feedsTold time.Time // when the log last told of feeds that are old
-	loaded    bool
-
-	mu       sync.Mutex
-	fresh    time.Time // like lastWrite, for the calls' goroutines
-	writes   uint64    // how many last, as of fresh
-	statuses map[spoolsill.JobID]sched.JobStatus
-	waiting  map[sched.QueueID]int
-	known    bool
-	// taken is when the latest answer of the jobs' feed was asked for whose jobs the
-	// loop has taken in.
-	taken time.Time
-	hears chan struct{} // closed when taken changes
+	// writeCtx outlives ctx, so that a write in flight can end; pendingWrite counts it.
+	writeCtx     context.Context //nolint:containedctx // like ctx
+	pendingWrite sync.WaitGroup
+	ctx          context.Context //nolint:containedctx // calls outlive the functions that start them, but not the leadership
+
+	renewers       map[spoolsill.Life]*renewer
+	wanted         map[spoolsill.Life]bool // reused by reconcileRenewers
+	advice         *adviceDispatcher
+	sweeper        *sweeper
+	losses         lossEstimator
+	responses      latencyEstimator
+	renewing       atomic.Int64                // number of workers whose lease is renewed
+	invalidEntries map[spoolsill.WorkerID]bool // workers whose entry can't be decoded
+	gauges         gauges
+	pace           *store.Pace
+	progressRows   map[spoolsill.JobID][]byte
+
+	version    spoolsill.Version // of the queues and teams
+	writing    bool
+	lastWrite  time.Time // when the last successful write was begun
+	lastDecide time.Time
+	// decideTook is the duration of the last scheduling round.
+	decideTook    time.Duration
+	lag           time.Duration // moving average of the delay of the event loop
+	loadLogged    time.Time     // when the load of the cell was last logged
+	lastReconcile time.Time     // when renewers were last compared with the workers
+	// following is set once the progress of all jobs is read and the feeds are started;
+	// loaded is set once all jobs are known.
+	following   bool
+	feeds       []*store.Follower
+	feedsLogged time.Time // when stale feeds were last logged
+	loaded      bool
+
+	mu             sync.Mutex
+	publishedWrite time.Time // copy of lastWrite, for other goroutines
+	writes         uint64    // number of successful writes, as of publishedWrite
+	statuses       map[spoolsill.JobID]sched.JobStatus
+	waiting        map[sched.QueueID]int
+	jobsKnown      bool
+	// jobsAsOf is when the request for the latest response of the job feed was sent whose
+	// jobs the loop has handled.
+	jobsAsOf        time.Time
+	jobsAsOfChanged chan struct{} // closed when jobsAsOf changes
 }
 
-// An event is what the loop takes in.
+// An event is an input of the event loop.
 type event interface{}
 
 type (
@@ -143,25 +145,25 @@
 		queues  []sched.Queue
 		teams   []sched.Team
 	}
-	progressLoaded struct{ rows []store.Row }
-	workersListed  struct{ rows []store.Row }
-	workerChanged  struct{ row store.Row }
-	jobsListed     struct{ rows []store.Row }
-	jobChanged     struct{ row store.Row }
-	jobsHeard      struct{ sent time.Time }
-	workersHeard   struct{ sent time.Time }
-	heartbeatTaken struct{ heartbeat sched.Heartbeat }
-	workerReplaced struct{ life spoolsill.Life }
-	workerRefused  struct{ life spoolsill.Life }
-	workerSilent   struct{ life spoolsill.Life }
-	leaseAsked     struct {
+	progressLoaded    struct{ rows []store.Row }
+	workersListed     struct{ rows []store.Row }
+	workerChanged     struct{ row store.Row }
+	jobsListed        struct{ rows []store.Row }
+	jobChanged        struct{ row store.Row }
+	jobsCaughtUp      struct{ sent time.Time }
+	workersCaughtUp   struct{ sent time.Time }
+	heartbeatReceived struct{ heartbeat sched.Heartbeat }
+	workerReplaced    struct{ life spoolsill.Life }
+	workerConnRefused struct{ life spoolsill.Life }
+	workerSilent      struct{ life spoolsill.Life }
+	leaseRequested    struct {
 		life  spoolsill.Life
 		until time.Time
 	}
-	startAnswered struct{ answer sched.StartAnswer }
-	stopAnswered  struct{ answer sched.StopAnswer }
-	adviceTaken   struct{ advice sched.Advice }
-	batchWritten  struct {
+	startAnswered  struct{ answer sched.StartAnswer }
+	stopAnswered   struct{ answer sched.StopAnswer }
+	adviceReceived struct{ advice sched.Advice }
+	batchWritten   struct {
 		batch sched.Batch
 		begun time.Time
 	}
@@ -169,23 +171,23 @@
 	probeSent       struct{ at time.Time }
 )
 
-// New returns a leader that has not begun.
+// New returns a leader that is not running yet; [Leader.Lead] runs it.
 func New(c Config) *Leader {
 	if c.Observer == nil {
-		c.Observer = nobody{}
+		c.Observer = discardObserver{}
 	}
 	l := &Leader{
-		config:   c,
-		pace:     store.NewPace(c.ReadBytes),
-		events:   make(chan event, eventBuffer),
-		renewers: map[spoolsill.Life]*renewer{},
-		wanted:   map[spoolsill.Life]bool{},
-		unclear:  map[spoolsill.WorkerID]bool{},
-		statuses: map[spoolsill.JobID]sched.JobStatus{},
-		waiting:  map[sched.QueueID]int{},
-		hears:    make(chan struct{}),
+		config:          c,
+		pace:            store.NewPace(c.ReadBytes),
+		events:          make(chan event, eventBuffer),
+		renewers:        map[spoolsill.Life]*renewer{},
+		wanted:          map[spoolsill.Life]bool{},
+		invalidEntries:  map[spoolsill.WorkerID]bool{},
+		statuses:        map[spoolsill.JobID]sched.JobStatus{},
+		waiting:         map[sched.QueueID]int{},
+		jobsAsOfChanged: make(chan struct{}),
 	}
-	l.advising = newAdviser(l)
+	l.advice = newAdviceDispatcher(l)
 	l.sweeper = newSweeper(l)
 	return l
 }
@@ -195,8 +197,8 @@
 	return l.config.Chain.Epoch()
 }
 
-// SetConfig takes in the queues and teams of a configuration. An older one than the
-// last changes nothing, in whatever order they come.
+// SetConfig sets the queues and teams of a configuration. It has no effect if this or a
+// newer version was set before.
 func (l *Leader) SetConfig(v spoolsill.Version, q []sched.Queue, t []sched.Team) {
 	l.send(configChanged{
 		version: v,
@@ -205,16 +207,16 @@
 	})
 }
 
-// NotifyRow takes in a row of the jobs table that lasts, from the host that wrote it:
-// sooner than the feed, which tells of it as well.
+// NotifyRow passes on a stored row of the jobs table, from the host that wrote it. The feed
+// delivers the same row, but later.
 func (l *Leader) NotifyRow(r store.Row) {
 	l.send(jobChanged{
 		row: r,
 	})
 }
 
-// Status returns the state of a job as it lasts. The second result is false
-// when the leader does not know the job; it may have been accepted just now.
+// Status returns the stored state of a job. The second result is false when the leader
+// does not know the job, which may have been accepted only just now.
 func (l *Leader) Status(id spoolsill.JobID) (sched.JobStatus, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -222,16 +224,15 @@
 	return s, ok
 }
 
-// AwaitStatus returns the state of a job like Status, and for one that is not known
-// waits until every job that was accepted before the call is. It returns false
-// for sure when ctx ends before.
-func (l *Leader) AwaitStatus(ctx context.Context, id spoolsill.JobID) (s sched.JobStatus, known, sure bool) {
-	asked := l.config.Clock.Now()
+// AwaitStatus is like [Leader.Status], but for an unknown job it waits until every job that
+// was accepted before the call has been read. The result sure is false if ctx ends first.
+func (l *Leader) AwaitStatus(ctx context.Context, id spoolsill.JobID) (s sched.JobStatus, known, conclusive bool) {
+	begun := l.config.Clock.Now()
 	for {
-		// In this order: what is heard of in between is known by the second look.
-		heard, next := l.hearing()
+		// The order matters: a job that is read between the two calls is found by the second.
+		readAt, next := l.jobsReadTime()
 		s, known = l.Status(id)
-		if known || heard.After(asked) {
+		if known || readAt.After(begun) {
 			return s, known, true
 		}
 		select {
@@ -246,60 +247,60 @@
 func (l *Leader) Loaded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known
+	return l.jobsKnown
 }
 
-// hearing returns when the latest answer of the jobs' feed was asked for, and a
-// channel that is closed with the next one.
-func (l *Leader) hearing() (time.Time, <-chan struct{}) {
+// jobsReadTime returns when the latest response of the job feed was requested, and a
+// channel that is closed at the next one.
+func (l *Leader) jobsReadTime() (time.Time, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.known {
-		return time.Time{}, l.hears
+	if !l.jobsKnown {
+		return time.Time{}, l.jobsAsOfChanged
 	}
-	return l.taken, l.hears
+	return l.jobsAsOf, l.jobsAsOfChanged
 }
 
-// WaitingJobs returns the waiting jobs of a queue. It returns false when that is
-// not known: before all jobs are loaded, and while the store keeps what other
-// hosts accept from this one.
+// WaitingJobs returns the number of waiting jobs of a queue. The second result is false
+// when it is not known: before all jobs are loaded, and while the leader can't read from
+// the store which jobs other hosts have accepted.
 func (l *Leader) WaitingJobs(q sched.QueueID) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.waiting[q], l.known && l.config.Clock.Since(l.taken) < countAge
+	return l.waiting[q], l.jobsKnown && l.config.Clock.Since(l.jobsAsOf) < maxCountAge
 }
 
-// hearJobs takes in that all jobs accepted before a time have been read.
-func (l *Leader) hearJobs(sent time.Time) {
-	l.send(jobsHeard{
+// notifyJobsCaughtUp tells the loop that all jobs accepted before a time have been read.
+func (l *Leader) notifyJobsCaughtUp(sent time.Time) {
+	l.send(jobsCaughtUp{
 		sent: sent,
 	})
 }
 
-// takeHeard takes in that all jobs accepted before a time are known.
-func (l *Leader) takeHeard(sent time.Time) {
+// handleJobsCaughtUp records that all jobs accepted before a time are known.
+func (l *Leader) handleJobsCaughtUp(sent time.Time) {
 	if t := l.state.Told(); len(t) > 0 {
 		l.publish(l.lastWrite, t)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.taken = sent
-	close(l.hears)
-	l.hears = make(chan struct{})
+	l.jobsAsOf = sent
+	close(l.jobsAsOfChanged)
+	l.jobsAsOfChanged = make(chan struct{})
 }
 
-// LastWriteTime returns when the latest write that lasts was begun.
+// LastWriteTime returns when the last successful write was begun.
 func (l *Leader) LastWriteTime() time.Time {
 	t, _ := l.LastWrite()
 	return t
 }
 
-// LastWrite returns when the latest write that lasts was begun, and how many writes
-// of this leadership last.
+// LastWrite returns when the last successful write was begun, and the number of
+// successful writes of this leadership.
 func (l *Leader) LastWrite() (begun time.Time, writes uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fresh, l.writes
+	return l.publishedWrite, l.writes
 }
 
 func (l *Leader) send(e event) {
@@ -318,7 +319,7 @@
 	return l.ctx.Done()
 }
 
-// run leads until ctx ends or another host leads; then it returns
+// run leads until ctx ends or another host leads; in that case it returns
 // [ErrLeadershipLost]. All its calls have ended when it returns.
 func (l *Leader) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -327,7 +328,7 @@
 	now := l.config.Clock.Now()
 	l.mu.Lock()
 	l.ctx = ctx
-	l.fresh = now
+	l.publishedWrite = now
 	l.mu.Unlock()
 	l.lastWrite = now
 	l.config.Sched.TakenOver = now
@@ -340,14 +341,14 @@
 	return l.loop(ctx)
 }
 
-// inheritedLease is how long after a take-over a worker may still hold a lease
-// that the former leader asked for: it asks for none that ends later than
-// this after its last write.
+// inheritedLease returns how long after a takeover a worker may still hold a lease that
+// the former leader requested, which requests none that ends later than this after its
+// last write.
 func inheritedLease(lease time.Duration) time.Duration {
 	return sched.LeaseEnd(time.Time{}, 2*lease).Sub(time.Time{})
 }
 
-// spawn runs f beside the loop; run waits for it.
+// spawn runs f in a goroutine that run waits for.
 func (l *Leader) spawn(f func()) {
 	l.calls.Add(1)
 	go func() {
@@ -357,7 +358,7 @@
 }
 
 func (l *Leader) loop(ctx context.Context) error {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -367,7 +368,7 @@
 			if l.suspended() {
 				return ErrSuspended
 			}
-			if err := l.take(e); err != nil {
+			if err := l.handle(e); err != nil {
 				return err
 			}
 		case <-tick.C:
@@ -375,7 +376,7 @@
 		if l.suspended() {
 			return ErrSuspended
 		}
-		if err := l.drain(); err != nil {
+		if err := l.drainEvents(); err != nil {
 			return err
 		}
 		if err := l.act(ctx); err != nil {
@@ -384,13 +385,13 @@
 	}
 }
 
-// drain takes in all events that wait, so that a decision rests on all that
+// drainEvents handles all queued events, so that a decision is based on everything that
 // is known.
-func (l *Leader) drain() error {
+func (l *Leader) drainEvents() error {
 	for {
 		select {
 		case e := <-l.events:
-			if err := l.take(e); err != nil {
+			if err := l.handle(e); err != nil {
 				return err
 			}
 		default:
@@ -399,52 +400,52 @@
 	}
 }
 
-func (l *Leader) take(e event) error {
+func (l *Leader) handle(e event) error {
 	now := l.config.Clock.Now()
 	switch e := e.(type) {
 	case configChanged:
-		l.takeConfig(e)
+		l.handleConfig(e)
 	case progressLoaded:
-		l.takeProgress(e.rows)
+		l.handleProgress(e.rows)
 	case workersListed:
-		l.takeWorkers(now, e.rows)
+		l.handleWorkerList(now, e.rows)
 	case workerChanged:
-		l.takeWorker(now, e.row)
+		l.handleWorkerRow(now, e.row)
 	case jobsListed:
-		l.takeJobs(now, e.rows)
+		l.handleJobList(now, e.rows)
 	case jobChanged:
-		l.takeJob(now, e.row)
-	case jobsHeard:
-		l.takeHeard(e.sent)
-	case workersHeard:
+		l.handleJobRow(now, e.row)
+	case jobsCaughtUp:
+		l.handleJobsCaughtUp(e.sent)
+	case workersCaughtUp:
 		l.state.WorkersHeard(now, e.sent)
-	case heartbeatTaken:
+	case heartbeatReceived:
 		l.state.Heartbeat(now, e.heartbeat)
 	case workerReplaced:
 		l.state.WorkerDied(now, e.life)
-	case workerRefused:
+	case workerConnRefused:
 		l.state.WorkerRefused(now, e.life)
 	case workerSilent:
 		l.state.WorkerSilent(now, e.life)
-	case leaseAsked:
+	case leaseRequested:
 		l.state.LeaseAsked(e.life, e.until)
 	case startAnswered:
 		l.state.StartAnswered(now, e.answer)
 	case stopAnswered:
 		l.state.StopAnswered(now, e.answer)
-	case adviceTaken:
+	case adviceReceived:
 		l.state.Advised(now, e.advice)
 	case batchWritten:
-		l.takeWritten(now, e)
+		l.handleWritten(now, e)
 	case probeSent:
-		return l.takeProbe(now, e.at)
+		return l.handleProbe(now, e.at)
 	case leadershipEnded:
 		return e.err
 	}
 	return nil
 }
 
-func (l *Leader) takeConfig(e configChanged) {
+func (l *Leader) handleConfig(e configChanged) {
 	if e.version <= l.version {
 		return
 	}
@@ -453,7 +454,7 @@
 	l.state.SetTeams(l.config.Clock.Now(), e.teams)
 }
 
-// act decides, and sends what may be sent.
+// act makes decisions and sends the calls that are due.
 func (l *Leader) act(ctx context.Context) error {
 	now := l.config.Clock.Now()
 	l.decide(now)
@@ -467,13 +468,13 @@
 		l.sendStart(o)
 	}
 	for _, o := range l.state.Advices() {
-		l.advising.add(o)
+		l.advice.enqueue(o)
 	}
-	l.advising.dispatch(ctx)
+	l.advice.dispatch(ctx)
 	l.sweeper.sweep(ctx, now)
 	if l.loaded {
-		// Not before: an end of a job that is not known yet would be lost.
-		l.keepRenewers(ctx, now)
+		// Not earlier: the end of a run whose job is not known yet would be lost.
+		l.reconcileRenewers(ctx, now)
 	}
 	l.logNotes()
 	l.logLoad(now)
@@ -481,20 +482,20 @@
 	return l.write(ctx, now)
 }
 
-// decide looks at the stages that wait, unless it did so just now.
+// decide runs a scheduling round, unless the last one was too recent.
 func (l *Leader) decide(now time.Time) {
-	pause := min(max(decideShare*l.looking, decideEvery), decideMost)
-	if !l.loaded || now.Sub(l.decided) < pause {
+	pause := min(max(decideCostFactor*l.decideTook, minDecideInterval), maxDecideInterval)
+	if !l.loaded || now.Sub(l.lastDecide) < pause {
 		return
 	}
-	l.decided = now
+	l.lastDecide = now
 	l.state.Decide(now)
 	l.gauges.setSuspects(l.state.Suspects())
-	l.looking = l.config.Clock.Since(now)
+	l.decideTook = l.config.Clock.Since(now)
 }
 
-// Lead runs l and gives the leadership up when ctx ends as planned, within the
-// given time.
+// Lead runs the leader until ctx ends or the leadership is lost. When ctx ends, it releases
+// the leadership, within the given time.
 func (l *Leader) Lead(ctx context.Context, release time.Duration) error {
 	writes, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -502,7 +503,7 @@
 	err := l.run(ctx)
 	end := time.AfterFunc(release, cancel)
 	defer end.Stop()
-	l.written.Wait()
+	l.pendingWrite.Wait()
 	switch {
 	case errors.Is(err, ErrOverloaded), errors.Is(err, ErrYielded):
 		return errors.Join(err, l.config.Chain.Release(writes))
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -20,8 +20,8 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// Configurations may reach a leader in any order; an older one must not undo a
-// newer one.
+// Configurations may reach a leader in any order; an older one must not replace a newer
+// one.
 func TestOlderQueuesChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -56,8 +56,8 @@
 	})
 }
 
-// Leaders change every few seconds, and the former one is not told; answers of
-// the store and of workers are lost, and some orders come late.
+// The leader changes every few seconds without the former one being notified, while
+// responses of the store and of workers are lost and some orders are delayed.
 func TestNothingRunsTwiceWhileLeadersChange(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -96,25 +96,25 @@
 	x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
 }
 
-// A dice is safe for concurrent use.
+// A dice makes random choices. It is safe for concurrent use.
 type dice struct {
-	mu   sync.Mutex
-	r    *rand.Rand
-	over bool
+	mu      sync.Mutex
+	r       *rand.Rand
+	stopped bool
 }
 
-// stop has every later roll return 0.
+// stop makes every later roll return 0.
 func (d *dice) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.over = true
+	d.stopped = true
 }
 
-// roll returns an index, each with its probability.
+// roll returns an index, with the given probability of each.
 func (d *dice) roll(shares ...float64) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
+	if d.stopped {
 		return 0
 	}
 	f := d.r.Float64()
@@ -134,8 +134,8 @@
 	return d.r.IntN(n)
 }
 
-// The tasks of a worker that is gone for good start elsewhere: calls that get
-// no answer must not move the end of its lease on.
+// The tasks of a worker that is gone for good are started elsewhere: unanswered calls must
+// not extend its lease.
 func TestGoneWorkersTasksStartElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -163,8 +163,8 @@
 	})
 }
 
-// A leader that loads for long must not take ends of jobs that it does not
-// know yet: they would be acknowledged and the tasks run again.
+// A leader that takes long to load must not process ends of jobs that it does not know yet:
+// the ends would be acknowledged and the tasks run again.
 func TestEndsWaitUntilJobsAreLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
@@ -172,7 +172,7 @@
 		x.lead("a")
 		ids := x.submitMixed(6)
 		pause.For(x.ctx, 900*time.Millisecond)
-		x.kills[0]()
+		x.cancels[0]()
 		x.hosts.Wait()
 		pause.For(x.ctx, 2*time.Second) // the tasks end meanwhile
 		starts := x.workers.Starts()
@@ -185,8 +185,8 @@
 	})
 }
 
-// A planned stop ends the write under way first, so that the next leader does
-// not have to wait.
+// A planned stop first finishes the write in flight and then releases the leadership, so that
+// the next leader does not have to wait for a timeout.
 func TestPlannedStopReleasesTheLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
@@ -200,7 +200,7 @@
 				Steps: []sched.Step{step(1, 1)},
 			})
 			pause.For(x.ctx, time.Duration(i)*time.Millisecond/2)
-			x.kills[i]()
+			x.cancels[i]()
 			x.hosts.Wait()
 			h, _, err := leader.ReadHead(x.ctx, x.store)
 			x.c.Assert(err, qt.IsNil)
@@ -209,8 +209,8 @@
 	})
 }
 
-// A leader that the store turns away does not know what other hosts accept,
-// and must not say that nothing waits.
+// A leader that can't read from the store does not know what other hosts accept, and must
+// not report that no jobs are waiting.
 func TestWaitingIsNotToldFromAnOldView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -231,21 +231,19 @@
 	})
 }
 
-// sluggish is an observer that takes its time, as a host does that has too
-// little processor for its work.
-type sluggish struct{}
+// slowObserver is an observer that delays the loop, as on a host with too little processor.
+type slowObserver struct{}
 
-func (sluggish) Note(sched.Note)             { pause.For(context.Background(), 400*time.Millisecond) }
-func (sluggish) Asked(string, time.Duration) {}
-func (sluggish) TookOver(time.Duration)      {}
+func (slowObserver) Note(sched.Note)             { pause.For(context.Background(), 400*time.Millisecond) }
+func (slowObserver) Asked(string, time.Duration) {}
+func (slowObserver) TookOver(time.Duration)      {}
 
-// A leader that can't keep up gives the leadership up, so that a larger host
-// takes it.
+// A leader that can't keep up releases the leadership, so that a larger host takes over.
 func TestLeaderThatCannotKeepUpResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
-		x.observer = sluggish{}
+		x.observer = slowObserver{}
 		x.lead("a")
 		x.submitMixed(12)
 		pause.For(x.ctx, 30*time.Second)
@@ -255,8 +253,7 @@
 	})
 }
 
-// Rows of jobs that have ended are deleted, and their states stay known to the
-// next leader and in the store.
+// Rows of ended jobs are deleted; the next leader and the store still know their states.
 func TestEndedJobsKeepOnlyTheirState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
@@ -267,7 +264,7 @@
 		p, err := x.store.List(x.ctx, jobstore.JobsTable, "host", "", 0)
 		x.c.Assert(err, qt.IsNil)
 		x.c.Assert(p.Rows, qt.HasLen, 0)
-		// A client comes back late: it is the same job and runs no more.
+		// A client submits a job again after its end: it is the same job and does not run again.
 		starts := x.workers.Starts()
 		x.submit(sched.Job{
 			ID:    ids[0],
@@ -286,13 +283,13 @@
 	})
 }
 
-// A leader's row goes on changing while the progress of all jobs is read, however
-// long that takes: others would else take over from each leader in turn, and none
-// would ever come to its end. What it is told meanwhile holds nobody up.
+// The leader row keeps changing while the progress of all jobs is read, however long that
+// takes: otherwise other hosts would take over from each leader in turn, and none would finish
+// loading. Rows that hosts report meanwhile don't block them.
 func TestLeaderStaysWhileItLoads(t *testing.T) {
 	const (
 		load      = 3 * time.Second
-		unchanged = 350 * time.Millisecond // after it, others take over
+		unchanged = 350 * time.Millisecond // others take over after it
 		told      = 5000
 	)
 	synctest.Test(t, func(t *testing.T) {
--- a/leader/load.go
+++ b/leader/load.go
@@ -13,10 +13,10 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// loadProgress reads the progress of all jobs, until it succeeds. Nobody else
-// writes it meanwhile, or the leadership is over. The loop goes on beside it and
-// keeps the leader's row changing: others would else take over from each leader
-// that needs longer to read than they wait, and none would come to its end.
+// loadProgress reads the progress of all jobs and retries until it succeeds. No other host can
+// write progress meanwhile without ending this leadership. The event loop runs concurrently and
+// keeps updating the leader row: otherwise other hosts would take over from every leader that
+// loads for longer than their timeout, and no leader would ever finish.
 func (l *Leader) loadProgress(ctx context.Context) {
 	list := store.Listing{
 		Store:     l.config.Store,
@@ -24,7 +24,7 @@
 		Partition: jobstore.CellPartition,
 		Pace:      l.pace,
 	}
-	delay := tryPause
+	delay := retryDelay
 	for ctx.Err() == nil {
 		rows, _, err := list.ReadAll(ctx)
 		if err == nil {
@@ -36,23 +36,23 @@
 		if ctx.Err() != nil {
 			return
 		}
-		l.config.Log.WithError(err).Warn("load progress")
+		l.config.Log.WithError(err).Warn("reading the progress of jobs failed; retrying")
 		pause.For(ctx, delay)
-		delay = min(2*delay, pauseMost)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// takeProgress takes in the progress of all jobs, and has the jobs read.
-func (l *Leader) takeProgress(rows []store.Row) {
-	l.rows = make(map[spoolsill.JobID][]byte, len(rows))
+// handleProgress records the progress of all jobs and starts the feeds, which read the jobs.
+func (l *Leader) handleProgress(rows []store.Row) {
+	l.progressRows = make(map[spoolsill.JobID][]byte, len(rows))
 	for _, r := range rows {
-		l.rows[spoolsill.JobID(r.Key.Name)] = r.Value
+		l.progressRows[spoolsill.JobID(r.Key.Name)] = r.Value
 	}
 	l.following = true
-	l.follow(l.ctx)
+	l.startFeeds(l.ctx)
 }
 
-func (l *Leader) takeWorkers(now time.Time, rows []store.Row) {
+func (l *Leader) handleWorkerList(now time.Time, rows []store.Row) {
 	listed := map[spoolsill.WorkerID]bool{}
 	for _, r := range rows {
 		listed[spoolsill.WorkerID(r.Key.Name)] = true
@@ -62,25 +62,25 @@
 			l.state.UnlistWorker(now, id)
 		}
 	}
-	for id := range l.unclear {
+	for id := range l.invalidEntries {
 		if !listed[id] {
-			l.markUnclear(id, nil)
+			l.setEntryError(id, nil)
 		}
 	}
 	for _, r := range rows {
-		l.takeWorker(now, r)
+		l.handleWorkerRow(now, r)
 	}
 }
 
-func (l *Leader) takeWorker(now time.Time, r store.Row) {
+func (l *Leader) handleWorkerRow(now time.Time, r store.Row) {
 	id := spoolsill.WorkerID(r.Key.Name)
 	if r.Deleted {
-		l.markUnclear(id, nil)
+		l.setEntryError(id, nil)
 		l.state.UnlistWorker(now, id)
 		return
 	}
 	w, err := l.config.DecodeWorker(r)
-	l.markUnclear(id, err)
+	l.setEntryError(id, err)
 	if err != nil {
 		l.state.WorkerUnclear(now, id)
 		return
@@ -88,116 +88,116 @@
 	l.state.ListWorker(now, w)
 }
 
-// markUnclear keeps count of the entries that can't be understood, and tells of each of
-// them once: a worker's entry is written anew every second or two.
-func (l *Leader) markUnclear(id spoolsill.WorkerID, err error) {
+// setEntryError tracks whether the entry of a worker can be decoded. Each failure is logged
+// once, since a worker rewrites its entry every second or two.
+func (l *Leader) setEntryError(id spoolsill.WorkerID, err error) {
 	if err == nil {
-		delete(l.unclear, id)
-	} else if !l.unclear[id] {
-		l.unclear[id] = true
+		delete(l.invalidEntries, id)
+	} else if !l.invalidEntries[id] {
+		l.invalidEntries[id] = true
 		l.config.Log.WithError(err).WithField("worker", string(id)).Warn("worker's entry can't be understood")
 	}
-	l.gauges.unclear.Store(int64(len(l.unclear)))
+	l.gauges.invalidEntries.Store(int64(len(l.invalidEntries)))
 }
 
-func (l *Leader) takeJobs(now time.Time, rows []store.Row) {
-	// Of two rows of one job the older one counts.
+func (l *Leader) handleJobList(now time.Time, rows []store.Row) {
+	// If a job has two rows, the older one counts.
 	slices.SortStableFunc(rows, func(a, b store.Row) int { return cmp.Compare(a.Version, b.Version) })
 	for _, r := range rows {
 		if _, ok := jobstore.Cancelled(r.Key.Name); !ok {
-			l.takeJob(now, r)
+			l.handleJobRow(now, r)
 		}
 	}
 	for _, r := range rows {
 		if _, ok := jobstore.Cancelled(r.Key.Name); ok {
-			l.takeJob(now, r)
+			l.handleJobRow(now, r)
 		}
 	}
 	if l.loaded {
 		return
 	}
 	l.loaded = true
-	for id, v := range l.rows {
-		l.takeEnded(now, id, v)
+	for id, v := range l.progressRows {
+		l.restoreEnded(now, id, v)
 	}
-	l.rows = nil
+	l.progressRows = nil
 	took := now.Sub(l.config.Sched.TakenOver)
 	l.config.Observer.TookOver(took)
 	l.config.Log.WithField("jobs", len(l.state.Jobs())).WithField("took_ms", took.Milliseconds()).Info("jobs loaded")
-	// All of it was read from the store, so it lasts.
+	// All states were read from the store, so they are stored.
 	l.publish(l.lastWrite, l.state.Jobs())
 }
 
-// takeEnded takes in a job of which only the progress is left.
-func (l *Leader) takeEnded(now time.Time, id spoolsill.JobID, v []byte) {
+// restoreEnded restores an ended job, of which only the progress is left.
+func (l *Leader) restoreEnded(now time.Time, id spoolsill.JobID, v []byte) {
 	if _, ok := l.state.Job(id); ok {
 		return
 	}
 	p, err := sched.DecodeProgress(v)
 	if err != nil || !p.State.Final() {
-		l.config.Log.WithError(err).WithField("job", string(id)).WithField("state", p.State.String()).Error("progress without a job")
+		l.config.Log.WithError(err).WithField("job", string(id)).WithField("state", p.State.String()).Error("progress row without a job row")
 		return
 	}
 	l.state.AddEnded(now, id, p)
 }
 
-// takeJob takes in a row of the jobs table: a job or the mark of a cancelled
-// one. Before the progress is read it takes in nothing: a job that has begun
-// would begin anew, and the listing will tell of it.
-func (l *Leader) takeJob(now time.Time, r store.Row) {
+// handleJobRow handles a row of the jobs table: a job or a cancellation. It ignores rows that
+// arrive before the progress is read: a job with progress would start from the beginning. Such
+// rows are part of the listing that follows.
+func (l *Leader) handleJobRow(now time.Time, r store.Row) {
 	if r.Deleted || !l.following {
 		return
 	}
 	if id, ok := jobstore.Cancelled(r.Key.Name); ok {
-		l.sweeper.locate(id, r.Key)
+		l.sweeper.addKey(id, r.Key)
 		l.state.CancelJob(now, id)
-		l.sweepEnded(id)
+		l.sweepIfEnded(id)
 		return
 	}
 	id := spoolsill.JobID(r.Key.Name)
-	l.sweeper.locate(id, r.Key)
+	l.sweeper.addKey(id, r.Key)
 	if _, ok := l.state.Job(id); ok {
-		l.sweepEnded(id)
+		l.sweepIfEnded(id)
 		return
 	}
 	j, err := jobstore.DecodeJob(r.Value)
 	if err != nil {
-		l.config.Log.WithError(err).WithField("job", r.Key.Name).Error("job can't be read")
+		l.config.Log.WithError(err).WithField("job", r.Key.Name).Error("job row can't be decoded")
 		return
 	}
 	var p sched.Progress
-	if v, ok := l.rows[j.ID]; ok {
+	if v, ok := l.progressRows[j.ID]; ok {
 		p, err = sched.DecodeProgress(v)
 		if err != nil {
-			l.config.Log.WithError(err).WithField("job", r.Key.Name).Error("progress can't be read")
+			l.config.Log.WithError(err).WithField("job", r.Key.Name).Error("progress row can't be decoded")
 			return
 		}
 	}
 	l.state.AddJob(now, j, p)
-	l.sweepEnded(id)
+	l.sweepIfEnded(id)
 }
 
-// sweepEnded has the rows of a job deleted that has ended for good: a client
-// came back after its end, or a former leader had no time for it.
-func (l *Leader) sweepEnded(id spoolsill.JobID) {
-	if l.state.Settled(id) && l.endLasts(id) {
-		l.sweeper.add([]spoolsill.JobID{id})
+// sweepIfEnded deletes the rows of a job that has ended for good. Such rows are left over if
+// a client submitted the job again after its end, or if a former leader did not get to it.
+func (l *Leader) sweepIfEnded(id spoolsill.JobID) {
+	if l.state.Settled(id) && l.isEndStored(id) {
+		l.sweeper.enqueue([]spoolsill.JobID{id})
 	}
 }
 
-// endLasts reports whether the end of a job that has ended is in the store: what
-// was read came from there, and what was published was written. A job may also
-// have ended since it was told of, before all jobs are known.
-func (l *Leader) endLasts(id spoolsill.JobID) bool {
+// isEndStored reports whether the end of an ended job is in the store. That holds for what was
+// read from there and for what was published, which happens after a write. But a job that was
+// reported by a host may have ended in memory only, before all jobs are loaded.
+func (l *Leader) isEndStored(id spoolsill.JobID) bool {
 	if !l.loaded {
-		p, err := sched.DecodeProgress(l.rows[id])
+		p, err := sched.DecodeProgress(l.progressRows[id])
 		return err == nil && p.State.Final()
 	}
 	s, _ := l.Status(id)
 	return s.State.Final()
 }
 
-func (l *Leader) follow(ctx context.Context) {
+func (l *Leader) startFeeds(ctx context.Context) {
 	l.feeds = []*store.Follower{
 		{
 			Store: l.config.Store,
@@ -214,8 +214,8 @@
 				})
 			},
 			Pause:  jobsPause,
-			Heard:  l.hearJobs,
-			Failed: l.reportFeed(jobstore.JobsTable),
+			Heard:  l.notifyJobsCaughtUp,
+			Failed: l.feedLogger(jobstore.JobsTable),
 		},
 		{
 			Store: l.config.Store,
@@ -233,11 +233,11 @@
 				})
 			},
 			Heard: func(sent time.Time) {
-				l.send(workersHeard{
+				l.send(workersCaughtUp{
 					sent: sent,
 				})
 			},
-			Failed: l.reportFeed("workers"),
+			Failed: l.feedLogger("workers"),
 		},
 	}
 	for _, f := range l.feeds {
@@ -247,7 +247,7 @@
 	}
 }
 
-func (l *Leader) reportFeed(table string) func(error) {
+func (l *Leader) feedLogger(table string) func(error) {
 	return func(err error) {
 		log := l.config.Log.WithField("table", table)
 		if err != nil {
--- a/leader/log.go
+++ b/leader/log.go
@@ -8,15 +8,15 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// loadEvery is how often the log tells how full the cell is.
-const loadEvery = 2 * time.Second
+// loadLogInterval is how often the load of the cell is logged.
+const loadLogInterval = 2 * time.Second
 
-// logLoad tells now and then how full the cell is.
+// logLoad logs the load of the cell at intervals.
 func (l *Leader) logLoad(now time.Time) {
-	if !l.loaded || now.Sub(l.loadTold) < loadEvery {
+	if !l.loaded || now.Sub(l.loadLogged) < loadLogInterval {
 		return
 	}
-	l.loadTold = now
+	l.loadLogged = now
 	x := l.state.Load()
 	l.config.Log.WithFields(logrus.Fields{
 		"epoch":         uint64(l.Epoch()),
@@ -37,14 +37,14 @@
 	l.logWait(now)
 }
 
-// waitLong is from when on the log tells why a stage is not placed: far longer than room
-// is waited for on a calm day.
-const waitLong = 10 * time.Second
+// longWait is the waiting time from which the log says why a stage is not placed: far longer
+// than stages wait for capacity under normal load.
+const longWait = 10 * time.Second
 
-// logWait tells why the stage that has waited longest is not placed.
+// logWait logs why the stage that has waited longest is not placed.
 func (l *Leader) logWait(now time.Time) {
 	w, ok := l.state.LongestWait(now)
-	if !ok || w.Waited < waitLong {
+	if !ok || w.Waited < longWait {
 		return
 	}
 	l.config.Log.WithFields(logrus.Fields{
@@ -62,20 +62,20 @@
 	}).Warn("stage waits long")
 }
 
-// feedOld is how old what a feed told may be before the log says so: two answers
-// in a row that did not come, of a store that is asked each second.
-const feedOld = 5 * time.Second
+// staleFeedAge is the age of a feed's data from which the feed is logged as stale: two
+// missing responses in a row, of a store that is polled every second.
+const staleFeedAge = 5 * time.Second
 
-// logFeeds tells now and then of feeds that have told nothing for long: what is
-// decided rests on what they told, and a feed that hangs reports no failure.
+// logFeeds logs stale feeds at intervals. Decisions are based on their data, and a feed that
+// hangs reports no error.
 func (l *Leader) logFeeds(now time.Time) {
-	if now.Sub(l.feedsTold) < loadEvery {
+	if now.Sub(l.feedsLogged) < loadLogInterval {
 		return
 	}
-	l.feedsTold = now
+	l.feedsLogged = now
 	for _, f := range l.feeds {
 		age := f.Age(now)
-		if age < feedOld {
+		if age < staleFeedAge {
 			continue
 		}
 		l.config.Log.WithFields(logrus.Fields{
--- a/leader/losses_test.go
+++ b/leader/lostresponse_test.go
@@ -15,14 +15,14 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A stopwatch notes when tasks are placed and when their ends are heard of.
-type stopwatch struct {
+// A taskTimer measures the time from the placement of each task to its reported end.
+type taskTimer struct {
 	mu     sync.Mutex
 	placed map[sched.TaskID]time.Time
 	took   []time.Duration
 }
 
-func (s *stopwatch) Note(n sched.Note) {
+func (s *taskTimer) Note(n sched.Note) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch n.Kind {
@@ -33,14 +33,13 @@
 	}
 }
 
-func (s *stopwatch) Asked(string, time.Duration) {}
-func (s *stopwatch) TookOver(time.Duration)      {}
+func (s *taskTimer) Asked(string, time.Duration) {}
+func (s *taskTimer) TookOver(time.Duration)      {}
 
-// One answer in three gets lost: starts are sent again and ends are asked for again
-// soon, so that ten tasks of a second, one after the other, take little more than
-// ten seconds. In the worst case each task loses the answer to its start and that which
-// tells its end, 0.09 s and 0.11 s, and the first one an end before it is known that
-// answers get lost, half a second: 12.46 s were measured.
+// With one response in three lost, starts are retried and ends asked for again soon, so that
+// ten tasks of one second in sequence take little more than ten seconds. In the worst case each
+// task loses the responses to its start and to the renewal that reports its end, 0.09 s and
+// 0.11 s, and the first one an end before the loss is detected, 0.5 s: 12.46 s were measured.
 func TestLostAnswersCostLittleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -52,7 +51,7 @@
 			}
 			return cellfake.OrderWell
 		}
-		w := &stopwatch{
+		w := &taskTimer{
 			placed: map[sched.TaskID]time.Time{},
 		}
 		x.observer = w
--- a/leader/order.go
+++ b/leader/order.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// startWindow is how long after it is sent a start may still be carried
-	// out: as long as its tries take, and a little.
+	// startWindow is how long after it is sent a start order may still be carried out:
+	// slightly longer than all its tries take.
 	startWindow = 1500 * time.Millisecond
-	// startTries is how often a start is sent at most, within startTime; each try is
-	// waited for twice as long as the one before, up to orderMost.
-	startTries = 5
-	startTime  = 1350 * time.Millisecond
-	// stopTimeout and stopTries are the same for stops.
-	stopTimeout = 300 * time.Millisecond
-	stopTries   = 4
-	orderPause  = 20 * time.Millisecond
-	// startLease is when the latest try of a start has lost its force.
-	startLease = startTime + startWindow
+	// maxStartTries is how often a start order is sent at most, within startTimeout. The
+	// timeout of a try doubles with each of them, up to maxOrderTimeout.
+	maxStartTries = 5
+	startTimeout  = 1350 * time.Millisecond
+	// stopTimeout is the timeout of one try of a stop order.
+	stopTimeout     = 300 * time.Millisecond
+	maxStopTries    = 4
+	orderRetryDelay = 20 * time.Millisecond
+	// startLease is the time until the last try of a start order can no longer be carried out.
+	startLease = startTimeout + startWindow
 )
 
-// sendStart sends a start order, and again to the letter when it is not
-// answered: a run that is there already is not started twice.
+// sendStart sends a start order, and retries it unchanged while it is unanswered: orders are
+// idempotent, and a run that exists is not started twice.
 func (l *Leader) sendStart(o sched.StartOrder) {
 	h := l.renewers[o.Life]
 	if h == nil {
@@ -37,7 +37,7 @@
 		return
 	}
 	ctx := l.ctx
-	keeper := l.sweeper.keeper(o.Run.Task.Stage.Job)
+	keeper := l.sweeper.partitionOf(o.Run.Task.Stage.Job)
 	l.spawn(func() {
 		a := h.start(ctx, o, keeper)
 		l.send(startAnswered{
@@ -54,19 +54,20 @@
 	}
 	h.beginStart(o.Run)
 	defer h.endStart(o.Run)
-	timeout := h.leader.answers.order()
-	end := h.leader.config.Clock.Now().Add(startTime)
-	for try := range startTries {
+	timeout := h.leader.responses.orderTimeout()
+	end := h.leader.config.Clock.Now().Add(startTimeout)
+	for try := range maxStartTries {
 		if try > 0 {
-			pause.For(ctx, orderPause)
-			timeout = min(2*timeout, orderMost, end.Sub(h.leader.config.Clock.Now()))
+			pause.For(ctx, orderRetryDelay)
+			timeout = min(2*timeout, maxOrderTimeout, end.Sub(h.leader.config.Clock.Now()))
 		}
-		if h.isHeardOf(o.Run) {
-			// Another try could only do harm, at a life that knows of no such run.
+		if h.isListed(o.Run) {
+			// The order was carried out. A retry could reach a later incarnation, which
+			// does not know of the run and would start it again.
 			a.Outcome = sched.StartTaken
 			return a
 		}
-		if timeout <= 0 || h.isOver() {
+		if timeout <= 0 || h.isDone() {
 			break
 		}
 		begun := h.leader.config.Clock.Now()
@@ -75,12 +76,12 @@
 		case NoAnswer:
 			a.Doubt = true
 			a.Deadline = max(a.Deadline, deadline)
-			h.reportSilence(begun)
+			h.reportNoResponse(begun)
 			continue
 		case Unreachable, ConnectionRefused:
 			continue
 		case Fenced:
-			h.fenced()
+			h.handleFenced()
 		}
 		a.Outcome = startOutcome(r.Kind)
 		return a
@@ -91,9 +92,9 @@
 	return a
 }
 
-// reportSilence tells that an order has had no answer, unless the worker has
-// answered another one since: then only this answer got lost.
-func (h *renewer) reportSilence(since time.Time) {
+// reportNoResponse reports an unanswered order to the loop, unless the worker has answered
+// another call since: then only this response was lost.
+func (h *renewer) reportNoResponse(since time.Time) {
 	if _, _, at := h.read(); at.Before(since) {
 		h.leader.send(workerSilent{
 			life: h.target.Life,
@@ -104,7 +105,7 @@
 func (h *renewer) startOnce(ctx context.Context, o sched.StartOrder, keeper string, timeout time.Duration) (Reply, sched.ClockMillis) {
 	deadline := h.workerTime(h.leader.config.Clock.Now()) + sched.ClockMillis(startWindow.Milliseconds())
 	if h.leader.suspended() {
-		return unsent(), deadline
+		return unsentReply(), deadline
 	}
 	r := h.leader.config.Workers.Start(ctx, Start{
 		Target:   h.target,
@@ -135,14 +136,14 @@
 	}
 }
 
-// sendStop sends a stop order until it is answered, for as long as its tries
-// last. Whatever becomes of it is reported.
+// sendStop sends a stop order, and retries it while it is unanswered and tries are left. It
+// reports the outcome in any case.
 func (l *Leader) sendStop(ctx context.Context, o sched.StopOrder) {
 	h := l.renewers[o.Life]
 	if h == nil {
 		l.state.StopAnswered(l.config.Clock.Now(), sched.StopAnswer{
 			Order:  o,
-			Reason: "the worker is not in touch",
+			Reason: "worker is not tracked by this leader",
 		})
 		return
 	}
@@ -158,11 +159,11 @@
 	a := sched.StopAnswer{
 		Order: o,
 	}
-	for try := range stopTries {
+	for try := range maxStopTries {
 		if try > 0 {
-			pause.For(ctx, orderPause)
+			pause.For(ctx, orderRetryDelay)
 		}
-		if h.isOver() {
+		if h.isDone() {
 			break
 		}
 		r := h.stopOnce(ctx, o)
@@ -182,7 +183,7 @@
 
 func (h *renewer) stopOnce(ctx context.Context, o sched.StopOrder) Reply {
 	if h.leader.suspended() {
-		return unsent()
+		return unsentReply()
 	}
 	r := h.leader.config.Workers.Stop(ctx, Stop{
 		Target: h.target,
--- a/leader/probe.go
+++ b/leader/probe.go
@@ -7,30 +7,29 @@
 )
 
 const (
-	// probeEvery is how often the loop measures how late it is.
-	probeEvery = 100 * time.Millisecond
-	// lateMost is how late the loop may be, on average over about a second,
-	// before another host should lead: a quarter of the time in which the
-	// most urgent work of today has to be done.
-	lateMost = 300 * time.Millisecond
-	// lateAfter is how long after a take-over it is not looked at: loading
-	// and the first look at all workers take their time.
-	lateAfter = 3 * time.Second
+	// probeInterval is how often the lag of the event loop is measured.
+	probeInterval = 100 * time.Millisecond
+	// maxLag is the average lag, over about a second, above which another host should lead:
+	// a quarter of the time within which the most urgent work has to be done.
+	maxLag = 300 * time.Millisecond
+	// lagGracePeriod is how long after a takeover the lag is ignored: loading the jobs and
+	// the first exchange with all workers take time.
+	lagGracePeriod = 3 * time.Second
 )
 
-// ErrOverloaded is returned by a leader that gave up because its host could not
-// keep up.
+// ErrOverloaded is returned by a leader that released the leadership because its host
+// could not keep up.
 var ErrOverloaded = errors.New("leader: this host can't keep up")
 
-// probe sends the loop an event now and then, which tells how late the loop is.
+// probe sends the loop events at intervals, by which the loop measures its lag.
 func (l *Leader) probe(ctx context.Context) {
-	t := time.NewTicker(probeEvery)
+	t := time.NewTicker(probeInterval)
 	defer t.Stop()
 	for {
 		select {
 		case at := <-t.C:
 			l.send(probeSent{
-				at: l.config.Clock.Now().Add(-time.Since(at)), //nolint:forbidigo // a ticker's time
+				at: l.config.Clock.Now().Add(-time.Since(at)), //nolint:forbidigo // time of a ticker
 			})
 		case <-ctx.Done():
 			return
@@ -38,12 +37,12 @@
 	}
 }
 
-// takeProbe gives the leadership up when the loop has been late for a while.
-func (l *Leader) takeProbe(now, sent time.Time) error {
-	l.late += (now.Sub(sent) - l.late) / 8
-	if l.late < lateMost || now.Sub(l.config.Sched.TakenOver) < lateAfter {
+// handleProbe ends the leadership when the average lag is too high.
+func (l *Leader) handleProbe(now, sent time.Time) error {
+	l.lag += (now.Sub(sent) - l.lag) / 8
+	if l.lag < maxLag || now.Sub(l.config.Sched.TakenOver) < lagGracePeriod {
 		return nil
 	}
-	l.config.Log.WithField("late_ms", l.late.Milliseconds()).Warn("leader can't keep up")
+	l.config.Log.WithField("late_ms", l.lag.Milliseconds()).Warn("leader can't keep up")
 	return ErrOverloaded
 }
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// renewWait is how long a worker waits for an end before it answers a
-	// renewal: an end whose answer gets lost is heard of so much later, and a
-	// silent worker is noticed. Ends come oftener on a busy worker.
-	renewWait = 500 * time.Millisecond
-	// lossyWait takes its place while orders get lost. It costs more calls:
-	// lossyEach is how far apart those to all workers are on average.
-	lossyWait = 100 * time.Millisecond
-	lossyEach = 700 * time.Microsecond
-	// lossy is from what share of renewals without an answer orders are taken
-	// to get lost; lossRate is the weight of the newest one, so that some
-	// fifty count: a second of a cell of today.
-	lossy    = 0.015
-	lossRate = 0.02
-	// renewRetry is between renewals that got no answer.
+	// baseEndWait is how long a worker waits for the end of a run before it responds to a
+	// renewal. An end whose response is lost is learnt of that much later, and so is a
+	// silent worker. On a busy worker runs end more often.
+	baseEndWait = 500 * time.Millisecond
+	// lossyEndWait replaces baseEndWait while calls get lost. It causes more calls:
+	// lossyCallInterval is the minimum average interval between those to all workers.
+	lossyEndWait      = 100 * time.Millisecond
+	lossyCallInterval = 700 * time.Microsecond
+	// lossThreshold is the share of unanswered renewals above which calls count as getting
+	// lost. lossWeight is the weight of the newest renewal in that share: about the last
+	// 50 count, which a cell of the present size makes in a second.
+	lossThreshold = 0.015
+	lossWeight    = 0.02
+	// renewRetry is the delay before the next renewal after one without a response.
 	renewRetry = 100 * time.Millisecond
-	// ackWait is how long a renewal waits for the ends of the last answer to
-	// be written, before it goes out without them to keep the lease.
-	ackWait = time.Second
+	// ackTimeout is how long a renewal waits until the ends in the last response are
+	// stored, before it is sent without acknowledging them in order to keep the lease.
+	ackTimeout = time.Second
 )
 
-// A renewer keeps the lease of one life of a worker renewed.
+// A renewer keeps renewing the lease of one incarnation of a worker.
 type renewer struct {
 	leader *Leader
 	target Target
 	fence  spoolsill.Epoch
-	// over is closed when this life is not renewed any more.
-	over   <-chan struct{}
+	// done is closed when this incarnation is no longer renewed.
+	done   <-chan struct{}
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	acked   uint64
-	clock   sched.ClockMillis // of the worker
-	clockAt time.Time         // when it was read, by ours; its latest answer
-	wake    chan struct{}
-	// starting are the runs whose start has had no answer yet, and whether the worker
-	// has told of them meanwhile.
+	mu          sync.Mutex
+	acked       uint64
+	clock       sched.ClockMillis // the worker's clock at its latest response
+	clockReadAt time.Time         // when clock was read, by the leader's clock
+	wake        chan struct{}
+	// starting has the runs whose start order is unanswered so far. The value is true
+	// once the worker has listed the run in a heartbeat.
 	starting map[sched.RunID]bool
 }
 
-// keepEvery is how often the renewers are compared with the workers, and the hosts
-// counted: what comes or goes is noticed so much later.
-const keepEvery = 50 * time.Millisecond
+// reconcileInterval is how often renewers are compared with the workers, and the hosts
+// counted.
+const reconcileInterval = 50 * time.Millisecond
 
-// keepRenewers starts and ends renewers as workers come and go.
-func (l *Leader) keepRenewers(ctx context.Context, now time.Time) {
-	if now.Sub(l.kept) < keepEvery {
+// reconcileRenewers starts and ends renewers as workers come and go.
+func (l *Leader) reconcileRenewers(ctx context.Context, now time.Time) {
+	if now.Sub(l.lastReconcile) < reconcileInterval {
 		return
 	}
-	l.kept = now
-	l.state.SetAskers(len(l.config.Advisor.Hosts()) * l.advising.depth())
+	l.lastReconcile = now
+	l.state.SetAskers(len(l.config.Advisor.Hosts()) * l.advice.depth())
 	wanted := l.wanted
 	clear(wanted)
 	lives := l.state.Workers()
 	for _, life := range lives {
 		wanted[life] = true
 	}
-	l.inTouch.Store(int64(len(wanted)))
-	// First, so that no former life is kept in touch with once the next one is called.
+	l.renewing.Store(int64(len(wanted)))
+	// Ends come first, so that a former incarnation is no longer called once its successor is.
 	for life, h := range l.renewers {
 		if !wanted[life] {
 			h.cancel()
@@ -87,7 +87,7 @@
 	h := &renewer{
 		leader: l,
 		fence:  l.config.Chain.Fence(l.state.Restarts(life.Worker)),
-		over:   ctx.Done(),
+		done:   ctx.Done(),
 		target: Target{
 			Life:    life,
 			Address: l.state.Address(life.Worker),
@@ -101,7 +101,7 @@
 	l.spawn(func() { h.run(ctx) })
 }
 
-// ack takes in that ends up to n last in the store.
+// ack records that ends up to sequence number n are stored.
 func (h *renewer) ack(n uint64) {
 	h.mu.Lock()
 	h.acked = n
@@ -115,7 +115,7 @@
 func (h *renewer) read() (acked uint64, clock sched.ClockMillis, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.acked, h.clock, h.clockAt
+	return h.acked, h.clock, h.clockReadAt
 }
 
 func (h *renewer) setClock(c sched.ClockMillis, at time.Time) {
@@ -125,11 +125,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.clock = c
-	h.clockAt = at
+	h.clockReadAt = at
 }
 
-// workerTime returns what the worker's clock shows about now; 0 before its
-// first answer.
+// workerTime estimates the time of the worker's clock at now. It returns 0 before the first
+// response.
 func (h *renewer) workerTime(now time.Time) sched.ClockMillis {
 	_, c, at := h.read()
 	if c == 0 {
@@ -138,26 +138,27 @@
 	return c + sched.ClockMillis(now.Sub(at).Milliseconds())
 }
 
-// run renews the lease until ctx ends. The first call, and those after a call
-// that got no answer, renew nothing and acknowledge nothing: they only make our epoch
-// known and read the worker's clock. An order without an answer may yet be carried out,
-// so the lease of a silent worker would otherwise never be certain to have ended; and a
-// worker that was silent may have started again, and would forget ends that nobody read.
+// run renews the lease until ctx ends. The first call, and each call after one without a
+// response, renews and acknowledges nothing; it only announces the fence and reads the worker's
+// clock. There are two reasons. An unanswered call may still be carried out, so if such calls
+// renewed the lease, the lease of a silent worker could never be known to have ended. And a
+// worker that was silent may have restarted, and would discard ends that nobody has read.
 func (h *renewer) run(ctx context.Context) {
 	var seen uint64
-	unanswered := 1 // in a row, up to now
+	unanswered := 1 // consecutive calls without a response
 	for ctx.Err() == nil {
 		acked, _, _ := h.read()
-		wait := h.leader.waitForEnds()
+		wait := h.leader.endWait()
 		if seen > acked {
 			wait = 0
 		}
 		b, r := h.renew(ctx, acked, wait, unanswered)
 		unanswered++
 		if r.Kind == Accepted && !h.target.MayBe(b.Born) {
-			// Of the next life, or on its way since the one before: the account tells, and
-			// whoever renews the lease of the next one begins anew.
-			h.leader.send(heartbeatTaken{
+			// The response is from another incarnation: from the next one, or a delayed one
+			// from an earlier one. The event loop handles it by its birth, and the renewer of
+			// the next incarnation starts from scratch.
+			h.leader.send(heartbeatReceived{
 				heartbeat: b,
 			})
 			pause.For(ctx, renewRetry)
@@ -171,13 +172,13 @@
 			for _, e := range b.Ended {
 				seen = max(seen, e.Sequence)
 			}
-			h.hearOf(b)
-			h.leader.send(heartbeatTaken{
+			h.markListed(b)
+			h.leader.send(heartbeatReceived{
 				heartbeat: b,
 			})
 			h.awaitAck(ctx, seen)
 		case Fenced:
-			h.fenced()
+			h.handleFenced()
 			return
 		case OtherLife:
 			h.leader.send(workerReplaced{
@@ -185,7 +186,7 @@
 			})
 			return
 		case ConnectionRefused:
-			h.leader.send(workerRefused{
+			h.leader.send(workerConnRefused{
 				life: h.target.Life,
 			})
 			pause.For(ctx, renewRetry)
@@ -195,28 +196,28 @@
 	}
 }
 
-// hearOf takes in which of the runs that are being started the worker tells of.
-func (h *renewer) hearOf(b sched.Heartbeat) {
+// markListed records which of the runs that are being started are listed in a heartbeat.
+func (h *renewer) markListed(b sched.Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.starting) == 0 {
 		return
 	}
-	hear := func(r sched.RunID) {
+	mark := func(r sched.RunID) {
 		if _, ok := h.starting[r]; ok {
 			h.starting[r] = true
 		}
 	}
 	for _, r := range b.Running {
-		hear(r.Run)
+		mark(r.Run)
 	}
 	for _, e := range b.Ended {
-		hear(e.Run)
+		mark(e.Run)
 	}
 }
 
-// isHeardOf reports whether the worker has told of a run that is being started.
-func (h *renewer) isHeardOf(r sched.RunID) bool {
+// isListed reports whether the worker has listed a run that is being started.
+func (h *renewer) isListed(r sched.RunID) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.starting[r]
@@ -234,21 +235,22 @@
 	delete(h.starting, r)
 }
 
-// isOver reports whether the worker is known to have another life, or is not looked at any
-// more. Nothing more is sent for this one: the next life could not tell it from its own.
-func (h *renewer) isOver() bool {
+// isDone reports whether the worker is known to have restarted or is no longer renewed. Then
+// nothing more may be sent for this incarnation: the next one would take it as addressed to
+// itself.
+func (h *renewer) isDone() bool {
 	select {
-	case <-h.over:
+	case <-h.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// fenced takes in that the worker has seen a higher fence: that of the next leader, or ours
-// for its next life.
-func (h *renewer) fenced() {
-	if h.isOver() {
+// handleFenced handles a rejection because the worker has seen a higher fence: that of the next
+// leader, or this leader's for the next incarnation of the worker.
+func (h *renewer) handleFenced() {
+	if h.isDone() {
 		return
 	}
 	h.leader.send(leadershipEnded{
@@ -256,9 +258,9 @@
 	})
 }
 
-// awaitAck waits until the ends up to seen are written, for a while.
+// awaitAck waits until the ends up to seen are stored, for at most ackTimeout.
 func (h *renewer) awaitAck(ctx context.Context, seen uint64) {
-	t := time.NewTimer(ackWait)
+	t := time.NewTimer(ackTimeout)
 	defer t.Stop()
 	for {
 		if acked, _, _ := h.read(); acked >= seen {
@@ -286,7 +288,7 @@
 		wait = 0
 	}
 	if h.leader.suspended() {
-		return sched.Heartbeat{}, unsent()
+		return sched.Heartbeat{}, unsentReply()
 	}
 	b, r := h.leader.config.Workers.Renew(ctx, Renewal{
 		Target:    h.target,
@@ -294,57 +296,57 @@
 		Deadline:  deadline,
 		LastAcked: acked,
 		Wait:      wait,
-		Within:    h.leader.answers.heartbeat(unanswered),
+		Within:    h.leader.responses.heartbeatTimeout(unanswered),
 	})
 	b.Asked = h.target.Life
 	now := h.leader.config.Clock.Now()
 	h.setClock(r.Clock, now)
 	if r.Kind == Accepted && (wait == 0 || len(b.Ended) == 0) {
-		// A worker that has an end to tell of has waited for some shorter time.
-		h.leader.answers.observe(max(now.Sub(begun)-wait, 0))
+		// With an end to report, the worker responded before the wait was over.
+		h.leader.responses.observe(max(now.Sub(begun)-wait, 0))
 	}
 	if unanswered == 0 {
-		// Calls to a worker that has been silent already say nothing new.
-		h.leader.losses.take(r.Kind == NoAnswer)
+		// Calls to a worker that was silent before say nothing about the loss rate.
+		h.leader.losses.record(r.Kind == NoAnswer)
 	}
 	return b, r
 }
 
-// losses follows which share of the renewals gets no answer. It is safe for
+// A lossEstimator estimates the share of renewals without a response. It is safe for
 // concurrent use.
-type losses struct {
+type lossEstimator struct {
 	mu    sync.Mutex
 	share float64
 }
 
-func (l *losses) take(lost bool) {
+func (l *lossEstimator) record(lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	x := 0.0
 	if lost {
 		x = 1
 	}
-	l.share += lossRate * (x - l.share)
+	l.share += lossWeight * (x - l.share)
 }
 
-// many reports whether orders are taken to get lost.
-func (l *losses) many() bool {
+// exceedsThreshold reports whether the share is above lossThreshold.
+func (l *lossEstimator) exceedsThreshold() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.share > lossy
+	return l.share > lossThreshold
 }
 
-// waitForEnds returns how long workers are to wait for an end.
-func (l *Leader) waitForEnds() time.Duration {
-	if l.losses.many() {
-		return max(lossyWait, time.Duration(l.inTouch.Load())*lossyEach)
+// endWait returns how long workers are to wait for the end of a run before they respond.
+func (l *Leader) endWait() time.Duration {
+	if l.losses.exceedsThreshold() {
+		return max(lossyEndWait, time.Duration(l.renewing.Load())*lossyCallInterval)
 	}
-	return renewWait
+	return baseEndWait
 }
 
-// leaseDeadline returns until when the worker may keep what it runs, on its
-// clock. It is never later than twice the lease after our last write that
-// lasts: a later leader waits that long for workers that it can't reach.
+// leaseDeadline returns the end of the lease to request, on the worker's clock. It is at most
+// twice the lease after this leader's last successful write: the next leader waits that long
+// for workers that it can't reach.
 func (h *renewer) leaseDeadline(now time.Time) sched.ClockMillis {
 	c := h.workerTime(now)
 	if c == 0 {
@@ -355,7 +357,7 @@
 	if left <= 0 {
 		return 0
 	}
-	h.leader.send(leaseAsked{
+	h.leader.send(leaseRequested{
 		life:  h.target.Life,
 		until: sched.LeaseEnd(now, left),
 	})
--- a/leader/lives_test.go
+++ b/leader/restart_test.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// restartAfter is how long after its crash a worker is back under its id.
+	// restartAfter is the time from a worker's crash until it is back under its id.
 	restartAfter = 600 * time.Millisecond
-	// restartLate is the same where nobody tries any more to give an order that was under
-	// way, and the lease goes on.
+	// restartLate is the same, but longer than an order in flight is retried, and shorter than
+	// the lease.
 	restartLate = 3 * time.Second
-	// restartBeforeLate is after the last try of such an order, and before it is carried
-	// out late.
+	// restartBeforeLate is after the last try of such an order, and before the order is
+	// carried out late.
 	restartBeforeLate = 1900 * time.Millisecond
 )
 
-// restart has a worker start again under its id and write its entry.
+// restart restarts a worker under its id and writes its entry.
 func (x *cell) restart(id spoolsill.WorkerID) {
 	x.workers.Restart(id)
 	x.list(id)
 }
 
-// submitTasks keeps jobs of one task, as many as n, which start one after the other.
+// submitTasks submits n jobs of one task each, at intervals.
 func (x *cell) submitTasks(prefix string, n int) []spoolsill.JobID {
 	ids := make([]spoolsill.JobID, n)
 	for i := range ids {
@@ -49,17 +49,14 @@
 	return ids
 }
 
-// Workers crashed and started again half a second later under the ids that they had.
-// Tasks that ended there as done were started once more, 60 to 110 ms after each end: the
-// leader's log had no end of these runs, though it told, from the same answer of a
-// worker, of another end and of runs that were gone:
+// Guards against tasks that run again, 60 to 110 ms after they ended, on workers that crashed
+// and restarted under the same id half a second later. Each incarnation of a worker numbers
+// its ends from 1. The leader took the numbers up to the highest one of the former incarnation
+// for ends that it had counted, acknowledged them, and then found the runs neither running nor
+// ended:
 //
 //	9.034 task ended, done, run 1 of one task
 //	9.034 run is gone, worker does not have it, run 4 of another
-//
-// A worker counts the ends of each of its lives from 1. The leader took those up to the
-// highest number of the former life for ends that it had counted, acknowledged them, and
-// found the runs neither running nor ended.
 func TestEndsOfAWorkerThatStartedAgainCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -79,13 +76,11 @@
 	})
 }
 
-// A job of three tasks was accepted 56 ms before its workers crashed; one start had just
-// been carried out, and was gone within the same millisecond. The workers were back under
-// their ids, the cell was nearly empty, and the task was not started in the 54 s that were
-// left of the day. Such a start is certain not to happen any more once the worker's clock
-// has passed the order's deadline; the deadline was of the former life's clock, and the next
-// life's had begun anew. In this test the former clock was at 17 min, and the start was still
-// in doubt after 120 s.
+// Guards against a task that is never started again because its start stays in doubt. The
+// worker crashed within a millisecond of carrying out the start, and restarted under the same
+// id. The start is settled once the worker's clock has passed the deadline of the order. That
+// deadline was on the clock of the former incarnation, at 17 min in this test, while the clock
+// of the next one starts from zero: the start was still in doubt after 120 s.
 func TestStartInDoubtAtAWorkerThatStartedAgainIsSettled(t *testing.T) {
 	for _, fault := range []cellfake.OrderFault{cellfake.OrderDrop, cellfake.OrderLose} {
 		synctest.Test(t, func(t *testing.T) {
@@ -117,9 +112,8 @@
 	}
 }
 
-// An order for the former life that is carried out late reaches the next one, which knows
-// of no fence and no stop and whose clock says that the order is in time. Its task must
-// not run elsewhere by then.
+// An order for a former incarnation is delivered late to the next one, which knows of no fence
+// and no stop, and by whose clock the order is in time. Its task must not run elsewhere by then.
 func TestLateStartForAFormerLifeRunsBesideNoOther(t *testing.T) {
 	for _, by := range []time.Duration{2 * time.Second, 5 * time.Second, 11 * time.Second} {
 		t.Run(by.String(), func(t *testing.T) { testLateStart(t, by) })
@@ -160,10 +154,10 @@
 	})
 }
 
-// The address of a worker that crashed answered for another one for a while, which proves
-// that its life is over, and not that its id is. The leader kept the id as a dead one, so
-// that late entries of that life would not revive it, and passed over every entry of the
-// next life: two jobs of one core each stayed pending on an idle worker of ten.
+// Guards against idle workers that are never used again. While a worker was down, its address
+// answered for another worker, which proves that the incarnation is over. The leader treated
+// the id as dead instead, so that late entries would not revive it, and ignored the entries of
+// the next incarnation: two jobs of one core stayed pending with a worker of ten cores idle.
 func TestWorkerThatWasTakenForDeadIsUsedAgainInItsNextLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -178,17 +172,17 @@
 	})
 }
 
-// submitAndWait is submitTasks, with the time that the jobs take.
+// submitAndWait is submitTasks, followed by the time that the jobs take.
 func (x *cell) submitAndWait(prefix string, n int) []spoolsill.JobID {
 	ids := x.submitTasks(prefix, n)
 	pause.For(x.ctx, 4*time.Second)
 	return ids
 }
 
-// A worker crashed while it was told to start something, and the order's next try, 40 ms
-// later, was taken by its next life, which was through before anybody asked it for its runs.
-// The first who did still told it to forget the ends that the former life had been asked to:
-// 12 of them, so that the only one of the new life went unread, and counted as noted.
+// Guards against ends that are lost. A worker crashed while a start was in flight, and the next
+// try, 40 ms later, was accepted by its next incarnation, which had ended the run before it was
+// first asked for its runs. That first call acknowledged the 12 ends of the former incarnation,
+// so that the worker discarded its only end unread, as an acknowledged one.
 func TestNextLifeIsNotToldToForgetEndsThatNobodyRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -219,17 +213,17 @@
 	})
 }
 
-// deafStarts are workers whose answers to starts get lost for a while.
-type deafStarts struct {
+// lossyStarts are workers whose responses to starts can be lost.
+type lossyStarts struct {
 	*cellfake.Workers
 
-	deaf atomic.Bool
+	lossy atomic.Bool
 }
 
 // Start implements [leader.Workers].
-func (w *deafStarts) Start(ctx context.Context, s leader.Start) leader.Reply {
+func (w *lossyStarts) Start(ctx context.Context, s leader.Start) leader.Reply {
 	r := w.Workers.Start(ctx, s)
-	if !w.deaf.Load() {
+	if !w.lossy.Load() {
 		return r
 	}
 	pause.For(ctx, s.Within)
@@ -238,14 +232,14 @@
 	}
 }
 
-// A start is tried again for as long as it has no answer. A worker had carried it out, had
-// listed the run as ended, and had crashed and started again before the last try, which its
-// next life took for a new order. Once the worker has told of the run there is no other try.
+// Guards against a retry that starts a task twice. A worker had carried out a start whose
+// response was lost, had listed the run as ended, and had restarted before the last try, which
+// its next incarnation took for a new order. Once a worker has listed the run there is no retry.
 func TestStartIsNotTriedAgainOnceItsRunIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
-		w := &deafStarts{
+		w := &lossyStarts{
 			Workers: x.workers,
 		}
 		x.orders = w
@@ -254,7 +248,7 @@
 		}
 		l := x.lead("a")
 		x.assertCompleted(l, x.submitAndWait("before", 2))
-		w.deaf.Store(true)
+		w.lossy.Store(true)
 		ids := x.submitTasks("job", 1)
 		for s, _ := l.Status(ids[0]); s.State != sched.Completed; s, _ = l.Status(ids[0]) {
 			pause.For(x.ctx, time.Millisecond)
@@ -262,7 +256,7 @@
 		x.workers.Crash("w0")
 		x.workers.Restart("w0")
 		pause.For(x.ctx, 2*time.Second)
-		w.deaf.Store(false)
+		w.lossy.Store(false)
 		x.list("w0")
 		pause.For(x.ctx, 4*time.Second)
 		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
--- a/leader/livesmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -19,47 +19,47 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-var livesSeeds = flag.Int("lives.seeds", 40, "how many sequences of restarts are played, from -lives.first on")
+var livesSeeds = flag.Int("lives.seeds", 40, "number of restart sequences to run, from -lives.first on")
 
-var livesFirst = flag.Int("lives.first", 0, "the first of them")
+var livesFirst = flag.Int("lives.first", 0, "seed of the first sequence")
 
 const (
-	// restartsFor is how long workers crash and start again in a sequence, restartsEnd how
-	// long the cell then has to end all jobs: the latest order, the longest lease, and the
-	// work.
+	// restartsFor is how long workers crash and restart in a sequence. restartsEnd is how long
+	// the cell then has to end all jobs: enough for the latest order, the longest lease, and
+	// the work.
 	restartsFor = 30 * time.Second
 	restartsEnd = 60 * time.Second
 )
 
-// A restarts is one sequence of crashes and starts under the same ids, of lost and late
-// orders, and of take-overs. Its seed names what is done, and when.
-type restarts struct {
+// A restartModel is one random sequence of crashes and restarts under the same ids, of lost and
+// delayed orders, and of takeovers. Its seed determines the sequence.
+type restartModel struct {
 	*cell
 
 	mu     sync.Mutex
 	random *rand.Rand
 	orders *rand.Rand
-	faults float64 // share of the orders with a fault
-	story  story
+	faults float64 // share of orders with a fault
+	log    eventLog
 }
 
-func newRestarts(x *cell, seed int) *restarts {
-	m := &restarts{
+func newRestartModel(x *cell, seed int) *restartModel {
+	m := &restartModel{
 		cell:   x,
 		random: rand.New(rand.NewPCG(uint64(seed), 1)),
 		orders: rand.New(rand.NewPCG(uint64(seed), 2)),
 	}
-	x.logs = &m.story
+	x.logs = &m.log
 	x.workers.Fault = m.fault
 	x.workers.Began = func(l spoolsill.Life, r sched.RunID, remark string) {
-		m.story.add(fmt.Sprint("BEGAN ", l, " ", r.Task, "#", r.Number, " ", remark))
+		m.log.add(fmt.Sprint("BEGAN ", l, " ", r.Task, "#", r.Number, " ", remark))
 	}
 	x.workers.LateBy = time.Duration(2+m.random.IntN(10)) * time.Second
 	x.workers.Work = m.work
 	return m
 }
 
-func (m *restarts) fault(spoolsill.WorkerID) cellfake.OrderFault {
+func (m *restartModel) fault(spoolsill.WorkerID) cellfake.OrderFault {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.orders.Float64() >= m.faults {
@@ -68,7 +68,7 @@
 	return cellfake.OrderFault(1 + m.orders.IntN(3))
 }
 
-func (m *restarts) work(sched.RunID) (time.Duration, sched.EndKind) {
+func (m *restartModel) work(sched.RunID) (time.Duration, sched.EndKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	took := time.Duration(20+m.orders.IntN(3000)) * time.Millisecond
@@ -78,15 +78,15 @@
 	return took, sched.EndDone
 }
 
-func (m *restarts) setFaults(share float64) {
+func (m *restartModel) setFaults(share float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = share
 }
 
-// crash has some workers crash and start again, each after a time of its own; its entry
-// may be late, or tell of the new life before the life answers.
-func (m *restarts) crash() {
+// crash crashes some workers and restarts each after a random time. The new entry of a worker
+// may be late, or be written before the new incarnation responds.
+func (m *restartModel) crash() {
 	for _, id := range m.ids {
 		if m.random.IntN(3) > 0 {
 			continue
@@ -105,14 +105,14 @@
 	}
 }
 
-func (m *restarts) play() {
+func (m *restartModel) run() {
 	end := time.Now().Add(restartsFor)
 	for n := 1; time.Now().Before(end); n++ {
 		pause.For(m.ctx, time.Duration(100+m.random.IntN(2000))*time.Millisecond)
 		m.setFaults([]float64{0, 0.02, 0.2}[m.random.IntN(3)])
 		switch m.random.IntN(4) {
 		case 0:
-			m.kills[len(m.kills)-1]()
+			m.cancels[len(m.cancels)-1]()
 			m.lead(spoolsill.HostID(fmt.Sprintf("host%d", n)))
 		default:
 			m.crash()
@@ -121,35 +121,35 @@
 	m.setFaults(0)
 }
 
-// A story keeps what leaders log, to be told of a sequence that failed.
-type story struct {
+// An eventLog keeps what leaders log, to be printed when a sequence fails.
+type eventLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
 // Levels implements [logrus.Hook].
-func (s *story) Levels() []logrus.Level {
+func (s *eventLog) Levels() []logrus.Level {
 	return logrus.AllLevels
 }
 
 // Fire implements [logrus.Hook].
-func (s *story) Fire(e *logrus.Entry) error {
+func (s *eventLog) Fire(e *logrus.Entry) error {
 	d := e.Data
 	s.add(fmt.Sprint(e.Message, " epoch ", d["epoch"], " ", d["worker"], " ", d["task"], "#", d["run"], " ", d["reason"]))
 	return nil
 }
 
-func (s *story) add(line string) {
+func (s *eventLog) add(line string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lines = append(s.lines, time.Now().Format("05.000 ")+line)
 }
 
-// of returns the lines on workers, and on the tasks that some texts begin with.
-func (s *story) of(texts []string) string {
+// linesAbout returns the lines about workers and about the tasks that the texts begin with.
+func (s *eventLog) linesAbout(texts []string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var told []string
+	var matching []string
 	for _, l := range s.lines {
 		about := strings.Contains(l, string(sched.NoteWorker))
 		for _, t := range texts {
@@ -158,14 +158,14 @@
 			about = about || strings.Contains(l, " "+task+"#")
 		}
 		if about {
-			told = append(told, l)
+			matching = append(matching, l)
 		}
 	}
-	return strings.Join(told, "\n")
+	return strings.Join(matching, "\n")
 }
 
-// submitOver keeps jobs in the store at moments of the whole sequence.
-func (m *restarts) submitOver(n int) []spoolsill.JobID {
+// submitOver submits jobs at random times of the whole sequence.
+func (m *restartModel) submitOver(n int) []spoolsill.JobID {
 	ids := m.submitMixed(n)
 	for i := range n {
 		id := spoolsill.JobID(fmt.Sprintf("later%02d", i))
@@ -183,8 +183,8 @@
 	return ids
 }
 
-// playRestarts plays the sequences that the flags name.
-func playRestarts(t *testing.T, lateAtOnce bool) {
+// runRestartSequences runs the sequences selected by the flags.
+func runRestartSequences(t *testing.T, lateAtOnce bool) {
 	for seed := *livesFirst; seed < *livesFirst+*livesSeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -192,36 +192,37 @@
 				x := newCell(t.Context(), t, 4)
 				defer x.end()
 				x.workers.LateAtOnce = lateAtOnce
-				m := newRestarts(x, seed)
+				m := newRestartModel(x, seed)
 				m.lead("host0")
 				ids := m.submitOver(20)
-				m.play()
+				m.run()
 				pause.For(x.ctx, restartsEnd)
 				x.c.Check(x.workers.Broken(), qt.HasLen, 0)
 				x.assertEnded(ids)
 				if t.Failed() {
-					t.Log(m.story.of(x.workers.Broken()))
+					t.Log(m.log.linesAbout(x.workers.Broken()))
 				}
 			})
 		})
 	}
 }
 
-// However workers start again under their ids, and whatever orders for their former lives
-// reach a life that has been called, no task runs twice or beside itself, and each is run.
+// However workers restart under their ids, and whatever orders for former incarnations reach an
+// incarnation that has been called, no task runs twice or in parallel with itself, and each
+// task runs.
 func TestPromisesHoldWhileWorkersStartAgainUnderTheirIDs(t *testing.T) {
-	playRestarts(t, false)
+	runRestartSequences(t, false)
 }
 
-// The same where late orders also reach a life that nobody has called yet: it can't have
-// been told to refuse them, its clock does not say that they are late, and its id is the
-// one that they name. The window is the time from a worker's start to its first call.
+// The same when delayed orders also reach an incarnation that has not been called yet. It has
+// seen no fence by which to reject them, by its clock they are not late, and they name its id.
+// The window is the time from a worker's start to the first call to it.
 func TestPromisesHoldWhereLateOrdersReachAWorkerFirst(t *testing.T) {
-	playRestarts(t, true)
+	runRestartSequences(t, true)
 }
 
-// assertEnded asserts that the latest leader has each job as completed, or as failed: tasks
-// fail now and then.
+// assertEnded asserts that the latest leader has each job as completed or failed: some tasks
+// fail.
 func (x *cell) assertEnded(ids []spoolsill.JobID) {
 	l := x.leaders[len(x.leaders)-1]
 	for _, id := range ids {
--- a/leader/flow_test.go
+++ b/leader/slowheartbeat_test.go
@@ -13,9 +13,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Answers of a worker that take long from some moment on, since the link to the leader
-// is full, are read to their end. Given up each time, the end of a task is never heard
-// of, its lease is taken for over, and the task starts elsewhere though it is done.
+// Responses that become slow on a saturated link are read to their end. If each of them were
+// given up, the end of the task would never be received, its lease would expire, and the task
+// would start elsewhere although it is done.
 func TestHeartbeatsThatFlowAreReadToTheirEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
--- a/leader/slow_test.go
+++ b/leader/slowresponse_test.go
@@ -15,9 +15,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Answers of all workers are under way for 0.4 s from some moment on, as over a link
-// that is full. They are waited for: orders that are sent again and again since their
-// answers are late fill the link further, and nothing is ever known to have started.
+// Responses of all workers take 0.4 s, as on a saturated link, and the leader waits for them.
+// If it retried orders because of late responses, the retries would load the link further, and
+// no start would ever be confirmed.
 func TestSlowAnswersAreWaitedFor(t *testing.T) {
 	const (
 		workers = 20
@@ -59,7 +59,7 @@
 		pause.For(x.ctx, 6*time.Second)
 		x.assertCompleted(l, ids)
 		x.c.Check(x.workers.Starts(), qt.Equals, jobs*tasks)
-		// A worker is asked for its ends once in 0.4 s at most, besides the starts.
+		// Besides the starts, a worker is asked for its ends at most once in 0.4 s.
 		most := int64(jobs*tasks*5/4 + workers*16*5/2)
 		sent := orders.Load() - before
 		x.c.Check(sent <= most, qt.IsTrue, qt.Commentf("%d orders and heartbeats, want %d at most", sent, most))
--- a/leader/feeds_test.go
+++ b/leader/stalefeed_test.go
@@ -12,19 +12,19 @@
 	"github.com/spoolsill/spoolsill/internal/pause"
 )
 
-// oldFeeds takes in which feeds the log calls old.
-type oldFeeds struct {
+// A staleFeedLog counts the feeds that the log reports as stale.
+type staleFeedLog struct {
 	mu     sync.Mutex
 	tables map[any]int
 }
 
 // Levels implements [logrus.Hook].
-func (o *oldFeeds) Levels() []logrus.Level {
+func (o *staleFeedLog) Levels() []logrus.Level {
 	return []logrus.Level{logrus.WarnLevel}
 }
 
 // Fire implements [logrus.Hook].
-func (o *oldFeeds) Fire(e *logrus.Entry) error {
+func (o *staleFeedLog) Fire(e *logrus.Entry) error {
 	if e.Message != "feed is old" {
 		return nil
 	}
@@ -34,19 +34,19 @@
 	return nil
 }
 
-func (o *oldFeeds) times(table string) int {
+func (o *staleFeedLog) count(table string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.tables[table]
 }
 
-// The log tells of a feed that a leader hears nothing from, also when no call of
-// it ends, and not of others.
+// The log reports feeds from which the leader receives nothing, also when their calls hang, and
+// no others.
 func TestLogTellsOfFeedsThatHang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
-		o := &oldFeeds{
+		o := &staleFeedLog{
 			tables: map[any]int{},
 		}
 		x.logs = o
@@ -55,14 +55,14 @@
 		x.c.Assert(o.tables, qt.HasLen, 0)
 		x.store.SlowLists(workersTable, time.Minute)
 		x.list("w0")
-		x.store.Forget() // so that the table is listed anew
+		x.store.Forget() // makes the feed list the table again
 		pause.For(x.ctx, 20*time.Second)
-		x.c.Check(o.times(workersTable) > 5, qt.IsTrue, qt.Commentf("told %d times", o.times(workersTable)))
-		x.c.Check(o.times("jobs"), qt.Equals, 0)
+		x.c.Check(o.count(workersTable) > 5, qt.IsTrue, qt.Commentf("told %d times", o.count(workersTable)))
+		x.c.Check(o.count("jobs"), qt.Equals, 0)
 		x.store.SlowLists(workersTable, 0)
 		pause.For(x.ctx, time.Minute)
-		told := o.times(workersTable)
+		told := o.count(workersTable)
 		pause.For(x.ctx, 20*time.Second)
-		x.c.Check(o.times(workersTable), qt.Equals, told)
+		x.c.Check(o.count(workersTable), qt.Equals, told)
 	})
 }
--- a/leader/stop_test.go
+++ b/leader/stop_test.go
@@ -37,8 +37,8 @@
 	return c.notes[k]
 }
 
-// A job is cancelled while its worker can't be reached and the leader has just
-// died: the next one has to stop it once the worker answers again.
+// A job is cancelled while its worker is unreachable and the leader has just died: the next
+// leader has to stop it once the worker is reachable again.
 func TestJobCancelledDuringATakeOverIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -55,7 +55,7 @@
 		})
 		pause.For(x.ctx, time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 2)
-		x.kills[0]()
+		x.cancels[0]()
 		x.workers.Cut(x.ids[0], true)
 		x.c.Assert(jobstore.Cancel(x.ctx, x.store, "host", "j"), qt.IsNil)
 		x.lead("b")
--- a/leader/suspend.go
+++ b/leader/suspend.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// suspendedMost is for how long in all the machine may be suspended under one
-// leadership: a fraction of the least time after which another host takes over, 0.15 s,
-// so that what this one believes and is waiting to send is of no later leader's time.
-const suspendedMost = 50 * time.Millisecond
+// maxSuspended is the total time for which the machine may be suspended during one
+// leadership: a fraction of the shortest takeover time, 0.15 s, so that no other host can
+// have taken over while this leader still acts on its state and sends pending calls.
+const maxSuspended = 50 * time.Millisecond
 
-// ErrSuspended is returned by a leader whose machine was suspended: timers stood still,
-// and what was decided, recorded or believed before is of a time that is over.
+// ErrSuspended is returned by a leader whose machine was suspended: its timers stood still,
+// so its decisions and its view of the cell may be out of date.
 var ErrSuspended = errors.New("leader: this machine was suspended")
 
-// suspended reports whether the machine was suspended under this leadership. It is
-// safe for concurrent use, and asked before anything is sent or told.
+// suspended reports whether the machine was suspended during this leadership. It is checked
+// before anything is sent or reported. It is safe for concurrent use.
 func (l *Leader) suspended() bool {
-	return l.config.Clock.Ahead()-l.config.Sched.Ahead > suspendedMost
+	return l.config.Clock.Ahead()-l.config.Sched.Ahead > maxSuspended
 }
 
-// unsent is the reply to an order that the leader did not send since it was suspended.
-func unsent() Reply {
+// unsentReply is the reply to an order that was not sent because the machine was suspended.
+func unsentReply() Reply {
 	return Reply{
 		Kind: Unreachable,
 		Err:  ErrSuspended,
--- a/leader/suspend_test.go
+++ b/leader/suspend_test.go
@@ -19,7 +19,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// callTimes are workers that note when each epoch called last.
+// callTimes are workers that record when each fence was last used.
 type callTimes struct {
 	*cellfake.Workers
 
@@ -33,7 +33,7 @@
 	w.last[e] = time.Now()
 }
 
-// of returns when the leadership of an epoch called last, with any of its fences.
+// of returns when the leadership of an epoch last made a call, with any of its fences.
 func (w *callTimes) of(e spoolsill.Epoch) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,10 +61,10 @@
 	return w.Workers.Stop(ctx, s)
 }
 
-// A leader's machine is suspended for some seconds, of which its steady clock knows
-// nothing: at any moment of its work, twice in a row for less than a lease too. When it
-// wakes nothing more is sent in its epoch, and it says why it ended. The next leader
-// finishes the work, and nothing runs twice.
+// A leader's machine is suspended for some seconds that its monotonic clock does not count, at
+// various moments of its work, and twice in a row, each time for less than a lease. After it
+// resumes, it sends nothing more in its epoch and returns the reason. The next leader finishes
+// the work, and nothing runs twice.
 func TestSuspendedLeaderSendsNothingMore(t *testing.T) {
 	for _, ms := range []int{0, 3, 7, 12, 19, 31, 140, 290} {
 		after := time.Duration(ms) * time.Millisecond
@@ -94,7 +94,7 @@
 				x.c.Check(x.clock.Since(fresh) >= 5*time.Second, qt.IsTrue)
 				pause.For(x.ctx, time.Second)
 				x.c.Check(w.of(a.Epoch()).After(woke), qt.IsFalse)
-				why, _ := x.ends.Load(a.Epoch())
+				why, _ := x.endErrors.Load(a.Epoch())
 				x.c.Check(why, qt.Equals, leader.ErrSuspended)
 				x.clock = nil
 				b := x.lead("b")
@@ -106,8 +106,8 @@
 	}
 }
 
-// A host that was suspended before leads as well as any other: its clock is ahead of the
-// time of day and of its timers, by an hour here.
+// A host whose machine was suspended before it leads works normally, with a clock that is an
+// hour ahead of the time of day and of its timers.
 func TestLeaderWorksAheadOfTheTimeOfDay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
--- a/leader/sweeper.go
+++ b/leader/sweeper.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// sweepEvery is how often rows of ended jobs are deleted: seldom enough to
-	// cost few calls, often enough that a take-over reads few.
-	sweepEvery = 1500 * time.Millisecond
-	// sweepMost is how many rows one transaction deletes; the store takes 100.
-	sweepMost = 90
+	// sweepInterval is how often rows of ended jobs are deleted: seldom enough to cost few
+	// calls, often enough that a new leader reads few of them.
+	sweepInterval = 1500 * time.Millisecond
+	// maxSweepRows is how many rows one transaction deletes; the store allows 100.
+	maxSweepRows = 90
 	// sweepTimeout bounds one transaction.
 	sweepTimeout = 2 * time.Second
 )
 
-// A sweeper deletes the rows of jobs that have ended: of those the progress is
-// enough, and a later leader has less to load.
+// A sweeper deletes the rows of ended jobs. The progress row of an ended job says all that is
+// needed, and the next leader has less to load.
 type sweeper struct {
 	leader *Leader
 	keys   map[spoolsill.JobID][]store.Key
-	// ended has the rows to delete by partition.
-	ended map[string][]store.Key
-	busy  map[string]bool
-	freed chan string
-	last  time.Time
+	// pending has the rows to delete, by partition.
+	pending   map[string][]store.Key
+	busy      map[string]bool
+	completed chan string
+	last      time.Time
 }
 
 func newSweeper(l *Leader) *sweeper {
 	return &sweeper{
-		leader: l,
-		keys:   map[spoolsill.JobID][]store.Key{},
-		ended:  map[string][]store.Key{},
-		busy:   map[string]bool{},
-		freed:  make(chan string, eventBuffer),
+		leader:    l,
+		keys:      map[spoolsill.JobID][]store.Key{},
+		pending:   map[string][]store.Key{},
+		busy:      map[string]bool{},
+		completed: make(chan string, eventBuffer),
 	}
 }
 
-// locate takes in where a row of a job lies.
-func (s *sweeper) locate(id spoolsill.JobID, k store.Key) {
+// addKey records the key of a row of a job.
+func (s *sweeper) addKey(id spoolsill.JobID, k store.Key) {
 	if slices.Contains(s.keys[id], k) {
 		return
 	}
 	s.keys[id] = append(s.keys[id], k)
 }
 
-// keeper returns the partition that keeps a job; empty when none is known.
-func (s *sweeper) keeper(id spoolsill.JobID) string {
+// partitionOf returns the partition of a job's row; "" when it is not known.
+func (s *sweeper) partitionOf(id spoolsill.JobID) string {
 	for _, k := range s.keys[id] {
 		if _, mark := jobstore.Cancelled(k.Name); !mark {
 			return k.Partition
@@ -61,40 +61,40 @@
 	return ""
 }
 
-// add has the rows of jobs deleted.
-func (s *sweeper) add(ids []spoolsill.JobID) {
+// enqueue schedules the rows of jobs for deletion.
+func (s *sweeper) enqueue(ids []spoolsill.JobID) {
 	for _, id := range ids {
 		for _, k := range s.keys[id] {
-			s.ended[k.Partition] = append(s.ended[k.Partition], k)
+			s.pending[k.Partition] = append(s.pending[k.Partition], k)
 		}
 		delete(s.keys, id)
 	}
 }
 
-// sweep deletes rows, one transaction at a time in each partition.
+// sweep deletes rows, with one transaction at a time in each partition.
 func (s *sweeper) sweep(ctx context.Context, now time.Time) {
-	if now.Sub(s.last) < sweepEvery {
+	if now.Sub(s.last) < sweepInterval {
 		return
 	}
 	s.last = now
-	s.collect()
-	for p, keys := range s.ended {
+	s.collectCompleted()
+	for p, keys := range s.pending {
 		if s.busy[p] {
 			continue
 		}
-		n := min(len(keys), sweepMost)
+		n := min(len(keys), maxSweepRows)
 		s.delete(ctx, p, keys[:n])
-		s.ended[p] = keys[n:]
+		s.pending[p] = keys[n:]
 		if n == len(keys) {
-			delete(s.ended, p)
+			delete(s.pending, p)
 		}
 	}
 }
 
-func (s *sweeper) collect() {
+func (s *sweeper) collectCompleted() {
 	for {
 		select {
-		case p := <-s.freed:
+		case p := <-s.completed:
 			delete(s.busy, p)
 		default:
 			return
@@ -112,9 +112,9 @@
 			Deletes: keys,
 		})
 		if err != nil && !errors.Is(err, context.Canceled) {
-			// They are left for a later leader, which finds them ended.
+			// The rows are left to the next leader, which finds the jobs ended.
 			l.config.Log.WithError(err).WithField("table", jobstore.JobsTable).WithField("rows", len(keys)).Warn("rows of ended jobs were not deleted")
 		}
-		s.freed <- partition
+		s.completed <- partition
 	})
 }
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -8,30 +8,29 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A Target is one life of a worker and where it is reached. A call names the worker by its
-// id alone: the next life under that id takes it for its own.
+// A Target is one incarnation of a worker and its address. A call carries only the id of the
+// worker, so the next incarnation under that id takes it as addressed to itself.
 type Target struct {
 	spoolsill.Life
 	Address string
 	Hall    spoolsill.HallID
 }
 
-// A Renewal asks a worker to renew the lease of all that runs there and to
-// tell what does.
+// A Renewal asks a worker to renew the lease of all its runs and to list them.
 type Renewal struct {
 	Target
 	Fence spoolsill.Epoch
 	// Deadline is when the lease ends, on the worker's clock; 0 renews nothing.
 	Deadline sched.ClockMillis
-	// LastAcked is the highest end that lasts in the store: the worker forgets
-	// it and those before.
+	// LastAcked is the highest sequence number of an end that is stored. The worker
+	// discards the ends up to it.
 	LastAcked uint64
-	// Wait is how long the worker may wait for an end before it answers.
+	// Wait is how long the worker may wait for the end of a run before it responds.
 	Wait time.Duration
-	// Within is how much longer the beginning of the answer is waited for. An
-	// answer that has begun is read to its end for as long as it goes on: a worker
-	// lists up to 500 ends, and many of them at once fill a small link. 0 means that
-	// the client of the platform sets the limit.
+	// Within is how long to wait, beyond Wait, for the first byte of the response. A response
+	// that has begun is read to its end as long as data arrives: a worker lists up to 500
+	// ends, and many such responses at once saturate a slow link. 0 means the default of the
+	// platform's client.
 	Within time.Duration
 }
 
@@ -39,13 +38,12 @@
 type Start struct {
 	Target
 	Fence spoolsill.Epoch
-	// Deadline is when the order loses its force, on the worker's clock.
+	// Deadline is when the order expires, on the worker's clock.
 	Deadline sched.ClockMillis
 	Order    sched.StartOrder
-	// Keeper names the partition of the jobs table that keeps the job; empty when it is
-	// not known.
+	// Keeper is the partition of the jobs table that has the job; "" when it is not known.
 	Keeper string
-	// Within is how long the answer is waited for; 0 is as for [Renewal].
+	// Within is how long to wait for the response; 0 is as in [Renewal].
 	Within time.Duration
 }
 
@@ -54,27 +52,27 @@
 	Target
 	Fence spoolsill.Epoch
 	Run   sched.RunID
-	// Within is how long the answer is waited for; 0 is as for [Renewal].
+	// Within is how long to wait for the response; 0 is as in [Renewal].
 	Within time.Duration
 }
 
-// A ReplyKind tells what a worker made of an order.
+// A ReplyKind is the outcome of a call to a worker.
 type ReplyKind uint8
 
 // The kinds of replies.
 const (
-	Accepted          ReplyKind = iota // carried out, or it was so already
-	Rejected                           // not understood
-	Fenced                             // it has seen a later leader
-	NoRoom                             // it guards its capacity
-	NoTicket                           // the ticket does not hold
-	TooLate                            // the order's deadline is over
-	RunEnded                           // this run or a later one has ended there
-	Unhealthy                          // it takes nothing at the moment
-	OtherLife                          // the address answers for another life
-	Unreachable                        // the order was not sent
-	ConnectionRefused                  // the same: nothing listens at the address
-	NoAnswer                           // it may have been carried out, or may be later
+	Accepted          ReplyKind = iota // carried out, now or by an earlier try
+	Rejected                           // the request is invalid
+	Fenced                             // the worker has seen a higher fence
+	NoRoom                             // the worker lacks capacity
+	NoTicket                           // the ticket is not valid
+	TooLate                            // the order's deadline has passed
+	RunEnded                           // this run or a later one of the task has ended on the worker
+	Unhealthy                          // the worker accepts nothing at the moment
+	OtherLife                          // another worker, or another incarnation, answers at the address
+	Unreachable                        // the request was not sent
+	ConnectionRefused                  // the request was not sent: nothing listens at the address
+	NoAnswer                           // no response; the request may have been carried out, or may be later
 )
 
 var replyKindNames = [...]string{
@@ -82,7 +80,7 @@
 	"run is over", "unhealthy", "other life", "unreachable", "nobody there", "no answer",
 }
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k ReplyKind) String() string {
 	if int(k) >= len(replyKindNames) {
 		return "unknown"
@@ -90,16 +88,16 @@
 	return replyKindNames[k]
 }
 
-// A Reply is a worker's answer to an order.
+// A Reply is a worker's response to a call.
 type Reply struct {
 	Kind ReplyKind
-	// Clock is the worker's clock; 0 if it did not say.
+	// Clock is the time of the worker's clock; 0 if it is not known.
 	Clock sched.ClockMillis
-	// Err explains every kind but Accepted.
+	// Err is set for every kind but Accepted.
 	Err error
 }
 
-// Workers gives orders to workers.
+// Workers makes calls to workers.
 type Workers interface {
 	Renew(ctx context.Context, r Renewal) (sched.Heartbeat, Reply)
 	Start(ctx context.Context, s Start) Reply
--- a/leader/write.go
+++ b/leader/write.go
@@ -10,28 +10,28 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// write begins the next write when none is under way.
+// write begins the next write, if none is in flight.
 func (l *Leader) write(ctx context.Context, now time.Time) error {
-	if l.writing || now.Sub(l.lastWrite) < writeEvery {
+	if l.writing || now.Sub(l.lastWrite) < writeInterval {
 		return nil
 	}
 	b, any, err := l.state.Batch(now)
 	if err != nil {
 		return err
 	}
-	if !any && now.Sub(l.lastWrite) < keepAlive {
+	if !any && now.Sub(l.lastWrite) < keepAliveInterval {
 		return nil
 	}
 	l.writing = true
 	if l.loaded {
 		l.config.Chain.MarkLoaded()
 	}
-	// The write goes on when the leadership is being given up: its fate must
-	// be known before the row can be written again.
+	// The write continues while the leadership is being released: its outcome must be known
+	// before the row can be written again.
 	ctx = l.writeCtx
-	l.written.Add(1)
+	l.pendingWrite.Add(1)
 	go func() {
-		defer l.written.Done()
+		defer l.pendingWrite.Done()
 		puts := make([]store.Put, len(b.Rows))
 		for i, r := range b.Rows {
 			puts[i] = store.Put{
@@ -57,23 +57,23 @@
 	return nil
 }
 
-// outage is how long a write must have taken for the store to have been away,
-// and not just slow: longer than one try may take.
-const outage = 2 * tryMost
+// outageThreshold is the duration of a write from which the store counts as having been
+// unreachable and not just slow: longer than one try may take.
+const outageThreshold = 2 * maxTryTimeout
 
-func (l *Leader) takeWritten(now time.Time, e batchWritten) {
+func (l *Leader) handleWritten(now time.Time, e batchWritten) {
 	l.writing = false
-	if now.Sub(e.begun) > outage {
+	if now.Sub(e.begun) > outageThreshold {
 		l.config.Log.WithField("took_ms", now.Sub(e.begun).Milliseconds()).Info("store is back")
 		l.state.StoreBack(now)
 	}
 	l.lastWrite = e.begun
-	l.countWrites()
+	l.updateWriteCount()
 	l.publish(e.begun, e.batch.Statuses)
 	for _, o := range l.state.Written(now, e.batch) {
 		l.sendStart(o)
 	}
-	l.sweeper.add(e.batch.Ended)
+	l.sweeper.enqueue(e.batch.Ended)
 	l.forget(e.batch.Forgotten)
 	for _, a := range e.batch.Acks {
 		if h := l.renewers[a.Life]; h != nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// countWrites takes in how many writes last; none is under way.
-func (l *Leader) countWrites() {
+// updateWriteCount publishes the number of successful writes. No write may be in flight.
+func (l *Leader) updateWriteCount() {
 	n := l.config.Chain.Writes()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,9 +102,9 @@
 	w := l.state.Waiting()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fresh = begun
+	l.publishedWrite = begun
 	l.waiting = w
-	l.known = l.loaded
+	l.jobsKnown = l.loaded
 	for _, s := range statuses {
 		if !l.statuses[s.ID].State.Final() {
 			l.statuses[s.ID] = s
--- a/leader/yield.go
+++ b/leader/yield.go
@@ -2,10 +2,11 @@
 
 import "errors"
 
-// ErrYielded is returned by a leader that gave up for a host that is better fit to lead.
+// ErrYielded is returned by a leader that released the leadership to a host that is better
+// fit to lead.
 var ErrYielded = errors.New("leader: another host is better fit to lead")
 
-// Yield has the leader give the leadership up.
+// Yield makes the leader release the leadership.
 func (l *Leader) Yield() {
 	l.send(leadershipEnded{
 		err: ErrYielded,
