--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,50 +1,51 @@
-// Package admit decides which part of the jobs that clients hand in a cell takes, when
-// it can't take all of them.
+// Package admit controls which share of the submitted jobs a cell accepts under overload.
 //
-// The load that it answers: clients hand in more than the leader's link or processor
-// carries. Without a limit everything that the leader exchanges with workers, hosts and
-// the store is late then, also what ends work and keeps the leadership; other hosts take
-// over, read all jobs anew over links that are as full, and nothing is served at all.
-// With a limit as much is served as fits, and clients are told at once to come back.
+// It guards against submissions that exceed the capacity of the leader's link or processor.
+// Without a limit, all exchanges of the leader with workers, hosts and the store become late,
+// among them those that end work and that keep the leadership. Other hosts then take over and
+// read all jobs again over links that are just as saturated, and no work gets done. With a
+// limit, the cell accepts as much as it has capacity for, and tells other clients at once to
+// retry later.
 //
-// It is pure: times and measurements come in, a share comes out.
+// The package has no clock and does no I/O: it computes a share from times and measurements.
 package admit
 
 import "time"
 
 const (
-	// adjustEvery is between two changes: what hosts have been told shows in the next
-	// measurement only after their greetings and some answers.
-	adjustEvery = 200 * time.Millisecond
-	// fall is by what the share is multiplied when answers are late, and rise what is
-	// added when they are not: from a tenth of the load it is back at all of it within
-	// four seconds.
-	fall = 0.7
-	rise = 0.05
-	// least keeps some work coming, by which it is learnt that there is room again: of
-	// clients that come back four times, two in five get through.
-	least = 0.1
+	// adjustInterval is the minimum interval between two changes of the share. A change
+	// shows in the measured latency only after hosts have received it with a greeting and
+	// some responses have followed.
+	adjustInterval = 200 * time.Millisecond
+	// decreaseFactor multiplies the share when responses are late, and increaseStep is added
+	// when they are not: the share rises from a tenth to all within four seconds.
+	decreaseFactor = 0.7
+	increaseStep   = 0.05
+	// minShare keeps some work coming, by which recovery is detected. Of clients that retry
+	// four times, two in five succeed at this share.
+	minShare = 0.1
 )
 
-// A Controller follows how late a leader's exchanges are and what share of the jobs
-// should be taken. It is not safe for concurrent use. The zero value takes all.
+// A Controller adapts the share of jobs to accept to the latency of the leader's calls, by
+// additive increase and multiplicative decrease. It is not safe for concurrent use. The zero
+// value accepts all jobs.
 type Controller struct {
-	refused float64 // 1 less the share
+	refused float64 // 1 minus the share
 	changed time.Time
 }
 
-// Update takes in the latency of answers at now and its limit, and returns the share of jobs
-// to take, from least to 1.
+// Update takes the latency of responses at time now and its limit, and returns the share of
+// jobs to accept, from minShare to 1.
 func (c *Controller) Update(now time.Time, latency, limit time.Duration) float64 {
-	if now.Sub(c.changed) < adjustEvery {
+	if now.Sub(c.changed) < adjustInterval {
 		return 1 - c.refused
 	}
 	c.changed = now
 	share := 1 - c.refused
 	if latency > limit {
-		share = max(share*fall, least)
+		share = max(share*decreaseFactor, minShare)
 	} else {
-		share = min(share+rise, 1)
+		share = min(share+increaseStep, 1)
 	}
 	c.refused = 1 - share
 	return share
--- a/delegate/directory.go
+++ b/delegate/directory.go
@@ -13,38 +13,37 @@
 )
 
 const (
-	// restTime is how long a host that left a call unanswered is passed over: as
-	// long as troubles of one host mostly last.
-	restTime = 3 * time.Second
-	// restShare is the part of the hosts that may be passed over at once, one in so
-	// many. When more leave calls unanswered, the fault is likelier to be with the
-	// caller: its own link or processor is full, and calls that it made itself would
-	// fill them further.
-	restShare = 2
+	// avoidTime is how long a host that left a call unanswered is avoided: as long as most
+	// problems of a single host last.
+	avoidTime = 3 * time.Second
+	// minHostsPerAvoided bounds the hosts that are avoided at once. When more hosts
+	// leave calls unanswered, the fault is more likely with the caller: its own link or
+	// processor is saturated, and calls that it made itself would add to that load.
+	minHostsPerAvoided = 2
 	// leastCores bounds the weight of very small hosts.
 	leastCores = 0.05
 )
 
-// A Host can carry calls out.
+// A Host is a host that can carry out calls.
 type Host struct {
 	ID   spoolsill.HostID
 	Hall spoolsill.HallID
-	// Cores is the processor time that it has each second: its weight.
+	// Cores is the processor time that the host has each second. It is the host's weight.
 	Cores float64
 }
 
-// A Directory knows which hosts can carry calls out. The zero value knows of none. Not
-// safe for concurrent use.
+// A Directory assigns the hosts that can carry out calls to workers. The zero value has no
+// hosts. It is not safe for concurrent use.
 type Directory struct {
 	hosts   []Host
-	resting map[spoolsill.HostID]time.Time // until when
-	// chosen are the delegates of workers, as of the latest change of who can be one,
-	// and until a host has rested.
-	chosen map[spoolsill.WorkerID]spoolsill.HostID
-	until  time.Time
+	avoided map[spoolsill.HostID]time.Time // hosts to avoid, and until when
+	// chosen caches the delegates of workers. It is valid until the hosts change, a host
+	// fails, or validUntil, when a host stops being avoided.
+	chosen     map[spoolsill.WorkerID]spoolsill.HostID
+	validUntil time.Time
 }
 
-// SetHosts takes in which hosts can carry calls out.
+// SetHosts sets the hosts that can carry out calls.
 func (d *Directory) SetHosts(hosts []Host) {
 	hosts = slices.Clone(hosts)
 	slices.SortFunc(hosts, func(a, b Host) int { return cmp.Compare(a.ID, b.ID) })
@@ -55,56 +54,56 @@
 	d.chosen = nil
 }
 
-// MarkFailed takes in that a host left a call unanswered, or did not take it.
+// MarkFailed records that a host left a call unanswered, or rejected it.
 func (d *Directory) MarkFailed(h spoolsill.HostID, now time.Time) {
-	if d.resting == nil {
-		d.resting = map[spoolsill.HostID]time.Time{}
+	if d.avoided == nil {
+		d.avoided = map[spoolsill.HostID]time.Time{}
 	}
-	d.resting[h] = now.Add(restTime)
+	d.avoided[h] = now.Add(avoidTime)
 	d.chosen = nil
 }
 
-// Count returns how many hosts can carry calls out, and how many of them rest.
-func (d *Directory) Count(now time.Time) (all, resting int) {
+// Count returns the number of hosts, and how many of them are avoided at the moment.
+func (d *Directory) Count(now time.Time) (all, avoided int) {
 	for _, h := range d.hosts {
-		if now.Before(d.resting[h.ID]) {
-			resting++
+		if now.Before(d.avoided[h.ID]) {
+			avoided++
 		}
 	}
-	return len(d.hosts), resting
+	return len(d.hosts), avoided
 }
 
-// DelegateFor returns the host that carries out the next call to a worker, of which so many in
-// a row had no answer: each of them leads to another host, every other time to one of
-// any hall. It returns false when there is none.
-// Cost: O(1), O(hosts) after a change and for a worker that does not answer.
+// DelegateFor returns the host that carries out the next call to a worker, of whose last
+// calls so many in a row were unanswered. Each unanswered call leads to another host, and every
+// other time to one of any hall. It returns false when there are no hosts.
+// Cost: O(1), O(hosts) after a change and for a worker that does not respond.
 func (d *Directory) DelegateFor(w spoolsill.WorkerID, hall spoolsill.HallID, unanswered int, now time.Time) (spoolsill.HostID, bool) {
 	if unanswered > 0 {
 		if unanswered%2 == 1 {
 			hall = ""
 		}
-		h := choose(d.able(now), w, hall, unanswered)
+		h := choose(d.available(now), w, hall, unanswered)
 		return h, h != ""
 	}
-	if d.chosen == nil || !now.Before(d.until) {
+	if d.chosen == nil || !now.Before(d.validUntil) {
 		d.chosen = map[spoolsill.WorkerID]spoolsill.HostID{}
-		d.until = d.nextRested(now)
+		d.validUntil = d.pruneAvoided(now)
 	}
 	h, ok := d.chosen[w]
 	if !ok {
-		h = choose(d.able(now), w, hall, 0)
+		h = choose(d.available(now), w, hall, 0)
 		d.chosen[w] = h
 	}
 	return h, h != ""
 }
 
-// nextRested forgets the hosts that have rested, and returns when the next one will
-// have.
-func (d *Directory) nextRested(now time.Time) time.Time {
-	next := now.Add(restTime)
-	for h, end := range d.resting {
+// pruneAvoided removes the hosts that need no longer be avoided, and returns the time when the
+// next one will be removed, at most avoidTime from now.
+func (d *Directory) pruneAvoided(now time.Time) time.Time {
+	next := now.Add(avoidTime)
+	for h, end := range d.avoided {
 		if !now.Before(end) {
-			delete(d.resting, h)
+			delete(d.avoided, h)
 		} else if end.Before(next) {
 			next = end
 		}
@@ -112,45 +111,45 @@
 	return next
 }
 
-// able returns the hosts that do not rest; all of them when too many would.
-func (d *Directory) able(now time.Time) []Host {
-	able := make([]Host, 0, len(d.hosts))
+// available returns the hosts that are not avoided, or all hosts when too many would be.
+func (d *Directory) available(now time.Time) []Host {
+	usable := make([]Host, 0, len(d.hosts))
 	for _, h := range d.hosts {
-		if !now.Before(d.resting[h.ID]) {
-			able = append(able, h)
+		if !now.Before(d.avoided[h.ID]) {
+			usable = append(usable, h)
 		}
 	}
-	if (len(d.hosts)-len(able))*restShare > len(d.hosts) {
+	if (len(d.hosts)-len(usable))*minHostsPerAvoided > len(d.hosts) {
 		return d.hosts
 	}
-	return able
+	return usable
 }
 
-// choose returns the host with the highest score in a round among those of a hall, or
-// among all when the hall has none; "" when there are no hosts.
+// choose returns the host with the highest score in a round among those of a hall, or among all
+// when the hall has none. It returns "" when there are no hosts.
 func choose(hosts []Host, w spoolsill.WorkerID, hall spoolsill.HallID, round int) spoolsill.HostID {
-	near := make([]Host, 0, len(hosts))
+	candidates := make([]Host, 0, len(hosts))
 	for _, h := range hosts {
 		if h.Hall == hall {
-			near = append(near, h)
+			candidates = append(candidates, h)
 		}
 	}
-	if len(near) == 0 {
-		near = hosts
+	if len(candidates) == 0 {
+		candidates = hosts
 	}
 	var best spoolsill.HostID
-	most := math.Inf(-1)
-	for _, h := range near {
-		if s := score(h, w, round); s > most {
-			most = s
+	highest := math.Inf(-1)
+	for _, h := range candidates {
+		if s := score(h, w, round); s > highest {
+			highest = s
 			best = h.ID
 		}
 	}
 	return best
 }
 
-// score is the one of weighted rendezvous hashing: the chance of a host to have the
-// highest is its part of all weights.
+// score returns the score of weighted rendezvous hashing: the probability that a host has the
+// highest score is its share of the total weight.
 func score(h Host, w spoolsill.WorkerID, round int) float64 {
 	x := xxhash.Sum64String(string(h.ID) + "/" + string(w) + "/" + strconv.Itoa(round))
 	u := (float64(x>>11) + 0.5) / (1 << 53)
--- a/delegate/directory_test.go
+++ b/delegate/directory_test.go
@@ -24,7 +24,7 @@
 	return hs
 }
 
-// assigned returns who carries out the calls to each of some workers of a hall.
+// assigned returns the delegates of some workers of a hall.
 func assigned(d *delegate.Directory, workers int, hall spoolsill.HallID, now time.Time) map[spoolsill.WorkerID]spoolsill.HostID {
 	m := map[spoolsill.WorkerID]spoolsill.HostID{}
 	for i := range workers {
@@ -40,8 +40,8 @@
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// A hall of 30 hosts and 220 workers: all of them are carried in the hall, and larger
-// hosts carry more.
+// In a hall of 30 hosts and 2,200 workers all delegates are hosts of the hall, and larger hosts
+// get more workers.
 func TestWorkersAreSpreadOverTheHostsOfTheirHall(t *testing.T) {
 	c := qt.New(t)
 	var d delegate.Directory
@@ -57,7 +57,7 @@
 		switch {
 		case h.Hall != "hall0":
 			c.Check(count[h.ID], qt.Equals, 0)
-		case h.ID == "host0": // 4 parts of 33
+		case h.ID == "host0": // 4 of 33 units of weight
 			c.Check(count[h.ID] > 200 && count[h.ID] < 340, qt.IsTrue, qt.Commentf("%d", count[h.ID]))
 		default:
 			c.Check(count[h.ID] > 30 && count[h.ID] < 110, qt.IsTrue, qt.Commentf("%d", count[h.ID]))
@@ -65,7 +65,7 @@
 	}
 }
 
-// When a host is lost, only its own workers change over, and all of them at once.
+// When a host is lost, its workers, and no others, get another delegate at once.
 func TestOnlyWorkersOfALostHostChangeOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "hosts")
@@ -93,7 +93,7 @@
 	})
 }
 
-// A host that left a call unanswered is asked again after a while.
+// A host that left a call unanswered is used again after a while.
 func TestHostThatFailedIsAskedAgain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -101,7 +101,7 @@
 	d.SetHosts(hosts(3, 1))
 	before := assigned(&d, 50, "hall0", now)
 	d.MarkFailed("host1", now)
-	d.MarkFailed("host2", now.Add(time.Second)) // more than half: none of them is passed over
+	d.MarkFailed("host2", now.Add(time.Second)) // more than half: none is avoided
 	all, resting := d.Count(now.Add(time.Second))
 	c.Assert([]int{all, resting}, qt.DeepEquals, []int{3, 2})
 	c.Assert(assigned(&d, 50, "hall0", now.Add(time.Second)), qt.DeepEquals, before)
@@ -109,7 +109,7 @@
 	c.Assert(assigned(&d, 50, "hall0", now.Add(5*time.Second)), qt.DeepEquals, before)
 }
 
-// Of a hall whose hosts are all gone or fail, other halls' hosts carry the calls.
+// When all hosts of a hall are gone or fail, hosts of other halls carry out its calls.
 func TestHallWithoutHostsIsCarriedByOthers(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -132,8 +132,8 @@
 	c.Check(h, qt.Not(qt.Equals), spoolsill.HostID(""))
 }
 
-// A worker that does not answer is called by one host after the other, of its hall and
-// of any: the delegate may be the one that is cut off.
+// The calls to a worker that does not respond go through changing hosts, of its hall and of
+// others: the delegate may be the one that is cut off.
 func TestWorkerThatDoesNotAnswerIsCalledByOthers(t *testing.T) {
 	var d delegate.Directory
 	hs := hosts(40, 4)
--- a/delegate/doc.go
+++ b/delegate/doc.go
@@ -1,14 +1,13 @@
-// Package delegate decides which host carries out the leader's calls to a worker.
+// Package delegate chooses the hosts that carry out the leader's calls to workers.
 //
-// The load that it answers is that of a large cell: with 1,100 workers a leader makes
-// some 4,400 calls a second to them, each 75 us of processor, and their bytes on its
-// link, which is more than most hosts have. The decisions and the fencing stay with the
-// leader: a delegate only carries one call out, as the network does, and keeps nothing.
-// So no assignment has to be agreed on, and whoever is asked instead of a delegate that
-// fails may be asked at once: an order that arrives late, or twice, is bounded by what
-// it carries, its epoch, its run and its deadline on the worker's clock.
+// It serves large cells: with 1,100 workers a leader makes about 4,400 calls a second to them.
+// Each takes 75 us of processor time, and their traffic adds to the leader's link; both are more
+// than most hosts have. Decisions and fencing stay with the leader. A delegate only forwards a
+// call, as the network does, and keeps no state, so hosts need not agree on an assignment. When
+// a delegate fails, another one can be used at once: the effect of an order that arrives late or
+// twice is bounded by its epoch, its run and its deadline on the worker's clock.
 //
-// A worker's delegate is chosen by weighted rendezvous among the hosts of its hall, and
-// among all hosts where there are none: when a host comes or goes, only the workers
-// that it has, or gets, change theirs.
+// The delegate of a worker is chosen by weighted rendezvous hashing among the hosts of its hall,
+// or among all hosts if the hall has none. When a host comes or goes, only its own workers
+// change their delegate.
 package delegate
--- a/team/team.go
+++ b/team/team.go
@@ -1,11 +1,10 @@
-// Package team tells whose call it is: which team holds the key that a caller shows.
+// Package team authenticates callers: it finds the team that a caller's key belongs to.
 //
-// A [Directory] is made from a configuration and never changes, so that a host has one
-// for each configuration that it puts in force. It decides nothing else: what a call
-// without a known key is answered depends on whether the host surely has the newest
-// configuration, which the host knows.
+// A [Directory] is built from a configuration and is immutable; a host builds one for each
+// configuration that it puts in force. How a call without a known key is answered is up to the
+// host, since it depends on whether the host is certain to have the newest configuration.
 //
-// Keys are kept only as digests. No key is in an error or a [Fault].
+// Keys are kept only as digests. No key appears in an error or a [Fault].
 package team
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Key is what callers show to prove that they belong to a team.
+// A Key is a secret by which callers prove that they belong to a team.
 type Key string
 
 // String keeps keys out of logs and errors.
@@ -25,60 +24,60 @@
 	return "(key)"
 }
 
-// GoString is for %#v what String is for %v.
+// GoString keeps keys out of %#v.
 func (Key) GoString() string {
 	return "(key)"
 }
 
-// A Entry is a team with the keys that it holds.
+// An Entry lists the keys of a team.
 type Entry struct {
 	ID   spoolsill.TeamID
 	Keys []Key
 }
 
-// A Fault is something in a configuration that is surely not meant so. The directory
-// follows a rule for each kind, and its calls go on.
+// A Fault is a definite mistake in a configuration. The directory handles each kind by a
+// fixed rule, and the team's calls go on.
 type Fault struct {
 	Team spoolsill.TeamID
 	Text string
 }
 
-// String returns the fault for people.
+// String returns a description of the fault.
 func (f Fault) String() string {
 	return fmt.Sprintf("team %q %s", string(f.Team), f.Text)
 }
 
-// saltBytes is the length of the random text that is digested before each key, so
-// that nobody can choose keys with digests that are like each other.
+// saltBytes is the length of the random salt that is hashed before each key, so that nobody
+// can choose keys whose digests resemble each other.
 const saltBytes = 16
 
 type digest [sha256.Size]byte
 
-// A Directory knows the keys of all teams. The zero value knows none. It is safe for
-// concurrent use.
+// A Directory maps the keys of all teams to the teams. The zero value has no keys. It is safe
+// for concurrent use.
 type Directory struct {
 	salt   []byte
-	keys   map[digest]holder
+	keys   map[digest]keyEntry
 	faults []Fault
 }
 
-type holder struct {
+type keyEntry struct {
 	digest digest
 	team   spoolsill.TeamID
 }
 
-// NewDirectory returns the directory of some teams. Of a key that two teams hold the
-// first one is the holder; an empty key is nobody's; teams of one name are one team.
+// NewDirectory returns the directory of some teams. A key that two teams have belongs to the
+// first one, an empty key belongs to no team, and entries with the same name are one team.
 func NewDirectory(teams []Entry) *Directory {
 	d := &Directory{
 		salt: make([]byte, saltBytes),
-		keys: map[digest]holder{},
+		keys: map[digest]keyEntry{},
 	}
-	_, _ = rand.Read(d.salt) // never fails, by its word
+	_, _ = rand.Read(d.salt) // documented never to return an error
 	named := map[spoolsill.TeamID]bool{}
 	for _, t := range teams {
 		if named[t.ID] {
-			d.fault(t.ID, "is named twice")
+			d.addFault(t.ID, "is named twice")
 		}
 		named[t.ID] = true
 		d.add(t)
@@ -88,24 +87,24 @@
 
 func (d *Directory) add(t Entry) {
 	if t.ID == "" {
-		d.fault(t.ID, "has no name, its keys are nobody's")
+		d.addFault(t.ID, "has no name, its keys are nobody's")
 		return
 	}
 	if len(t.Keys) == 0 {
-		d.fault(t.ID, "has no key, nobody can call for it")
+		d.addFault(t.ID, "has no key, nobody can call for it")
 	}
 	for _, k := range t.Keys {
 		if k == "" {
-			d.fault(t.ID, "has an empty key")
+			d.addFault(t.ID, "has an empty key")
 			continue
 		}
 		x := d.digest(k)
 		h, ok := d.keys[x]
 		if ok && h.team != t.ID {
-			d.fault(t.ID, fmt.Sprintf("has a key that team %q has as well", string(h.team)))
+			d.addFault(t.ID, fmt.Sprintf("has a key that team %q has as well", string(h.team)))
 		}
 		if !ok {
-			d.keys[x] = holder{
+			d.keys[x] = keyEntry{
 				digest: x,
 				team:   t.ID,
 			}
@@ -113,7 +112,7 @@
 	}
 }
 
-func (d *Directory) fault(t spoolsill.TeamID, text string) {
+func (d *Directory) addFault(t spoolsill.TeamID, text string) {
 	d.faults = append(d.faults, Fault{
 		Team: t,
 		Text: text,
@@ -126,8 +125,8 @@
 	return sha256.Sum256(append(b, k...))
 }
 
-// TeamOf returns the team that holds a key, and false if none does. How long it takes
-// does not tell how much of a key is right.
+// TeamOf returns the team that a key belongs to, and false if there is none. The time that it
+// takes does not reveal how much of a key is right.
 func (d *Directory) TeamOf(k Key) (spoolsill.TeamID, bool) {
 	if k == "" {
 		return "", false
@@ -140,12 +139,12 @@
 	return h.team, true
 }
 
-// Keys returns how many keys are known.
+// Keys returns the number of known keys.
 func (d *Directory) Keys() int {
 	return len(d.keys)
 }
 
-// Faults returns what was surely not meant so.
+// Faults returns the mistakes in the configuration.
 func (d *Directory) Faults() []Fault {
 	return d.faults
 }
