--- a/leader/advice.go
+++ b/leader/advice.go
@@ -130,8 +130,8 @@
 
 // observe updates the averages with an answer.
 func (a *adviceDispatcher) observe(f answeredQuestion) {
-	transit := max(f.took-f.ahead-f.cost, 0)
-	a.overhead += time.Duration(overheadWeight * float64(transit-a.overhead))
+	overhead := max(f.took-f.ahead-f.cost, 0)
+	a.overhead += time.Duration(overheadWeight * float64(overhead-a.overhead))
 	a.averageCost += time.Duration(overheadWeight * float64(f.cost-a.averageCost))
 }
 
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -122,7 +122,7 @@
 	w.mu.Lock()
 	_, held := w.held[o.Run]
 	reject := held && !w.released && !w.stopsUnknown
-	deaf := time.Now().Before(w.muteUntil)
+	mute := time.Now().Before(w.muteUntil)
 	w.mu.Unlock()
 	if reject {
 		return leader.Reply{
@@ -131,7 +131,7 @@
 	}
 	begun := time.Now()
 	r := w.Workers.Stop(ctx, o)
-	if !deaf {
+	if !mute {
 		return r
 	}
 	pause.For(ctx, o.Within-time.Since(begun))
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -225,7 +225,8 @@
 }
 
 // AwaitStatus is like [Leader.Status], but for an unknown job it waits until every job that
-// was accepted before the call has been read. The result sure is false if ctx ends first.
+// was accepted before the call has been read. The result conclusive is false if ctx ends
+// first.
 func (l *Leader) AwaitStatus(ctx context.Context, id spoolsill.JobID) (s sched.JobStatus, known, conclusive bool) {
 	begun := l.config.Clock.Now()
 	for {
