--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -306,7 +306,7 @@
 func (f *Workers) Renew(ctx context.Context, r leader.Renewal) (sched.Heartbeat, leader.Reply) {
 	sent := f.Clock.Now()
 	renew := func(w *worker) { f.renew(w, r) }
-	begin, cancel := beginWithin(ctx, r.Wait, r.Within)
+	begin, cancel := beginWithin(ctx, r.Wait, r.Timeout)
 	defer cancel()
 	w, reply := f.meet(begin, r.Worker, renew)
 	if w == nil {
@@ -413,7 +413,7 @@
 
 // Start implements [leader.Workers].
 func (f *Workers) Start(ctx context.Context, o leader.Start) leader.Reply {
-	ctx, cancel := beginWithin(ctx, 0, o.Within)
+	ctx, cancel := beginWithin(ctx, 0, o.Timeout)
 	defer cancel()
 	reply := noAnswer(errLost)
 	start := func(w *worker) { reply = f.start(w, o) }
@@ -506,7 +506,7 @@
 
 // Stop implements [leader.Workers].
 func (f *Workers) Stop(ctx context.Context, o leader.Stop) leader.Reply {
-	ctx, cancel := beginWithin(ctx, 0, o.Within)
+	ctx, cancel := beginWithin(ctx, 0, o.Timeout)
 	defer cancel()
 	reply := noAnswer(errLost)
 	stop := func(w *worker) {
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -82,7 +82,7 @@
 func (w *lateWorkers) Start(ctx context.Context, o leader.Start) leader.Reply {
 	if kind, held := w.hold(o); held {
 		if kind == leader.NoAnswer {
-			pause.For(ctx, o.Within)
+			pause.For(ctx, o.Timeout)
 		}
 		return leader.Reply{
 			Kind: kind,
@@ -134,7 +134,7 @@
 	if !mute {
 		return r
 	}
-	pause.For(ctx, o.Within-time.Since(begun))
+	pause.For(ctx, o.Timeout-time.Since(begun))
 	return leader.Reply{
 		Kind: leader.NoAnswer,
 	}
--- a/leader/order.go
+++ b/leader/order.go
@@ -113,7 +113,7 @@
 		Deadline: deadline,
 		Order:    o,
 		Keeper:   keeper,
-		Within:   timeout,
+		Timeout:  timeout,
 	})
 	h.setClock(r.Clock, h.leader.config.Clock.Now())
 	return r, deadline
@@ -186,10 +186,10 @@
 		return unsentReply()
 	}
 	r := h.leader.config.Workers.Stop(ctx, Stop{
-		Target: h.target,
-		Fence:  h.fence,
-		Run:    o.Run,
-		Within: stopTimeout,
+		Target:  h.target,
+		Fence:   h.fence,
+		Run:     o.Run,
+		Timeout: stopTimeout,
 	})
 	h.setClock(r.Clock, h.leader.config.Clock.Now())
 	return r
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -296,7 +296,7 @@
 		Deadline:  deadline,
 		LastAcked: acked,
 		Wait:      wait,
-		Within:    h.leader.responses.heartbeatTimeout(unanswered),
+		Timeout:   h.leader.responses.heartbeatTimeout(unanswered),
 	})
 	b.Asked = h.target.Life
 	now := h.leader.config.Clock.Now()
--- a/leader/restart_test.go
+++ b/leader/restart_test.go
@@ -226,7 +226,7 @@
 	if !w.lossy.Load() {
 		return r
 	}
-	pause.For(ctx, s.Within)
+	pause.For(ctx, s.Timeout)
 	return leader.Reply{
 		Kind: leader.NoAnswer,
 	}
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -27,11 +27,11 @@
 	LastAcked uint64
 	// Wait is how long the worker may wait for the end of a run before it responds.
 	Wait time.Duration
-	// Within is how long to wait, beyond Wait, for the first byte of the response. A response
+	// Timeout is how long to wait, beyond Wait, for the first byte of the response. A response
 	// that has begun is read to its end as long as data arrives: a worker lists up to 500
 	// ends, and many such responses at once saturate a slow link. 0 means the default of the
 	// platform's client.
-	Within time.Duration
+	Timeout time.Duration
 }
 
 // A Start orders a worker to start a run.
@@ -43,8 +43,8 @@
 	Order    sched.StartOrder
 	// Keeper is the partition of the jobs table that has the job; "" when it is not known.
 	Keeper string
-	// Within is how long to wait for the response; 0 is as in [Renewal].
-	Within time.Duration
+	// Timeout is how long to wait for the response; 0 is as in [Renewal].
+	Timeout time.Duration
 }
 
 // A Stop orders a worker to stop a run.
@@ -52,8 +52,8 @@
 	Target
 	Fence spoolsill.Epoch
 	Run   sched.RunID
-	// Within is how long to wait for the response; 0 is as in [Renewal].
-	Within time.Duration
+	// Timeout is how long to wait for the response; 0 is as in [Renewal].
+	Timeout time.Duration
 }
 
 // A ReplyKind is the outcome of a call to a worker.
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -119,7 +119,7 @@
 func (d *delegatedWorkers) Renew(ctx context.Context, l leader.Renewal) (sched.Heartbeat, leader.Reply) {
 	sent := d.node.clock.Now()
 	// Twice what the beginning of the worker's answer may take, for the rest of it.
-	limited, cancel := context.WithTimeout(ctx, l.Wait+2*l.Within+delegateSlack)
+	limited, cancel := context.WithTimeout(ctx, l.Wait+2*l.Timeout+delegateSlack)
 	defer cancel()
 	r, made, err := d.passRenewal(limited, l)
 	if !made {
@@ -161,7 +161,7 @@
 		return d.direct.Start(ctx, o)
 	}
 	if q, ok := d.startOf(h, o); ok {
-		limited, cancel := context.WithTimeout(ctx, o.Within+delegateSlack+specTimeout)
+		limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateSlack+specTimeout)
 		defer cancel()
 		r, made, err := passTo[startOfReply](limited, d, h, o.Target, methodStartOf, q)
 		switch {
@@ -172,7 +172,7 @@
 		}
 		d.specs.fail(q.Host, d.node.clock.Now())
 	}
-	limited, cancel := context.WithTimeout(ctx, o.Within+delegateSlack)
+	limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateSlack)
 	defer cancel()
 	r, made, err := passTo[orderReply](limited, d, h, o.Target, methodStart, startRequestOf(o))
 	if !made {
@@ -183,7 +183,7 @@
 
 // Stop implements [leader.Workers].
 func (d *delegatedWorkers) Stop(ctx context.Context, o leader.Stop) leader.Reply {
-	limited, cancel := context.WithTimeout(ctx, o.Within+delegateSlack)
+	limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateSlack)
 	defer cancel()
 	r, made, err := passOn[orderReply](limited, d, o.Target, methodStop, stopRequestOf(o))
 	if !made {
