--- a/leader/advice_test.go
+++ b/leader/advice_test.go
@@ -72,7 +72,7 @@
 		tell := func() {
 			x.submit(jobs...)
 			for _, j := range jobs {
-				r, err := jobstore.Row("host", j)
+				r, err := jobstore.JobRow("host", j)
 				x.c.Assert(err, qt.IsNil)
 				l.NotifyRow(r)
 			}
--- a/leader/chain.go
+++ b/leader/chain.go
@@ -198,10 +198,10 @@
 func (c *Chain) try(ctx context.Context, t store.Transaction) (store.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, triesTimeout)
 	defer cancel()
-	r, took, err := store.CommitPatiently(ctx, c.store, t, store.Patience{
-		First: min(max(firstTryTimeout, 4*c.commitLatency), maxTryTimeout),
-		Most:  maxTryTimeout,
-		Tries: maxConcurrentTries,
+	r, took, err := store.CommitHedged(ctx, c.store, t, store.HedgePolicy{
+		First:    min(max(firstTryTimeout, 4*c.commitLatency), maxTryTimeout),
+		Max:      maxTryTimeout,
+		Attempts: maxConcurrentTries,
 	})
 	if err == nil {
 		c.observe(took)
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -105,7 +105,7 @@
 	renewing       atomic.Int64                // number of workers whose lease is renewed
 	invalidEntries map[spoolsill.WorkerID]bool // workers whose entry can't be decoded
 	gauges         gauges
-	pace           *store.Pace
+	pace           *store.ReadLimiter
 	progressRows   map[spoolsill.JobID][]byte
 
 	version    spoolsill.Version // of the queues and teams
@@ -120,7 +120,7 @@
 	// following is set once the progress of all jobs is read and the feeds are started;
 	// loaded is set once all jobs are known.
 	following   bool
-	feeds       []*store.Follower
+	feeds       []*store.Watcher
 	feedsLogged time.Time // when stale feeds were last logged
 	loaded      bool
 
@@ -178,7 +178,7 @@
 	}
 	l := &Leader{
 		config:          c,
-		pace:            store.NewPace(c.ReadBytes),
+		pace:            store.NewReadLimiter(c.ReadBytes),
 		events:          make(chan event, eventBuffer),
 		renewers:        map[spoolsill.Life]*renewer{},
 		wanted:          map[spoolsill.Life]bool{},
@@ -280,7 +280,7 @@
 
 // handleJobsCaughtUp records that all jobs accepted before a time are known.
 func (l *Leader) handleJobsCaughtUp(sent time.Time) {
-	if t := l.state.Told(); len(t) > 0 {
+	if t := l.state.StatusUpdates(); len(t) > 0 {
 		l.publish(l.lastWrite, t)
 	}
 	l.mu.Lock()
@@ -419,7 +419,7 @@
 	case jobsCaughtUp:
 		l.handleJobsCaughtUp(e.sent)
 	case workersCaughtUp:
-		l.state.WorkersHeard(now, e.sent)
+		l.state.EntriesSynced(now, e.sent)
 	case heartbeatReceived:
 		l.state.Heartbeat(now, e.heartbeat)
 	case workerReplaced:
@@ -427,15 +427,15 @@
 	case workerConnRefused:
 		l.state.WorkerRefused(now, e.life)
 	case workerSilent:
-		l.state.WorkerSilent(now, e.life)
+		l.state.WorkerUnresponsive(now, e.life)
 	case leaseRequested:
-		l.state.LeaseAsked(e.life, e.until)
+		l.state.LeaseRequested(e.life, e.until)
 	case startAnswered:
 		l.state.StartAnswered(now, e.answer)
 	case stopAnswered:
 		l.state.StopAnswered(now, e.answer)
 	case adviceReceived:
-		l.state.Advised(now, e.advice)
+		l.state.AdviceReceived(now, e.advice)
 	case batchWritten:
 		l.handleWritten(now, e)
 	case probeSent:
@@ -459,16 +459,16 @@
 func (l *Leader) act(ctx context.Context) error {
 	now := l.config.Clock.Now()
 	l.decide(now)
-	if t := l.state.Told(); len(t) > 0 {
+	if t := l.state.StatusUpdates(); len(t) > 0 {
 		l.publish(l.lastWrite, t)
 	}
 	for _, o := range l.state.Stops() {
 		l.sendStop(ctx, o)
 	}
-	for _, o := range l.state.Starts() {
+	for _, o := range l.state.DeferredStarts() {
 		l.sendStart(o)
 	}
-	for _, o := range l.state.Advices() {
+	for _, o := range l.state.AdviceOrders() {
 		l.advice.enqueue(o)
 	}
 	l.advice.dispatch(ctx)
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -276,7 +276,7 @@
 		pause.For(x.ctx, 3*time.Second)
 		x.assertCompleted(x.leaders[1], ids)
 		x.c.Assert(x.workers.Starts(), qt.Equals, starts)
-		s, known, err := jobstore.State(x.ctx, x.store, ids[0])
+		s, known, err := jobstore.ReadState(x.ctx, x.store, ids[0])
 		x.c.Assert(err, qt.IsNil)
 		x.c.Assert(known, qt.IsTrue)
 		x.c.Assert(s.State, qt.Equals, sched.Completed)
@@ -302,7 +302,7 @@
 			Steps: []sched.Step{step(1, 1)},
 		}
 		x.submit(begunJob)
-		row, err := jobstore.Row("host", begunJob)
+		row, err := jobstore.JobRow("host", begunJob)
 		x.c.Assert(err, qt.IsNil)
 		ids = append(ids, begunJob.ID)
 		x.store.SlowLists(jobstore.ProgressTable, load)
--- a/leader/load.go
+++ b/leader/load.go
@@ -18,7 +18,7 @@
 // keeps updating the leader row: otherwise other hosts would take over from every leader that
 // loads for longer than their timeout, and no leader would ever finish.
 func (l *Leader) loadProgress(ctx context.Context) {
-	list := store.Listing{
+	list := store.PartitionReader{
 		Store:     l.config.Store,
 		Table:     jobstore.ProgressTable,
 		Partition: jobstore.CellPartition,
@@ -57,9 +57,9 @@
 	for _, r := range rows {
 		listed[spoolsill.WorkerID(r.Key.Name)] = true
 	}
-	for _, id := range l.state.Listed() {
+	for _, id := range l.state.ListedWorkers() {
 		if !listed[id] {
-			l.state.UnlistWorker(now, id)
+			l.state.WorkerUnlisted(now, id)
 		}
 	}
 	for id := range l.invalidEntries {
@@ -76,16 +76,16 @@
 	id := spoolsill.WorkerID(r.Key.Name)
 	if r.Deleted {
 		l.setEntryError(id, nil)
-		l.state.UnlistWorker(now, id)
+		l.state.WorkerUnlisted(now, id)
 		return
 	}
 	w, err := l.config.DecodeWorker(r)
 	l.setEntryError(id, err)
 	if err != nil {
-		l.state.WorkerUnclear(now, id)
+		l.state.WorkerEntryInvalid(now, id)
 		return
 	}
-	l.state.ListWorker(now, w)
+	l.state.WorkerListed(now, w)
 }
 
 // setEntryError tracks whether the entry of a worker can be decoded. Each failure is logged
@@ -104,12 +104,12 @@
 	// If a job has two rows, the older one counts.
 	slices.SortStableFunc(rows, func(a, b store.Row) int { return cmp.Compare(a.Version, b.Version) })
 	for _, r := range rows {
-		if _, ok := jobstore.Cancelled(r.Key.Name); !ok {
+		if _, ok := jobstore.CancelledJob(r.Key.Name); !ok {
 			l.handleJobRow(now, r)
 		}
 	}
 	for _, r := range rows {
-		if _, ok := jobstore.Cancelled(r.Key.Name); ok {
+		if _, ok := jobstore.CancelledJob(r.Key.Name); ok {
 			l.handleJobRow(now, r)
 		}
 	}
@@ -138,7 +138,7 @@
 		l.config.Log.WithError(err).WithField("job", string(id)).WithField("state", p.State.String()).Error("progress row without a job row")
 		return
 	}
-	l.state.AddEnded(now, id, p)
+	l.state.AddEndedJob(now, id, p)
 }
 
 // handleJobRow handles a row of the jobs table: a job or a cancellation. It ignores rows that
@@ -148,7 +148,7 @@
 	if r.Deleted || !l.following {
 		return
 	}
-	if id, ok := jobstore.Cancelled(r.Key.Name); ok {
+	if id, ok := jobstore.CancelledJob(r.Key.Name); ok {
 		l.sweeper.addKey(id, r.Key)
 		l.state.CancelJob(now, id)
 		l.sweepIfEnded(id)
@@ -198,7 +198,7 @@
 }
 
 func (l *Leader) startFeeds(ctx context.Context) {
-	l.feeds = []*store.Follower{
+	l.feeds = []*store.Watcher{
 		{
 			Store: l.config.Store,
 			Table: jobstore.JobsTable,
@@ -214,7 +214,7 @@
 				})
 			},
 			Pause:  jobsPause,
-			Heard:  l.notifyJobsCaughtUp,
+			Synced: l.notifyJobsCaughtUp,
 			Failed: l.feedLogger(jobstore.JobsTable),
 		},
 		{
@@ -232,7 +232,7 @@
 					row: r,
 				})
 			},
-			Heard: func(sent time.Time) {
+			Synced: func(sent time.Time) {
 				l.send(workersCaughtUp{
 					sent: sent,
 				})
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -60,10 +60,10 @@
 		return
 	}
 	l.lastReconcile = now
-	l.state.SetAskers(len(l.config.Advisor.Hosts()) * l.advice.depth())
+	l.state.SetMaxQuestions(len(l.config.Advisor.Hosts()) * l.advice.depth())
 	wanted := l.wanted
 	clear(wanted)
-	lives := l.state.Workers()
+	lives := l.state.HeartbeatTargets()
 	for _, life := range lives {
 		wanted[life] = true
 	}
--- a/leader/sweeper.go
+++ b/leader/sweeper.go
@@ -54,7 +54,7 @@
 // partitionOf returns the partition of a job's row; "" when it is not known.
 func (s *sweeper) partitionOf(id spoolsill.JobID) string {
 	for _, k := range s.keys[id] {
-		if _, mark := jobstore.Cancelled(k.Name); !mark {
+		if _, mark := jobstore.CancelledJob(k.Name); !mark {
 			return k.Partition
 		}
 	}
--- a/leader/write.go
+++ b/leader/write.go
@@ -70,7 +70,7 @@
 	l.lastWrite = e.begun
 	l.updateWriteCount()
 	l.publish(e.begun, e.batch.Statuses)
-	for _, o := range l.state.Written(now, e.batch) {
+	for _, o := range l.state.BatchWritten(now, e.batch) {
 		l.sendStart(o)
 	}
 	l.sweeper.enqueue(e.batch.Ended)
@@ -99,7 +99,7 @@
 }
 
 func (l *Leader) publish(begun time.Time, statuses []sched.JobStatus) {
-	w := l.state.Waiting()
+	w := l.state.PendingJobs()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.publishedWrite = begun
