--- a/delegate/directory_test.go
+++ b/delegate/directory_test.go
@@ -24,24 +24,24 @@
 	return hs
 }
 
-// assigned returns who carries out the calls to each of some workers of a hall.
+// assigned returns the delegates of some workers of a hall.
 func assigned(d *delegate.Directory, workers int, hall spoolsill.HallID, now time.Time) map[spoolsill.WorkerID]spoolsill.HostID {
 	m := map[spoolsill.WorkerID]spoolsill.HostID{}
 	for i := range workers {
 		w := spoolsill.WorkerID(fmt.Sprintf("w%d", i))
-		m[w], _ = d.Of(w, hall, 0, now)
+		m[w], _ = d.DelegateFor(w, hall, 0, now)
 	}
 	return m
 }
 
 func TestNobodyIsChosenOfNone(t *testing.T) {
 	var d delegate.Directory
-	_, ok := d.Of("w", "hall0", 0, time.Now())
+	_, ok := d.DelegateFor("w", "hall0", 0, time.Now())
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// A hall of 30 hosts and 220 workers: all of them are carried in the hall, and larger
-// hosts carry more.
+// In a hall of 30 hosts and 2,200 workers all delegates are hosts of the hall, and larger hosts
+// get more workers.
 func TestWorkersAreSpreadOverTheHostsOfTheirHall(t *testing.T) {
 	c := qt.New(t)
 	var d delegate.Directory
@@ -57,7 +57,7 @@
 		switch {
 		case h.Hall != "hall0":
 			c.Check(count[h.ID], qt.Equals, 0)
-		case h.ID == "host0": // 4 parts of 33
+		case h.ID == "host0": // 4 of 33 units of weight
 			c.Check(count[h.ID] > 200 && count[h.ID] < 340, qt.IsTrue, qt.Commentf("%d", count[h.ID]))
 		default:
 			c.Check(count[h.ID] > 30 && count[h.ID] < 110, qt.IsTrue, qt.Commentf("%d", count[h.ID]))
@@ -65,7 +65,7 @@
 	}
 }
 
-// When a host is lost, only its own workers change over, and all of them at once.
+// When a host is lost, its workers, and no others, get another delegate at once.
 func TestOnlyWorkersOfALostHostChangeOver(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "hosts")
@@ -77,7 +77,7 @@
 		d.SetHosts(hs)
 		before := assigned(&d, 100, "hall0", now)
 		if fails {
-			d.Fail(hs[lost].ID, now)
+			d.MarkFailed(hs[lost].ID, now)
 		} else {
 			d.SetHosts(append(append([]delegate.Host{}, hs[:lost]...), hs[lost+1:]...))
 		}
@@ -93,15 +93,15 @@
 	})
 }
 
-// A host that left a call unanswered is asked again after a while.
+// A host that left a call unanswered is used again after a while.
 func TestHostThatFailedIsAskedAgain(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	var d delegate.Directory
 	d.SetHosts(hosts(3, 1))
 	before := assigned(&d, 50, "hall0", now)
-	d.Fail("host1", now)
-	d.Fail("host2", now.Add(time.Second)) // more than half: none of them is passed over
+	d.MarkFailed("host1", now)
+	d.MarkFailed("host2", now.Add(time.Second)) // more than half: none is avoided
 	all, resting := d.Count(now.Add(time.Second))
 	c.Assert([]int{all, resting}, qt.DeepEquals, []int{3, 2})
 	c.Assert(assigned(&d, 50, "hall0", now.Add(time.Second)), qt.DeepEquals, before)
@@ -109,7 +109,7 @@
 	c.Assert(assigned(&d, 50, "hall0", now.Add(5*time.Second)), qt.DeepEquals, before)
 }
 
-// Of a hall whose hosts are all gone or fail, other halls' hosts carry the calls.
+// When all hosts of a hall are gone or fail, hosts of other halls carry out its calls.
 func TestHallWithoutHostsIsCarriedByOthers(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -118,7 +118,7 @@
 	d.SetHosts(hs)
 	for _, h := range hs {
 		if h.Hall == "hall1" {
-			d.Fail(h.ID, now)
+			d.MarkFailed(h.ID, now)
 		}
 	}
 	for _, h := range assigned(&d, 50, "hall1", now) {
@@ -127,13 +127,13 @@
 			c.Check(x.ID == h && x.Hall == "hall1", qt.IsFalse)
 		}
 	}
-	h, ok := d.Of("w", "nowhere", 0, now)
+	h, ok := d.DelegateFor("w", "nowhere", 0, now)
 	c.Check(ok, qt.IsTrue)
 	c.Check(h, qt.Not(qt.Equals), spoolsill.HostID(""))
 }
 
-// A worker that does not answer is called by one host after the other, of its hall and
-// of any: the delegate may be the one that is cut off.
+// The calls to a worker that does not respond go through changing hosts, of its hall and of
+// others: the delegate may be the one that is cut off.
 func TestWorkerThatDoesNotAnswerIsCalledByOthers(t *testing.T) {
 	var d delegate.Directory
 	hs := hosts(40, 4)
@@ -145,7 +145,7 @@
 	askers := map[spoolsill.HostID]bool{}
 	halls := map[spoolsill.HallID]bool{}
 	for i := range 10 {
-		h, _ := d.Of("w", "hall0", i, time.Now())
+		h, _ := d.DelegateFor("w", "hall0", i, time.Now())
 		askers[h] = true
 		halls[hall[h]] = true
 		if i%2 == 0 {
--- a/leader/unclear_test.go
+++ b/leader/invalidentry_test.go
@@ -15,9 +15,9 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// Someone else writes among the workers' entries, again and again: bytes that can't be
-// read under names of their own, and once over a worker's entry. Work goes on, a line
-// is logged for each name, and the count goes back when the rows go.
+// Another writer repeatedly puts undecodable rows among the worker entries, under names of its
+// own and over a worker's entry. Work continues, each name is logged once, and the count falls
+// when the rows are gone.
 func TestEntriesOfAnotherWriterDoNoHarm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
@@ -43,12 +43,12 @@
 		})
 		pause.For(x.ctx, 3*time.Second)
 		x.assertCompleted(l, []spoolsill.JobID{"j"})
-		x.c.Check(l.Unclear(), qt.Equals, int64(len(strange)))
+		x.c.Check(l.InvalidWorkerEntries(), qt.Equals, int64(len(strange)))
 		x.c.Check(linesOf(logs, "worker's entry can't be understood"), qt.Equals, len(strange))
 		x.list("w1")
 		x.store.Delete(workerKey("strange0"))
 		pause.For(x.ctx, time.Second)
-		x.c.Check(l.Unclear(), qt.Equals, int64(1))
+		x.c.Check(l.InvalidWorkerEntries(), qt.Equals, int64(1))
 		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
 	})
 }
