--- a/sched/decide.go
+++ b/sched/decide.go
@@ -170,7 +170,7 @@
 	}
 	more := d.unasked(g, q)
 	if len(more) == 0 {
-		a.lastLearned = d.now // all known; look again after askMore
+		a.lastLearned = d.now // all known; look again after askMoreAfter
 		return known
 	}
 	d.askAboutMore(g, q, more)
