--- a/node/storehealth.go
+++ b/node/storehealth.go
@@ -14,68 +14,71 @@
 )
 
 const (
-	// awayAfter is how long the store may fail all calls before this host
-	// says that it can't serve. The feed alone calls it each second.
-	awayAfter = 700 * time.Millisecond
-	// tryEvery is how often a store that is away is tried by a client's call.
-	tryEvery = 250 * time.Millisecond
-	// writeLeast and writeMost bound how long a write is waited for before it is
-	// sent again. The store needs some 10 ms for one, more than a second when it
-	// is slow, and clients wait three seconds in all.
-	writeLeast = 350 * time.Millisecond
-	writeMost  = 1200 * time.Millisecond
-	// losingBy is how much longer writes are waited for on average than answered
-	// ones take, while answers get lost: one that is lost adds a quarter of
-	// writeLeast at least, and a few good ones take it away again.
-	losingBy = 30 * time.Millisecond
-	// writeFactor times its usual time, a write has most likely been lost.
-	writeFactor = 4
+	// unreachableAfter is how long all calls to the store must have failed before this
+	// host reports that it is not ready. The feed alone makes a call each second.
+	unreachableAfter = 700 * time.Millisecond
+	// storeProbeInterval is how often a client's call tries a store that is
+	// unreachable.
+	storeProbeInterval = 250 * time.Millisecond
+	// minWriteTimeout and maxWriteTimeout limit the time after which a write is
+	// retried. A write takes about 10 ms, and more than a second when the store is
+	// slow; clients wait three seconds in total.
+	minWriteTimeout = 350 * time.Millisecond
+	maxWriteTimeout = 1200 * time.Millisecond
+	// answerLossThreshold is the excess of the average wait for a write over the
+	// average duration of answered writes that indicates that responses are being lost.
+	// One lost response adds at least a quarter of minWriteTimeout, and a few
+	// successful writes reduce it again.
+	answerLossThreshold = 30 * time.Millisecond
+	// writeTimeoutFactor times the average wait is the time after which a write was
+	// most likely lost.
+	writeTimeoutFactor = 4
 )
 
-// storeHealth tells from all calls whether the store can be reached. It is
-// safe for concurrent use. The zero value takes it as reachable.
+// storeHealth tracks from the outcomes of all calls whether the store is reachable. It
+// is safe for concurrent use. The zero value reports the store as reachable.
 type storeHealth struct {
-	mu      sync.Mutex
-	failing time.Time // since when every call has failed; zero if the last one did not
-	tried   time.Time
-	heard   time.Time // when a call last succeeded
-	away    bool      // as last told
-	// usual is a moving average of how long writes take or are waited for in
-	// vain, answered of how long those take that are answered.
-	usual    time.Duration
-	answered time.Duration
-	// pending has when the writes were sent that are not answered yet.
+	mu           sync.Mutex
+	failingSince time.Time // since when every call has failed; zero if the last one succeeded
+	lastProbe    time.Time
+	lastSuccess  time.Time // when a call last succeeded
+	unreachable  bool      // as last logged
+	// averageWait is a moving average of how long writes take or are waited for in
+	// vain; averageAnswered covers only the answered ones.
+	averageWait     time.Duration
+	averageAnswered time.Duration
+	// pending holds the start times of the writes that have not ended.
 	pending map[uint64]time.Time
 	writes  uint64
-	// refusing is since when the store has turned all writes away; zero if it
-	// did not do so with the latest one.
-	refusing time.Time
+	// refusedSince is since when the store has refused all writes; zero if it did not
+	// refuse the latest one.
+	refusedSince time.Time
 }
 
-// wrote takes in whether a write that was begun at some time was turned away,
-// with nothing done.
-func (h *storeHealth) wrote(begun time.Time, refused bool) {
+// recordRefusal records whether a write begun at the given time was refused without
+// effect.
+func (h *storeHealth) recordRefusal(begun time.Time, refused bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !refused {
-		h.refusing = time.Time{}
-	} else if h.refusing.IsZero() {
-		h.refusing = begun
+		h.refusedSince = time.Time{}
+	} else if h.refusedSince.IsZero() {
+		h.refusedSince = begun
 	}
 }
 
-// refusedFor returns for how long all writes have been turned away.
+// refusedFor returns how long the store has refused all writes.
 func (h *storeHealth) refusedFor(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.refusing.IsZero() {
+	if h.refusedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(h.refusing)
+	return now.Sub(h.refusedSince)
 }
 
-// sent takes in that a write is sent, and returns its number for ended.
-func (h *storeHealth) sent(now time.Time) uint64 {
+// writeSent records the start of a write and returns its number for writeEnded.
+func (h *storeHealth) writeSent(now time.Time) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.pending == nil {
@@ -86,112 +89,112 @@
 	return h.writes
 }
 
-func (h *storeHealth) ended(write uint64) {
+func (h *storeHealth) writeEnded(write uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.pending, write)
 }
 
-// took takes in how long a write took, or how long it was waited for in vain.
-func (h *storeHealth) took(d time.Duration, answered bool) {
+// recordWriteTime records how long a write took, or how long it was waited for in vain.
+func (h *storeHealth) recordWriteTime(d time.Duration, answered bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	weight := time.Duration(4)
-	if answered && d > h.usual {
-		weight = 2 // a store that has become slow is believed at once
+	if answered && d > h.averageWait {
+		weight = 2 // adapt quickly to a store that has become slow
 	}
-	h.usual += (d - h.usual) / weight
+	h.averageWait += (d - h.averageWait) / weight
 	if answered {
-		h.answered += (d - h.answered) / weight
+		h.averageAnswered += (d - h.averageAnswered) / weight
 	}
 }
 
-// usualWrite returns how long writes take that are answered.
-func (h *storeHealth) usualWrite() time.Duration {
+// averageWrite returns the average duration of answered writes.
+func (h *storeHealth) averageWrite() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.answered
+	return h.averageAnswered
 }
 
-// losing reports whether answers to writes have been lost lately, or one is
+// losingAnswers reports whether responses to writes have been lost recently, or one is
 // overdue.
-func (h *storeHealth) losing(now time.Time) bool {
+func (h *storeHealth) losingAnswers(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, at := range h.pending {
-		if now.Sub(at) > writeLeast {
+		if now.Sub(at) > minWriteTimeout {
 			return true
 		}
 	}
-	return h.usual-h.answered > losingBy
+	return h.averageWait-h.averageAnswered > answerLossThreshold
 }
 
-// writeTimeout returns how long a write may take.
+// writeTimeout returns the timeout for a write.
 func (h *storeHealth) writeTimeout() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return min(max(writeFactor*h.usual, writeLeast), writeMost)
+	return min(max(writeTimeoutFactor*h.averageWait, minWriteTimeout), maxWriteTimeout)
 }
 
-// heardWithin reports whether a call has succeeded within a time.
-func (h *storeHealth) heardWithin(now time.Time, d time.Duration) bool {
+// succeededWithin reports whether a call succeeded within d before now.
+func (h *storeHealth) succeededWithin(now time.Time, d time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.heard.IsZero() && now.Sub(h.heard) <= d
+	return !h.lastSuccess.IsZero() && now.Sub(h.lastSuccess) <= d
 }
 
-// take takes in the end of a call, and reports whether the store's being
-// reachable has changed.
-func (h *storeHealth) take(now time.Time, ok bool) (changed bool) {
+// recordCall records the outcome of a call and reports whether the store became
+// reachable or unreachable.
+func (h *storeHealth) recordCall(now time.Time, ok bool) (changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if ok {
-		h.heard = now
+		h.lastSuccess = now
 	}
-	was := h.away
+	was := h.unreachable
 	if ok {
-		h.failing = time.Time{}
-	} else if h.failing.IsZero() {
-		h.failing = now
+		h.failingSince = time.Time{}
+	} else if h.failingSince.IsZero() {
+		h.failingSince = now
 	}
-	h.away = !h.failing.IsZero() && now.Sub(h.failing) >= awayAfter
-	return h.away != was
+	h.unreachable = !h.failingSince.IsZero() && now.Sub(h.failingSince) >= unreachableAfter
+	return h.unreachable != was
 }
 
-// reachable reports whether the store has answered lately.
+// reachable reports whether the store has answered recently.
 func (h *storeHealth) reachable(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.failing.IsZero() || now.Sub(h.failing) < awayAfter
+	return h.failingSince.IsZero() || now.Sub(h.failingSince) < unreachableAfter
 }
 
-// failingFor returns for how long every call has failed.
+// failingFor returns how long every call has failed.
 func (h *storeHealth) failingFor(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.failing.IsZero() {
+	if h.failingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(h.failing)
+	return now.Sub(h.failingSince)
 }
 
-// tryable reports whether a client's call should try the store: always while
-// it is reachable, and now and then while it is away.
-func (h *storeHealth) tryable(now time.Time) bool {
+// shouldTry reports whether a client's call should try the store: always while the
+// store is reachable, and at intervals while it is not.
+func (h *storeHealth) shouldTry(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.failing.IsZero() || now.Sub(h.failing) < awayAfter {
+	if h.failingSince.IsZero() || now.Sub(h.failingSince) < unreachableAfter {
 		return true
 	}
-	if now.Sub(h.tried) < tryEvery {
+	if now.Sub(h.lastProbe) < storeProbeInterval {
 		return false
 	}
-	h.tried = now
+	h.lastProbe = now
 	return true
 }
 
-// A watchedStore tells a storeHealth how the calls go.
-type watchedStore struct {
+// A monitoredStore records the outcomes of its calls in a storeHealth.
+type monitoredStore struct {
 	store.Store
 	health  *storeHealth
 	metrics *telemetry.Metrics
@@ -199,12 +202,12 @@
 	clock   *clock.Clock
 }
 
-func (s *watchedStore) took(err error) {
+func (s *monitoredStore) observe(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	ok := err == nil || errors.Is(err, store.ErrHistoryGone)
-	if !s.health.take(s.clock.Now(), ok) {
+	if !s.health.recordCall(s.clock.Now(), ok) {
 		return
 	}
 	if ok {
@@ -215,19 +218,19 @@
 }
 
 // Commit implements [store.Store].
-func (s *watchedStore) Commit(ctx context.Context, t store.Transaction) (store.Result, error) {
+func (s *monitoredStore) Commit(ctx context.Context, t store.Transaction) (store.Result, error) {
 	begun := s.clock.Now()
-	write := s.health.sent(begun)
+	write := s.health.writeSent(begun)
 	r, err := s.Store.Commit(ctx, t)
-	s.health.ended(write)
+	s.health.writeEnded(write)
 	if errors.Is(err, context.Canceled) {
-		return r, err // another try was answered, which says nothing of this one
+		return r, err // another attempt was answered, which is no evidence about this one
 	}
 	if err == nil || errors.Is(err, store.ErrUnknown) {
-		s.health.took(s.clock.Since(begun), err == nil)
+		s.health.recordWriteTime(s.clock.Since(begun), err == nil)
 	}
-	s.health.wrote(begun, errors.Is(err, store.ErrRefused))
-	s.took(err)
+	s.health.recordRefusal(begun, errors.Is(err, store.ErrRefused))
+	s.observe(err)
 	s.metrics.Wrote(writeOutcome(r, err), s.clock.Since(begun))
 	return r, err
 }
@@ -246,15 +249,15 @@
 }
 
 // List implements [store.Store].
-func (s *watchedStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
+func (s *monitoredStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
 	p, err := s.Store.List(ctx, table, partition, from, limit)
-	s.took(err)
+	s.observe(err)
 	return p, err
 }
 
 // Feed implements [store.Store].
-func (s *watchedStore) Feed(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
+func (s *monitoredStore) Feed(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	c, err := s.Store.Feed(ctx, table, after, wait)
-	s.took(err)
+	s.observe(err)
 	return c, err
 }
--- a/node/suspend.go
+++ b/node/suspend.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// suspensionEvery is how often this host looks whether its machine was suspended, to
-	// tell of it; each right that ends is looked at when it is used.
-	suspensionEvery = time.Second
-	// suspensionLeast is how long a suspension must be to be told of.
-	suspensionLeast = 10 * time.Millisecond
+	// suspensionCheckInterval is how often the host checks for suspensions of its
+	// machine. It only affects logging: leases and other time limits are checked when
+	// they are used.
+	suspensionCheckInterval = time.Second
+	// minSuspension is the shortest suspension that is logged.
+	minSuspension = 10 * time.Millisecond
 )
 
-// watchSuspensions tells when the machine was suspended.
-func (n *Node) watchSuspensions(ctx context.Context) {
-	told := n.clock.Ahead()
+// logSuspensions logs suspensions of the machine until ctx is done.
+func (n *Node) logSuspensions(ctx context.Context) {
+	logged := n.clock.Ahead()
 	for ctx.Err() == nil {
-		pause.For(ctx, suspensionEvery)
-		d := n.clock.Ahead() - told
-		if d < suspensionLeast {
+		pause.For(ctx, suspensionCheckInterval)
+		d := n.clock.Ahead() - logged
+		if d < minSuspension {
 			continue
 		}
-		told += d
+		logged += d
 		n.log.WithField("suspended_ms", d.Milliseconds()).Warn("this machine was suspended")
 	}
 }
--- a/node/traffic.go
+++ b/node/traffic.go
@@ -10,28 +10,29 @@
 	"github.com/spoolsill/spoolsill/traffic"
 )
 
-// trafficEvery is how often a leader tells what its link carries.
-const trafficEvery = 2 * time.Second
+// trafficInterval is how often a leader logs the traffic of its link.
+const trafficInterval = 2 * time.Second
 
-// watchTraffic tells what the link of this host carries while it leads: the leader's is
-// the first to be full.
-func (n *Node) watchTraffic(ctx context.Context) {
+// logTraffic logs the traffic of this host's link while it leads, since the leader's
+// link is the first to be saturated.
+func (n *Node) logTraffic(ctx context.Context) {
 	last := n.traffic.Counts()
 	for ctx.Err() == nil {
-		pause.For(ctx, trafficEvery)
+		pause.For(ctx, trafficInterval)
 		counts := n.traffic.Counts()
-		if n.leaderHere() != nil {
+		if n.localLeader() != nil {
 			n.log.WithFields(trafficFields(last, counts)).Info("traffic of the leader's link")
 		}
 		last = counts
 	}
 }
 
-// trafficFields returns the bytes a second between two counts, by purpose and direction.
+// trafficFields returns the bytes a second between two counts, by purpose and
+// direction.
 func trafficFields(last, counts map[traffic.Purpose]traffic.Count) logrus.Fields {
 	f := logrus.Fields{}
 	var sent, received uint64
-	perSecond := uint64(trafficEvery / time.Second)
+	perSecond := uint64(trafficInterval / time.Second)
 	for p, c := range counts {
 		s := (c.Sent - last[p].Sent) / perSecond
 		r := (c.Received - last[p].Received) / perSecond
--- a/node/yield.go
+++ b/node/yield.go
@@ -8,61 +8,63 @@
 )
 
 const (
-	// yieldFactor is how many times the processor time of the leader's host another one
-	// must have to lead in its place: a take-over costs some tenths of a second.
+	// yieldFactor is how many times the processor capacity of the leader's host another
+	// host must have to replace it. A takeover costs some tenths of a second.
 	yieldFactor = 2
-	// yieldAfter is how long a larger host must have greeted the leader: all others have
-	// been told of its size then, and let it go first.
-	yieldAfter = time.Second
-	// storeHeard is how long ago the store may have answered a host that could lead: its
-	// feed of the configuration is answered each 0.7 s at least.
-	storeHeard = 1500 * time.Millisecond
-	// yieldPause is for how long a host that has yielded does not do so again. It leads
-	// again within that time only if no larger one could.
-	yieldPause = 30 * time.Second
+	// yieldDelay is how long a larger host must have sent heartbeats. By then, all
+	// other hosts have learned its size and let it take over first.
+	yieldDelay = time.Second
+	// storeContactAge is how recently the store must have answered a host that could
+	// lead. Its configuration feed is answered at least every 0.7 s.
+	storeContactAge = 1500 * time.Millisecond
+	// yieldCooldown is how long a host that has yielded the leadership does not yield
+	// again. It leads again within that time only if no larger host could.
+	yieldCooldown = 30 * time.Second
 )
 
-// A leadingHost is what decides whether a host should go on leading. The load that it
-// answers: hosts are of unlike size, and whichever comes first after a start of all leads.
-// With a fifth of a core and 10 Mbit/s, of which the work needs most, nearly all of it
-// was late until another host led: a day that began so earned 0.66 of its worth, two plays
-// of it that a large host led 0.75 and 0.78.
-type leadingHost struct {
+// A leaderFitness determines whether a host should keep the leadership. Hosts differ in
+// size, and the first one to start becomes the leader. On a host with a fifth of a core
+// and 10 Mbit/s, during the busiest part of the day, nearly all work was late until
+// another host led: such a day earned 0.66 of its worth, compared with 0.75 and 0.78 in
+// two runs led by a large host.
+type leaderFitness struct {
 	cores float64
-	link  spoolsill.Bytes // a second; 0 when not told
-	// larger is since when a host has greeted that should lead; zero if none has.
-	larger time.Time
-	// yielded is when the host last gave the leadership up for another one.
-	yielded time.Time
+	link  spoolsill.Bytes // bytes a second; 0 if not set
+	// largerSince is when a host that should lead first sent a heartbeat; zero if none
+	// has.
+	largerSince time.Time
+	// yieldedAt is when the host last yielded the leadership.
+	yieldedAt time.Time
 }
 
-// outdoes reports whether a host that greets is so much better fit to lead that it should.
-func (l *leadingHost) outdoes(q greetRequest) bool {
+// outrankedBy reports whether the sender of a heartbeat is so much larger that it
+// should lead.
+func (l *leaderFitness) outrankedBy(q heartbeatRequest) bool {
 	return q.MayLead && q.Cores >= yieldFactor*l.cores && q.Link >= l.link
 }
 
-// yields takes in a greeting and reports whether the leadership is to be given up now for
-// the host that greets.
-func (l *leadingHost) yields(now time.Time, q greetRequest) bool {
-	if !l.outdoes(q) {
+// shouldYieldTo records a heartbeat and reports whether to yield the leadership to its
+// sender now.
+func (l *leaderFitness) shouldYieldTo(now time.Time, q heartbeatRequest) bool {
+	if !l.outrankedBy(q) {
 		return false
 	}
-	if l.larger.IsZero() {
-		l.larger = now
+	if l.largerSince.IsZero() {
+		l.largerSince = now
 	}
-	if now.Sub(l.larger) < yieldAfter || !l.yielded.IsZero() && now.Sub(l.yielded) < yieldPause {
+	if now.Sub(l.largerSince) < yieldDelay || !l.yieldedAt.IsZero() && now.Sub(l.yieldedAt) < yieldCooldown {
 		return false
 	}
-	l.yielded = now
+	l.yieldedAt = now
 	return true
 }
 
-// yieldTo gives the leadership up if a host that greets should lead in this one's place.
-func (n *Node) yieldTo(now time.Time, l *leader.Leader, by spoolsill.HostID, q greetRequest) {
+// maybeYieldTo yields the leadership if the sender of a heartbeat should lead instead.
+func (n *Node) maybeYieldTo(now time.Time, l *leader.Leader, by spoolsill.HostID, q heartbeatRequest) {
 	n.mu.Lock()
-	yields := n.leading == l && n.fitness.yields(now, q)
+	yields := n.activeLeader == l && n.fitness.shouldYieldTo(now, q)
 	if yields {
-		n.mostCores = max(n.mostCores, q.Cores) // it goes first when both take over
+		n.maxCores = max(n.maxCores, q.Cores) // let it go first when both try to take over
 	}
 	n.mu.Unlock()
 	if yields {
@@ -71,11 +73,11 @@
 	}
 }
 
-// mayTakeOver reports whether this host could lead at once.
-func (n *Node) mayTakeOver() bool {
+// readyToLead reports whether this host could take over the leadership now.
+func (n *Node) readyToLead() bool {
 	_, known := n.Config()
 	n.mu.Lock()
-	resting := !n.resignedAt.IsZero() && n.clock.Since(n.resignedAt) < resigned
+	recentlyResigned := !n.resignedAt.IsZero() && n.clock.Since(n.resignedAt) < resignPeriod
 	n.mu.Unlock()
-	return known && !resting && !n.closing.Load() && n.health.heardWithin(n.clock.Now(), storeHeard)
+	return known && !recentlyResigned && !n.stopping.Load() && n.health.succeededWithin(n.clock.Now(), storeContactAge)
 }
--- a/node/yield_test.go
+++ b/node/yield_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/internal/pause"
 )
 
-// startThird starts a third host, of so many cores; the others have 0.4.
+// startThird starts a third host with the given number of cores; the others have 0.4.
 func (x *cell) startThird(cores float64) {
 	x.cores = map[int]float64{
 		2: cores,
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestLeaderDoesNotYieldToOneOfItsSize(t *testing.T) {
+func TestLeaderDoesNotYieldToHostOfSimilarSize(t *testing.T) {
 	run(t, 2, 2, func(x *cell) {
 		l := x.leader()
 		x.startThird(0.7)
@@ -39,15 +39,15 @@
 	})
 }
 
-// A large host that the store does not reach could not lead.
+// A large host that is cut off from the store could not lead.
 func TestLeaderDoesNotYieldToAHostWithoutTheStore(t *testing.T) {
 	run(t, 2, 2, func(x *cell) {
 		l := x.leader()
-		x.network.SetCut(hostName(2), platformPlace.Name, true)
+		x.network.SetCut(hostName(2), platformNode.Name, true)
 		x.startThird(0.8)
 		pause.For(x.ctx, 5*time.Second)
 		x.c.Check(x.leader(), qt.Equals, l)
-		x.network.SetCut(hostName(2), platformPlace.Name, false)
+		x.network.SetCut(hostName(2), platformNode.Name, false)
 		pause.For(x.ctx, 5*time.Second)
 		x.c.Check(x.leader(), qt.Equals, 2)
 	})
