--- a/cmd/spoolsill-host/cgo.go
+++ b/cmd/spoolsill-host/cgo.go
@@ -1,11 +1,11 @@
 package main
 
-// The platform runs only programs that are linked to the C library, which the
-// import brings about.
+// The platform runs only programs that are linked to the C library, which this import
+// ensures.
 //
-// The constructor runs before the runtime does: until main catches it, the signal that
-// tells of changed settings is ignored, since by default it ends the process. Settings
-// are read after that, so that nothing is missed.
+// The constructor runs before the Go runtime starts. It ignores SIGHUP, which announces
+// changed settings and would terminate the process by default, until run installs a
+// handler. Settings are read after that, so that no change is missed.
 
 /*
 #include <signal.h>
--- a/cmd/spoolsill-host/main.go
+++ b/cmd/spoolsill-host/main.go
@@ -1,5 +1,5 @@
-// Command spoolsill-host is a host of Spoolsill on the users' platform. It
-// reads the settings file that the platform names. See docs/OPERATIONS.md.
+// Command spoolsill-host runs a host of a Spoolsill cell on the users' platform. It
+// reads the settings file provided by the platform. See docs/OPERATIONS.md.
 package main
 
 import (
@@ -20,23 +20,23 @@
 	"github.com/spoolsill/spoolsill/telemetry"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitOK       = 0
-	exitRun      = 1 // it could not listen, or the stop was not clean
-	exitSettings = 2 // the settings can't be accepted
+	exitRun      = 1 // listening failed, or the shutdown was not clean
+	exitSettings = 2 // invalid settings
 )
 
-// memoryShare is the part of the host's memory that the runtime tries to stay
-// under; the rest is for sockets' buffers and peaks.
-const memoryShare = 0.6
+// memoryLimitFraction is the fraction of the host's memory that is set as the runtime's
+// soft limit; the rest is for socket buffers and peaks.
+const memoryLimitFraction = 0.6
 
-// leaderGC is by how many percent a leader's memory may grow between two collections,
-// in place of 100: it allocates some 20 MB a second (node.BenchmarkLargeCell), and keeps
-// little of it. A leader of 1,600 starts a second used 0.387 of a core with 100 and 0.268
-// with 400 (one play each, side by side). The limit on memory comes first on a host that
-// has little.
-const leaderGC = 400
+// leaderGCPercent is the garbage collection target percentage of a leader, in place of
+// defaultGCPercent. A leader allocates about 20 MB a second (node.BenchmarkLargeCell)
+// and retains little of it. With 1,600 starts a second it used 0.387 of a core with 100
+// and 0.268 with 400, in one run each, side by side. On a host with little memory the
+// memory limit takes precedence.
+const leaderGCPercent = 400
 
 type flags struct {
 	Settings string `help:"The platform's settings file (TOML)." env:"SPOOLSILL_BOOT" type:"existingfile" required:""`
@@ -49,8 +49,9 @@
 }
 
 func run() int {
-	// First of all, and for the whole life: by default either signal ends the process,
-	// and they may come while it starts, and the one on settings while it stops.
+	// The handlers are installed first and stay for the life of the process: by default
+	// either signal terminates it. Both may arrive during startup, and SIGHUP during
+	// shutdown.
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -69,11 +70,11 @@
 		fmt.Printf("%s: host %s in hall %s\n", f.Settings, s.Host, s.Hall)
 		return exitOK
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Memory)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.Memory)))
 	return serve(ctx, changed, f, s)
 }
 
-// serve runs the host until ctx ends.
+// serve runs the host until ctx is done.
 func serve(ctx context.Context, changed <-chan os.Signal, f flags, s platform.Settings) int {
 	log := oplog.New(os.Stdout)
 	logging, stop := context.WithCancel(context.Background())
@@ -88,7 +89,7 @@
 		Log:         log.Logger,
 		Metrics:     m,
 		MetricsPort: f.Metrics,
-		Leads:       collectSeldom,
+		Leads:       setLeaderGC,
 	}).Run(ctx)
 	if err != nil {
 		log.WithError(err).Error("host ended")
@@ -97,21 +98,21 @@
 	return exitOK
 }
 
-// usualGC is the runtime's default.
-const usualGC = 100
+// defaultGCPercent is the runtime's default.
+const defaultGCPercent = 100
 
-// collectSeldom has the runtime collect garbage less often while the host leads.
-func collectSeldom(leads bool) {
+// setLeaderGC reduces the frequency of garbage collections while the host leads.
+func setLeaderGC(leads bool) {
 	if leads {
-		debug.SetGCPercent(leaderGC)
+		debug.SetGCPercent(leaderGCPercent)
 		return
 	}
-	debug.SetGCPercent(usualGC)
+	debug.SetGCPercent(defaultGCPercent)
 }
 
-// reload checks the settings file whenever it is told that it changed, and tells what
-// it finds. What the file says of addresses and limits holds from the next start on: a
-// host keeps the ones that it listens on.
+// reload validates the settings file on each signal and logs the result. Changed
+// addresses and limits take effect at the next start, since a running host keeps its
+// listeners.
 func reload(ctx context.Context, changed <-chan os.Signal, file string, now platform.Settings, log *logrus.Logger) {
 	for {
 		select {
@@ -121,7 +122,7 @@
 		}
 		s, err := platform.LoadSettings(file)
 		if err != nil {
-			log.WithError(err).Error("settings can't be reloaded, the former ones stay")
+			log.WithError(err).Error("cannot reload settings, keeping the previous ones")
 			continue
 		}
 		log.WithField("changed", !reflect.DeepEqual(s, now)).Info("settings read again")
--- a/cmd/spoolsill-host/main_test.go
+++ b/cmd/spoolsill-host/main_test.go
@@ -17,8 +17,8 @@
 	"github.com/spoolsill/spoolsill/internal/standin/wire"
 )
 
-// settings returns a host's settings, with an address of the test's own and a store
-// that is not there.
+// settings returns settings for a host with an address specific to the test and an
+// unreachable store.
 func settings(c *qt.C) string {
 	ip := fmt.Sprintf("127.%d.%d.1", 90+os.Getpid()%100, os.Getpid()/100%200)
 	text, err := wire.HostSettings{
@@ -46,16 +46,17 @@
 	return binary
 }
 
-// Changed settings may be told of at any moment of a host's life. One that was told of
-// just after its start, before it had read its settings, ended by the signal.
-func TestChangedSettingsWhileAHostStartsDoNotEndIt(t *testing.T) {
+// Guards against SIGHUP terminating a host during startup. The signal announces changed
+// settings and may arrive at any time; a host that received it before it had read its
+// settings was terminated.
+func TestSIGHUPDuringStartup(t *testing.T) {
 	c := qt.New(t)
 	binary := build(c)
 	file := filepath.Join(c.TempDir(), "settings.toml")
 	c.Assert(syscall.Mkfifo(file, 0o600), qt.IsNil)
 	host := exec.Command(binary, "--settings", file, "--check")
 	c.Assert(host.Start(), qt.IsNil)
-	// This waits until the host opens the file, which it then waits to read.
+	// Opening the file blocks until the host has opened it for reading.
 	w, err := os.OpenFile(file, os.O_WRONLY, 0)
 	c.Assert(err, qt.IsNil)
 	c.Assert(host.Process.Signal(syscall.SIGHUP), qt.IsNil)
@@ -65,8 +66,9 @@
 	c.Check(host.Wait(), qt.IsNil)
 }
 
-// The same while it stops as planned, with requests under way.
-func TestChangedSettingsWhileAHostStopsDoNotEndIt(t *testing.T) {
+// SIGHUP must not terminate a host during a graceful shutdown with requests in flight
+// either.
+func TestSIGHUPDuringShutdown(t *testing.T) {
 	if testing.Short() {
 		t.Skip("waits for a planned stop")
 	}
@@ -85,7 +87,7 @@
 				return
 			}
 		}
-		c.Fatalf("the host ended before it told %q", msg)
+		c.Fatalf("the host ended before it logged %q", msg)
 	}
 	waitFor("host started")
 	c.Assert(host.Process.Signal(syscall.SIGTERM), qt.IsNil)
