--- a/node/delegated.go
+++ b/node/delegated.go
@@ -103,7 +103,7 @@
 }
 
 // callNotMade reports whether a delegate's error proves that it made no call, because
-// it was not reached or rejected the request before it called the worker. Any other
+// it was not reached or rejected the request before it processed it. Any other
 // error may have occurred after the worker was called; if a start were wrongly assumed
 // not to have been made, it would be made twice.
 func callNotMade(err error) bool {
--- a/node/election.go
+++ b/node/election.go
@@ -84,7 +84,7 @@
 	// reported the largest host; smaller hosts wait longer.
 	initialTakeoverDelay = 20 * time.Millisecond
 	// resignPeriod is how long a host that gave up the leadership because of overload
-	// yields to other hosts, by resignTakeoverDelay.
+	// adds resignTakeoverDelay to its takeover delay, so that others take over first.
 	resignPeriod        = 20 * time.Second
 	resignTakeoverDelay = time.Second
 	// takeoverTimeout limits one takeover attempt.
