--- a/cmd/spoolsill-host/main.go
+++ b/cmd/spoolsill-host/main.go
@@ -85,11 +85,11 @@
 	m := telemetry.New()
 	m.Gauge("spoolsill.log.left", "log lines left out", log.LeftOut)
 	err := node.New(node.Config{
-		Settings:    s,
-		Log:         log.Logger,
-		Metrics:     m,
-		MetricsPort: f.Metrics,
-		Leads:       setLeaderGC,
+		Settings:          s,
+		Log:               log.Logger,
+		Metrics:           m,
+		MetricsPort:       f.Metrics,
+		LeadershipChanged: setLeaderGC,
 	}).Run(ctx)
 	if err != nil {
 		log.WithError(err).Error("host ended")
--- a/node/node.go
+++ b/node/node.go
@@ -69,9 +69,9 @@
 	// Metrics collects the metrics, which are served at MetricsPort unless that is 0.
 	Metrics     *telemetry.Metrics
 	MetricsPort int
-	// Leads is called with true when the host becomes the leader and with false when it
-	// no longer leads; nil means no callback.
-	Leads func(leads bool)
+	// LeadershipChanged is called with true when the host becomes the leader and with
+	// false when it no longer leads; nil means no callback.
+	LeadershipChanged func(leads bool)
 	// Clock is the time source; nil means the system clock.
 	Clock *clock.Clock
 	// Dial opens connections to the platform, to workers and to other hosts; nil means
@@ -158,7 +158,7 @@
 		log:               log,
 		clock:             c.Clock,
 		listen:            c.Listen,
-		leadershipChanged: c.Leads,
+		leadershipChanged: c.LeadershipChanged,
 		store: &monitoredStore{
 			Store:   platform.NewStore(s.StoreAddress, t.Dialer(traffic.Store, dial)),
 			health:  h,
