--- a/node/specs.go
+++ b/node/specs.go
@@ -17,7 +17,7 @@
 
 const (
 	// maxInlineSpec is the size in bytes up to which a spec is sent with each order: a
-	// reference to it takes about 50.
+	// reference to it takes about 50 bytes.
 	maxInlineSpec = 100
 	// maxSpecCacheBytes limits the cached specs to about a hundredth of the memory of
 	// the smallest host: those of about a thousand jobs.
@@ -155,7 +155,7 @@
 		return s, nil
 	}
 	c := n.specFetches.DoChan(string(q.Spec.Job), func() (any, error) {
-		// The first order may be canceled while others wait.
+		// The first order may be cancelled while others wait.
 		return nil, n.fetchSpec(context.WithoutCancel(ctx), q)
 	})
 	select {
--- a/node/yield.go
+++ b/node/yield.go
@@ -24,9 +24,9 @@
 
 // A leaderFitness determines whether a host should keep the leadership. Hosts differ in
 // size, and the first one to start becomes the leader. On a host with a fifth of a core
-// and 10 Mbit/s, during the busiest part of the day, nearly all work was late until
-// another host led: such a day earned 0.66 of its worth, compared with 0.75 and 0.78 in
-// two runs led by a large host.
+// and 10 Mbit/s, most of which the work needs, nearly all work was late until another
+// host led: a day that began so earned 0.66 of its worth, compared with 0.75 and 0.78
+// in two runs led by a large host.
 type leaderFitness struct {
 	cores float64
 	link  spoolsill.Bytes // bytes a second; 0 if not set
