--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -21,7 +21,7 @@
 		x.store.SetFault(func(t store.Transaction) cellfake.StoreFault {
 			for _, p := range t.Puts {
 				var h leader.Head
-				if p.Key == leader.HeadKey && msgpack.Unmarshal(p.Value, &h) == nil && h.Write > 0 {
+				if p.Key == leader.HeadKey && msgpack.Unmarshal(p.Value, &h) == nil && h.WriteCount > 0 {
 					return cellfake.StoreRefuse
 				}
 			}
@@ -32,13 +32,13 @@
 		pause.For(x.ctx, time.Minute)
 		after, _, err := leader.ReadHead(x.ctx, x.store)
 		x.c.Assert(err, qt.IsNil)
-		leaderships := (after.Epoch - before.Epoch) / leader.FencesEach
+		leaderships := (after.Epoch - before.Epoch) / leader.FencesPerEpoch
 		x.c.Check(leaderships <= 40, qt.IsTrue, qt.Commentf("%d leaderships in a minute", leaderships))
 		x.store.SetFault(nil)
 		pause.For(x.ctx, 6*time.Second)
 		last, _, err := leader.ReadHead(x.ctx, x.store)
 		x.c.Assert(err, qt.IsNil)
-		x.c.Check(last.Unsettled, qt.Equals, 0)
-		x.c.Check(last.Epoch-after.Epoch <= leader.FencesEach, qt.IsTrue)
+		x.c.Check(last.UnfinishedLoads, qt.Equals, 0)
+		x.c.Check(last.Epoch-after.Epoch <= leader.FencesPerEpoch, qt.IsTrue)
 	})
 }
--- a/node/config.go
+++ b/node/config.go
@@ -164,12 +164,12 @@
 			n.configs.setFeedInvalid(!n.applyConfig(r.Value, "store"))
 		}
 	}
-	f := store.Follower{
-		Store: n.store,
-		Table: platform.OperatorTable,
-		Wait:  configFeedWait,
-		Heard: n.configs.confirm,
-		Clock: n.clock,
+	f := store.Watcher{
+		Store:  n.store,
+		Table:  platform.OperatorTable,
+		Wait:   configFeedWait,
+		Synced: n.configs.confirm,
+		Clock:  n.clock,
 		Listed: func(rows []store.Row) {
 			n.log.WithField("rows", len(rows)).Info("configuration table listed")
 			for _, r := range rows {
--- a/node/configfaults_test.go
+++ b/node/configfaults_test.go
@@ -121,7 +121,7 @@
 		head.Host = "former"
 		head.Address = address
 		head.Epoch++
-		head.Write++
+		head.WriteCount++
 		v, err := msgpack.Marshal(head)
 		x.c.Assert(err, qt.IsNil)
 		x.store.Put(store.Put{
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -47,7 +47,7 @@
 		d.refreshedAt = now
 		d.directory.SetHosts(d.node.hosts.delegates(d.node.silenceCutoff(now)))
 	}
-	return d.directory.Of(t.Worker, t.Hall, d.unanswered[t.Worker], now)
+	return d.directory.DelegateFor(t.Worker, t.Hall, d.unanswered[t.Worker], now)
 }
 
 // counts returns the number of delegates and how many of them are passed over after a
@@ -62,7 +62,7 @@
 func (d *delegatedWorkers) markFailed(h spoolsill.HostID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.directory.Fail(h, d.node.clock.Now())
+	d.directory.MarkFailed(h, d.node.clock.Now())
 }
 
 // recordReply records the outcome of a call to a worker. After an unanswered call the
@@ -71,7 +71,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch k {
-	case leader.NoAnswer, leader.Unreachable, leader.NobodyThere:
+	case leader.NoAnswer, leader.Unreachable, leader.ConnectionRefused:
 		if d.unanswered == nil {
 			d.unanswered = map[spoolsill.WorkerID]int{}
 		}
@@ -122,7 +122,7 @@
 	sent := d.node.clock.Now()
 	// Twice the limit for the beginning of the worker's response leaves time for the
 	// rest of it.
-	limited, cancel := context.WithTimeout(ctx, l.Wait+2*l.Within+delegateOverhead)
+	limited, cancel := context.WithTimeout(ctx, l.Wait+2*l.Timeout+delegateOverhead)
 	defer cancel()
 	r, made, err := d.renewViaDelegate(limited, l)
 	if !made {
@@ -164,7 +164,7 @@
 		return d.direct.Start(ctx, o)
 	}
 	if q, ok := d.startOf(h, o); ok {
-		limited, cancel := context.WithTimeout(ctx, o.Within+delegateOverhead+specTimeout)
+		limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead+specTimeout)
 		defer cancel()
 		r, made, err := callDelegate[startOfReply](limited, d, h, o.Target, methodStartOf, q)
 		switch {
@@ -175,7 +175,7 @@
 		}
 		d.specs.markFailed(q.Host, d.node.clock.Now())
 	}
-	limited, cancel := context.WithTimeout(ctx, o.Within+delegateOverhead)
+	limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead)
 	defer cancel()
 	r, made, err := callDelegate[orderReply](limited, d, h, o.Target, methodStart, startRequestOf(o))
 	if !made {
@@ -186,7 +186,7 @@
 
 // Stop implements [leader.Workers].
 func (d *delegatedWorkers) Stop(ctx context.Context, o leader.Stop) leader.Reply {
-	limited, cancel := context.WithTimeout(ctx, o.Within+delegateOverhead)
+	limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead)
 	defer cancel()
 	r, made, err := callViaDelegate[orderReply](limited, d, o.Target, methodStop, stopRequestOf(o))
 	if !made {
--- a/node/delegatewire.go
+++ b/node/delegatewire.go
@@ -85,20 +85,20 @@
 	return renewRequest{
 		Target:   targetOf(l.Target, l.Fence),
 		Deadline: l.Deadline,
-		LastSeen: l.LastSeen,
+		LastSeen: l.LastAcked,
 		Wait:     l.Wait,
-		Within:   l.Within,
+		Within:   l.Timeout,
 	}
 }
 
 func (q renewRequest) renewal() leader.Renewal {
 	return leader.Renewal{
-		Target:   q.Target.target(),
-		Fence:    q.Target.Fence,
-		Deadline: q.Deadline,
-		LastSeen: q.LastSeen,
-		Wait:     q.Wait,
-		Within:   q.Within,
+		Target:    q.Target.target(),
+		Fence:     q.Target.Fence,
+		Deadline:  q.Deadline,
+		LastAcked: q.LastSeen,
+		Wait:      q.Wait,
+		Timeout:   q.Within,
 	}
 }
 
@@ -122,7 +122,7 @@
 		Spec:     o.Order.Spec,
 		Saved:    o.Order.Saved,
 		Ticket:   o.Order.Ticket,
-		Within:   o.Within,
+		Within:   o.Timeout,
 	}
 }
 
@@ -140,7 +140,7 @@
 			Saved:  q.Saved,
 			Ticket: q.Ticket,
 		},
-		Within: q.Within,
+		Timeout: q.Within,
 	}
 }
 
@@ -156,16 +156,16 @@
 	return stopRequest{
 		Target: targetOf(o.Target, o.Fence),
 		Run:    wireRunOf(o.Run),
-		Within: o.Within,
+		Within: o.Timeout,
 	}
 }
 
 func (q stopRequest) stop() leader.Stop {
 	return leader.Stop{
-		Target: q.Target.target(),
-		Fence:  q.Target.Fence,
-		Run:    q.Run.run(),
-		Within: q.Within,
+		Target:  q.Target.target(),
+		Fence:   q.Target.Fence,
+		Run:     q.Run.run(),
+		Timeout: q.Within,
 	}
 }
 
--- a/node/election.go
+++ b/node/election.go
@@ -175,7 +175,7 @@
 	n.mu.Lock()
 	largest := n.maxCores
 	if largest == 0 {
-		largest = n.leaderHead.MostCores
+		largest = n.leaderHead.MaxCores
 	}
 	recentlyResigned := n.clock.Since(n.resignedAt) < resignPeriod
 	n.mu.Unlock()
@@ -250,14 +250,14 @@
 // backoff returns the timeout d extended after failed leaderships: it is doubled for
 // each preceding one in a row that ended before it had read all jobs.
 func backoff(d time.Duration, h leader.Head) time.Duration {
-	return d << min(max(h.Unsettled-1, 0), maxBackoffDoublings)
+	return d << min(max(h.UnfinishedLoads-1, 0), maxBackoffDoublings)
 }
 
 // lead tries to take over and then leads until it is deposed or ctx is done.
 func (n *Node) lead(ctx context.Context, old leader.Head, v store.Version) {
 	c, err := n.takeOver(ctx, old, v)
 	if err != nil {
-		if !errors.Is(err, leader.ErrDeposed) && ctx.Err() == nil {
+		if !errors.Is(err, leader.ErrLeadershipLost) && ctx.Err() == nil {
 			n.log.WithError(err).Warn("could not take over")
 		}
 		return
@@ -281,12 +281,12 @@
 func (n *Node) takeOver(ctx context.Context, old leader.Head, v store.Version) (*leader.Chain, error) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	return leader.Take(ctx, n.store, old, v, leader.Head{
-		Host:      n.settings.Host,
-		Address:   n.peerAddress(),
-		Life:      n.incarnation,
-		MostCores: max(n.settings.Cores, n.knownMaxCores()),
-		Hosts:     n.knownHostCount(),
+	return leader.Acquire(ctx, n.store, old, v, leader.Head{
+		Host:        n.settings.Host,
+		Address:     n.peerAddress(),
+		Incarnation: n.incarnation,
+		MaxCores:    max(n.settings.Cores, n.knownMaxCores()),
+		Hosts:       n.knownHostCount(),
 	})
 }
 
@@ -313,10 +313,10 @@
 	if l != nil {
 		n.fitness.largerSince = time.Time{}
 		n.leaderHead = leader.Head{
-			Epoch:   e,
-			Host:    n.settings.Host,
-			Address: n.peerAddress(),
-			Life:    n.incarnation,
+			Epoch:       e,
+			Host:        n.settings.Host,
+			Address:     n.peerAddress(),
+			Incarnation: n.incarnation,
 		}
 	}
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -111,7 +111,7 @@
 	defer n.mu.Unlock()
 	row := leaderWrite{
 		epoch:  h.Epoch,
-		writes: h.Write,
+		writes: h.WriteCount,
 	}
 	if n.lastLeaderWrite == row && n.lastLeaderWriteBegun.Before(now) {
 		return n.lastLeaderWriteBegun
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -61,7 +61,7 @@
 // this host cannot write to the store.
 func (n *Node) Submit(ctx context.Context, j sched.Job) (platform.Outcome, error) {
 	if err := n.checkAdmission(); err != nil {
-		return platform.Unable, err
+		return platform.Unavailable, err
 	}
 	ctx, cancel := withTimeFraction(ctx, submitTimeFraction)
 	defer cancel()
@@ -74,9 +74,9 @@
 		last = err
 		tries++
 		switch o {
-		case jobstore.Accepted, jobstore.Known:
+		case jobstore.Accepted, jobstore.Duplicate:
 			n.log.WithFields(logrus.Fields{
-				"request": platform.RequestOf(ctx),
+				"request": platform.RequestID(ctx),
 				"job":     string(j.ID),
 				"queue":   string(j.Queue),
 				"outcome": o.String(),
@@ -110,7 +110,7 @@
 	if n.leaderIsLoading() {
 		return // the leader's listing, or the feed after it, includes the job
 	}
-	row, err := jobstore.Row(n.partition(), j)
+	row, err := jobstore.JobRow(n.partition(), j)
 	if err != nil {
 		n.log.WithError(err).WithField("job", string(j.ID)).Error("cannot encode job for the leader")
 		return
@@ -122,7 +122,7 @@
 // the notification is lost, the leader learns of the row from the store.
 func (n *Node) notifyLeader(ctx context.Context, id spoolsill.JobID, row store.Row) {
 	if l := n.localLeader(); l != nil {
-		l.Tell(row)
+		l.NotifyRow(row)
 		return
 	}
 	h, ok := n.lastKnownLeader()
@@ -148,7 +148,7 @@
 	now := n.clock.Now()
 	leader, answers := n.reachableLeader()
 	n.log.WithError(err).WithFields(logrus.Fields{
-		"request":          platform.RequestOf(ctx),
+		"request":          platform.RequestID(ctx),
 		"job":              string(j.ID),
 		"may_be_kept":      mayBeStored,
 		"tries":            tries,
@@ -164,7 +164,7 @@
 	if mayBeStored {
 		return platform.Unknown
 	}
-	return platform.Unable
+	return platform.Unavailable
 }
 
 func (n *Node) submitOnce(ctx context.Context, j sched.Job) (jobstore.Outcome, error) {
@@ -216,7 +216,7 @@
 	}
 	if r.Outcome == jobstore.Accepted {
 		// The leader's host stored the job, so it needs no notification.
-		return jobstore.Known, true
+		return jobstore.Duplicate, true
 	}
 	return r.Outcome, true
 }
@@ -239,18 +239,18 @@
 		}, stateOutcome(r.Known), nil
 	}
 	if !n.health.shouldTry(n.clock.Now()) {
-		return sched.JobStatus{}, platform.Unable, errStoreUnreachable
+		return sched.JobStatus{}, platform.Unavailable, errStoreUnreachable
 	}
 	if !n.lookupSlots.TryAcquire(1) {
-		return sched.JobStatus{}, platform.Unable, errTooManyLookups
+		return sched.JobStatus{}, platform.Unavailable, errTooManyLookups
 	}
 	defer n.lookupSlots.Release(1)
-	s, known, err := jobstore.State(ctx, n.store, id)
+	s, known, err := jobstore.ReadState(ctx, n.store, id)
 	switch {
 	case err != nil:
-		return s, platform.Unable, err
+		return s, platform.Unavailable, err
 	case !known:
-		return s, platform.NoSuch, nil
+		return s, platform.NotFound, nil
 	default:
 		return s, platform.Done, nil
 	}
@@ -260,7 +260,7 @@
 	if known {
 		return platform.Done
 	}
-	return platform.NoSuch
+	return platform.NotFound
 }
 
 // queryLeaderState queries the leader for the state of a job.
@@ -290,7 +290,7 @@
 	for ctx.Err() == nil {
 		o, err := n.cancelOnce(ctx, c, id)
 		if err == nil && o == platform.Done {
-			n.log.WithField("request", platform.RequestOf(ctx)).WithField("job", string(id)).Info("job cancelled")
+			n.log.WithField("request", platform.RequestID(ctx)).WithField("job", string(id)).Info("job cancelled")
 		}
 		if err == nil {
 			return o, nil
@@ -327,7 +327,7 @@
 	case err != nil:
 		return platform.Unknown, err
 	case r.Foreign:
-		return platform.Foreign, nil
+		return platform.Forbidden, nil
 	default:
 		return stateOutcome(r.Known), nil
 	}
@@ -340,8 +340,8 @@
 	if o != platform.Done {
 		return o, err
 	}
-	if !c.Owns(s) {
-		return platform.Foreign, nil
+	if !c.CanAccess(s) {
+		return platform.Forbidden, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, n.health.writeTimeout())
 	defer cancel()
@@ -359,14 +359,14 @@
 }
 
 // Waiting implements [platform.Jobs].
-func (n *Node) Waiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
+func (n *Node) CountWaiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
 	if l := n.localLeader(); l != nil {
-		w, ok := l.Waiting(q)
+		w, ok := l.WaitingJobs(q)
 		return w, knownOutcome(ok), nil
 	}
 	h, ok := n.reachableLeader()
 	if !ok {
-		return 0, platform.Unable, errNotLeading
+		return 0, platform.Unavailable, errNotLeading
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaderQueryTimeout)
 	defer cancel()
@@ -380,5 +380,5 @@
 	if ok {
 		return platform.Done
 	}
-	return platform.Unable
+	return platform.Unavailable
 }
--- a/node/loading_test.go
+++ b/node/loading_test.go
@@ -24,7 +24,7 @@
 		for k := range spec {
 			spec[k] = 'x'
 		}
-		row, err := jobstore.Row(fmt.Sprintf("host%d", i%hosts), sched.Job{
+		row, err := jobstore.JobRow(fmt.Sprintf("host%d", i%hosts), sched.Job{
 			ID:    spoolsill.JobID(jobID(i)),
 			Queue: "q",
 			Spec:  string(spec),
--- a/node/node.go
+++ b/node/node.go
@@ -466,7 +466,7 @@
 // this host does not lead.
 func (n *Node) unreadableWorkers() int64 {
 	if l := n.localLeader(); l != nil {
-		return l.Unclear()
+		return l.InvalidWorkerEntries()
 	}
 	return 0
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -193,7 +193,7 @@
 		n.maybeYieldTo(now, l, c.Host, q)
 		r.Leads = true
 		r.Epoch = l.Epoch()
-		begun, writes := l.Latest()
+		begun, writes := l.LastWrite()
 		r.Age = n.clock.Since(begun)
 		r.Writes = writes
 		r.UsualWrite = n.health.averageWrite()
@@ -221,7 +221,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	s, known, sure := l.Settle(ctx, q.Job)
+	s, known, sure := l.AwaitStatus(ctx, q.Job)
 	if known && !s.State.Final() && !n.leadsExclusively(l) {
 		return stateReply{}, nil
 	}
@@ -254,7 +254,7 @@
 // paused or cut off from the store might report a job as running that the next leader
 // has completed.
 func (n *Node) leadsExclusively(l *leader.Leader) bool {
-	begun, writes := l.Latest()
+	begun, writes := l.LastWrite()
 	w := leaderWrite{
 		epoch:  l.Epoch(),
 		writes: writes,
@@ -269,7 +269,7 @@
 	if l == nil {
 		return waitingReply{}, errNotLeading
 	}
-	w, ok := l.Waiting(q.Queue)
+	w, ok := l.WaitingJobs(q.Queue)
 	return waitingReply{
 		Known:   ok,
 		Waiting: w,
@@ -301,15 +301,15 @@
 	if l == nil {
 		return notifyReply{}, errNotLeading
 	}
-	l.Tell(q.Row)
+	l.NotifyRow(q.Row)
 	return notifyReply{}, nil
 }
 
 func (n *Node) handleCancel(ctx context.Context, _ peer.Caller, q cancelRequest) (cancelReply, error) {
 	o, err := n.cancelLocally(ctx, q.Caller, q.Job)
 	return cancelReply{
-		Known:   o != platform.NoSuch,
-		Foreign: o == platform.Foreign,
+		Known:   o != platform.NotFound,
+		Foreign: o == platform.Forbidden,
 	}, err
 }
 
--- a/node/specs.go
+++ b/node/specs.go
@@ -192,7 +192,7 @@
 
 // readSpec reads the spec of an order from the store into the cache.
 func (n *Node) readSpec(ctx context.Context, q startOfRequest) error {
-	j, err := jobstore.Read(ctx, n.store, string(q.Host), q.Spec.Job)
+	j, err := jobstore.ReadJob(ctx, n.store, string(q.Host), q.Spec.Job)
 	if err != nil {
 		return err
 	}
--- a/node/specs_test.go
+++ b/node/specs_test.go
@@ -122,7 +122,7 @@
 
 // storeWide stores a wide gang as if accepted by an earlier incarnation of a host.
 func (x *cell) storeWide(host, i int) {
-	row, err := jobstore.Row(hostName(host), sched.Job{
+	row, err := jobstore.JobRow(hostName(host), sched.Job{
 		ID:    spoolsill.JobID(jobID(i)),
 		Queue: "q",
 		Spec:  longSpec(i),
--- a/node/storehealth.go
+++ b/node/storehealth.go
@@ -226,7 +226,7 @@
 	if errors.Is(err, context.Canceled) {
 		return r, err // another attempt was answered, which is no evidence about this one
 	}
-	if err == nil || errors.Is(err, store.ErrUnknown) {
+	if err == nil || errors.Is(err, store.ErrUnknownOutcome) {
 		s.health.recordWriteTime(s.clock.Since(begun), err == nil)
 	}
 	s.health.recordRefusal(begun, errors.Is(err, store.ErrRefused))
