--- a/holder/call.go
+++ b/holder/call.go
@@ -183,7 +183,7 @@
 // Check verifies what must hold at all times over the hall's state.
 func (h *Holder) Check() error {
 	_, err := ask(h, func(s *place.State) (struct{}, error) {
-		return struct{}{}, s.Check()
+		return struct{}{}, s.CheckInvariants()
 	})
 	return err
 }
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -66,7 +66,7 @@
 	poll := d.t.h.config.Poll
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	if d.t.ready && d.fails == 0 && !d.strays && len(d.forget) == 0 && len(d.t.state.Holds(d.id)) == 0 {
+	if d.t.ready && d.fails == 0 && !d.strays && len(d.forget) == 0 && len(d.t.state.Allocations(d.id)) == 0 {
 		poll *= idlePolls
 	}
 	return poll - poll/10 + rand.N(poll/5)
@@ -150,7 +150,7 @@
 		Epoch:    d.t.epoch,
 		LeaseEnd: d.t.leaseEnd(now).UnixMilli(),
 	}
-	for _, h := range d.t.state.Holds(d.id) {
+	for _, h := range d.t.state.Allocations(d.id) {
 		if holds || h.Service {
 			q.Tasks = append(q.Tasks, agent.Ref{
 				Task:    h.Task,
@@ -189,7 +189,7 @@
 func (d *driver) unanswered() {
 	d.fails++
 	if d.fails == silentAfter {
-		d.t.state.SetSilent(d.id, true)
+		d.t.state.SetUnresponsive(d.id, true)
 		d.t.h.event(timeline.Event{
 			Kind:   timeline.KindMembership,
 			Worker: d.id,
@@ -199,7 +199,7 @@
 	if d.fails < silentAfter || (!d.lapsed() && !d.t.h.config.Break.Lapse) {
 		return
 	}
-	for _, h := range d.t.state.Holds(d.id) {
+	for _, h := range d.t.state.Allocations(d.id) {
 		d.report(agent.Ref{
 			Task:    h.Task,
 			Attempt: h.Attempt,
@@ -235,7 +235,7 @@
 	}
 	// What strays use is in no account: the worker gets nothing new beside them.
 	d.strays = strays > 0
-	d.t.state.SetSilent(d.id, d.strays)
+	d.t.state.SetUnresponsive(d.id, d.strays)
 	for _, r := range q.Tasks {
 		if !there[r] {
 			d.missing(r)
@@ -271,7 +271,7 @@
 	return false
 }
 
-var fates = map[agent.State]place.Fate{
+var fates = map[agent.State]place.Outcome{
 	agent.Exited:       place.Exited,
 	agent.Failed:       place.Failed,
 	agent.Checkpointed: place.Checkpointed,
@@ -279,13 +279,13 @@
 	agent.Expired:      place.Expired,
 }
 
-func (d *driver) held(r agent.Ref) (place.Hold, bool) {
-	for _, h := range d.t.state.Holds(d.id) {
+func (d *driver) held(r agent.Ref) (place.Allocation, bool) {
+	for _, h := range d.t.state.Allocations(d.id) {
 		if h.Task == r.Task && h.Attempt == r.Attempt {
 			return h, true
 		}
 	}
-	return place.Hold{}, false
+	return place.Allocation{}, false
 }
 
 // stray has a task stopped that the worker runs and no record names.
@@ -308,7 +308,7 @@
 		return
 	}
 	delete(d.starting, r)
-	d.report(r, place.Missing)
+	d.report(r, place.NotFound)
 }
 
 // mayArrive reports whether the start of a task may still arrive at the worker
@@ -338,19 +338,19 @@
 
 // use takes in what a task uses, and does what follows.
 func (d *driver) use(s agent.Status) {
-	m, records := d.t.state.Use(time.Now(), s.Task, s.Used)
+	m, records := d.t.state.ReportUsage(time.Now(), s.Task, s.Used)
 	d.t.record(records)
-	if m == place.MeasureThrottle {
+	if m == place.EnforceThrottle {
 		d.t.spawn(func() { d.signal(s.Ref, agent.Throttle) })
 	}
 }
 
 // report hands a fate to the decisions. The lock is held.
-func (d *driver) report(r agent.Ref, f place.Fate) {
+func (d *driver) report(r agent.Ref, f place.Outcome) {
 	d.t.record(d.t.state.Report(time.Now(), place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
-		Fate:    f,
+		Outcome: f,
 	}))
 }
 
@@ -387,7 +387,7 @@
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	h, held := d.held(r)
-	spec, known := d.t.state.Spec(r.Task.Job)
+	spec, known := d.t.state.JobSpec(r.Task.Job)
 	if !held || !known || h.State != spoolsill.TaskPlaced {
 		return agent.Start{}, "", false
 	}
@@ -449,7 +449,7 @@
 	defer t.mu.Unlock()
 	for _, d := range list {
 		if !d.asked && d.address != "" {
-			t.state.SetSilent(d.id, true)
+			t.state.SetUnresponsive(d.id, true)
 			d.fails = silentAfter
 		}
 	}
--- a/internal/bench/placebench/policy.go
+++ b/internal/bench/placebench/policy.go
@@ -93,8 +93,8 @@
 }
 
 func (p *plain) report(_ time.Time, r place.Report) {
-	if r.Fate != place.Started {
-		p.scheduler.End(r.Task, r.Fate != place.Exited)
+	if r.Outcome != place.Started {
+		p.scheduler.End(r.Task, r.Outcome != place.Exited)
 	}
 }
 
--- a/internal/bench/placebench/run.go
+++ b/internal/bench/placebench/run.go
@@ -275,7 +275,7 @@
 	s.policy.report(s.loop.Time(), place.Report{
 		Task:    x.task,
 		Attempt: x.attempt,
-		Fate:    place.Started,
+		Outcome: place.Started,
 	})
 	if s.in.failing[x.worker] {
 		s.lost[x.task]++
@@ -306,7 +306,7 @@
 }
 
 // end ends a run on its worker; the policy learns of it later.
-func (s *sim) end(r *run, f place.Fate) {
+func (s *sim) end(r *run, f place.Outcome) {
 	if r.ended {
 		return
 	}
@@ -323,7 +323,7 @@
 		s.policy.report(s.loop.Time(), place.Report{
 			Task:    r.start.task,
 			Attempt: r.start.attempt,
-			Fate:    f,
+			Outcome: f,
 		})
 		s.decideSoon()
 	})
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -123,7 +123,7 @@
 		if i == shownChanges {
 			break
 		}
-		t.row(string(c.Verb), c.Task, string(c.Worker), c.Why)
+		t.row(string(c.Verb), c.Task, string(c.Worker), c.Reason)
 	}
 	t.flush()
 	if n := len(p.Changes) - shownChanges; n > 0 {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -132,7 +132,7 @@
 		return "not listed"
 	case w.Leaving:
 		return "leaving"
-	case w.Silent:
+	case w.Unresponsive:
 		return "silent"
 	case w.Quarantined.After(time.Now()):
 		return "in quarantine until " + w.Quarantined.Local().Format(time.TimeOnly)
--- a/internal/naive/ledger.go
+++ b/internal/naive/ledger.go
@@ -113,7 +113,7 @@
 	case place.JobCancelled:
 		l.cancel(r.Task.Job)
 		return nil
-	case place.PlanApplied, place.Learned:
+	case place.PlanApplied, place.RuntimesLearned:
 		return nil
 	default:
 		return l.applyTask(r)
--- a/place/apply.go
+++ b/place/apply.go
@@ -7,7 +7,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Apply changes the state by one record. It returns [ErrRecord], and changes
+// Apply changes the state by one record. It returns [ErrInvalidRecord], and changes
 // nothing, when the record does not fit.
 func (s *State) Apply(r Record) error {
 	switch r.Kind {
@@ -18,8 +18,8 @@
 	case PlanApplied:
 		s.plans.add(r.Plan)
 		return nil
-	case Learned:
-		s.learnt.set(r.Team, r.Kinds, r.Ratio)
+	case RuntimesLearned:
+		s.learnt.set(r.Team, r.JobKind, r.Ratios)
 		return nil
 	default:
 		return s.applyTask(r)
--- a/place/bench_test.go
+++ b/place/bench_test.go
@@ -46,7 +46,7 @@
 				s.Report(now, place.Report{
 					Task:    records[0].Task,
 					Attempt: records[0].Attempt,
-					Fate:    place.Exited,
+					Outcome: place.Exited,
 				})
 			}
 		})
--- a/place/check.go
+++ b/place/check.go
@@ -6,9 +6,9 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Check verifies what must hold at all times over the whole state and returns
+// CheckInvariants verifies what must hold at all times over the whole state and returns
 // the first thing that does not. Cost: O(tasks + workers).
-func (s *State) Check() error {
+func (s *State) CheckInvariants() error {
 	held := map[*worker]spoolsill.Resources{}
 	used := map[*team]spoolsill.Resources{}
 	for _, j := range s.jobs {
--- a/place/decide.go
+++ b/place/decide.go
@@ -102,8 +102,8 @@
 		if t.job != j || d.state.obstacle(t, t.target, d.now) != obstacleNone {
 			continue
 		}
-		j.why = Why{
-			Code:   WhyFits,
+		j.why = Reason{
+			Code:   ReasonFits,
 			Worker: t.target.ID,
 		}
 		d.add(d.state.placed(t, t.target, d.now, CauseFits))
@@ -139,10 +139,10 @@
 // quotaAllows reports whether the team's quota has room for the next task of
 // j, or for all of a gang. Patient work may pass the quota while the hall has
 // room; recall takes it back.
-func (s *State) quotaAllows(j *job) (Why, bool) {
+func (s *State) quotaAllows(j *job) (Reason, bool) {
 	q := j.team.quota
 	if !j.team.limited || j.spec.Class == spoolsill.Patient {
-		return Why{}, true
+		return Reason{}, true
 	}
 	need := j.spec.Shape
 	if j.spec.Kind == spoolsill.Gang {
@@ -150,10 +150,10 @@
 	}
 	left := q.Sub(j.team.used)
 	if need.Fits(left) {
-		return Why{}, true
+		return Reason{}, true
 	}
-	return Why{
-		Code: WhyQuota,
+	return Reason{
+		Code: ReasonQuota,
 		Have: left,
 	}, false
 }
--- a/place/doc.go
+++ b/place/doc.go
@@ -9,7 +9,7 @@
 //
 // What can never happen: the free capacity of a worker below zero, a task on
 // two workers, a gang in part. Apply refuses a record that would bring it
-// about, and [State.Check] verifies it over the whole state.
+// about, and [State.CheckInvariants] verifies it over the whole state.
 //
 // The package has no clock, I/O, lock or goroutine; the time is passed in. A
 // State is not safe for concurrent use.
--- a/place/fate_test.go
+++ b/place/fate_test.go
@@ -19,7 +19,7 @@
 			c := qt.New(t)
 			s := newHall(place.Config{
 				NoQuarantine: off,
-				Tries:        10,
+				MaxAttempts:  10,
 			}, 10)
 			failed := 0
 			now := start
@@ -48,7 +48,7 @@
 func TestBadJobDoesNotCondemnWorkers(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{
-		Tries: 20,
+		MaxAttempts: 20,
 	}, 10)
 	add(c, s, start, job("bad", 40, 1))
 	now := start
@@ -77,7 +77,7 @@
 		}
 		now = now.Add(time.Minute)
 	}
-	c.Assert(seen, qt.HasLen, place.DefaultTries)
+	c.Assert(seen, qt.HasLen, place.DefaultMaxAttempts)
 	_, tasks, _ := s.Job("job")
 	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskFailed)
 }
@@ -107,7 +107,7 @@
 	}
 	run(s, start, decide(c, s, start, place.TaskPlaced))
 	records := s.Cancel(start, ids)
-	c.Assert(s.Check(), qt.IsNil)
+	c.Assert(s.CheckInvariants(), qt.IsNil)
 	stops := 0
 	for _, r := range records {
 		if r.Kind == place.TaskStopping {
@@ -129,17 +129,17 @@
 	used := spoolsill.Resources{
 		Processors: 4 * spoolsill.Core,
 	}
-	var got []place.Measure
+	var got []place.Enforcement
 	for range 6 {
-		m, _ := s.Use(start, r.Task, used)
+		m, _ := s.ReportUsage(start, r.Task, used)
 		got = append(got, m)
 	}
-	c.Assert(got, qt.DeepEquals, []place.Measure{
-		place.MeasureThrottle,
-		place.MeasureThrottle,
-		place.MeasureCheckpoint,
-		place.MeasureCheckpoint,
-		place.MeasureCheckpoint,
-		place.MeasureStop,
+	c.Assert(got, qt.DeepEquals, []place.Enforcement{
+		place.EnforceThrottle,
+		place.EnforceThrottle,
+		place.EnforceCheckpoint,
+		place.EnforceCheckpoint,
+		place.EnforceCheckpoint,
+		place.EnforceStop,
 	})
 }
--- a/place/fit.go
+++ b/place/fit.go
@@ -91,7 +91,7 @@
 
 // pick returns the best worker for t, or nil and why there is none.
 // Cost: O(workers in the state).
-func (s *State) pick(t *task, now time.Time) (*worker, Why) {
+func (s *State) pick(t *task, now time.Time) (*worker, Reason) {
 	var best *worker
 	var bestCost float64
 	var counts [obstacles]int
@@ -108,8 +108,8 @@
 		}
 	}
 	if best != nil {
-		return best, Why{
-			Code:   WhyFits,
+		return best, Reason{
+			Code:   ReasonFits,
 			Worker: best.ID,
 		}
 	}
--- a/place/fixture_test.go
+++ b/place/fixture_test.go
@@ -57,7 +57,7 @@
 // decide returns the records of kind k that Decide gives.
 func decide(c *qt.C, s *place.State, at time.Time, k place.RecordKind) []place.Record {
 	records, _ := s.Decide(at)
-	c.Assert(s.Check(), qt.IsNil)
+	c.Assert(s.CheckInvariants(), qt.IsNil)
 	var out []place.Record
 	for _, r := range records {
 		if r.Kind == k {
@@ -73,15 +73,15 @@
 		s.Report(at, place.Report{
 			Task:    r.Task,
 			Attempt: r.Attempt,
-			Fate:    place.Started,
+			Outcome: place.Started,
 		})
 	}
 }
 
-func end(s *place.State, at time.Time, r place.Record, f place.Fate) {
+func end(s *place.State, at time.Time, r place.Record, f place.Outcome) {
 	s.Report(at, place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
-		Fate:    f,
+		Outcome: f,
 	})
 }
--- a/place/gang.go
+++ b/place/gang.go
@@ -11,8 +11,8 @@
 func (d *decider) startGang(j *job) bool {
 	s := d.state
 	if len(j.pending) < j.live {
-		j.why = Why{
-			Code: WhyGangRoom,
+		j.why = Reason{
+			Code: ReasonGangNoCapacity,
 		}
 		return false
 	}
@@ -39,7 +39,7 @@
 // seats returns a worker for each waiting task of a gang, or nil when they
 // don't all fit. The fullest workers are taken first.
 // Cost: O(workers log workers).
-func (s *State) seats(j *job, now time.Time) ([]*worker, Why) {
+func (s *State) seats(j *job, now time.Time) ([]*worker, Reason) {
 	tasks := j.waiting()
 	var counts [obstacles]int
 	var open []*worker
@@ -63,14 +63,14 @@
 			seats = append(seats, w)
 		}
 		if len(seats) == len(tasks) {
-			return seats, Why{
-				Code:   WhyFits,
+			return seats, Reason{
+				Code:   ReasonFits,
 				Worker: w.ID,
 			}
 		}
 	}
 	y := s.whyNot(tasks[0], &counts)
-	y.Code = WhyGangRoom
+	y.Code = ReasonGangNoCapacity
 	if s.reserve.job == j {
 		y.At = s.reserve.at
 	}
@@ -181,7 +181,7 @@
 func (s *State) oldestBlockedGang() *job {
 	var oldest *job
 	for _, j := range s.gangs {
-		if j.blocked == 0 || len(j.pending) < j.live || j.why.Code != WhyGangRoom {
+		if j.blocked == 0 || len(j.pending) < j.live || j.why.Code != ReasonGangNoCapacity {
 			continue
 		}
 		if oldest == nil || j.number < oldest.number {
--- a/place/health.go
+++ b/place/health.go
@@ -42,7 +42,7 @@
 	switch r.Cause {
 	case CauseExited:
 		s.noteSuccess(t, r)
-	case CauseFailed, CauseRefused, CauseBudget:
+	case CauseFailed, CauseRefused, CauseNoAttemptsLeft:
 		s.noteFailure(t, r)
 	}
 }
--- a/place/learn.go
+++ b/place/learn.go
@@ -7,9 +7,9 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Ratios counts actual run times against declared ones, in buckets of half a
+// RuntimeRatios counts actual run times against declared ones, in buckets of half a
 // power of two around 1. It is 34 bytes, kept for each team and kind of job.
-type Ratios [ratioBuckets]uint16
+type RuntimeRatios [ratioBuckets]uint16
 
 const (
 	ratioBuckets = 17
@@ -32,7 +32,7 @@
 }
 
 // learnt maps a team and kind of job to what its run times were like.
-type learnt map[learntKey]*Ratios
+type learnt map[learntKey]*RuntimeRatios
 
 func keyOf(j *spoolsill.Job) learntKey {
 	return learntKey{
@@ -41,7 +41,7 @@
 	}
 }
 
-func (l learnt) set(t spoolsill.TeamID, k spoolsill.Kind, r *Ratios) {
+func (l learnt) set(t spoolsill.TeamID, k spoolsill.Kind, r *RuntimeRatios) {
 	if r == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 	}
 	r, ok := l[keyOf(j)]
 	if !ok {
-		r = &Ratios{}
+		r = &RuntimeRatios{}
 		l[keyOf(j)] = r
 	}
 	b := ratioMiddle + int(math.Round(2*math.Log2(float64(took)/float64(j.Runtime))))
@@ -70,7 +70,7 @@
 	}
 }
 
-func (r *Ratios) halve() {
+func (r *RuntimeRatios) halve() {
 	for i := range r {
 		r[i] /= 2
 	}
@@ -78,7 +78,7 @@
 
 // quantile returns the ratio that perMille of the counted runs stayed below,
 // or 1 when none was counted.
-func (r *Ratios) quantile(perMille int) float64 {
+func (r *RuntimeRatios) quantile(perMille int) float64 {
 	total := 0
 	for _, n := range r {
 		total += int(n)
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -148,7 +148,7 @@
 	s.Report(start, place.Report{
 		Task:    spoolsill.TaskID{Job: "flood0"},
 		Attempt: tasks[0].Attempt,
-		Fate:    place.Exited,
+		Outcome: place.Exited,
 	})
 	placed := decide(c, s, start.Add(time.Second), place.TaskPlaced)
 	c.Assert(placed, qt.HasLen, 1)
--- a/place/plan.go
+++ b/place/plan.go
@@ -25,7 +25,7 @@
 	Verb   Verb               `json:"verb"             msgpack:"v"`
 	Task   string             `json:"task"             msgpack:"t"`
 	Worker spoolsill.WorkerID `json:"worker,omitempty" msgpack:"w"`
-	Why    string             `json:"why,omitempty"    msgpack:"y"`
+	Reason string             `json:"why,omitempty"    msgpack:"y"`
 }
 
 // Totals are the amounts that a plan shows before and after.
@@ -287,7 +287,7 @@
 			Verb:   v,
 			Task:   r.Task.String(),
 			Worker: r.Worker,
-			Why:    r.Cause.String(),
+			Reason: r.Cause.String(),
 		}
 		if r.Kind == JobCancelled {
 			c.Task = string(r.Task.Job)
@@ -306,9 +306,9 @@
 			continue
 		}
 		out = append(out, Change{
-			Verb: VerbQueue,
-			Task: j.tasks[i].id.String(),
-			Why:  j.why.text(j.spec),
+			Verb:   VerbQueue,
+			Task:   j.tasks[i].id.String(),
+			Reason: j.why.text(j.spec),
 		})
 	}
 	return out
--- a/place/plan_test.go
+++ b/place/plan_test.go
@@ -25,7 +25,7 @@
 	again, err := s.Confirm(start, "p1", p)
 	c.Assert(err, qt.IsNil)
 	c.Assert(again, qt.HasLen, 0)
-	c.Assert(s.Check(), qt.IsNil)
+	c.Assert(s.CheckInvariants(), qt.IsNil)
 }
 
 // TestRacingPlansNeverMix confirms two plans that were made for the same room.
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -60,7 +60,7 @@
 		d.checkpoint(r)
 	}
 	if len(rooms) > 0 {
-		j.why.Code = WhyMakingRoom
+		j.why.Code = ReasonPreempting
 		j.why.Worker = rooms[0].w.ID
 	}
 }
@@ -92,7 +92,7 @@
 		d.promise(t, seats[i].w)
 		d.checkpoint(seats[i])
 	}
-	j.why.Code = WhyMakingRoom
+	j.why.Code = ReasonPreempting
 	j.why.Worker = seats[0].w.ID
 }
 
--- a/place/rapid_test.go
+++ b/place/rapid_test.go
@@ -55,7 +55,7 @@
 	if err := m.ledger.Apply(records); err != nil {
 		t.Fatal(err)
 	}
-	if err := m.state.Check(); err != nil {
+	if err := m.state.CheckInvariants(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -118,20 +118,20 @@
 		return
 	}
 	h := rapid.SampledFrom(holds).Draw(t, "task")
-	f := rapid.SampledFrom([]place.Fate{
-		place.Started, place.Exited, place.Failed, place.Checkpointed, place.Stopped, place.Refused, place.Missing, place.Lost,
+	f := rapid.SampledFrom([]place.Outcome{
+		place.Started, place.Exited, place.Failed, place.Checkpointed, place.Stopped, place.Refused, place.NotFound, place.Lost,
 	}).Draw(t, "fate")
 	m.take(t, m.state.Report(m.now, place.Report{
 		Task:    h.Task,
 		Attempt: h.Attempt,
-		Fate:    f,
+		Outcome: f,
 	}))
 }
 
-func (m *machine) holds() []place.Hold {
-	var out []place.Hold
+func (m *machine) holds() []place.Allocation {
+	var out []place.Allocation
 	for _, w := range m.workers {
-		out = append(out, m.state.Holds(w.ID)...)
+		out = append(out, m.state.Allocations(w.ID)...)
 	}
 	return out
 }
@@ -168,7 +168,7 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		s.SetWorkers(m.workers)
-		if err := s.Check(); err != nil {
+		if err := s.CheckInvariants(); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		if got := m.picture(s); got != want {
--- a/place/record.go
+++ b/place/record.go
@@ -8,9 +8,9 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrRecord is returned for a record that does not fit the state. Nothing was
+// ErrInvalidRecord is returned for a record that does not fit the state. Nothing was
 // changed.
-var ErrRecord = errors.New("place: record does not fit the state")
+var ErrInvalidRecord = errors.New("place: record does not fit the state")
 
 // RecordKind tells records apart. The numbers are kept in journals: they are
 // never reused.
@@ -27,7 +27,7 @@
 	TaskRequeued      RecordKind = 7  // Task left its worker and waits again
 	TaskEnded         RecordKind = 8  // Task reached the final State
 	PlanApplied       RecordKind = 9  // Plan was confirmed
-	Learned           RecordKind = 10 // snapshot of what was learnt of run times
+	RuntimesLearned   RecordKind = 10 // snapshot of what was learnt of run times
 )
 
 // Cause says why a record was written.
@@ -35,39 +35,39 @@
 
 // The causes of records. The numbers are kept in journals.
 const (
-	CauseNone        Cause = 0
-	CauseFits        Cause = 1
-	CausePreempted   Cause = 2
-	CauseCancelled   Cause = 3
-	CauseExited      Cause = 4
-	CauseFailed      Cause = 5
-	CauseRefused     Cause = 6 // the worker did not take the start
-	CauseWorkerLost  Cause = 7 // every lease on the worker lapsed
-	CauseNotThere    Cause = 8 // the worker knows nothing of the task
-	CauseDrained     Cause = 9
-	CauseBudget      Cause = 10 // all tries are used up
-	CauseOversize    Cause = 11 // used far more than it declared
-	CauseGangPartner Cause = 12 // another task of its gang was lost
-	CauseOperator    Cause = 13
-	CauseExpired     Cause = 14
+	CauseNone           Cause = 0
+	CauseFits           Cause = 1
+	CausePreempted      Cause = 2
+	CauseCancelled      Cause = 3
+	CauseExited         Cause = 4
+	CauseFailed         Cause = 5
+	CauseRefused        Cause = 6 // the worker did not take the start
+	CauseWorkerLost     Cause = 7 // every lease on the worker lapsed
+	CauseTaskNotFound   Cause = 8 // the worker knows nothing of the task
+	CauseDrained        Cause = 9
+	CauseNoAttemptsLeft Cause = 10 // all tries are used up
+	CauseOveruse        Cause = 11 // used far more than it declared
+	CauseGangMemberLost Cause = 12 // another task of its gang was lost
+	CauseOperator       Cause = 13
+	CauseExpired        Cause = 14
 )
 
 var causeTexts = map[Cause]string{
-	CauseNone:        "",
-	CauseFits:        "it fits the worker",
-	CausePreempted:   "urgent work needed the worker",
-	CauseCancelled:   "the job was cancelled",
-	CauseExited:      "it ran to its end",
-	CauseFailed:      "it ran and failed",
-	CauseRefused:     "the worker did not take the start",
-	CauseWorkerLost:  "the worker was silent until every lease on it had lapsed",
-	CauseNotThere:    "the worker does not know the task",
-	CauseDrained:     "the worker is leaving",
-	CauseBudget:      "all its tries failed",
-	CauseOversize:    "it used far more than it declared",
-	CauseGangPartner: "another task of its gang was lost",
-	CauseOperator:    "an operator confirmed it",
-	CauseExpired:     "its lease ended without a renewal, and the worker ended it",
+	CauseNone:           "",
+	CauseFits:           "it fits the worker",
+	CausePreempted:      "urgent work needed the worker",
+	CauseCancelled:      "the job was cancelled",
+	CauseExited:         "it ran to its end",
+	CauseFailed:         "it ran and failed",
+	CauseRefused:        "the worker did not take the start",
+	CauseWorkerLost:     "the worker was silent until every lease on it had lapsed",
+	CauseTaskNotFound:   "the worker does not know the task",
+	CauseDrained:        "the worker is leaving",
+	CauseNoAttemptsLeft: "all its tries failed",
+	CauseOveruse:        "it used far more than it declared",
+	CauseGangMemberLost: "another task of its gang was lost",
+	CauseOperator:       "an operator confirmed it",
+	CauseExpired:        "its lease ended without a renewal, and the worker ended it",
 }
 
 // String returns the cause in words.
@@ -86,11 +86,11 @@
 	State   spoolsill.TaskState `msgpack:"s,omitempty"`
 	Cause   Cause               `msgpack:"c,omitempty"`
 	// Ready is when a requeued task may be tried again, in microseconds.
-	Ready int64            `msgpack:"r,omitempty"`
-	Plan  spoolsill.PlanID `msgpack:"p,omitempty"`
-	Ratio *Ratios          `msgpack:"q,omitempty"`
-	Team  spoolsill.TeamID `msgpack:"m,omitempty"`
-	Kinds spoolsill.Kind   `msgpack:"e,omitempty"`
+	Ready   int64            `msgpack:"r,omitempty"`
+	Plan    spoolsill.PlanID `msgpack:"p,omitempty"`
+	Ratios  *RuntimeRatios   `msgpack:"q,omitempty"`
+	Team    spoolsill.TeamID `msgpack:"m,omitempty"`
+	JobKind spoolsill.Kind   `msgpack:"e,omitempty"`
 }
 
 // Time returns when the record was written.
@@ -99,5 +99,5 @@
 }
 
 func refuse(r Record, format string, args ...any) error {
-	return fmt.Errorf("%w: kind %d task %s: %s", ErrRecord, r.Kind, r.Task, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: kind %d task %s: %s", ErrInvalidRecord, r.Kind, r.Task, fmt.Sprintf(format, args...))
 }
--- a/place/report.go
+++ b/place/report.go
@@ -6,27 +6,27 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Fate is what became of a task on its worker.
-type Fate int
+// Outcome is what became of a task on its worker.
+type Outcome int
 
 // The fates of a task.
 const (
-	Started      Fate = iota // the worker confirmed the start
-	Exited                   // it ran to its end
-	Failed                   // it ran and failed
-	Checkpointed             // it was checkpointed and stopped
-	Stopped                  // it was stopped
-	Refused                  // the worker did not take the start: it did not run
-	Missing                  // the worker knows nothing of it
-	Lost                     // every lease on it has lapsed: it runs no longer
-	Expired                  // its lease ended, and so did it
+	Started      Outcome = iota // the worker confirmed the start
+	Exited                      // it ran to its end
+	Failed                      // it ran and failed
+	Checkpointed                // it was checkpointed and stopped
+	Stopped                     // it was stopped
+	Refused                     // the worker did not take the start: it did not run
+	NotFound                    // the worker knows nothing of it
+	Lost                        // every lease on it has lapsed: it runs no longer
+	Expired                     // its lease ended, and so did it
 )
 
 // A Report says what became of one start of a task.
 type Report struct {
 	Task    spoolsill.TaskID
 	Attempt spoolsill.Attempt
-	Fate    Fate
+	Outcome Outcome
 }
 
 // Report takes in what became of a task and returns the records of it,
@@ -37,7 +37,7 @@
 	if t == nil || !t.state.Holds() || t.attempt != p.Attempt {
 		return nil
 	}
-	r := s.settle(t, p.Fate, now)
+	r := s.settle(t, p.Outcome, now)
 	if r.Kind == 0 {
 		return nil
 	}
@@ -51,7 +51,7 @@
 
 // settle returns the record that follows from a fate, or one of kind 0 when
 // nothing follows.
-func (s *State) settle(t *task, f Fate, now time.Time) Record {
+func (s *State) settle(t *task, f Outcome, now time.Time) Record {
 	switch f {
 	case Started:
 		if t.state != spoolsill.TaskPlaced {
@@ -66,8 +66,8 @@
 		return s.failed(t, now, CauseRefused)
 	case Checkpointed, Stopped:
 		return s.stopped(t, now)
-	case Missing:
-		return s.vanished(t, now, CauseNotThere)
+	case NotFound:
+		return s.vanished(t, now, CauseTaskNotFound)
 	case Expired:
 		return s.vanished(t, now, CauseExpired)
 	default:
@@ -119,10 +119,10 @@
 		return s.ended(t, now, spoolsill.TaskCancelled, c)
 	case spec.Unrepeatable && c == CauseFailed:
 		return s.ended(t, now, spoolsill.TaskFailed, c)
-	case spec.Kind == spoolsill.Service || t.fails+1 < s.config.Tries:
+	case spec.Kind == spoolsill.Service || t.fails+1 < s.config.MaxAttempts:
 		return s.requeued(t, now, s.backoff(t), c)
 	default:
-		return s.ended(t, now, spoolsill.TaskFailed, CauseBudget)
+		return s.ended(t, now, spoolsill.TaskFailed, CauseNoAttemptsLeft)
 	}
 }
 
@@ -161,7 +161,7 @@
 		if p.state != spoolsill.TaskPlaced && p.state != spoolsill.TaskRunning {
 			continue
 		}
-		r := s.record(TaskStopping, p, now, CauseGangPartner)
+		r := s.record(TaskStopping, p, now, CauseGangMemberLost)
 		mustApply(s, r)
 		out = append(out, r)
 	}
@@ -229,15 +229,15 @@
 	return out
 }
 
-// A Measure is what is to be done about a task that uses more than declared.
-type Measure int
+// A Enforcement is what is to be done about a task that uses more than declared.
+type Enforcement int
 
 // The measures, in the order in which they are taken.
 const (
-	MeasureNone Measure = iota
-	MeasureThrottle
-	MeasureCheckpoint
-	MeasureStop
+	EnforceNone Enforcement = iota
+	EnforceThrottle
+	EnforceCheckpoint
+	EnforceStop
 )
 
 // Reports in a row of use above the declared size, and the margin in
@@ -249,30 +249,30 @@
 	overMargin     = 1100
 )
 
-// Use takes in what a task was seen to use and returns what is to be done:
+// ReportUsage takes in what a task was seen to use and returns what is to be done:
 // it is throttled, then checkpointed, then stopped, before its neighbours
 // suffer. Records come with the last two, already applied. Work that can't be
 // repeated is only throttled.
-func (s *State) Use(now time.Time, id spoolsill.TaskID, used spoolsill.Resources) (Measure, []Record) {
+func (s *State) ReportUsage(now time.Time, id spoolsill.TaskID, used spoolsill.Resources) (Enforcement, []Record) {
 	t := s.task(id)
 	if t == nil || !t.state.Holds() {
-		return MeasureNone, nil
+		return EnforceNone, nil
 	}
 	limit := t.job.spec.Shape
 	if used.Processors*1000 <= limit.Processors*overMargin && used.Memory*1000 <= limit.Memory*overMargin {
 		t.over = 0
-		return MeasureNone, nil
+		return EnforceNone, nil
 	}
 	t.over++
 	switch {
 	case t.over < overThrottle:
-		return MeasureNone, nil
+		return EnforceNone, nil
 	case t.over < overCheckpoint || t.job.spec.Unrepeatable:
-		return MeasureThrottle, nil
+		return EnforceThrottle, nil
 	case t.over < overStop:
-		return MeasureCheckpoint, s.leave(t, now, TaskCheckpointing, spoolsill.TaskRunning)
+		return EnforceCheckpoint, s.leave(t, now, TaskCheckpointing, spoolsill.TaskRunning)
 	default:
-		return MeasureStop, s.leave(t, now, TaskStopping, spoolsill.TaskCheckpointing)
+		return EnforceStop, s.leave(t, now, TaskStopping, spoolsill.TaskCheckpointing)
 	}
 }
 
@@ -280,7 +280,7 @@
 	if t.state != from {
 		return nil
 	}
-	r := s.record(k, t, now, CauseOversize)
+	r := s.record(k, t, now, CauseOveruse)
 	mustApply(s, r)
 	return []Record{r}
 }
--- a/place/snapshot.go
+++ b/place/snapshot.go
@@ -140,11 +140,11 @@
 	for _, k := range keys {
 		r := *s.learnt[k]
 		out = append(out, Record{
-			Kind:  Learned,
-			At:    now.UnixMicro(),
-			Team:  k.team,
-			Kinds: k.kind,
-			Ratio: &r,
+			Kind:    RuntimesLearned,
+			At:      now.UnixMicro(),
+			Team:    k.team,
+			JobKind: k.kind,
+			Ratios:  &r,
 		})
 	}
 	return out
--- a/place/state.go
+++ b/place/state.go
@@ -10,21 +10,21 @@
 
 // Defaults of [Config].
 const (
-	DefaultTries        = 4
-	DefaultBackoff      = 500 * time.Millisecond
-	DefaultMaxBackoff   = time.Minute
-	DefaultQuarantine   = time.Minute
-	DefaultQuarantined  = 100 // of 1000 workers
-	DefaultFinishedJobs = 1000
-	DefaultDecisions    = 512
-	DefaultGangPatience = 500 * time.Millisecond
+	DefaultMaxAttempts         = 4
+	DefaultBackoff             = 500 * time.Millisecond
+	DefaultMaxBackoff          = time.Minute
+	DefaultQuarantine          = time.Minute
+	DefaultQuarantinedPerMille = 100 // of 1000 workers
+	DefaultFinishedJobs        = 1000
+	DefaultDecisions           = 512
+	DefaultGangPatience        = 500 * time.Millisecond
 )
 
 // A Config describes a [State]. The zero value is usable.
 type Config struct {
-	// Tries is how often a task is started before it counts as failed; 0
-	// means DefaultTries. Services are started again without end.
-	Tries int
+	// MaxAttempts is how often a task is started before it counts as failed; 0
+	// means DefaultMaxAttempts. Services are started again without end.
+	MaxAttempts int
 	// Backoff is the wait before the second try; it doubles up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
@@ -49,11 +49,11 @@
 }
 
 func (c Config) withDefaults() Config {
-	zero.Default(&c.Tries, DefaultTries)
+	zero.Default(&c.MaxAttempts, DefaultMaxAttempts)
 	zero.Default(&c.Backoff, DefaultBackoff)
 	zero.Default(&c.MaxBackoff, DefaultMaxBackoff)
 	zero.Default(&c.Quarantine, DefaultQuarantine)
-	zero.Default(&c.QuarantinedPerMille, DefaultQuarantined)
+	zero.Default(&c.QuarantinedPerMille, DefaultQuarantinedPerMille)
 	zero.Default(&c.GangPatience, DefaultGangPatience)
 	zero.Default(&c.FinishedJobs, DefaultFinishedJobs)
 	zero.Default(&c.Decisions, DefaultDecisions)
@@ -112,7 +112,7 @@
 	cancelled  bool
 	inQueue    bool
 	never      bool
-	why        Why
+	why        Reason
 	roomSought time.Time // when room was last sought for this gang
 	blocked    uint64    // the value of State.freed at which it last did not fit
 	spread     *spread
@@ -210,8 +210,8 @@
 	s.judgeNever()
 }
 
-// SetSilent says whether a worker answers. A silent one gets no new work.
-func (s *State) SetSilent(id spoolsill.WorkerID, silent bool) {
+// SetUnresponsive says whether a worker answers. A silent one gets no new work.
+func (s *State) SetUnresponsive(id spoolsill.WorkerID, silent bool) {
 	w, ok := s.workers[id]
 	if !ok || w.silent == silent {
 		return
--- a/place/view.go
+++ b/place/view.go
@@ -34,15 +34,15 @@
 
 // A WorkerView is what operators see of a worker.
 type WorkerView struct {
-	ID          spoolsill.WorkerID  `json:"id"          msgpack:"i"`
-	Rack        spoolsill.RackID    `json:"rack"        msgpack:"k"`
-	Capacity    spoolsill.Resources `json:"capacity"    msgpack:"c"`
-	Free        spoolsill.Resources `json:"free"        msgpack:"f"`
-	Tasks       int                 `json:"tasks"       msgpack:"n"`
-	Leaving     bool                `json:"leaving"     msgpack:"l"`
-	Silent      bool                `json:"silent"      msgpack:"s"`
-	Listed      bool                `json:"listed"      msgpack:"p"`
-	Quarantined time.Time           `json:"quarantined" msgpack:"q"`
+	ID           spoolsill.WorkerID  `json:"id"          msgpack:"i"`
+	Rack         spoolsill.RackID    `json:"rack"        msgpack:"k"`
+	Capacity     spoolsill.Resources `json:"capacity"    msgpack:"c"`
+	Free         spoolsill.Resources `json:"free"        msgpack:"f"`
+	Tasks        int                 `json:"tasks"       msgpack:"n"`
+	Leaving      bool                `json:"leaving"     msgpack:"l"`
+	Unresponsive bool                `json:"silent"      msgpack:"s"`
+	Listed       bool                `json:"listed"      msgpack:"p"`
+	Quarantined  time.Time           `json:"quarantined" msgpack:"q"`
 }
 
 // Jobs returns all known jobs, oldest first.
@@ -79,22 +79,22 @@
 	out := make([]WorkerView, 0, len(s.order))
 	for _, w := range s.order {
 		out = append(out, WorkerView{
-			ID:          w.ID,
-			Rack:        w.Rack,
-			Capacity:    w.Capacity,
-			Free:        w.free,
-			Tasks:       len(w.tasks),
-			Leaving:     w.Leaving,
-			Silent:      w.silent,
-			Listed:      w.known,
-			Quarantined: w.health.until,
+			ID:           w.ID,
+			Rack:         w.Rack,
+			Capacity:     w.Capacity,
+			Free:         w.free,
+			Tasks:        len(w.tasks),
+			Leaving:      w.Leaving,
+			Unresponsive: w.silent,
+			Listed:       w.known,
+			Quarantined:  w.health.until,
 		})
 	}
 	return out
 }
 
-// A Hold is one task that holds capacity of a worker.
-type Hold struct {
+// A Allocation is one task that holds capacity of a worker.
+type Allocation struct {
 	Task    spoolsill.TaskID
 	Attempt spoolsill.Attempt
 	State   spoolsill.TaskState
@@ -103,15 +103,15 @@
 	Service bool
 }
 
-// Holds returns the tasks that hold capacity of a worker, by id.
-func (s *State) Holds(id spoolsill.WorkerID) []Hold {
+// Allocations returns the tasks that hold capacity of a worker, by id.
+func (s *State) Allocations(id spoolsill.WorkerID) []Allocation {
 	w, ok := s.workers[id]
 	if !ok {
 		return nil
 	}
-	out := make([]Hold, 0, len(w.tasks))
+	out := make([]Allocation, 0, len(w.tasks))
 	for _, t := range w.sorted() {
-		out = append(out, Hold{
+		out = append(out, Allocation{
 			Task:    t.id,
 			Attempt: t.attempt,
 			State:   t.state,
@@ -123,8 +123,8 @@
 	return out
 }
 
-// Spec returns the job of a task.
-func (s *State) Spec(id spoolsill.JobID) (spoolsill.Job, bool) {
+// JobSpec returns the job of a task.
+func (s *State) JobSpec(id spoolsill.JobID) (spoolsill.Job, bool) {
 	j, ok := s.jobs[id]
 	if !ok {
 		return spoolsill.Job{}, false
--- a/place/why.go
+++ b/place/why.go
@@ -8,25 +8,25 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// WhyCode sorts the reasons of decisions.
-type WhyCode uint8
+// ReasonCode sorts the reasons of decisions.
+type ReasonCode uint8
 
 // The reasons of decisions.
 const (
-	WhyNone WhyCode = iota
-	WhyFits
-	WhyNoRoom     // workers are large enough and full
-	WhyTooLarge   // no worker is large enough
-	WhyGangSize   // the hall is too small for all tasks of the gang at once
-	WhyQuota      // the team's quota is used up
-	WhyMakingRoom // patient work is being checkpointed for it
-	WhyGangRoom   // not all tasks of the gang fit now
+	ReasonNone ReasonCode = iota
+	ReasonFits
+	ReasonNoCapacity     // workers are large enough and full
+	ReasonTooLarge       // no worker is large enough
+	ReasonGangTooLarge   // the hall is too small for all tasks of the gang at once
+	ReasonQuota          // the team's quota is used up
+	ReasonPreempting     // patient work is being checkpointed for it
+	ReasonGangNoCapacity // not all tasks of the gang fit now
 )
 
-// A Why is the reason of the last decision on a job, cheap enough to be kept
+// A Reason is the reason of the last decision on a job, cheap enough to be kept
 // for every job. Counts are workers.
-type Why struct {
-	Code        WhyCode
+type Reason struct {
+	Code        ReasonCode
 	Worker      spoolsill.WorkerID
 	Considered  int32
 	Full        int32
@@ -39,9 +39,9 @@
 	At          time.Time           // when a reservation is expected to start
 }
 
-func (s *State) whyNot(t *task, counts *[obstacles]int) Why {
-	w := Why{
-		Code:        WhyNoRoom,
+func (s *State) whyNot(t *task, counts *[obstacles]int) Reason {
+	w := Reason{
+		Code:        ReasonNoCapacity,
 		Considered:  int32(len(s.order) - counts[obstacleGone]),
 		Full:        int32(counts[obstacleRoom]),
 		Quarantined: int32(counts[obstacleQuarantine]),
@@ -51,14 +51,14 @@
 		Reserved:    int32(counts[obstacleReserved]),
 	}
 	if t.target != nil {
-		w.Code = WhyMakingRoom
+		w.Code = ReasonPreempting
 		w.Worker = t.target.ID
 	}
 	return w
 }
 
 // largestMiss tells why j can never run on the listed workers.
-func (s *State) largestMiss(j *job) Why {
+func (s *State) largestMiss(j *job) Reason {
 	var best *worker
 	for _, w := range s.order {
 		if !w.known {
@@ -69,45 +69,45 @@
 		}
 	}
 	if best == nil {
-		return Why{
-			Code: WhyTooLarge,
+		return Reason{
+			Code: ReasonTooLarge,
 		}
 	}
-	y := Why{
-		Code:       WhyTooLarge,
+	y := Reason{
+		Code:       ReasonTooLarge,
 		Worker:     best.ID,
 		Have:       best.Capacity,
 		Considered: int32(len(s.order)),
 	}
 	if j.spec.Shape.Fits(best.Capacity) {
-		y.Code = WhyGangSize
+		y.Code = ReasonGangTooLarge
 	}
 	return y
 }
 
 // text returns the reason in words, for a job.
-func (y Why) text(j spoolsill.Job) string {
+func (y Reason) text(j spoolsill.Job) string {
 	switch y.Code {
-	case WhyNone:
+	case ReasonNone:
 		return "no decision yet"
-	case WhyFits:
+	case ReasonFits:
 		return fmt.Sprintf("fits worker %s", y.Worker)
-	case WhyTooLarge:
+	case ReasonTooLarge:
 		return fmt.Sprintf("can never run: a task needs %s; %s", j.Shape, y.largest(j.Shape))
-	case WhyGangSize:
+	case ReasonGangTooLarge:
 		return fmt.Sprintf("can never run: the hall can't hold %d tasks of %s at once, even empty", j.Tasks, j.Shape)
-	case WhyQuota:
+	case ReasonQuota:
 		return fmt.Sprintf("the quota of team %s has %s left, a task needs %s; raise the quota or end other work of the team", j.Team, y.Have, j.Shape)
-	case WhyMakingRoom:
+	case ReasonPreempting:
 		return fmt.Sprintf("patient work on worker %s is being checkpointed for it", y.Worker)
-	case WhyGangRoom:
+	case ReasonGangNoCapacity:
 		return fmt.Sprintf("not all %d tasks fit at once%s%s", j.Tasks, y.reservation(), y.ruledOut())
 	default:
 		return fmt.Sprintf("no worker has room for %s now%s", j.Shape, y.ruledOut())
 	}
 }
 
-func (y Why) largest(shape spoolsill.Resources) string {
+func (y Reason) largest(shape spoolsill.Resources) string {
 	if y.Worker == "" {
 		return "no worker is known"
 	}
@@ -128,14 +128,14 @@
 	return strings.Join(m, ", ")
 }
 
-func (y Why) reservation() string {
+func (y Reason) reservation() string {
 	if y.At.IsZero() {
 		return ""
 	}
 	return fmt.Sprintf("; workers are reserved, expected free at %s", y.At.UTC().Format(time.RFC3339))
 }
 
-func (y Why) ruledOut() string {
+func (y Reason) ruledOut() string {
 	if y.Considered == 0 {
 		return ""
 	}
