--- a/place/apply.go
+++ b/place/apply.go
@@ -7,8 +7,8 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Apply changes the state by one record. It returns [ErrInvalidRecord], and changes
-// nothing, when the record does not fit.
+// Apply applies one record. If the record contradicts the state, it returns
+// [ErrInvalidRecord] and changes nothing.
 func (s *State) Apply(r Record) error {
 	switch r.Kind {
 	case JobAdded:
@@ -16,10 +16,10 @@
 	case JobCancelled:
 		return s.cancelJob(r)
 	case PlanApplied:
-		s.plans.add(r.Plan)
+		s.confirmedPlans.add(r.Plan)
 		return nil
 	case RuntimesLearned:
-		s.learnt.set(r.Team, r.JobKind, r.Ratios)
+		s.runtimes.set(r.Team, r.JobKind, r.Ratios)
 		return nil
 	default:
 		return s.applyTask(r)
@@ -29,10 +29,10 @@
 func (s *State) applyTask(r Record) error {
 	t := s.task(r.Task)
 	if t == nil {
-		return refuse(r, "no such task")
+		return invalid(r, "no such task")
 	}
 	if t.state.Final() {
-		return refuse(r, "it is %s", t.state)
+		return invalid(r, "it is %s", t.state)
 	}
 	switch r.Kind {
 	case TaskPlaced:
@@ -40,34 +40,34 @@
 	case TaskRunning:
 		return s.runTask(t, r)
 	case TaskCheckpointing:
-		return s.leaveWorker(t, r, spoolsill.TaskCheckpointing)
+		return s.setLeavingState(t, r, spoolsill.TaskCheckpointing)
 	case TaskStopping:
-		return s.leaveWorker(t, r, spoolsill.TaskStopping)
+		return s.setLeavingState(t, r, spoolsill.TaskStopping)
 	case TaskRequeued:
 		return s.requeueTask(t, r)
 	case TaskEnded:
 		return s.endTask(t, r)
 	default:
-		return refuse(r, "unknown kind")
+		return invalid(r, "unknown kind")
 	}
 }
 
 func (s *State) addJob(r Record) error {
 	if r.Job == nil {
-		return refuse(r, "no job")
+		return invalid(r, "no job")
 	}
 	if _, ok := s.jobs[r.Job.ID]; ok {
-		return refuse(r, "job %s is known", r.Job.ID)
+		return invalid(r, "job %s is known", r.Job.ID)
 	}
 	s.added++
 	j := &job{
-		spec:    *r.Job,
-		team:    s.team(r.Job.Team),
-		number:  s.added,
-		added:   r.Time(),
-		live:    r.Job.Tasks,
-		tasks:   make([]task, r.Job.Tasks),
-		pending: make([]int, r.Job.Tasks),
+		spec:       *r.Job,
+		team:       s.team(r.Job.Team),
+		seq:        s.added,
+		added:      r.Time(),
+		unfinished: r.Job.Tasks,
+		tasks:      make([]task, r.Job.Tasks),
+		pending:    make([]int, r.Job.Tasks),
 	}
 	if j.spec.Kind == spoolsill.Service {
 		j.spread = newSpread()
@@ -78,21 +78,21 @@
 				Job:   j.spec.ID,
 				Index: i,
 			},
-			job:   j,
-			state: spoolsill.TaskQueued,
-			since: r.Time(),
+			job:        j,
+			state:      spoolsill.TaskQueued,
+			stateSince: r.Time(),
 		}
 		j.pending[i] = i
 	}
 	s.jobs[j.spec.ID] = j
-	s.judge(j)
+	s.classify(j)
 	return nil
 }
 
 func (s *State) cancelJob(r Record) error {
 	j, ok := s.jobs[r.Task.Job]
 	if !ok {
-		return refuse(r, "no such job")
+		return invalid(r, "no such job")
 	}
 	if j.cancelled {
 		return nil
@@ -107,35 +107,35 @@
 		s.setState(t, spoolsill.TaskCancelled, r.Time(), CauseCancelled)
 	}
 	j.pending = nil
-	s.settleJob(j, r.Time())
+	s.finishJob(j, r.Time())
 	return nil
 }
 
 func (s *State) placeTask(t *task, r Record) error {
 	if t.state.Holds() {
-		return refuse(r, "it holds worker %s", t.worker.ID)
+		return invalid(r, "it holds worker %s", t.worker.ID)
 	}
 	if t.job.cancelled {
-		return refuse(r, "its job is cancelled")
+		return invalid(r, "its job is cancelled")
 	}
 	if r.State == stateSnapshot {
 		t.attempt = r.Attempt - 1
 	}
 	if r.Attempt != t.attempt+1 {
-		return refuse(r, "attempt %d, want %d", r.Attempt, t.attempt+1)
+		return invalid(r, "attempt %d, want %d", r.Attempt, t.attempt+1)
 	}
 	w := s.worker(r.Worker)
-	if w.known && !t.job.spec.Shape.Fits(w.free) {
-		return refuse(r, "worker %s has %s free, it needs %s", w.ID, w.free, t.job.spec.Shape)
+	if w.listed && !t.job.spec.Shape.Fits(w.free) {
+		return invalid(r, "worker %s has %s free, it needs %s", w.ID, w.free, t.job.spec.Shape)
 	}
-	s.unpend(t)
-	s.dropTarget(t)
+	s.removeWaiting(t)
+	s.clearNomination(t)
 	t.attempt = r.Attempt
 	t.worker = w
 	w.free = w.free.Sub(t.job.spec.Shape)
 	w.tasks[t.id] = t
 	t.job.spread.add(w, 1)
-	t.job.held++
+	t.job.allocated++
 	t.job.team.used = t.job.team.used.Add(t.job.spec.Shape)
 	s.setState(t, spoolsill.TaskPlaced, r.Time(), r.Cause)
 	s.refreshQueue(t.job)
@@ -144,19 +144,19 @@
 
 func (s *State) runTask(t *task, r Record) error {
 	if !t.state.Holds() {
-		return refuse(r, "it is %s", t.state)
+		return invalid(r, "it is %s", t.state)
 	}
 	if t.state != spoolsill.TaskPlaced {
 		return nil
 	}
-	t.started = r.Time()
+	t.runningSince = r.Time()
 	s.setState(t, spoolsill.TaskRunning, r.Time(), t.cause)
 	return nil
 }
 
-func (s *State) leaveWorker(t *task, r Record, state spoolsill.TaskState) error {
+func (s *State) setLeavingState(t *task, r Record, state spoolsill.TaskState) error {
 	if !t.state.Holds() {
-		return refuse(r, "it is %s", t.state)
+		return invalid(r, "it is %s", t.state)
 	}
 	s.setState(t, state, r.Time(), r.Cause)
 	return nil
@@ -164,32 +164,32 @@
 
 func (s *State) requeueTask(t *task, r Record) error {
 	if t.job.cancelled {
-		return refuse(r, "its job is cancelled")
+		return invalid(r, "its job is cancelled")
 	}
-	s.note(t, r)
+	s.recordOutcome(t, r)
 	s.release(t)
-	t.ready = time.UnixMicro(r.Ready)
+	t.retryAt = time.UnixMicro(r.Ready)
 	s.setState(t, spoolsill.TaskQueued, r.Time(), r.Cause)
-	s.delayed = append(s.delayed, t)
+	s.backingOff = append(s.backingOff, t)
 	s.refreshQueue(t.job)
 	return nil
 }
 
 func (s *State) endTask(t *task, r Record) error {
 	if !r.State.Final() {
-		return refuse(r, "%s is not final", r.State)
+		return invalid(r, "%s is not final", r.State)
 	}
-	s.note(t, r)
-	s.unpend(t)
+	s.recordOutcome(t, r)
+	s.removeWaiting(t)
 	s.release(t)
 	s.setState(t, r.State, r.Time(), r.Cause)
-	s.settleJob(t.job, r.Time())
+	s.finishJob(t.job, r.Time())
 	return nil
 }
 
-// release gives the capacity that t holds back to its worker.
+// release returns the capacity that t holds to its worker.
 func (s *State) release(t *task) {
-	s.dropTarget(t)
+	s.clearNomination(t)
 	w := t.worker
 	if w == nil {
 		return
@@ -198,33 +198,33 @@
 	delete(w.tasks, t.id)
 	t.job.spread.add(w, -1)
 	t.worker = nil
-	t.over = 0
-	t.job.held--
+	t.overuseReports = 0
+	t.job.allocated--
 	t.job.team.used = t.job.team.used.Sub(t.job.spec.Shape)
-	s.freed++
+	s.capacityVersion++
 }
 
 func (s *State) setState(t *task, state spoolsill.TaskState, at time.Time, c Cause) {
 	if state.Final() && !t.state.Final() {
-		t.job.live--
+		t.job.unfinished--
 	}
 	t.state = state
-	t.since = at
+	t.stateSince = at
 	t.cause = c
 }
 
-// settleJob moves a job whose tasks are all final to the past, and forgets
-// the oldest of the past when there are too many.
-func (s *State) settleJob(j *job, at time.Time) {
-	if j.live > 0 || !j.finished.IsZero() {
+// finishJob moves j to the finished jobs if the states of all its tasks are
+// final, and drops the oldest finished jobs above the limit.
+func (s *State) finishJob(j *job, at time.Time) {
+	if j.unfinished > 0 || !j.finishedAt.IsZero() {
 		return
 	}
 	s.dequeue(j)
-	j.finished = at
-	s.past = append(s.past, j)
-	for len(s.past) > s.config.FinishedJobs {
-		delete(s.jobs, s.past[0].spec.ID)
-		s.past = s.past[1:]
+	j.finishedAt = at
+	s.finished = append(s.finished, j)
+	for len(s.finished) > s.config.FinishedJobs {
+		delete(s.jobs, s.finished[0].spec.ID)
+		s.finished = s.finished[1:]
 	}
 }
 
@@ -236,8 +236,9 @@
 	return &j.tasks[id.Index]
 }
 
-// unpend takes t off its job's list of waiting tasks.
-func (s *State) unpend(t *task) {
+// removeWaiting removes t from the pending tasks of its job, or from the tasks
+// that are backing off.
+func (s *State) removeWaiting(t *task) {
 	if t.state.Holds() {
 		return
 	}
@@ -253,13 +254,13 @@
 		t.job.pending = slices.Delete(p, i, i+1)
 		return
 	}
-	s.undelay(t)
+	s.removeBackingOff(t)
 }
 
-func (s *State) undelay(t *task) {
-	for i, x := range s.delayed {
+func (s *State) removeBackingOff(t *task) {
+	for i, x := range s.backingOff {
 		if x == t {
-			s.delayed = append(s.delayed[:i], s.delayed[i+1:]...)
+			s.backingOff = append(s.backingOff[:i], s.backingOff[i+1:]...)
 			return
 		}
 	}
--- a/place/check.go
+++ b/place/check.go
@@ -6,8 +6,8 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// CheckInvariants verifies what must hold at all times over the whole state and returns
-// the first thing that does not. Cost: O(tasks + workers).
+// CheckInvariants verifies the invariants of the whole state and returns an
+// error for the first that is violated. Cost: O(tasks + workers).
 func (s *State) CheckInvariants() error {
 	held := map[*worker]spoolsill.Resources{}
 	used := map[*team]spoolsill.Resources{}
@@ -20,11 +20,11 @@
 		if got := w.Capacity.Sub(w.free); got != held[w] {
 			return fmt.Errorf("worker %s: %s is taken, its tasks hold %s", w.ID, got, held[w])
 		}
-		if w.known && w.free.Negative() {
+		if w.listed && w.free.Negative() {
 			return fmt.Errorf("worker %s: over its capacity: %s free", w.ID, w.free)
 		}
-		if w.promised.Negative() {
-			return fmt.Errorf("worker %s: %s promised", w.ID, w.promised)
+		if w.nominated.Negative() {
+			return fmt.Errorf("worker %s: %s held for nominated tasks", w.ID, w.nominated)
 		}
 	}
 	for _, t := range s.teams {
@@ -55,8 +55,8 @@
 		held[t.worker] = held[t.worker].Add(j.spec.Shape)
 		used[j.team] = used[j.team].Add(j.spec.Shape)
 	}
-	if live != j.live || holding != j.held {
-		return fmt.Errorf("job %s: %d live and %d holding, counted %d and %d", j.spec.ID, live, holding, j.live, j.held)
+	if live != j.unfinished || holding != j.allocated {
+		return fmt.Errorf("job %s: %d live and %d holding, counted %d and %d", j.spec.ID, live, holding, j.unfinished, j.allocated)
 	}
 	return nil
 }
--- a/place/decide.go
+++ b/place/decide.go
@@ -6,107 +6,108 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Decide starts all waiting work that it can at time now, urgent work first,
-// and makes room for urgent work that does not fit. It returns the records of
-// what it decided, already applied. At most Config.Decisions records come
-// from one call; full tells that there may be more.
+// Decide places all waiting tasks that can be placed at time now, urgent jobs
+// first, and preempts tasks for jobs that do not fit and may preempt. It
+// returns the records of its decisions, already applied. A call stops when it
+// has Config.Decisions records; full reports that there may be more to decide.
 func (s *State) Decide(now time.Time) (records []Record, full bool) {
 	s.round++
-	s.wake(now)
-	s.dropOldTargets(now)
-	s.refreshReserve(now)
+	s.requeueReady(now)
+	s.expireNominations(now)
+	s.refreshReservation(now)
 	d := decider{
 		state: s,
 		now:   now,
 	}
 	for c := spoolsill.Urgent; c <= spoolsill.Patient; c++ {
-		d.class(c)
+		d.startClass(c)
 	}
-	s.trimTeams()
+	s.pruneTeams()
 	return d.records, d.full()
 }
 
-// A decider collects the records of one call of [State.Decide].
+// A decider collects the records of one call to [State.Decide].
 type decider struct {
-	state   *State
-	now     time.Time
-	records []Record
-	rooms   int // searches for room made
+	state              *State
+	now                time.Time
+	records            []Record
+	preemptionSearches int // searches made so far
 }
 
-// maxRooms bounds the searches for room in one Decide call: each looks at all
-// tasks of the hall.
-const maxRooms = 16
+// maxPreemptionSearches bounds the searches for tasks to preempt in one Decide
+// call, since each looks at all tasks of the hall.
+const maxPreemptionSearches = 16
 
 func (d *decider) full() bool {
 	return len(d.records) >= d.state.config.Decisions
 }
 
-func (d *decider) class(c spoolsill.Class) {
+func (d *decider) startClass(c spoolsill.Class) {
 	for !d.full() {
 		j := d.state.nextJob(c, d.now)
 		if j == nil {
 			return
 		}
-		if d.start(j) {
+		if d.startJob(j) {
 			continue
 		}
-		j.blocked = d.state.freed
+		j.blockedVersion = d.state.capacityVersion
 	}
 }
 
-// start places the next task of j, or all tasks of a gang. It reports whether
-// it placed any.
-func (d *decider) start(j *job) bool {
-	if y, ok := d.state.quotaAllows(j); !ok {
-		j.why = y
+// startJob places the next task of j, or all tasks if j is a gang. It reports
+// whether it placed any.
+func (d *decider) startJob(j *job) bool {
+	if quotaReason, ok := d.state.quotaAllows(j); !ok {
+		j.reason = quotaReason
 		return false
 	}
 	if j.spec.Kind == spoolsill.Gang {
 		return d.startGang(j)
 	}
-	if d.startPromised(j) {
+	if d.startNominated(j) {
 		return true
 	}
 	if d.startOne(j) {
 		return true
 	}
-	for _, i := range j.pending[:min(len(j.pending), maxRooms)] {
-		d.makeRoom([]*task{&j.tasks[i]})
+	for _, i := range j.pending[:min(len(j.pending), maxPreemptionSearches)] {
+		d.preemptFor([]*task{&j.tasks[i]})
 	}
 	return false
 }
 
-// startOne places the first waiting task of j that fits. Tasks of a job differ
-// only in the workers that they avoid: when one that avoids none does not fit,
-// no other does.
+// startOne places the first pending task of j that fits. The tasks of a job
+// differ only in the workers that they avoid, so if one that avoids none does
+// not fit, no other does.
 func (d *decider) startOne(j *job) bool {
-	for _, i := range j.pending[:min(len(j.pending), maxRooms)] {
+	for _, i := range j.pending[:min(len(j.pending), maxPreemptionSearches)] {
 		t := &j.tasks[i]
-		w, y := d.state.pick(t, d.now)
-		j.why = y
+		w, fitReason := d.state.pickWorker(t, d.now)
+		j.reason = fitReason
 		if w != nil {
-			d.add(d.state.placed(t, w, d.now, CauseFits))
+			d.add(d.state.placementRecord(t, w, d.now, CauseFits))
 			return true
 		}
-		if len(t.avoid) == 0 {
+		if len(t.avoided) == 0 {
 			return false
 		}
 	}
 	return false
 }
 
-// startPromised places a task of j whose room has been made.
-func (d *decider) startPromised(j *job) bool {
-	for _, t := range d.state.promised {
-		if t.job != j || d.state.obstacle(t, t.target, d.now) != obstacleNone {
+// startNominated places a task of j on its nominated worker if the preempted
+// tasks have left it.
+func (d *decider) startNominated(j *job) bool {
+	for _, t := range d.state.nominated {
+		if t.job != j || d.state.exclusion(t, t.nominatedWorker, d.now) != exclusionNone {
 			continue
 		}
-		j.why = Reason{
+		j.reason = Reason{
 			Code:   ReasonFits,
-			Worker: t.target.ID,
+			Worker: t.nominatedWorker.ID,
 		}
-		d.add(d.state.placed(t, t.target, d.now, CauseFits))
+		d.add(d.state.placementRecord(t, t.nominatedWorker, d.now, CauseFits))
 		return true
 	}
 	return false
@@ -117,15 +118,15 @@
 	d.records = append(d.records, r)
 }
 
-// mustApply applies a record that this package made itself from the state.
-// That it does not fit is a broken invariant.
+// mustApply applies a record that was made from the same state. It panics on an
+// error, which means that an invariant is violated.
 func mustApply(s *State, r Record) {
 	if err := s.Apply(r); err != nil {
 		panic(err)
 	}
 }
 
-func (s *State) placed(t *task, w *worker, now time.Time, c Cause) Record {
+func (s *State) placementRecord(t *task, w *worker, now time.Time, c Cause) Record {
 	return Record{
 		Kind:    TaskPlaced,
 		At:      now.UnixMicro(),
@@ -136,9 +137,10 @@
 	}
 }
 
-// quotaAllows reports whether the team's quota has room for the next task of
-// j, or for all of a gang. Patient work may pass the quota while the hall has
-// room; recall takes it back.
+// quotaAllows reports whether the team's quota allows the next task of j, or
+// all pending tasks if j is a gang. Jobs of class Patient may exceed the quota
+// while the hall has free capacity; see [decider.preemptible] for how it is
+// reclaimed.
 func (s *State) quotaAllows(j *job) (Reason, bool) {
 	q := j.team.quota
 	if !j.team.limited || j.spec.Class == spoolsill.Patient {
--- a/place/doc.go
+++ b/place/doc.go
@@ -1,16 +1,17 @@
 // Package place decides which worker of a hall runs which task.
 //
-// A [State] holds the workers, jobs and tasks of one hall. It is changed only
-// by [State.Apply], which takes one [Record], and by [State.SetWorkers], which
-// takes the platform's list. [State.Decide] looks for work that can start and
-// returns the records of what it decided, already applied; the caller makes
-// them last before it acts on them. A state rebuilt from its records equals
-// the one that wrote them.
+// A [State] holds the workers, jobs and tasks of one hall. Jobs and tasks
+// change only through [State.Apply], which applies one [Record]; the workers
+// come from the platform's list through [State.SetWorkers]. [State.Decide]
+// returns the records of its decisions, already applied; the caller must
+// persist them before it acts on them. Replaying the records of a state
+// yields an equal state.
 //
-// What can never happen: the free capacity of a worker below zero, a task on
-// two workers, a gang in part. Apply refuses a record that would bring it
-// about, and [State.CheckInvariants] verifies it over the whole state.
+// Invariants: the free capacity of a worker is never negative, a task is never
+// on two workers, and a gang is never placed in part. Apply rejects a record
+// that would violate one, and [State.CheckInvariants] verifies them over the
+// whole state.
 //
-// The package has no clock, I/O, lock or goroutine; the time is passed in. A
+// The package has no clock, I/O, locks or goroutines; the time is passed in. A
 // State is not safe for concurrent use.
 package place
--- a/place/fit.go
+++ b/place/fit.go
@@ -28,52 +28,52 @@
 	s.racks[w.rack] += n
 }
 
-// obstacle says what keeps a task off a worker.
-type obstacle int
+// exclusion is the reason for which a task can't be placed on a worker.
+type exclusion int
 
 const (
-	obstacleNone obstacle = iota
-	obstacleGone
-	obstacleLeaving
-	obstacleSilent
-	obstacleQuarantine
-	obstacleAvoided
-	obstacleReserved
-	obstacleRoom
-	obstacles
+	exclusionNone exclusion = iota
+	exclusionUnlisted
+	exclusionLeaving
+	exclusionUnresponsive
+	exclusionQuarantine
+	exclusionAvoided
+	exclusionReserved
+	exclusionCapacity
+	exclusionCount
 )
 
-// obstacle returns what keeps t off w at time now.
-func (s *State) obstacle(t *task, w *worker, now time.Time) obstacle {
+// exclusion returns the reason for which t can't be placed on w at time now.
+func (s *State) exclusion(t *task, w *worker, now time.Time) exclusion {
 	switch {
-	case !w.known:
-		return obstacleGone
-	case !t.job.spec.Shape.Fits(s.room(t, w)):
-		return obstacleRoom
+	case !w.listed:
+		return exclusionUnlisted
+	case !t.job.spec.Shape.Fits(s.availableFor(t, w)):
+		return exclusionCapacity
 	case w.Leaving:
-		return obstacleLeaving
-	case w.silent:
-		return obstacleSilent
-	case !w.health.takes(w, now):
-		return obstacleQuarantine
+		return exclusionLeaving
+	case w.unresponsive:
+		return exclusionUnresponsive
+	case !w.health.available(w, now):
+		return exclusionQuarantine
 	case t.avoids(w):
-		return obstacleAvoided
-	case s.reserve.bars(t.job, w, now, s.learnt):
-		return obstacleReserved
+		return exclusionAvoided
+	case s.reservation.blocks(t.job, w, now, s.runtimes):
+		return exclusionReserved
 	default:
-		return obstacleNone
+		return exclusionNone
 	}
 }
 
-// room returns the capacity of w that t may take: what is promised to other
-// tasks is left out, but not to tasks of its own gang.
-func (s *State) room(t *task, w *worker) spoolsill.Resources {
-	if w.promised.IsZero() {
+// availableFor returns the free capacity of w that t may use. Capacity held for
+// other nominated tasks is excluded, unless they belong to the same gang.
+func (s *State) availableFor(t *task, w *worker) spoolsill.Resources {
+	if w.nominated.IsZero() {
 		return w.free
 	}
-	f := w.free.Sub(w.promised)
-	for _, x := range s.promised {
-		if x.target == w && (x == t || t.job.spec.Kind == spoolsill.Gang && x.job == t.job) {
+	f := w.free.Sub(w.nominated)
+	for _, x := range s.nominated {
+		if x.nominatedWorker == w && (x == t || t.job.spec.Kind == spoolsill.Gang && x.job == t.job) {
 			f = f.Add(x.job.spec.Shape)
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 func (t *task) avoids(w *worker) bool {
-	for _, a := range t.avoid {
+	for _, a := range t.avoided {
 		if a == w.ID {
 			return true
 		}
@@ -89,16 +89,16 @@
 	return false
 }
 
-// pick returns the best worker for t, or nil and why there is none.
-// Cost: O(workers in the state).
-func (s *State) pick(t *task, now time.Time) (*worker, Reason) {
+// pickWorker returns the worker with the least cost for t, or nil and the
+// reason why there is none. Cost: O(workers in the state).
+func (s *State) pickWorker(t *task, now time.Time) (*worker, Reason) {
 	var best *worker
 	var bestCost float64
-	var counts [obstacles]int
-	for _, w := range s.order {
-		o := s.obstacle(t, w, now)
+	var counts [exclusionCount]int
+	for _, w := range s.workerList {
+		o := s.exclusion(t, w, now)
 		counts[o]++
-		if o != obstacleNone {
+		if o != exclusionNone {
 			continue
 		}
 		c := t.job.cost(w)
@@ -113,21 +113,23 @@
 			Worker: best.ID,
 		}
 	}
-	return nil, s.whyNot(t, &counts)
+	return nil, s.exclusionReason(t, &counts)
 }
 
-// Weights of the cost of a worker, in units of one wholly free worker.
+// Weights in the cost of a worker. One unit is one fully free resource,
+// processors or memory, of a worker.
 const (
 	costSameRack    = 100.0
 	costSameWorker  = 10.0
 	costAccelerator = 5.0
 )
 
-// cost orders the workers that a task of j fits on; the least is taken.
-// Services go where few of their own stand; everything goes where it leaves
-// the least behind, so that large shapes still fit elsewhere.
+// cost ranks the workers that a task of j fits on; the worker with the least
+// cost is chosen. Services are spread over racks and workers. Otherwise it is
+// best fit: the worker with the least capacity left over, so that large shapes
+// still fit elsewhere.
 func (j *job) cost(w *worker) float64 {
-	c := leftover(w, j.spec.Shape)
+	c := leftoverShare(w, j.spec.Shape)
 	if w.Capacity.Accelerators > 0 && j.spec.Shape.Accelerators == 0 {
 		c += costAccelerator
 	}
@@ -137,37 +139,37 @@
 	return c
 }
 
-// leftover returns the share of w that is free after a task of the shape is
-// placed, summed over processors and memory.
-func leftover(w *worker, shape spoolsill.Resources) float64 {
+// leftoverShare returns the share of w that would be free after placing a task
+// of the shape, summed over processors and memory.
+func leftoverShare(w *worker, shape spoolsill.Resources) float64 {
 	f := w.free.Sub(shape)
 	return float64(f.Processors)/float64(max(w.Capacity.Processors, 1)) +
 		float64(f.Memory)/float64(max(w.Capacity.Memory, 1))
 }
 
-// fitsSomeWorker reports whether a task of j fits on some listed worker while
-// that is empty.
+// fitsSomeWorker reports whether a task of j fits on some listed worker if it is
+// empty and, for a gang, whether all its tasks fit into the empty hall.
 func (s *State) fitsSomeWorker(j *job) bool {
-	for _, w := range s.order {
-		if w.known && j.spec.Shape.Fits(w.Capacity) {
+	for _, w := range s.workerList {
+		if w.listed && j.spec.Shape.Fits(w.Capacity) {
 			return s.gangFitsHall(j)
 		}
 	}
 	return false
 }
 
-// gangFitsHall reports whether the hall would hold all tasks of a gang at
-// once while it is empty. Other kinds need not.
+// gangFitsHall reports whether all tasks of a gang fit into the empty hall at
+// once. It is true for jobs of other kinds, whose tasks may run one by one.
 func (s *State) gangFitsHall(j *job) bool {
 	if j.spec.Kind != spoolsill.Gang {
 		return true
 	}
 	n := 0
-	for _, w := range s.order {
-		if !w.known {
+	for _, w := range s.workerList {
+		if !w.listed {
 			continue
 		}
-		n += times(j.spec.Shape, w.Capacity)
+		n += copiesThatFit(j.spec.Shape, w.Capacity)
 		if n >= j.spec.Tasks {
 			return true
 		}
@@ -175,19 +177,19 @@
 	return false
 }
 
-// times returns how often shape fits into free.
-func times(shape, free spoolsill.Resources) int {
+// copiesThatFit returns how many times shape fits into free.
+func copiesThatFit(shape, free spoolsill.Resources) int {
 	if free.Negative() {
 		return 0
 	}
 	n := int64(spoolsill.MaxTasks)
-	n = min(n, quotient(int64(free.Processors), int64(shape.Processors)))
-	n = min(n, quotient(int64(free.Memory), int64(shape.Memory)))
-	n = min(n, quotient(int64(free.Accelerators), int64(shape.Accelerators)))
+	n = min(n, copiesOf(int64(free.Processors), int64(shape.Processors)))
+	n = min(n, copiesOf(int64(free.Memory), int64(shape.Memory)))
+	n = min(n, copiesOf(int64(free.Accelerators), int64(shape.Accelerators)))
 	return int(n)
 }
 
-func quotient(a, b int64) int64 {
+func copiesOf(a, b int64) int64 {
 	if b <= 0 {
 		return spoolsill.MaxTasks
 	}
--- a/place/fixture_test.go
+++ b/place/fixture_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// job returns a batch job of one-GiB tasks.
+// job returns a batch job whose tasks need 1 GiB each.
 func job(id string, tasks, cores int) spoolsill.Job {
 	return spoolsill.Job{
 		ID:    spoolsill.JobID(id),
@@ -54,7 +54,7 @@
 	}), qt.IsNil)
 }
 
-// decide returns the records of kind k that Decide gives.
+// decide calls Decide and returns its records of kind k.
 func decide(c *qt.C, s *place.State, at time.Time, k place.RecordKind) []place.Record {
 	records, _ := s.Decide(at)
 	c.Assert(s.CheckInvariants(), qt.IsNil)
@@ -78,10 +78,10 @@
 	}
 }
 
-func end(s *place.State, at time.Time, r place.Record, f place.Outcome) {
+func end(s *place.State, at time.Time, r place.Record, outcome place.Outcome) {
 	s.Report(at, place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
-		Outcome: f,
+		Outcome: outcome,
 	})
 }
--- a/place/gang.go
+++ b/place/gang.go
@@ -7,28 +7,29 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// startGang places all waiting tasks of a gang or none.
+// startGang places all tasks of a gang or none. It places none before all
+// unfinished tasks wait.
 func (d *decider) startGang(j *job) bool {
 	s := d.state
-	if len(j.pending) < j.live {
-		j.why = Reason{
+	if len(j.pending) < j.unfinished {
+		j.reason = Reason{
 			Code: ReasonGangNoCapacity,
 		}
 		return false
 	}
-	seats, y := s.seats(j, d.now)
-	j.why = y
-	if seats == nil {
-		d.roomForGang(j)
+	workers, y := s.gangWorkers(j, d.now)
+	j.reason = y
+	if workers == nil {
+		d.preemptForGang(j)
 		return false
 	}
-	for i, t := range j.waiting() {
-		d.add(s.placed(t, seats[i], d.now, CauseFits))
+	for i, t := range j.waitingTasks() {
+		d.add(s.placementRecord(t, workers[i], d.now, CauseFits))
 	}
 	return true
 }
 
-func (j *job) waiting() []*task {
+func (j *job) waitingTasks() []*task {
 	out := make([]*task, 0, len(j.pending))
 	for _, i := range j.pending {
 		out = append(out, &j.tasks[i])
@@ -36,45 +37,45 @@
 	return out
 }
 
-// seats returns a worker for each waiting task of a gang, or nil when they
-// don't all fit. The fullest workers are taken first.
+// gangWorkers returns a worker for each pending task of a gang, or nil if they
+// don't all fit. Workers are filled in the order of their cost.
 // Cost: O(workers log workers).
-func (s *State) seats(j *job, now time.Time) ([]*worker, Reason) {
-	tasks := j.waiting()
-	var counts [obstacles]int
-	var open []*worker
-	for _, w := range s.order {
-		o := s.obstacle(tasks[0], w, now)
-		if o == obstacleNone && anyAvoids(tasks, w) {
-			o = obstacleAvoided
+func (s *State) gangWorkers(j *job, now time.Time) ([]*worker, Reason) {
+	tasks := j.waitingTasks()
+	var counts [exclusionCount]int
+	var eligible []*worker
+	for _, w := range s.workerList {
+		o := s.exclusion(tasks[0], w, now)
+		if o == exclusionNone && anyAvoids(tasks, w) {
+			o = exclusionAvoided
 		}
 		counts[o]++
-		if o == obstacleNone {
-			open = append(open, w)
+		if o == exclusionNone {
+			eligible = append(eligible, w)
 		}
 	}
-	sort.SliceStable(open, func(a, b int) bool {
-		return j.cost(open[a]) < j.cost(open[b])
+	sort.SliceStable(eligible, func(a, b int) bool {
+		return j.cost(eligible[a]) < j.cost(eligible[b])
 	})
-	var seats []*worker
-	for _, w := range open {
-		n := times(j.spec.Shape, s.room(tasks[0], w))
-		for range min(n, len(tasks)-len(seats)) {
-			seats = append(seats, w)
+	var assigned []*worker
+	for _, w := range eligible {
+		n := copiesThatFit(j.spec.Shape, s.availableFor(tasks[0], w))
+		for range min(n, len(tasks)-len(assigned)) {
+			assigned = append(assigned, w)
 		}
-		if len(seats) == len(tasks) {
-			return seats, Reason{
+		if len(assigned) == len(tasks) {
+			return assigned, Reason{
 				Code:   ReasonFits,
 				Worker: w.ID,
 			}
 		}
 	}
-	y := s.whyNot(tasks[0], &counts)
-	y.Code = ReasonGangNoCapacity
-	if s.reserve.job == j {
-		y.At = s.reserve.at
+	reason := s.exclusionReason(tasks[0], &counts)
+	reason.Code = ReasonGangNoCapacity
+	if s.reservation.job == j {
+		reason.At = s.reservation.expectedStart
 	}
-	return nil, y
+	return nil, reason
 }
 
 func anyAvoids(tasks []*task, w *worker) bool {
@@ -86,150 +87,154 @@
 	return false
 }
 
-// A reserve keeps room for the oldest waiting gang: on some workers, all room
-// that comes free, so that pieces add up to room for its tasks; elsewhere,
-// room that would hold one. Others may take it only for work that is expected
-// to end before at.
-type reserve struct {
-	job     *job
-	at      time.Time
-	workers map[*worker]bool
-	// planned is the gang that was planned for last, also when the hall can't
-	// be expected to hold it, and made when.
-	planned *job
-	made    time.Time
+// A reservation keeps capacity for the oldest blocked gang. On the chosen
+// workers it covers all capacity that becomes free, so that fragments add up to
+// the shape of a task; on the others it covers only capacity that a task of the
+// gang would fit into. Other tasks may backfill: they are placed there if they
+// are expected to end before expectedStart.
+type reservation struct {
+	job           *job
+	expectedStart time.Time
+	workers       map[*worker]bool
+	// plannedFor is the gang of the last planning attempt, made at plannedAt. It
+	// is set even if no start time could be estimated and job is nil.
+	plannedFor *job
+	plannedAt  time.Time
 }
 
-// reserveEvery is the least time between two plans for a reservation.
-const reserveEvery = time.Second
+// reservationInterval is the minimum time between two planning attempts for the
+// same gang.
+const reservationInterval = time.Second
 
-// bars reports whether a reservation keeps a task of j off w.
-func (r *reserve) bars(j *job, w *worker, now time.Time, l learnt) bool {
+// blocks reports whether the reservation prevents placing a task of j on w.
+func (r *reservation) blocks(j *job, w *worker, now time.Time, l runtimeStats) bool {
 	if r.job == nil || r.job == j || j.spec.Class == spoolsill.Urgent {
 		return false
 	}
-	seat := r.job.spec.Shape
-	if !r.workers[w] && times(seat, w.free.Sub(j.spec.Shape)) == times(seat, w.free) {
+	shape := r.job.spec.Shape
+	if !r.workers[w] && copiesThatFit(shape, w.free.Sub(j.spec.Shape)) == copiesThatFit(shape, w.free) {
 		return false
 	}
-	return j.spec.Kind == spoolsill.Service || now.Add(l.runtime(&j.spec, mostly)).After(r.at)
+	return j.spec.Kind == spoolsill.Service || now.Add(l.runtimeQuantile(&j.spec, highPerMille)).After(r.expectedStart)
 }
 
-func (s *State) dropReserve(j *job) {
-	if s.reserve.job == j {
-		s.reserve = reserve{}
-		s.freed++
+func (s *State) dropReservation(j *job) {
+	if s.reservation.job == j {
+		s.reservation = reservation{}
+		s.capacityVersion++
 	}
 }
 
-// refreshReserve plans the reservation for the gang that has waited longest
-// and that an empty hall could hold.
-func (s *State) refreshReserve(now time.Time) {
-	if s.config.NoReservation || len(s.gangs) == 0 {
+// refreshReservation plans the reservation for the oldest gang that has been
+// tried and does not fit.
+func (s *State) refreshReservation(now time.Time) {
+	if s.config.NoReservation || len(s.waitingGangs) == 0 {
 		return
 	}
 	j := s.oldestBlockedGang()
 	if j == nil {
 		return
 	}
-	old := s.reserve
-	if old.planned == j && now.Sub(old.made) < reserveEvery {
+	old := s.reservation
+	if old.plannedFor == j && now.Sub(old.plannedAt) < reservationInterval {
 		return
 	}
-	s.reserve = reserve{
-		planned: j,
-		made:    now,
+	s.reservation = reservation{
+		plannedFor: j,
+		plannedAt:  now,
 	}
-	at, ok := s.planReserve(j, now)
+	expectedStart, ok := s.estimateGangStart(j, now)
 	if !ok {
 		return
 	}
-	if old.job == j && old.at.Before(at) {
-		at = old.at
+	if old.job == j && old.expectedStart.Before(expectedStart) {
+		expectedStart = old.expectedStart
 	}
-	s.reserve.job = j
-	s.reserve.at = at
-	s.reserve.workers = s.gatherOn(j, now)
-	s.freed++
+	s.reservation.job = j
+	s.reservation.expectedStart = expectedStart
+	s.reservation.workers = s.chooseReserved(j, now)
+	s.capacityVersion++
 }
 
-// gatherOn returns the workers on which room is gathered for a gang: those
-// with the most free, as many as hold it when each gets room for one task more
-// than it has now.
-func (s *State) gatherOn(j *job, now time.Time) map[*worker]bool {
+// chooseReserved returns the workers whose capacity is reserved for a gang:
+// those with the most free capacity, as many as hold the gang if each gains
+// capacity for one more task.
+func (s *State) chooseReserved(j *job, now time.Time) map[*worker]bool {
 	var list []*worker
-	for _, w := range s.order {
-		if w.known && !w.Leaving && !w.silent && w.health.takes(w, now) && j.spec.Shape.Fits(w.Capacity) {
+	for _, w := range s.workerList {
+		if w.listed && !w.Leaving && !w.unresponsive && w.health.available(w, now) && j.spec.Shape.Fits(w.Capacity) {
 			list = append(list, w)
 		}
 	}
 	sort.SliceStable(list, func(a, b int) bool {
-		return leftover(list[a], j.spec.Shape) > leftover(list[b], j.spec.Shape)
+		return leftoverShare(list[a], j.spec.Shape) > leftoverShare(list[b], j.spec.Shape)
 	})
 	out := map[*worker]bool{}
-	seats := 0
+	copies := 0
 	for _, w := range list {
-		if seats >= len(j.pending) {
+		if copies >= len(j.pending) {
 			break
 		}
 		out[w] = true
-		seats += times(j.spec.Shape, w.free) + 1
+		copies += copiesThatFit(j.spec.Shape, w.free) + 1
 	}
 	return out
 }
 
 func (s *State) oldestBlockedGang() *job {
 	var oldest *job
-	for _, j := range s.gangs {
-		if j.blocked == 0 || len(j.pending) < j.live || j.why.Code != ReasonGangNoCapacity {
+	for _, j := range s.waitingGangs {
+		if j.blockedVersion == 0 || len(j.pending) < j.unfinished || j.reason.Code != ReasonGangNoCapacity {
 			continue
 		}
-		if oldest == nil || j.number < oldest.number {
+		if oldest == nil || j.seq < oldest.seq {
 			oldest = j
 		}
 	}
 	return oldest
 }
 
-// A departure is the expected end of a task.
-type departure struct {
-	at    time.Time
-	w     *worker
-	shape spoolsill.Resources
+// An expectedEnd is the capacity that a task is expected to release, and when.
+type expectedEnd struct {
+	at       time.Time
+	onWorker *worker
+	shape    spoolsill.Resources
 }
 
-// planReserve finds the earliest time at which all tasks of a gang are
-// expected to fit. The time is kept until the gang starts: when run times were
-// declared too short, a later one would let others in again and again.
-// Cost: O(tasks log tasks).
-func (s *State) planReserve(j *job, now time.Time) (time.Time, bool) {
-	t := j.waiting()[0]
+// estimateGangStart returns the earliest time at which all tasks of a gang are
+// expected to fit. The caller never moves a reservation to a later time: if run
+// times are declared too short, each later estimate would admit further
+// backfill and the gang would starve. Cost: O(tasks log tasks).
+func (s *State) estimateGangStart(j *job, now time.Time) (time.Time, bool) {
+	t := j.waitingTasks()[0]
 	free := map[*worker]spoolsill.Resources{}
-	seats := 0
-	for _, w := range s.order {
-		if !w.known || w.Leaving || w.silent || !w.health.takes(w, now) || !j.spec.Shape.Fits(w.Capacity) {
+	copies := 0
+	for _, w := range s.workerList {
+		if !w.listed || w.Leaving || w.unresponsive || !w.health.available(w, now) || !j.spec.Shape.Fits(w.Capacity) {
 			continue
 		}
-		free[w] = s.room(t, w)
-		seats += times(j.spec.Shape, free[w])
+		free[w] = s.availableFor(t, w)
+		copies += copiesThatFit(j.spec.Shape, free[w])
 	}
 	at := now
-	for _, d := range s.departures(free, now) {
-		if seats >= len(j.pending) {
+	for _, d := range s.expectedEnds(free, now) {
+		if copies >= len(j.pending) {
 			break
 		}
-		before := times(j.spec.Shape, free[d.w])
-		free[d.w] = free[d.w].Add(d.shape)
-		seats += times(j.spec.Shape, free[d.w]) - before
+		before := copiesThatFit(j.spec.Shape, free[d.onWorker])
+		free[d.onWorker] = free[d.onWorker].Add(d.shape)
+		copies += copiesThatFit(j.spec.Shape, free[d.onWorker]) - before
 		at = d.at
 	}
-	return at, seats >= len(j.pending)
+	return at, copies >= len(j.pending)
 }
 
-// departures returns the expected ends of the tasks on some workers, in order.
-func (s *State) departures(on map[*worker]spoolsill.Resources, now time.Time) []departure {
-	var out []departure
-	for _, w := range s.order {
+// expectedEnds returns the expected ends of the tasks on the given workers, in
+// order of time. A task that has outlived its estimate is expected to run as
+// long again as it has so far. Services are left out.
+func (s *State) expectedEnds(on map[*worker]spoolsill.Resources, now time.Time) []expectedEnd {
+	var out []expectedEnd
+	for _, w := range s.workerList {
 		if _, ok := on[w]; !ok {
 			continue
 		}
@@ -237,14 +242,14 @@
 			if t.job.spec.Kind == spoolsill.Service {
 				continue
 			}
-			end := t.since.Add(s.learnt.runtime(&t.job.spec, half))
+			end := t.stateSince.Add(s.runtimes.runtimeQuantile(&t.job.spec, medianPerMille))
 			if end.Before(now) {
-				end = now.Add(now.Sub(t.since))
+				end = now.Add(now.Sub(t.stateSince))
 			}
-			out = append(out, departure{
-				at:    end,
-				w:     w,
-				shape: t.job.spec.Shape,
+			out = append(out, expectedEnd{
+				at:       end,
+				onWorker: w,
+				shape:    t.job.spec.Shape,
 			})
 		}
 	}
@@ -252,7 +257,7 @@
 		if !out[a].at.Equal(out[b].at) {
 			return out[a].at.Before(out[b].at)
 		}
-		return out[a].w.index < out[b].w.index
+		return out[a].onWorker.index < out[b].onWorker.index
 	})
 	return out
 }
--- a/place/gang_test.go
+++ b/place/gang_test.go
@@ -24,8 +24,8 @@
 	c.Assert(v.Reason, qt.Contains, "not all 2 tasks fit at once")
 }
 
-// TestGangIsNotStarved keeps small work coming, which would take every free
-// core before the gang finds enough at once.
+// TestGangIsNotStarved submits small tasks all the time, which without a
+// reservation take every free core before there are enough for the gang.
 func TestGangIsNotStarved(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reservation off=%t", off), func(t *testing.T) {
@@ -61,9 +61,10 @@
 	}
 }
 
-// TestAGangThatWaitedMakesRoom has patient work checkpointed for a normal gang
-// only after its patience, and then for all its tasks at once.
-func TestAGangThatWaitedMakesRoom(t *testing.T) {
+// TestGangPreemptsAfterItsPatience checks that a gang of class Normal preempts
+// tasks of class Patient only after GangPatience, and then for all its tasks at
+// once.
+func TestGangPreemptsAfterItsPatience(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 2)
 	p := job("patient", 4, 4)
--- a/place/health.go
+++ b/place/health.go
@@ -6,89 +6,91 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Thresholds that tell a failing worker from a failing job.
+// Thresholds that distinguish a faulty worker from a faulty job.
 const (
-	strikesOut     = 2  // failures that count, without a success between
-	badJobWorkers  = 3  // a job that failed on so many and never ran to its end is to blame itself
-	maxAvoid       = 8  // workers that one task keeps off
-	maxStrikeJobs  = 4  // jobs remembered as having failed on one worker
-	maxDoublings   = 6  // of the quarantine's length
-	probationTasks = 1  // tasks at once until one of them succeeds
-	maxFailedOn    = 16 // workers remembered by one job
+	maxStrikes        = 2  // counted failures without a success in between that quarantine a worker
+	faultyJobWorkers  = 3  // a job that failed on this many workers and never succeeded is itself faulty
+	maxAvoidedWorkers = 8  // workers that one task avoids
+	maxStrikeJobs     = 4  // jobs remembered in health.strikeJobs
+	maxDoublings      = 6  // of the length of the quarantine
+	probationTasks    = 1  // concurrent tasks after a quarantine, until one succeeds
+	maxFailedOn       = 16 // workers remembered in job.failedOn
 )
 
-// health is what the failures on a worker tell about it.
+// health tracks the failures on a worker.
 type health struct {
-	strikes   int
-	jobs      []spoolsill.JobID // that counted since the last success
-	until     time.Time         // end of the quarantine
-	times     int               // quarantines in a row
-	probation bool
+	strikes          int
+	strikeJobs       []spoolsill.JobID // with failures counted since the last success or quarantine
+	quarantinedUntil time.Time
+	quarantines      int // consecutive ones, without a success in between
+	probation        bool
 }
 
-// takes reports whether a worker in this health takes a new task.
-func (h *health) takes(w *worker, now time.Time) bool {
-	if now.Before(h.until) {
+// available reports whether w, whose health is h, may get a new task.
+func (h *health) available(w *worker, now time.Time) bool {
+	if now.Before(h.quarantinedUntil) {
 		return false
 	}
 	return !h.probation || len(w.tasks) < probationTasks
 }
 
-// note learns from the end of a task on its worker.
-func (s *State) note(t *task, r Record) {
+// recordOutcome updates the health of the worker, the job and the run times at
+// the end of an attempt.
+func (s *State) recordOutcome(t *task, r Record) {
 	if t.worker == nil {
 		return
 	}
 	switch r.Cause {
 	case CauseExited:
-		s.noteSuccess(t, r)
+		s.recordSuccess(t, r)
 	case CauseFailed, CauseRefused, CauseNoAttemptsLeft:
-		s.noteFailure(t, r)
+		s.recordFailure(t, r)
 	}
 }
 
-func (s *State) noteSuccess(t *task, r Record) {
-	t.job.exits++
-	t.fails = 0
+func (s *State) recordSuccess(t *task, r Record) {
+	t.job.completions++
+	t.failures = 0
 	h := &t.worker.health
 	h.strikes = 0
-	h.times = 0
-	h.jobs = h.jobs[:0]
+	h.quarantines = 0
+	h.strikeJobs = h.strikeJobs[:0]
 	h.probation = false
-	s.learnt.add(&t.job.spec, r.Time().Sub(t.started))
+	s.runtimes.add(&t.job.spec, r.Time().Sub(t.runningSince))
 }
 
-func (s *State) noteFailure(t *task, r Record) {
+func (s *State) recordFailure(t *task, r Record) {
 	w := t.worker
 	j := t.job
-	t.fails++
-	j.fails++
-	t.avoid = addWorker(t.avoid, w.ID, maxAvoid)
-	j.failedOn = addWorker(j.failedOn, w.ID, maxFailedOn)
-	if !s.blames(w, j) {
+	t.failures++
+	j.failures++
+	t.avoided = appendBounded(t.avoided, w.ID, maxAvoidedWorkers)
+	j.failedOn = appendBounded(j.failedOn, w.ID, maxFailedOn)
+	if !s.countsAgainst(w, j) {
 		return
 	}
 	w.health.strikes++
-	w.health.jobs = append(w.health.jobs, j.spec.ID)
-	if len(w.health.jobs) > maxStrikeJobs {
-		w.health.jobs = w.health.jobs[1:]
+	w.health.strikeJobs = append(w.health.strikeJobs, j.spec.ID)
+	if len(w.health.strikeJobs) > maxStrikeJobs {
+		w.health.strikeJobs = w.health.strikeJobs[1:]
 	}
-	if w.health.strikes >= strikesOut || w.health.probation {
+	if w.health.strikes >= maxStrikes || w.health.probation {
 		s.quarantine(w, r.Time())
 	}
 }
 
-// blames reports whether a failure of j speaks against w: a job that runs to
-// its end elsewhere speaks each time, another one once, and a job that failed
-// on several workers and never ran to its end not at all.
-func (s *State) blames(w *worker, j *job) bool {
-	if j.exits > 0 {
-		return j.exits > j.fails/badJobWorkers
+// countsAgainst reports whether a failure of j counts as a strike against w.
+// Each failure counts for a job that has succeeded, unless it fails much more
+// often than it succeeds. For a job that has never succeeded only the first on
+// w counts, and none after it has failed on several workers.
+func (s *State) countsAgainst(w *worker, j *job) bool {
+	if j.completions > 0 {
+		return j.completions > j.failures/faultyJobWorkers
 	}
-	if len(j.failedOn) >= badJobWorkers {
+	if len(j.failedOn) >= faultyJobWorkers {
 		return false
 	}
-	for _, id := range w.health.jobs {
+	for _, id := range w.health.strikeJobs {
 		if id == j.spec.ID {
 			return false
 		}
@@ -100,18 +102,18 @@
 	if s.config.NoQuarantine || s.quarantined(now) >= s.maxQuarantined() {
 		return
 	}
-	d := s.config.Quarantine << min(w.health.times, maxDoublings)
-	w.health.until = now.Add(d)
-	w.health.times++
+	d := s.config.Quarantine << min(w.health.quarantines, maxDoublings)
+	w.health.quarantinedUntil = now.Add(d)
+	w.health.quarantines++
 	w.health.strikes = 0
-	w.health.jobs = nil
+	w.health.strikeJobs = nil
 	w.health.probation = true
 }
 
 func (s *State) quarantined(now time.Time) int {
 	n := 0
-	for _, w := range s.order {
-		if now.Before(w.health.until) {
+	for _, w := range s.workerList {
+		if now.Before(w.health.quarantinedUntil) {
 			n++
 		}
 	}
@@ -119,10 +121,10 @@
 }
 
 func (s *State) maxQuarantined() int {
-	return max(1, len(s.order)*s.config.QuarantinedPerMille/1000)
+	return max(1, len(s.workerList)*s.config.QuarantinedPerMille/1000)
 }
 
-func addWorker(list []spoolsill.WorkerID, id spoolsill.WorkerID, limit int) []spoolsill.WorkerID {
+func appendBounded(list []spoolsill.WorkerID, id spoolsill.WorkerID, limit int) []spoolsill.WorkerID {
 	for _, x := range list {
 		if x == id {
 			return list
--- a/place/fate_test.go
+++ b/place/outcome_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// TestBadWorkerIsQuarantined gives many jobs to a hall in which one worker
-// fails everything at once, so that it always looks free.
+// TestBadWorkerIsQuarantined guards against a worker that fails every task at
+// once and therefore always has free capacity, so that it attracts new tasks.
 func TestBadWorkerIsQuarantined(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		t.Run(fmt.Sprintf("quarantine off=%t", off), func(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestBadJobDoesNotCondemnWorkers(t *testing.T) {
+func TestBadJobDoesNotQuarantineWorkers(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{
 		MaxAttempts: 20,
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestFailedTaskAvoidsWhereItFailedAndHasABudget(t *testing.T) {
+func TestFailedTaskAvoidsItsWorkersAndHasLimitedAttempts(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 8)
 	add(c, s, start, job("job", 1, 1))
@@ -96,7 +96,7 @@
 	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskLost)
 }
 
-func TestCancelWaveStopsWhatRunsAndDropsWhatWaits(t *testing.T) {
+func TestCancelStopsRunningAndDropsWaitingTasks(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 4)
 	var ids []spoolsill.JobID
@@ -120,7 +120,7 @@
 	c.Assert(s.Free(), qt.Equals, s.Total())
 }
 
-func TestOversizeTaskIsThrottledThenCheckpointedThenStopped(t *testing.T) {
+func TestOverusingTaskIsThrottledThenCheckpointedThenStopped(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
 	add(c, s, start, job("greedy", 1, 1))
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -69,8 +69,9 @@
 	c.Assert(decide(c, s, start, place.TaskCheckpointing), qt.HasLen, 0)
 }
 
-// TestRoomMadeIsKept lets another job ask for the room that is being made.
-func TestRoomMadeIsKept(t *testing.T) {
+// TestPreemptedCapacityIsHeld checks that capacity freed by preemption goes to
+// the job that preempted, and not to another one that is queued meanwhile.
+func TestPreemptedCapacityIsHeld(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
 	j := job("patient", 1, 8)
@@ -88,7 +89,7 @@
 	c.Assert(placed[0].Task.Job, qt.Equals, spoolsill.JobID("urgent"))
 }
 
-func TestQuotaHoldsAndIdleQuotaIsLentAndRecalled(t *testing.T) {
+func TestQuotaHoldsAndIdleCapacityIsLentAndReclaimed(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 2)
 	limit := spoolsill.Resources{
@@ -155,7 +156,7 @@
 	c.Assert(placed[0].Task.Job, qt.Equals, spoolsill.JobID("other"))
 }
 
-func TestNeverFitIsSaidAtOnceAndJudgedAgain(t *testing.T) {
+func TestUnschedulableJobIsReportedAtOnceAndReclassified(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
 	add(c, s, start, job("huge", 1, 16))
@@ -174,12 +175,12 @@
 	c.Assert(decide(c, s, start, place.TaskPlaced), qt.HasLen, 1)
 }
 
-func TestLearntRunTimesDecideWhatMayBackfill(t *testing.T) {
+func TestMeasuredRunTimesLimitBackfill(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{
 		GangPatience: -1,
 	}, 2)
-	// The team's runs take ten times what it declares.
+	// The jobs of team "late" run ten times as long as declared.
 	for i := range 20 {
 		j := job(fmt.Sprintf("past%d", i), 1, 1)
 		j.Runtime = time.Second
--- a/place/plan.go
+++ b/place/plan.go
@@ -7,7 +7,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Verb says what a change does to a task.
+// Verb is what a [Change] does to a task or job.
 type Verb string
 
 // The verbs of changes.
@@ -20,7 +20,7 @@
 	VerbMove    Verb = "move"
 )
 
-// A Change is one thing that a plan would do.
+// A Change is one effect of a [Plan], as shown to operators.
 type Change struct {
 	Verb   Verb               `json:"verb"             msgpack:"v"`
 	Task   string             `json:"task"             msgpack:"t"`
@@ -28,7 +28,7 @@
 	Reason string             `json:"why,omitempty"    msgpack:"y"`
 }
 
-// Totals are the amounts that a plan shows before and after.
+// Totals are the aggregate amounts before or after a plan.
 type Totals struct {
 	Capacity  spoolsill.Resources `json:"capacity"   msgpack:"c"`
 	Free      spoolsill.Resources `json:"free"       msgpack:"f"`
@@ -37,16 +37,16 @@
 	Queued    int                 `json:"queued"     msgpack:"n"`
 }
 
-// A Plan is exactly what confirming it would change.
+// A Plan is the exact effect of an operation that has not been confirmed.
 type Plan struct {
 	Changes []Change
 	Before  Totals
 	After   Totals
-	// Records bring the plan about.
+	// Records are applied, with new times, when the plan is confirmed.
 	Records []Record
 }
 
-// A StaleError says why a plan no longer holds.
+// A StaleError reports why a plan can't be confirmed any more.
 type StaleError struct {
 	Text string
 }
@@ -56,17 +56,17 @@
 	return "plan is stale: " + e.Text
 }
 
-func stale(format string, args ...any) *StaleError {
+func newStaleError(format string, args ...any) *StaleError {
 	return &StaleError{
 		Text: fmt.Sprintf(format, args...),
 	}
 }
 
-// PlanSubmit returns what submitting a job would change. It changes nothing.
-// Cost: O(tasks + waiting jobs) for the copy that it tries the job on.
+// PlanSubmit returns the effect of submitting a job without changing the state.
+// It schedules the job on a clone. Cost: O(tasks + waiting jobs).
 func (s *State) PlanSubmit(now time.Time, j spoolsill.Job) (Plan, error) {
 	if _, ok := s.jobs[j.ID]; ok {
-		return Plan{}, stale("job %s is known already", j.ID)
+		return Plan{}, newStaleError("job %s is known already", j.ID)
 	}
 	c := s.Clone()
 	p := Plan{
@@ -79,29 +79,30 @@
 	}
 	mustApply(c, r)
 	p.Records = append(p.Records, r)
-	p.Records = append(p.Records, c.startJob(j.ID, now)...)
+	p.Records = append(p.Records, c.decideJob(j.ID, now)...)
 	p.After = c.totals(j.Team)
 	p.Changes = c.changes(p.Records, j.ID)
 	return p, nil
 }
 
-// startJob starts what it can of one job alone.
-func (s *State) startJob(id spoolsill.JobID, now time.Time) []Record {
+// decideJob places tasks of one job, ignoring the other waiting jobs, until no
+// more can be placed.
+func (s *State) decideJob(id spoolsill.JobID, now time.Time) []Record {
 	d := decider{
 		state: s,
 		now:   now,
 	}
 	j := s.jobs[id]
-	for j.inQueue && d.start(j) {
+	for j.queued && d.startJob(j) {
 	}
 	return d.records
 }
 
-// PlanCancel returns what cancelling jobs would change. It changes nothing.
+// PlanCancel returns the effect of cancelling jobs without changing the state.
 func (s *State) PlanCancel(now time.Time, ids []spoolsill.JobID) (Plan, error) {
 	for _, id := range ids {
 		if _, ok := s.jobs[id]; !ok {
-			return Plan{}, stale("job %s is not known in this hall", id)
+			return Plan{}, newStaleError("job %s is not known in this hall", id)
 		}
 	}
 	c := s.Clone()
@@ -118,10 +119,10 @@
 	return p, nil
 }
 
-// PlanDrain returns what draining a worker would change. It changes nothing.
+// PlanDrain returns the effect of draining a worker without changing the state.
 func (s *State) PlanDrain(now time.Time, id spoolsill.WorkerID) (Plan, error) {
 	if _, ok := s.workers[id]; !ok {
-		return Plan{}, stale("worker %s is not known in this hall", id)
+		return Plan{}, newStaleError("worker %s is not known in this hall", id)
 	}
 	c := s.Clone()
 	p := Plan{
@@ -133,13 +134,14 @@
 	return p, nil
 }
 
-// Confirm applies a plan as it was shown, or changes nothing and returns a
-// [*StaleError]. A plan confirmed before is applied no second time.
+// Confirm applies a plan exactly as it was shown. If that is not possible any
+// more, it changes nothing and returns a [*StaleError]. Confirming a plan again
+// has no effect.
 func (s *State) Confirm(now time.Time, id spoolsill.PlanID, p Plan) ([]Record, error) {
-	if s.plans.has(id) {
+	if s.confirmedPlans.has(id) {
 		return nil, nil
 	}
-	if err := s.stillHolds(now, p); err != nil {
+	if err := s.verifyPlan(now, p); err != nil {
 		return nil, err
 	}
 	records := make([]Record, 0, len(p.Records)+1)
@@ -157,14 +159,15 @@
 	return append(records, r), nil
 }
 
-// Confirmed reports whether a plan was confirmed, as far back as is kept.
+// Confirmed reports whether a plan is among the last maxConfirmedPlans
+// confirmed ones.
 func (s *State) Confirmed(id spoolsill.PlanID) bool {
-	return s.plans.has(id)
+	return s.confirmedPlans.has(id)
 }
 
-// stillHolds reports why the records of a plan can't all be applied as they
-// were shown.
-func (s *State) stillHolds(now time.Time, p Plan) error {
+// verifyPlan returns a [*StaleError] if the records of a plan can't all be
+// applied as shown.
+func (s *State) verifyPlan(now time.Time, p Plan) error {
 	var job *spoolsill.Job
 	need := map[spoolsill.WorkerID]spoolsill.Resources{}
 	for _, r := range p.Records {
@@ -172,29 +175,30 @@
 		case JobAdded:
 			job = r.Job
 			if _, ok := s.jobs[job.ID]; ok {
-				return stale("job %s was added by another plan", job.ID)
+				return newStaleError("job %s was added by another plan", job.ID)
 			}
 		case TaskPlaced:
 			need[r.Worker] = need[r.Worker].Add(job.Shape)
 		case JobCancelled:
-			if j := s.jobs[r.Task.Job]; j == nil || j.cancelled || !j.finished.IsZero() {
-				return stale("job %s has ended", r.Task.Job)
+			if j := s.jobs[r.Task.Job]; j == nil || j.cancelled || !j.finishedAt.IsZero() {
+				return newStaleError("job %s has ended", r.Task.Job)
 			}
 		case TaskStopping, TaskCheckpointing:
-			if err := s.stillHeld(r); err != nil {
+			if err := s.verifyAllocated(r); err != nil {
 				return err
 			}
 		}
 	}
-	if err := s.nothingNew(p); err != nil {
+	if err := s.verifyNoNewTasks(p); err != nil {
 		return err
 	}
-	return s.stillFree(now, job, need)
+	return s.verifyCapacity(now, job, need)
 }
 
-// nothingNew reports a task that a cancelled job got since the plan was made:
-// the plan did not show that it would be stopped.
-func (s *State) nothingNew(p Plan) error {
+// verifyNoNewTasks returns a [*StaleError] if a job to be cancelled has a task
+// that was started after the plan was made: the plan did not show that the task
+// would be stopped.
+func (s *State) verifyNoNewTasks(p Plan) error {
 	shown := map[spoolsill.TaskID]bool{}
 	for _, r := range p.Records {
 		if r.Kind != JobCancelled {
@@ -208,34 +212,34 @@
 		for i := range s.jobs[r.Task.Job].tasks {
 			t := &s.jobs[r.Task.Job].tasks[i]
 			if t.state.Holds() && t.state != spoolsill.TaskStopping && !shown[t.id] {
-				return stale("task %s has started since", t.id)
+				return newStaleError("task %s has started since", t.id)
 			}
 		}
 	}
 	return nil
 }
 
-func (s *State) stillHeld(r Record) error {
+func (s *State) verifyAllocated(r Record) error {
 	t := s.task(r.Task)
 	if t == nil || t.worker == nil || t.worker.ID != r.Worker || t.attempt != r.Attempt {
-		return stale("task %s is no longer on worker %s", r.Task, r.Worker)
+		return newStaleError("task %s is no longer on worker %s", r.Task, r.Worker)
 	}
 	if t.state == spoolsill.TaskStopping {
-		return stale("task %s is being stopped already", r.Task)
+		return newStaleError("task %s is being stopped already", r.Task)
 	}
 	return nil
 }
 
-func (s *State) stillFree(now time.Time, j *spoolsill.Job, need map[spoolsill.WorkerID]spoolsill.Resources) error {
+func (s *State) verifyCapacity(now time.Time, j *spoolsill.Job, need map[spoolsill.WorkerID]spoolsill.Resources) error {
 	var sum spoolsill.Resources
 	for id, n := range need {
 		sum = sum.Add(n)
 		w, ok := s.workers[id]
-		if !ok || !w.known || w.Leaving || w.silent || !w.health.takes(w, now) {
-			return stale("worker %s takes no new work any more", id)
+		if !ok || !w.listed || w.Leaving || w.unresponsive || !w.health.available(w, now) {
+			return newStaleError("worker %s takes no new work any more", id)
 		}
-		if !n.Fits(w.free.Sub(w.promised)) {
-			return stale("worker %s has no room for %s any more", id, n)
+		if !n.Fits(w.free.Sub(w.nominated)) {
+			return newStaleError("worker %s has no room for %s any more", id, n)
 		}
 	}
 	if j == nil || sum.IsZero() || j.Class == spoolsill.Patient {
@@ -243,7 +247,7 @@
 	}
 	t := s.team(j.Team)
 	if t.limited && !sum.Fits(t.quota.Sub(t.used)) {
-		return stale("the quota of team %s has only %s left", j.Team, t.quota.Sub(t.used))
+		return newStaleError("the quota of team %s has only %s left", j.Team, t.quota.Sub(t.used))
 	}
 	return nil
 }
@@ -274,7 +278,7 @@
 	JobCancelled:      VerbCancel,
 }
 
-// changes puts records into words; the tasks of a job that stay queued come
+// changes converts records to changes. Tasks of job id that stay queued come
 // last.
 func (s *State) changes(records []Record, id spoolsill.JobID) []Change {
 	out := []Change{}
@@ -308,35 +312,35 @@
 		out = append(out, Change{
 			Verb:   VerbQueue,
 			Task:   j.tasks[i].id.String(),
-			Reason: j.why.text(j.spec),
+			Reason: j.reason.text(j.spec),
 		})
 	}
 	return out
 }
 
-// planRing remembers the newest confirmed plans.
-type planRing struct {
-	known map[spoolsill.PlanID]bool
+// planLog holds the IDs of the last maxConfirmedPlans confirmed plans.
+type planLog struct {
+	ids   map[spoolsill.PlanID]bool
 	order []spoolsill.PlanID
 }
 
-const keptPlans = 4096
+const maxConfirmedPlans = 4096
 
-func (p *planRing) add(id spoolsill.PlanID) {
-	if p.known == nil {
-		p.known = map[spoolsill.PlanID]bool{}
+func (p *planLog) add(id spoolsill.PlanID) {
+	if p.ids == nil {
+		p.ids = map[spoolsill.PlanID]bool{}
 	}
-	if p.known[id] {
+	if p.ids[id] {
 		return
 	}
-	p.known[id] = true
+	p.ids[id] = true
 	p.order = append(p.order, id)
-	if len(p.order) > keptPlans {
-		delete(p.known, p.order[0])
+	if len(p.order) > maxConfirmedPlans {
+		delete(p.ids, p.order[0])
 		p.order = p.order[1:]
 	}
 }
 
-func (p *planRing) has(id spoolsill.PlanID) bool {
-	return p.known[id]
+func (p *planLog) has(id spoolsill.PlanID) bool {
+	return p.ids[id]
 }
--- a/place/plan_test.go
+++ b/place/plan_test.go
@@ -28,7 +28,8 @@
 	c.Assert(s.CheckInvariants(), qt.IsNil)
 }
 
-// TestRacingPlansNeverMix confirms two plans that were made for the same room.
+// TestRacingPlansNeverMix confirms two plans that were made for the same
+// capacity: the second must be stale.
 func TestRacingPlansNeverMix(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
@@ -45,8 +46,8 @@
 	c.Assert(s.Jobs(), qt.HasLen, 1)
 }
 
-// TestCancelPlanIsStaleWhenMoreHasStarted confirms a cancellation that did not
-// show a task which would be stopped.
+// TestCancelPlanIsStaleWhenMoreHasStarted confirms a cancellation after another
+// task of the job has started, which the plan did not show as stopped.
 func TestCancelPlanIsStaleWhenMoreHasStarted(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -7,118 +7,121 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// promiseTime is how long room that was made is kept for the task that it was
-// made for.
-const promiseTime = 15 * time.Second
+// nominationTTL is how long capacity on the nominated worker is held for a
+// task.
+const nominationTTL = 15 * time.Second
 
-// A room is what makes space for a task on one worker.
-type room struct {
-	w       *worker
-	victims []*task
-	worth   int
-	lost    time.Duration
+// A preemption is a set of tasks to checkpoint on one worker so that another
+// task fits.
+type preemption struct {
+	onWorker  *worker
+	victims   []*task
+	lostWorth int
+	lostTime  time.Duration
 }
 
-// less orders rooms: the least worth is lost first, then the least work.
-func (r room) less(o room) bool {
-	if r.worth != o.worth {
-		return r.worth < o.worth
+// less orders preemptions by the worth of the victims, then by the run time
+// that is lost.
+func (r preemption) less(o preemption) bool {
+	if r.lostWorth != o.lostWorth {
+		return r.lostWorth < o.lostWorth
 	}
-	return r.lost < o.lost
+	return r.lostTime < o.lostTime
 }
 
-// makeRoom has patient work checkpointed for tasks of one job that do not
-// fit. Urgent work may take the room of any patient task, other work only the
-// room of patient tasks that pass their team's quota. Each task gets a
-// promise of its room. Either all tasks get one or none.
-func (d *decider) makeRoom(tasks []*task) {
+// preemptFor preempts tasks of class Patient for tasks of one job that do not
+// fit, and nominates a worker for each. Urgent jobs may preempt any such task,
+// others only those of teams that are over their quota. Either all tasks get a
+// nominated worker or none.
+func (d *decider) preemptFor(tasks []*task) {
 	s := d.state
 	j := tasks[0].job
 	if s.config.NoPreemption || j.spec.Class == spoolsill.Patient {
 		return
 	}
-	var rooms []room
-	var promised []*task
+	var preemptions []preemption
+	var nominated []*task
 	taken := map[*task]bool{}
 	for _, t := range tasks {
-		if t.target != nil {
+		if t.nominatedWorker != nil {
 			continue
 		}
-		r, ok := d.findRoom(t, taken)
+		r, ok := d.findPreemption(t, taken)
 		if !ok {
-			d.withdraw(promised)
+			d.withdrawNominations(nominated)
 			return
 		}
 		for _, v := range r.victims {
 			taken[v] = true
 		}
-		d.promise(t, r.w)
-		promised = append(promised, t)
-		rooms = append(rooms, r)
+		d.nominate(t, r.onWorker)
+		nominated = append(nominated, t)
+		preemptions = append(preemptions, r)
 	}
-	for _, r := range rooms {
+	for _, r := range preemptions {
 		d.checkpoint(r)
 	}
-	if len(rooms) > 0 {
-		j.why.Code = ReasonPreempting
-		j.why.Worker = rooms[0].w.ID
+	if len(preemptions) > 0 {
+		j.reason.Code = ReasonPreempting
+		j.reason.Worker = preemptions[0].onWorker.ID
 	}
 }
 
-// roomEvery is the least time between two searches for room for one gang.
-const roomEvery = 250 * time.Millisecond
+// gangPreemptionInterval is the minimum time between two searches for tasks to
+// preempt for the same gang.
+const gangPreemptionInterval = 250 * time.Millisecond
 
-// roomForGang makes room for a gang: at once for an urgent one, for another
-// after it has waited for a while. Room that is gathered piece by piece comes
-// slowly when the hall is full, and holds up others meanwhile.
-func (d *decider) roomForGang(j *job) {
-	if d.state.config.NoPreemption || (j.spec.Class != spoolsill.Urgent && !d.patienceOver(j)) {
+// preemptForGang preempts tasks for all tasks of a gang at once: for an urgent
+// gang immediately, for others after Config.GangPatience. The reservation alone
+// gathers capacity slowly in a full hall, and delays other jobs meanwhile.
+func (d *decider) preemptForGang(j *job) {
+	if d.state.config.NoPreemption || (j.spec.Class != spoolsill.Urgent && !d.gangPatienceOver(j)) {
 		return
 	}
-	if j.promised() || d.now.Sub(j.roomSought) < roomEvery {
+	if j.hasNomination() || d.now.Sub(j.preemptionTriedAt) < gangPreemptionInterval {
 		return
 	}
-	j.roomSought = d.now
-	var seats []room
-	for _, w := range d.state.order {
-		seats = append(seats, d.gangSeats(j, w)...)
+	j.preemptionTriedAt = d.now
+	var preemptions []preemption
+	for _, w := range d.state.workerList {
+		preemptions = append(preemptions, d.gangPreemptions(j, w)...)
 	}
-	sort.SliceStable(seats, func(a, b int) bool { return seats[a].less(seats[b]) })
-	tasks := j.waiting()
-	if len(seats) < len(tasks) {
+	sort.SliceStable(preemptions, func(a, b int) bool { return preemptions[a].less(preemptions[b]) })
+	tasks := j.waitingTasks()
+	if len(preemptions) < len(tasks) {
 		return
 	}
 	for i, t := range tasks {
-		d.promise(t, seats[i].w)
-		d.checkpoint(seats[i])
+		d.nominate(t, preemptions[i].onWorker)
+		d.checkpoint(preemptions[i])
 	}
-	j.why.Code = ReasonPreempting
-	j.why.Worker = seats[0].w.ID
+	j.reason.Code = ReasonPreempting
+	j.reason.Worker = preemptions[0].onWorker.ID
 }
 
-// promised reports whether room is being made for j.
-func (j *job) promised() bool {
+// hasNomination reports whether a task of j has a nominated worker.
+func (j *job) hasNomination() bool {
 	for _, i := range j.pending {
-		if j.tasks[i].target != nil {
+		if j.tasks[i].nominatedWorker != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// gangSeats returns the room for each further task of a gang on w, with the
-// victims that each costs, the cheapest first.
-func (d *decider) gangSeats(j *job, w *worker) []room {
-	t := j.waiting()[0]
-	if !d.mayMakeRoom(t, w) || anyAvoids(j.waiting(), w) {
+// gangPreemptions returns a preemption for each task of a gang that could be
+// placed on w, with the victims that it needs, cheapest first.
+func (d *decider) gangPreemptions(j *job, w *worker) []preemption {
+	t := j.waitingTasks()[0]
+	if !d.mayPreemptOn(t, w) || anyAvoids(j.waitingTasks(), w) {
 		return nil
 	}
-	free := d.state.room(t, w).Add(leavingRoom(w))
+	free := d.state.availableFor(t, w).Add(releasingCapacity(w))
 	victims := d.victims(t, w, nil)
-	var out []room
+	var out []preemption
 	for range j.pending {
-		r := room{
-			w: w,
+		r := preemption{
+			onWorker: w,
 		}
 		for !j.spec.Shape.Fits(free) {
 			if len(victims) == 0 {
@@ -135,8 +138,9 @@
 	return out
 }
 
-// leavingRoom returns what the tasks that are leaving w hold.
-func leavingRoom(w *worker) spoolsill.Resources {
+// releasingCapacity returns the capacity held by tasks of w that are being
+// checkpointed or stopped.
+func releasingCapacity(w *worker) spoolsill.Resources {
 	var sum spoolsill.Resources
 	for _, v := range w.tasks {
 		if v.state == spoolsill.TaskCheckpointing || v.state == spoolsill.TaskStopping {
@@ -146,82 +150,82 @@
 	return sum
 }
 
-// add counts one more victim.
-func (r *room) add(v *task, now time.Time) {
+// add adds a victim.
+func (r *preemption) add(v *task, now time.Time) {
 	r.victims = append(r.victims, v)
-	r.worth += v.job.spec.Worth
-	r.lost += now.Sub(v.since)
+	r.lostWorth += v.job.spec.Worth
+	r.lostTime += now.Sub(v.stateSince)
 }
 
-func (d *decider) checkpoint(r room) {
+func (d *decider) checkpoint(r preemption) {
 	for _, v := range r.victims {
 		d.add(Record{
 			Kind:    TaskCheckpointing,
 			At:      d.now.UnixMicro(),
 			Task:    v.id,
-			Worker:  r.w.ID,
+			Worker:  r.onWorker.ID,
 			Attempt: v.attempt,
 			Cause:   CausePreempted,
 		})
 	}
 }
 
-func (d *decider) patienceOver(j *job) bool {
+func (d *decider) gangPatienceOver(j *job) bool {
 	p := d.state.config.GangPatience
 	return p > 0 && j.spec.Kind == spoolsill.Gang && j.spec.Class == spoolsill.Normal && d.now.Sub(j.added) >= p
 }
 
-func (d *decider) promise(t *task, w *worker) {
-	t.target = w
-	t.until = d.now.Add(promiseTime)
-	w.promised = w.promised.Add(t.job.spec.Shape)
-	d.state.promised = append(d.state.promised, t)
+func (d *decider) nominate(t *task, w *worker) {
+	t.nominatedWorker = w
+	t.nominationExpiry = d.now.Add(nominationTTL)
+	w.nominated = w.nominated.Add(t.job.spec.Shape)
+	d.state.nominated = append(d.state.nominated, t)
 }
 
-func (d *decider) withdraw(promised []*task) {
-	for _, t := range promised {
-		d.state.dropTarget(t)
+func (d *decider) withdrawNominations(tasks []*task) {
+	for _, t := range tasks {
+		d.state.clearNomination(t)
 	}
 }
 
-// dropTarget takes back the promise of room for t.
-func (s *State) dropTarget(t *task) {
-	if t.target == nil {
+// clearNomination releases the capacity held for t on its nominated worker.
+func (s *State) clearNomination(t *task) {
+	if t.nominatedWorker == nil {
 		return
 	}
-	t.target.promised = t.target.promised.Sub(t.job.spec.Shape)
-	t.target = nil
-	for i, x := range s.promised {
+	t.nominatedWorker.nominated = t.nominatedWorker.nominated.Sub(t.job.spec.Shape)
+	t.nominatedWorker = nil
+	for i, x := range s.nominated {
 		if x == t {
-			s.promised = append(s.promised[:i], s.promised[i+1:]...)
+			s.nominated = append(s.nominated[:i], s.nominated[i+1:]...)
 			break
 		}
 	}
-	s.freed++
+	s.capacityVersion++
 }
 
-func (s *State) dropOldTargets(now time.Time) {
-	for i := len(s.promised) - 1; i >= 0; i-- {
-		t := s.promised[i]
-		if now.After(t.until) {
-			s.dropTarget(t)
+func (s *State) expireNominations(now time.Time) {
+	for i := len(s.nominated) - 1; i >= 0; i-- {
+		t := s.nominated[i]
+		if now.After(t.nominationExpiry) {
+			s.clearNomination(t)
 		}
 	}
 }
 
-// findRoom returns the room for t that costs the least.
-func (d *decider) findRoom(t *task, taken map[*task]bool) (room, bool) {
-	if d.rooms >= maxRooms {
-		return room{}, false
+// findPreemption returns the cheapest preemption that makes t fit on a worker.
+func (d *decider) findPreemption(t *task, taken map[*task]bool) (preemption, bool) {
+	if d.preemptionSearches >= maxPreemptionSearches {
+		return preemption{}, false
 	}
-	d.rooms++
-	var best room
+	d.preemptionSearches++
+	var best preemption
 	found := false
-	for _, w := range d.state.order {
-		if !d.mayMakeRoom(t, w) {
+	for _, w := range d.state.workerList {
+		if !d.mayPreemptOn(t, w) {
 			continue
 		}
-		r, ok := d.roomOn(t, w, taken)
+		r, ok := d.preemptionOn(t, w, taken)
 		if ok && (!found || r.less(best)) {
 			best = r
 			found = true
@@ -230,26 +234,27 @@
 	return best, found
 }
 
-func (d *decider) mayMakeRoom(t *task, w *worker) bool {
-	return w.known && !w.Leaving && !w.silent &&
-		w.health.takes(w, d.now) &&
+func (d *decider) mayPreemptOn(t *task, w *worker) bool {
+	return w.listed && !w.Leaving && !w.unresponsive &&
+		w.health.available(w, d.now) &&
 		!t.avoids(w) &&
-		!d.state.reserve.bars(t.job, w, d.now, d.state.learnt) &&
+		!d.state.reservation.blocks(t.job, w, d.now, d.state.runtimes) &&
 		t.job.spec.Shape.Fits(w.Capacity)
 }
 
-// roomOn returns the least worthy tasks of w whose end makes room for t.
-func (d *decider) roomOn(t *task, w *worker, taken map[*task]bool) (room, bool) {
-	r := room{
-		w: w,
+// preemptionOn returns the preemption on w that makes t fit, and whether there
+// is one. Tasks in taken are victims of an earlier preemption.
+func (d *decider) preemptionOn(t *task, w *worker, taken map[*task]bool) (preemption, bool) {
+	r := preemption{
+		onWorker: w,
 	}
-	free := d.state.room(t, w)
+	free := d.state.availableFor(t, w)
 	for v := range taken {
 		if v.worker == w {
 			free = free.Add(v.job.spec.Shape)
 		}
 	}
-	free = free.Add(leavingRoom(w))
+	free = free.Add(releasingCapacity(w))
 	for _, v := range d.victims(t, w, taken) {
 		if t.job.spec.Shape.Fits(free) {
 			break
@@ -260,8 +265,8 @@
 	return r, t.job.spec.Shape.Fits(free)
 }
 
-// victims returns the tasks of w that may be preempted for t, least worth
-// first, then those that ran the shortest.
+// victims returns the tasks of w that may be preempted for t, except those in
+// taken, ordered by worth and then by run time, least first.
 func (d *decider) victims(t *task, w *worker, taken map[*task]bool) []*task {
 	var out []*task
 	for _, v := range w.tasks {
@@ -274,20 +279,20 @@
 		if x.job.spec.Worth != y.job.spec.Worth {
 			return x.job.spec.Worth < y.job.spec.Worth
 		}
-		if !x.since.Equal(y.since) {
-			return x.since.After(y.since)
+		if !x.stateSince.Equal(y.stateSince) {
+			return x.stateSince.After(y.stateSince)
 		}
 		return x.id.String() < y.id.String()
 	})
 	return out
 }
 
-// preemptible reports whether v may be checkpointed for work of j. Work that
-// can't be repeated and the tasks of a gang never are.
+// preemptible reports whether v may be checkpointed for a task of j.
+// Unrepeatable tasks and tasks of gangs are never preempted.
 func (d *decider) preemptible(j *job, v *task) bool {
 	p := &v.job.spec
 	if v.state != spoolsill.TaskRunning || p.Class != spoolsill.Patient || p.Unrepeatable || p.Kind == spoolsill.Gang {
 		return false
 	}
-	return j.spec.Class == spoolsill.Urgent || d.patienceOver(j) || v.job.team.overQuota()
+	return j.spec.Class == spoolsill.Urgent || d.gangPatienceOver(j) || v.job.team.overQuota()
 }
--- a/place/queue.go
+++ b/place/queue.go
@@ -9,58 +9,59 @@
 
 // A queue holds the waiting jobs of one team and class, oldest first.
 type queue struct {
-	jobs    []*job
-	blocked uint64 // the value of State.freed at which none of jobs fitted
-	skip    int    // jobs from the front that do not fit in this round
-	round   uint64
+	jobs           []*job
+	blockedVersion uint64 // State.capacityVersion at which no job of the queue fitted
+	skip           int    // number of jobs at the front that do not fit in this round
+	round          uint64
 }
 
-// judge puts j into its queue, or among the jobs that can never run.
-func (s *State) judge(j *job) {
+// classify queues j, or marks it as unschedulable if it would not fit into the
+// empty hall.
+func (s *State) classify(j *job) {
 	if j.cancelled {
 		return
 	}
-	if len(s.order) > 0 && !s.fitsSomeWorker(j) {
-		s.markNever(j)
+	if len(s.workerList) > 0 && !s.fitsSomeWorker(j) {
+		s.markUnschedulable(j)
 		return
 	}
-	if j.never {
-		s.unmarkNever(j)
+	if j.unschedulable {
+		s.markSchedulable(j)
 	}
 	s.refreshQueue(j)
 }
 
-// judgeNever judges every waiting job again after the workers have changed.
-func (s *State) judgeNever() {
-	waiting := append([]*job(nil), s.never...)
+// classifyAll classifies all waiting jobs again after the workers have changed.
+func (s *State) classifyAll() {
+	waiting := append([]*job(nil), s.unschedulable...)
 	for _, t := range s.active {
 		for c := range t.queues {
 			waiting = append(waiting, t.queues[c].jobs...)
 		}
 	}
 	for _, j := range waiting {
-		s.judge(j)
+		s.classify(j)
 	}
 }
 
-func (s *State) markNever(j *job) {
-	j.why = s.largestMiss(j)
-	if j.never {
+func (s *State) markUnschedulable(j *job) {
+	j.reason = s.unschedulableReason(j)
+	if j.unschedulable {
 		return
 	}
 	s.dequeue(j)
-	j.never = true
-	s.never = append(s.never, j)
-	s.relabel(j, spoolsill.TaskQueued, spoolsill.TaskNever)
+	j.unschedulable = true
+	s.unschedulable = append(s.unschedulable, j)
+	s.replaceState(j, spoolsill.TaskQueued, spoolsill.TaskNever)
 }
 
-func (s *State) unmarkNever(j *job) {
-	j.never = false
-	s.never = removeJob(s.never, j)
-	s.relabel(j, spoolsill.TaskNever, spoolsill.TaskQueued)
+func (s *State) markSchedulable(j *job) {
+	j.unschedulable = false
+	s.unschedulable = removeJob(s.unschedulable, j)
+	s.replaceState(j, spoolsill.TaskNever, spoolsill.TaskQueued)
 }
 
-func (s *State) relabel(j *job, from, to spoolsill.TaskState) {
+func (s *State) replaceState(j *job, from, to spoolsill.TaskState) {
 	for i := range j.tasks {
 		if j.tasks[i].state == from {
 			j.tasks[i].state = to
@@ -68,54 +69,55 @@
 	}
 }
 
-// refreshQueue makes j stand in its queue exactly while it has waiting tasks.
+// refreshQueue adds j to its queue or removes it: it is queued while it has
+// pending tasks and is neither cancelled nor unschedulable.
 func (s *State) refreshQueue(j *job) {
-	want := len(j.pending) > 0 && !j.cancelled && !j.never
-	if want == j.inQueue {
+	want := len(j.pending) > 0 && !j.cancelled && !j.unschedulable
+	if want == j.queued {
 		return
 	}
 	if !want {
 		s.dequeue(j)
 		return
 	}
-	j.inQueue = true
-	j.blocked = 0
+	j.queued = true
+	j.blockedVersion = 0
 	q := &j.team.queues[j.spec.Class]
 	at := sort.Search(len(q.jobs), func(i int) bool {
-		return q.jobs[i].number > j.number
+		return q.jobs[i].seq > j.seq
 	})
 	q.jobs = append(q.jobs, nil)
 	copy(q.jobs[at+1:], q.jobs[at:])
 	q.jobs[at] = j
-	q.blocked = 0
+	q.blockedVersion = 0
 	q.round = 0
-	j.team.queued++
-	s.listTeam(j.team)
+	j.team.waitingJobs++
+	s.activateTeam(j.team)
 	if j.spec.Kind == spoolsill.Gang {
-		s.gangs = append(s.gangs, j)
+		s.waitingGangs = append(s.waitingGangs, j)
 	}
 }
 
 func (s *State) dequeue(j *job) {
-	if j.never {
-		j.never = false
-		s.never = removeJob(s.never, j)
+	if j.unschedulable {
+		j.unschedulable = false
+		s.unschedulable = removeJob(s.unschedulable, j)
 	}
-	if !j.inQueue {
+	if !j.queued {
 		return
 	}
-	j.inQueue = false
+	j.queued = false
 	q := &j.team.queues[j.spec.Class]
 	q.jobs = removeJob(q.jobs, j)
 	q.round = 0
-	j.team.queued--
+	j.team.waitingJobs--
 	if j.spec.Kind == spoolsill.Gang {
-		s.gangs = removeJob(s.gangs, j)
-		s.dropReserve(j)
+		s.waitingGangs = removeJob(s.waitingGangs, j)
+		s.dropReservation(j)
 	}
 }
 
-// removeJob returns list without j. Taking the first is cheap.
+// removeJob returns list without j. Removing the first takes constant time.
 func removeJob(list []*job, j *job) []*job {
 	for i, x := range list {
 		if x != j {
@@ -130,12 +132,12 @@
 	return list
 }
 
-// listTeam puts t among the active teams.
-func (s *State) listTeam(t *team) {
-	if t.listed {
+// activateTeam adds t to the active teams.
+func (s *State) activateTeam(t *team) {
+	if t.isActive {
 		return
 	}
-	t.listed = true
+	t.isActive = true
 	at := sort.Search(len(s.active), func(i int) bool {
 		return s.active[i].id > t.id
 	})
@@ -144,67 +146,68 @@
 	s.active[at] = t
 }
 
-// trimTeams takes teams without waiting jobs off the list.
-func (s *State) trimTeams() {
+// pruneTeams removes the teams without waiting jobs from the active teams.
+func (s *State) pruneTeams() {
 	kept := s.active[:0]
 	for _, t := range s.active {
-		if t.queued > 0 {
+		if t.waitingJobs > 0 {
 			kept = append(kept, t)
 			continue
 		}
-		t.listed = false
+		t.isActive = false
 	}
 	s.active = kept
 }
 
-// wake moves requeued tasks that have become ready back to their jobs.
-func (s *State) wake(now time.Time) {
-	if len(s.delayed) == 0 {
+// requeueReady makes tasks pending whose retry time has come.
+func (s *State) requeueReady(now time.Time) {
+	if len(s.backingOff) == 0 {
 		return
 	}
-	kept := s.delayed[:0]
-	for _, t := range s.delayed {
+	kept := s.backingOff[:0]
+	for _, t := range s.backingOff {
 		switch {
 		case t.state != spoolsill.TaskQueued:
-		case t.ready.After(now):
+		case t.retryAt.After(now):
 			kept = append(kept, t)
 		default:
 			t.job.pending = append(t.job.pending, t.id.Index)
-			t.job.blocked = 0
-			t.job.team.queues[t.job.spec.Class].blocked = 0
+			t.job.blockedVersion = 0
+			t.job.team.queues[t.job.spec.Class].blockedVersion = 0
 			s.refreshQueue(t.job)
 		}
 	}
-	s.delayed = kept
+	s.backingOff = kept
 }
 
-// NextReady returns when the next requeued task becomes ready.
+// NextReady returns the earliest retry time of the tasks that are backing off,
+// and whether there is one.
 func (s *State) NextReady() (time.Time, bool) {
 	var first time.Time
-	for _, t := range s.delayed {
-		if first.IsZero() || t.ready.Before(first) {
-			first = t.ready
+	for _, t := range s.backingOff {
+		if first.IsZero() || t.retryAt.Before(first) {
+			first = t.retryAt
 		}
 	}
 	return first, !first.IsZero()
 }
 
-// agePerShare is the waiting time that weighs as much as the whole hall in
-// the order of teams, so that nobody waits without end.
-const agePerShare = 10 * time.Minute
+// agingPeriod is the waiting time that counts as much as using the whole hall
+// in the order of teams. It prevents starvation.
+const agingPeriod = 10 * time.Minute
 
-// nextJob returns the waiting job of class c that is to be tried next in this
-// round, or nil: the oldest job that may fit, of the team that uses the least
-// for its weight, with the waiting time counted in its favour.
+// nextJob returns the waiting job of class c to try next, or nil. It takes the
+// first job that may fit of the team with the lowest weighted dominant share,
+// less an allowance for the job's waiting time.
 func (s *State) nextJob(c spoolsill.Class, now time.Time) *job {
 	var best *job
 	var bestRank float64
 	for _, t := range s.active {
-		j := t.queues[c].next(s, now)
+		j := t.queues[c].firstUnblocked(s, now)
 		if j == nil {
 			continue
 		}
-		r := s.rank(t, j, now)
+		r := s.teamRank(t, j, now)
 		if best == nil || r < bestRank {
 			best = j
 			bestRank = r
@@ -213,49 +216,51 @@
 	return best
 }
 
-func (s *State) rank(t *team, j *job, now time.Time) float64 {
+func (s *State) teamRank(t *team, j *job, now time.Time) float64 {
 	used := t.used.DominantShare(s.total) / float64(t.weight)
-	age := float64(now.Sub(j.added)) / float64(agePerShare)
+	age := float64(now.Sub(j.added)) / float64(agingPeriod)
 	return used - age
 }
 
-// next returns the first job of q that has not failed to fit since capacity
-// was last freed.
-func (q *queue) next(s *State, now time.Time) *job {
-	if len(q.jobs) == 0 || q.blocked == s.freed {
+// firstUnblocked returns the next job of q that has not failed to fit since
+// capacityVersion last changed, or nil.
+func (q *queue) firstUnblocked(s *State, now time.Time) *job {
+	if len(q.jobs) == 0 || q.blockedVersion == s.capacityVersion {
 		return nil
 	}
 	if q.round != s.round {
 		q.round = s.round
 		q.skip = 0
 	}
-	for q.skip < len(q.jobs) && q.jobs[q.skip].blocked == s.freed {
+	for q.skip < len(q.jobs) && q.jobs[q.skip].blockedVersion == s.capacityVersion {
 		q.skip++
 	}
 	if q.skip == len(q.jobs) {
-		q.blocked = s.freed
+		q.blockedVersion = s.capacityVersion
 		return nil
 	}
-	return q.largest(s, now)
+	return q.largestJob(s, now)
 }
 
-// lookahead is how many waiting patient jobs of a team may change places: the
-// largest tasks are tried first, since what is small still fits afterwards.
-const lookahead = 16
+// lookaheadJobs is how many waiting jobs of class Patient of a team are compared
+// by size: the largest tasks are tried first, since small ones still fit
+// afterwards.
+const lookaheadJobs = 16
 
-// oldestFirst is the waiting time from which a job is tried before larger ones.
-const oldestFirst = 2 * time.Minute
+// maxReorderAge is the waiting time above which a job is tried before larger
+// ones that were queued later.
+const maxReorderAge = 2 * time.Minute
 
-// largest returns the job with the largest tasks among the next few patient
-// jobs; of other work it returns the oldest.
-func (q *queue) largest(s *State, now time.Time) *job {
+// largestJob returns the job with the largest tasks among the next few jobs of
+// class Patient. For other classes it returns the oldest.
+func (q *queue) largestJob(s *State, now time.Time) *job {
 	best := q.jobs[q.skip]
-	if best.spec.Class != spoolsill.Patient || now.Sub(best.added) > oldestFirst {
+	if best.spec.Class != spoolsill.Patient || now.Sub(best.added) > maxReorderAge {
 		return best
 	}
 	size := best.spec.Shape.DominantShare(s.total)
-	for _, j := range q.jobs[q.skip:min(len(q.jobs), q.skip+lookahead)] {
-		if j.blocked == s.freed {
+	for _, j := range q.jobs[q.skip:min(len(q.jobs), q.skip+lookaheadJobs)] {
+		if j.blockedVersion == s.capacityVersion {
 			continue
 		}
 		if x := j.spec.Shape.DominantShare(s.total); x > size {
--- a/place/rapid_test.go
+++ b/place/rapid_test.go
@@ -12,8 +12,9 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// A machine drives a State and the naive ledger with the same events.
-type machine struct {
+// A stateMachine applies the same events to a State and to the naive ledger, a
+// reference implementation.
+type stateMachine struct {
 	state   *place.State
 	ledger  *naive.Ledger
 	records []place.Record
@@ -23,8 +24,8 @@
 	config  place.Config
 }
 
-func newMachine(c place.Config) *machine {
-	m := &machine{
+func newMachine(c place.Config) *stateMachine {
+	m := &stateMachine{
 		state:  place.NewState(c),
 		ledger: naive.NewLedger(),
 		now:    time.UnixMicro(1_000_000_000),
@@ -45,12 +46,12 @@
 	return m
 }
 
-func (m *machine) setWorkers() {
+func (m *stateMachine) setWorkers() {
 	m.state.SetWorkers(m.workers)
 	m.ledger.SetWorkers(m.workers)
 }
 
-func (m *machine) take(t *rapid.T, records []place.Record) {
+func (m *stateMachine) applied(t *rapid.T, records []place.Record) {
 	m.records = append(m.records, records...)
 	if err := m.ledger.Apply(records); err != nil {
 		t.Fatal(err)
@@ -60,8 +61,7 @@
 	}
 }
 
-// submit adds a job.
-func (m *machine) submit(t *rapid.T) {
+func (m *stateMachine) submit(t *rapid.T) {
 	m.jobs++
 	kind := rapid.SampledFrom([]spoolsill.Kind{spoolsill.Service, spoolsill.Batch, spoolsill.Gang}).Draw(t, "kind")
 	j := spoolsill.Job{
@@ -87,21 +87,22 @@
 	if err := m.state.Apply(r); err != nil {
 		t.Fatal(err)
 	}
-	m.take(t, []place.Record{r})
+	m.applied(t, []place.Record{r})
 }
 
-func (m *machine) decide(t *rapid.T) {
+func (m *stateMachine) decide(t *rapid.T) {
 	for {
 		records, full := m.state.Decide(m.now)
-		m.take(t, records)
+		m.applied(t, records)
 		if !full {
 			break
 		}
 	}
 }
 
-// decideAll decides, and verifies that nothing is left that could start.
-func (m *machine) decideAll(t *rapid.T) {
+// decideAll calls Decide and, if nothing may hold tasks back, verifies that no
+// waiting task could start.
+func (m *stateMachine) decideAll(t *rapid.T) {
 	m.decide(t)
 	if !m.config.NoReservation || !m.config.NoPreemption || !m.config.NoQuarantine {
 		return
@@ -111,9 +112,9 @@
 	}
 }
 
-// end has one task that holds a worker meet some fate.
-func (m *machine) end(t *rapid.T) {
-	holds := m.holds()
+// end reports a random outcome of a random task that holds capacity.
+func (m *stateMachine) end(t *rapid.T) {
+	holds := m.allocations()
 	if len(holds) == 0 {
 		return
 	}
@@ -121,14 +122,14 @@
 	f := rapid.SampledFrom([]place.Outcome{
 		place.Started, place.Exited, place.Failed, place.Checkpointed, place.Stopped, place.Refused, place.NotFound, place.Lost,
 	}).Draw(t, "fate")
-	m.take(t, m.state.Report(m.now, place.Report{
+	m.applied(t, m.state.Report(m.now, place.Report{
 		Task:    h.Task,
 		Attempt: h.Attempt,
 		Outcome: f,
 	}))
 }
 
-func (m *machine) holds() []place.Allocation {
+func (m *stateMachine) allocations() []place.Allocation {
 	var out []place.Allocation
 	for _, w := range m.workers {
 		out = append(out, m.state.Allocations(w.ID)...)
@@ -136,20 +137,20 @@
 	return out
 }
 
-func (m *machine) cancel(t *rapid.T) {
+func (m *stateMachine) cancel(t *rapid.T) {
 	if m.jobs == 0 {
 		return
 	}
 	id := spoolsill.JobID(fmt.Sprintf("j%d", rapid.IntRange(1, m.jobs).Draw(t, "job")))
-	m.take(t, m.state.Cancel(m.now, []spoolsill.JobID{id}))
+	m.applied(t, m.state.Cancel(m.now, []spoolsill.JobID{id}))
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *stateMachine) advance(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 30_000).Draw(t, "ms")) * time.Millisecond)
 }
 
-// leave marks a worker as leaving or staying.
-func (m *machine) leave(t *rapid.T) {
+// toggleLeaving toggles whether a worker is leaving.
+func (m *stateMachine) toggleLeaving(t *rapid.T) {
 	i := rapid.IntRange(0, len(m.workers)-1).Draw(t, "worker")
 	m.workers[i].Leaving = !m.workers[i].Leaving
 	m.setWorkers()
@@ -157,8 +158,8 @@
 
 // rebuild replaces the state by one rebuilt from the records or a snapshot,
 // and verifies that both equal it.
-func (m *machine) rebuild(t *rapid.T) {
-	want := m.picture(m.state)
+func (m *stateMachine) rebuild(t *rapid.T) {
+	want := m.describe(m.state)
 	for name, records := range map[string][]place.Record{
 		"journal":  m.records,
 		"snapshot": m.state.Snapshot(m.now),
@@ -171,14 +172,15 @@
 		if err := s.CheckInvariants(); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if got := m.picture(s); got != want {
+		if got := m.describe(s); got != want {
 			t.Fatalf("%s rebuilds\n%s\nwant\n%s", name, got, want)
 		}
 	}
 }
 
-// picture is what operators see of a state, without the reasons of decisions.
-func (m *machine) picture(s *place.State) string {
+// describe formats what operators see of a state, without the reasons of
+// decisions.
+func (m *stateMachine) describe(s *place.State) string {
 	out := ""
 	for _, j := range s.Jobs() {
 		_, tasks, _ := s.Job(j.ID)
@@ -201,14 +203,14 @@
 			"decide":  m.decideAll,
 			"end":     m.end,
 			"cancel":  m.cancel,
-			"pass":    m.pass,
-			"leave":   m.leave,
+			"pass":    m.advance,
+			"leave":   m.toggleLeaving,
 			"rebuild": m.rebuild,
 		})
 	})
 }
 
-func TestLegalAgainstNaive(t *testing.T) {
+func TestInvariantsAgainstNaive(t *testing.T) {
 	testAgainstNaive(t, place.Config{})
 }
 
--- a/place/record.go
+++ b/place/record.go
@@ -8,32 +8,32 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrInvalidRecord is returned for a record that does not fit the state. Nothing was
-// changed.
+// ErrInvalidRecord is returned for a record that contradicts the state, which
+// is left unchanged.
 var ErrInvalidRecord = errors.New("place: record does not fit the state")
 
-// RecordKind tells records apart. The numbers are kept in journals: they are
-// never reused.
+// RecordKind is the kind of a [Record]. The numbers are stored in journals and
+// are never reused.
 type RecordKind uint8
 
 // The kinds of records.
 const (
 	JobAdded          RecordKind = 1  // Job is queued
-	JobCancelled      RecordKind = 2  // Task.Job takes no more placements
-	TaskPlaced        RecordKind = 3  // Task gets capacity of Worker
+	JobCancelled      RecordKind = 2  // tasks of Task.Job are not placed any more
+	TaskPlaced        RecordKind = 3  // Task is allocated capacity of Worker
 	TaskRunning       RecordKind = 4  // Worker confirmed the start
 	TaskCheckpointing RecordKind = 5  // Worker is asked to checkpoint and stop
 	TaskStopping      RecordKind = 6  // Worker is asked to stop
-	TaskRequeued      RecordKind = 7  // Task left its worker and waits again
+	TaskRequeued      RecordKind = 7  // Task has left its worker and waits again
 	TaskEnded         RecordKind = 8  // Task reached the final State
 	PlanApplied       RecordKind = 9  // Plan was confirmed
-	RuntimesLearned   RecordKind = 10 // snapshot of what was learnt of run times
+	RuntimesLearned   RecordKind = 10 // Ratios are those of Team and JobKind; only in snapshots
 )
 
-// Cause says why a record was written.
+// Cause is the reason for which a record was written.
 type Cause uint8
 
-// The causes of records. The numbers are kept in journals.
+// The causes of records. The numbers are stored in journals.
 const (
 	CauseNone           Cause = 0
 	CauseFits           Cause = 1
@@ -42,11 +42,11 @@
 	CauseExited         Cause = 4
 	CauseFailed         Cause = 5
 	CauseRefused        Cause = 6 // the worker did not take the start
-	CauseWorkerLost     Cause = 7 // every lease on the worker lapsed
-	CauseTaskNotFound   Cause = 8 // the worker knows nothing of the task
+	CauseWorkerLost     Cause = 7 // all leases on the worker have expired
+	CauseTaskNotFound   Cause = 8 // the worker does not know the task
 	CauseDrained        Cause = 9
-	CauseNoAttemptsLeft Cause = 10 // all tries are used up
-	CauseOveruse        Cause = 11 // used far more than it declared
+	CauseNoAttemptsLeft Cause = 10 // MaxAttempts is reached
+	CauseOveruse        Cause = 11 // it used more than it declared for too long
 	CauseGangMemberLost Cause = 12 // another task of its gang was lost
 	CauseOperator       Cause = 13
 	CauseExpired        Cause = 14
@@ -70,12 +70,12 @@
 	CauseExpired:        "its lease ended without a renewal, and the worker ended it",
 }
 
-// String returns the cause in words.
+// String returns a description of the cause.
 func (c Cause) String() string {
 	return causeTexts[c]
 }
 
-// A Record is one change of a [State], as it is kept in the journal.
+// A Record is one change of a [State], as stored in the journal.
 type Record struct {
 	Kind    RecordKind          `msgpack:"k"`
 	At      int64               `msgpack:"a"` // Unix time in microseconds
@@ -85,7 +85,8 @@
 	Attempt spoolsill.Attempt   `msgpack:"n,omitempty"`
 	State   spoolsill.TaskState `msgpack:"s,omitempty"`
 	Cause   Cause               `msgpack:"c,omitempty"`
-	// Ready is when a requeued task may be tried again, in microseconds.
+	// Ready is when a requeued task may be placed again, as Unix time in
+	// microseconds.
 	Ready   int64            `msgpack:"r,omitempty"`
 	Plan    spoolsill.PlanID `msgpack:"p,omitempty"`
 	Ratios  *RuntimeRatios   `msgpack:"q,omitempty"`
@@ -98,6 +99,6 @@
 	return time.UnixMicro(r.At)
 }
 
-func refuse(r Record, format string, args ...any) error {
+func invalid(r Record, format string, args ...any) error {
 	return fmt.Errorf("%w: kind %d task %s: %s", ErrInvalidRecord, r.Kind, r.Task, fmt.Sprintf(format, args...))
 }
--- a/place/report.go
+++ b/place/report.go
@@ -6,76 +6,77 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Outcome is what became of a task on its worker.
+// Outcome is the state of an attempt to run a task, as reported by its worker
+// or concluded from the worker's silence.
 type Outcome int
 
-// The fates of a task.
+// The outcomes of an attempt.
 const (
 	Started      Outcome = iota // the worker confirmed the start
-	Exited                      // it ran to its end
+	Exited                      // it ended by itself, without a failure
 	Failed                      // it ran and failed
 	Checkpointed                // it was checkpointed and stopped
 	Stopped                     // it was stopped
-	Refused                     // the worker did not take the start: it did not run
-	NotFound                    // the worker knows nothing of it
-	Lost                        // every lease on it has lapsed: it runs no longer
-	Expired                     // its lease ended, and so did it
+	Refused                     // the worker refused the start: it did not run
+	NotFound                    // the worker does not know it
+	Lost                        // all leases on it have expired: it does not run any more
+	Expired                     // its lease expired and the worker ended it
 )
 
-// A Report says what became of one start of a task.
+// A Report is the outcome of one attempt to run a task.
 type Report struct {
 	Task    spoolsill.TaskID
 	Attempt spoolsill.Attempt
 	Outcome Outcome
 }
 
-// Report takes in what became of a task and returns the records of it,
-// already applied. A report on an earlier attempt, or on a task that holds no
-// worker, gives none.
+// Report handles the outcome of an attempt and returns the resulting records,
+// already applied. It ignores reports on earlier attempts and on tasks that hold
+// no capacity.
 func (s *State) Report(now time.Time, p Report) []Record {
 	t := s.task(p.Task)
 	if t == nil || !t.state.Holds() || t.attempt != p.Attempt {
 		return nil
 	}
-	r := s.settle(t, p.Outcome, now)
+	r := s.outcomeRecord(t, p.Outcome, now)
 	if r.Kind == 0 {
 		return nil
 	}
 	mustApply(s, r)
 	records := []Record{r}
 	if t.job.spec.Kind == spoolsill.Gang && r.Kind == TaskRequeued {
-		records = append(records, s.stopPartners(t, now)...)
+		records = append(records, s.stopGangMembers(t, now)...)
 	}
 	return records
 }
 
-// settle returns the record that follows from a fate, or one of kind 0 when
-// nothing follows.
-func (s *State) settle(t *task, f Outcome, now time.Time) Record {
-	switch f {
+// outcomeRecord returns the record that results from an outcome, or one of kind
+// 0 if the outcome changes nothing.
+func (s *State) outcomeRecord(t *task, outcome Outcome, now time.Time) Record {
+	switch outcome {
 	case Started:
 		if t.state != spoolsill.TaskPlaced {
 			return Record{}
 		}
-		return s.record(TaskRunning, t, now, CauseNone)
+		return s.taskRecord(TaskRunning, t, now, CauseNone)
 	case Exited:
-		return s.exited(t, now)
+		return s.exitedRecord(t, now)
 	case Failed:
-		return s.failed(t, now, CauseFailed)
+		return s.failedRecord(t, now, CauseFailed)
 	case Refused:
-		return s.failed(t, now, CauseRefused)
+		return s.failedRecord(t, now, CauseRefused)
 	case Checkpointed, Stopped:
-		return s.stopped(t, now)
+		return s.stoppedRecord(t, now)
 	case NotFound:
-		return s.vanished(t, now, CauseTaskNotFound)
+		return s.lostRecord(t, now, CauseTaskNotFound)
 	case Expired:
-		return s.vanished(t, now, CauseExpired)
+		return s.lostRecord(t, now, CauseExpired)
 	default:
-		return s.vanished(t, now, CauseWorkerLost)
+		return s.lostRecord(t, now, CauseWorkerLost)
 	}
 }
 
-func (s *State) record(k RecordKind, t *task, now time.Time, c Cause) Record {
+func (s *State) taskRecord(k RecordKind, t *task, now time.Time, c Cause) Record {
 	r := Record{
 		Kind:    k,
 		At:      now.UnixMicro(),
@@ -89,92 +90,93 @@
 	return r
 }
 
-func (s *State) ended(t *task, now time.Time, state spoolsill.TaskState, c Cause) Record {
-	r := s.record(TaskEnded, t, now, c)
+func (s *State) endedRecord(t *task, now time.Time, state spoolsill.TaskState, c Cause) Record {
+	r := s.taskRecord(TaskEnded, t, now, c)
 	r.State = state
 	return r
 }
 
-func (s *State) requeued(t *task, now time.Time, wait time.Duration, c Cause) Record {
-	r := s.record(TaskRequeued, t, now, c)
+func (s *State) requeuedRecord(t *task, now time.Time, wait time.Duration, c Cause) Record {
+	r := s.taskRecord(TaskRequeued, t, now, c)
 	r.Ready = now.Add(wait).UnixMicro()
 	return r
 }
 
-func (s *State) exited(t *task, now time.Time) Record {
+func (s *State) exitedRecord(t *task, now time.Time) Record {
 	switch {
 	case t.job.cancelled:
-		return s.ended(t, now, spoolsill.TaskCancelled, CauseExited)
+		return s.endedRecord(t, now, spoolsill.TaskCancelled, CauseExited)
 	case t.job.spec.Kind == spoolsill.Service:
-		return s.requeued(t, now, s.backoff(t), CauseExited)
+		return s.requeuedRecord(t, now, s.backoff(t), CauseExited)
 	default:
-		return s.ended(t, now, spoolsill.TaskDone, CauseExited)
+		return s.endedRecord(t, now, spoolsill.TaskDone, CauseExited)
 	}
 }
 
-func (s *State) failed(t *task, now time.Time, c Cause) Record {
+func (s *State) failedRecord(t *task, now time.Time, c Cause) Record {
 	spec := &t.job.spec
 	switch {
 	case t.job.cancelled:
-		return s.ended(t, now, spoolsill.TaskCancelled, c)
+		return s.endedRecord(t, now, spoolsill.TaskCancelled, c)
 	case spec.Unrepeatable && c == CauseFailed:
-		return s.ended(t, now, spoolsill.TaskFailed, c)
-	case spec.Kind == spoolsill.Service || t.fails+1 < s.config.MaxAttempts:
-		return s.requeued(t, now, s.backoff(t), c)
+		return s.endedRecord(t, now, spoolsill.TaskFailed, c)
+	case spec.Kind == spoolsill.Service || t.failures+1 < s.config.MaxAttempts:
+		return s.requeuedRecord(t, now, s.backoff(t), c)
 	default:
-		return s.ended(t, now, spoolsill.TaskFailed, CauseNoAttemptsLeft)
+		return s.endedRecord(t, now, spoolsill.TaskFailed, CauseNoAttemptsLeft)
 	}
 }
 
-func (s *State) stopped(t *task, now time.Time) Record {
+func (s *State) stoppedRecord(t *task, now time.Time) Record {
 	if t.job.cancelled {
-		return s.ended(t, now, spoolsill.TaskCancelled, CauseCancelled)
+		return s.endedRecord(t, now, spoolsill.TaskCancelled, CauseCancelled)
 	}
 	if t.job.spec.Unrepeatable {
-		return s.ended(t, now, spoolsill.TaskLost, t.cause)
+		return s.endedRecord(t, now, spoolsill.TaskLost, t.cause)
 	}
-	return s.requeued(t, now, 0, t.cause)
+	return s.requeuedRecord(t, now, 0, t.cause)
 }
 
-// vanished settles a task of which it is not known whether it ran.
-func (s *State) vanished(t *task, now time.Time, c Cause) Record {
+// lostRecord returns the record for an attempt of which it is not known whether
+// it ran to its end.
+func (s *State) lostRecord(t *task, now time.Time, c Cause) Record {
 	switch {
 	case t.job.cancelled:
-		return s.ended(t, now, spoolsill.TaskCancelled, c)
+		return s.endedRecord(t, now, spoolsill.TaskCancelled, c)
 	case t.job.spec.Unrepeatable:
-		return s.ended(t, now, spoolsill.TaskLost, c)
+		return s.endedRecord(t, now, spoolsill.TaskLost, c)
 	default:
-		return s.requeued(t, now, 0, c)
+		return s.requeuedRecord(t, now, 0, c)
 	}
 }
 
 func (s *State) backoff(t *task) time.Duration {
-	return min(s.config.Backoff<<min(t.fails, 16), s.config.MaxBackoff)
+	return min(s.config.Backoff<<min(t.failures, 16), s.config.MaxBackoff)
 }
 
-// stopPartners has the other tasks of a gang stopped, so that it can start
-// again as a whole.
-func (s *State) stopPartners(t *task, now time.Time) []Record {
+// stopGangMembers stops the other tasks of t's gang, so that the gang can be
+// started again as a whole.
+func (s *State) stopGangMembers(t *task, now time.Time) []Record {
 	var out []Record
 	for i := range t.job.tasks {
 		p := &t.job.tasks[i]
 		if p.state != spoolsill.TaskPlaced && p.state != spoolsill.TaskRunning {
 			continue
 		}
-		r := s.record(TaskStopping, p, now, CauseGangMemberLost)
+		r := s.taskRecord(TaskStopping, p, now, CauseGangMemberLost)
 		mustApply(s, r)
 		out = append(out, r)
 	}
 	return out
 }
 
-// Cancel cancels jobs and returns the records, already applied. Unknown and
-// finished jobs are passed over. The cost per task is constant.
+// Cancel cancels jobs and returns the records, already applied. It ignores
+// unknown, cancelled and finished jobs. The cost per task is constant.
 func (s *State) Cancel(now time.Time, ids []spoolsill.JobID) []Record {
 	var out []Record
 	for _, id := range ids {
 		j, ok := s.jobs[id]
-		if !ok || j.cancelled || !j.finished.IsZero() {
+		if !ok || j.cancelled || !j.finishedAt.IsZero() {
 			continue
 		}
 		r := Record{
@@ -187,13 +189,13 @@
 		}
 		mustApply(s, r)
 		out = append(out, r)
-		out = append(out, s.stopHeld(j, now)...)
+		out = append(out, s.stopAllocated(j, now)...)
 	}
 	return out
 }
 
-func (s *State) stopHeld(j *job, now time.Time) []Record {
-	if j.held == 0 {
+func (s *State) stopAllocated(j *job, now time.Time) []Record {
+	if j.allocated == 0 {
 		return nil
 	}
 	var out []Record
@@ -202,37 +204,36 @@
 		if !t.state.Holds() || t.state == spoolsill.TaskStopping {
 			continue
 		}
-		r := s.record(TaskStopping, t, now, CauseCancelled)
+		r := s.taskRecord(TaskStopping, t, now, CauseCancelled)
 		mustApply(s, r)
 		out = append(out, r)
 	}
 	return out
 }
 
-// DrainWorker has the tasks of a worker that is leaving checkpointed, and
-// returns the records, already applied. Work that can't be repeated is left
-// to run to its end.
+// DrainWorker checkpoints the running tasks of a worker and returns the
+// records, already applied. Unrepeatable tasks are left to run to their end.
 func (s *State) DrainWorker(now time.Time, id spoolsill.WorkerID) []Record {
 	w, ok := s.workers[id]
 	if !ok {
 		return nil
 	}
 	var out []Record
-	for _, t := range w.sorted() {
+	for _, t := range w.sortedTasks() {
 		if t.state != spoolsill.TaskRunning || t.job.spec.Unrepeatable {
 			continue
 		}
-		r := s.record(TaskCheckpointing, t, now, CauseDrained)
+		r := s.taskRecord(TaskCheckpointing, t, now, CauseDrained)
 		mustApply(s, r)
 		out = append(out, r)
 	}
 	return out
 }
 
-// A Enforcement is what is to be done about a task that uses more than declared.
+// Enforcement is the action to take on a task that uses more than it declared.
 type Enforcement int
 
-// The measures, in the order in which they are taken.
+// The enforcement actions, in the order of escalation.
 const (
 	EnforceNone Enforcement = iota
 	EnforceThrottle
@@ -240,47 +241,47 @@
 	EnforceStop
 )
 
-// Reports in a row of use above the declared size, and the margin in
-// thousandths that is let pass.
+// Thresholds of enforcement: numbers of consecutive reports of usage above the
+// declared shape, and the usage that is tolerated, per mille of the shape.
 const (
-	overThrottle   = 1
-	overCheckpoint = 3
-	overStop       = 6
-	overMargin     = 1100
+	throttleAfter       = 1
+	checkpointAfter     = 3
+	stopAfter           = 6
+	usageMarginPerMille = 1100
 )
 
-// ReportUsage takes in what a task was seen to use and returns what is to be done:
-// it is throttled, then checkpointed, then stopped, before its neighbours
-// suffer. Records come with the last two, already applied. Work that can't be
-// repeated is only throttled.
+// ReportUsage handles the measured usage of a task and returns the action to
+// take. To protect other tasks on the worker, a task that keeps using more than
+// it declared is throttled, then checkpointed, then stopped. The last two come
+// with records, already applied. Unrepeatable tasks are only throttled.
 func (s *State) ReportUsage(now time.Time, id spoolsill.TaskID, used spoolsill.Resources) (Enforcement, []Record) {
 	t := s.task(id)
 	if t == nil || !t.state.Holds() {
 		return EnforceNone, nil
 	}
 	limit := t.job.spec.Shape
-	if used.Processors*1000 <= limit.Processors*overMargin && used.Memory*1000 <= limit.Memory*overMargin {
-		t.over = 0
+	if used.Processors*1000 <= limit.Processors*usageMarginPerMille && used.Memory*1000 <= limit.Memory*usageMarginPerMille {
+		t.overuseReports = 0
 		return EnforceNone, nil
 	}
-	t.over++
+	t.overuseReports++
 	switch {
-	case t.over < overThrottle:
+	case t.overuseReports < throttleAfter:
 		return EnforceNone, nil
-	case t.over < overCheckpoint || t.job.spec.Unrepeatable:
+	case t.overuseReports < checkpointAfter || t.job.spec.Unrepeatable:
 		return EnforceThrottle, nil
-	case t.over < overStop:
-		return EnforceCheckpoint, s.leave(t, now, TaskCheckpointing, spoolsill.TaskRunning)
+	case t.overuseReports < stopAfter:
+		return EnforceCheckpoint, s.enforce(t, now, TaskCheckpointing, spoolsill.TaskRunning)
 	default:
-		return EnforceStop, s.leave(t, now, TaskStopping, spoolsill.TaskCheckpointing)
+		return EnforceStop, s.enforce(t, now, TaskStopping, spoolsill.TaskCheckpointing)
 	}
 }
 
-func (s *State) leave(t *task, now time.Time, k RecordKind, from spoolsill.TaskState) []Record {
+func (s *State) enforce(t *task, now time.Time, k RecordKind, from spoolsill.TaskState) []Record {
 	if t.state != from {
 		return nil
 	}
-	r := s.record(k, t, now, CauseOveruse)
+	r := s.taskRecord(k, t, now, CauseOveruse)
 	mustApply(s, r)
 	return []Record{r}
 }
--- a/place/snapshot.go
+++ b/place/snapshot.go
@@ -7,22 +7,23 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Snapshot returns records that rebuild the jobs, tasks, confirmed plans and
-// learnt run times of s. The platform's list of workers is not part of it.
+// Snapshot returns records from which [Rebuild] restores the jobs, tasks,
+// confirmed plans and run time statistics of s. Workers, quotas and the health
+// of workers are not included.
 func (s *State) Snapshot(now time.Time) []Record {
 	jobs := make([]*job, 0, len(s.jobs))
 	for _, j := range s.jobs {
 		jobs = append(jobs, j)
 	}
 	sort.Slice(jobs, func(a, b int) bool {
-		return jobs[a].number < jobs[b].number
+		return jobs[a].seq < jobs[b].seq
 	})
 	var out []Record
 	for _, j := range jobs {
 		out = append(out, j.snapshot()...)
 	}
-	out = append(out, s.snapshotLearnt(now)...)
-	for _, p := range s.plans.order {
+	out = append(out, s.snapshotRuntimes(now)...)
+	for _, p := range s.confirmedPlans.order {
 		out = append(out, Record{
 			Kind: PlanApplied,
 			At:   now.UnixMicro(),
@@ -54,10 +55,10 @@
 	return out
 }
 
-// snapshot returns the records that bring a new task into the state of t.
+// snapshot returns the records that take a newly added task to the state of t.
 func (t *task) snapshot() []Record {
 	r := Record{
-		At:      t.since.UnixMicro(),
+		At:      t.stateSince.UnixMicro(),
 		Task:    t.id,
 		Attempt: t.attempt,
 		Cause:   t.cause,
@@ -66,28 +67,28 @@
 	case t.state.Final():
 		r.Kind = TaskEnded
 		r.State = t.state
-		return []Record{t.tries(r), r}[t.skipTries():]
+		return []Record{t.attemptsRecord(r), r}[t.firstRecord():]
 	case t.state.Holds():
 		r.Worker = t.worker.ID
-		return t.held(r)
+		return t.allocationRecords(r)
 	case t.attempt > 0:
 		r.Kind = TaskRequeued
-		r.Ready = t.ready.UnixMicro()
-		return []Record{t.tries(r), r}
+		r.Ready = t.retryAt.UnixMicro()
+		return []Record{t.attemptsRecord(r), r}
 	default:
 		return nil
 	}
 }
 
-func (t *task) skipTries() int {
+func (t *task) firstRecord() int {
 	if t.attempt == 0 {
 		return 1
 	}
 	return 0
 }
 
-// tries returns the record that counts the attempts of a task so far.
-func (t *task) tries(r Record) Record {
+// attemptsRecord returns a placement that sets the attempt number of a task.
+func (t *task) attemptsRecord(r Record) Record {
 	return Record{
 		Kind:    TaskPlaced,
 		At:      r.At,
@@ -98,12 +99,12 @@
 	}
 }
 
-// stateSnapshot marks a placement in a snapshot, which stands for all
-// attempts of its task.
+// stateSnapshot marks a placement in a snapshot. It stands for all attempts of
+// the task so far, so its attempt number need not be the next one.
 const stateSnapshot spoolsill.TaskState = "snapshot"
 
-func (t *task) held(r Record) []Record {
-	placed := t.tries(r)
+func (t *task) allocationRecords(r Record) []Record {
+	placed := t.attemptsRecord(r)
 	placed.Worker = r.Worker
 	placed.Cause = t.cause
 	out := []Record{placed}
@@ -112,7 +113,7 @@
 	}
 	running := r
 	running.Kind = TaskRunning
-	running.At = t.started.UnixMicro()
+	running.At = t.runningSince.UnixMicro()
 	out = append(out, running)
 	switch t.state {
 	case spoolsill.TaskCheckpointing:
@@ -125,9 +126,9 @@
 	return out
 }
 
-func (s *State) snapshotLearnt(now time.Time) []Record {
-	keys := make([]learntKey, 0, len(s.learnt))
-	for k := range s.learnt {
+func (s *State) snapshotRuntimes(now time.Time) []Record {
+	keys := make([]runtimeKey, 0, len(s.runtimes))
+	for k := range s.runtimes {
 		keys = append(keys, k)
 	}
 	sort.Slice(keys, func(a, b int) bool {
@@ -138,7 +139,7 @@
 	})
 	var out []Record
 	for _, k := range keys {
-		r := *s.learnt[k]
+		r := *s.runtimes[k]
 		out = append(out, Record{
 			Kind:    RuntimesLearned,
 			At:      now.UnixMicro(),
@@ -150,7 +151,7 @@
 	return out
 }
 
-// Rebuild returns the state that records lead to.
+// Rebuild returns the state that results from applying records to an empty one.
 func Rebuild(c Config, records []Record) (*State, error) {
 	s := NewState(c)
 	for _, r := range records {
@@ -161,22 +162,24 @@
 	return s, nil
 }
 
-// Clone returns a copy of s that shares nothing with it.
+// Clone returns an independent copy of s. Of what is not part of a snapshot, it
+// copies the workers and quotas, but not the nominations, the reservation and
+// the failures of jobs and tasks.
 func (s *State) Clone() *State {
 	c, err := Rebuild(s.config, s.Snapshot(time.Time{}))
 	if err != nil {
 		panic(err)
 	}
-	for _, w := range s.order {
+	for _, w := range s.workerList {
 		x := c.worker(w.ID)
 		x.Worker = w.Worker
-		x.known = w.known
-		x.silent = w.silent
+		x.listed = w.listed
+		x.unresponsive = w.unresponsive
 		x.free = w.free
-		x.promised = w.promised
-		x.rack = c.rackOf(w.Rack)
+		x.nominated = w.nominated
+		x.rack = c.rackByID(w.Rack)
 		x.health = w.health
-		x.health.jobs = append([]spoolsill.JobID(nil), w.health.jobs...)
+		x.health.strikeJobs = append([]spoolsill.JobID(nil), w.health.strikeJobs...)
 	}
 	for id, t := range s.teams {
 		c.team(id).quota = t.quota
@@ -185,12 +188,12 @@
 	}
 	c.sortWorkers()
 	c.rebuildSpread()
-	c.judgeNever()
+	c.classifyAll()
 	return c
 }
 
-// rebuildSpread counts the tasks of services by rack again, after the racks
-// of workers became known.
+// rebuildSpread recounts the tasks of services by worker and rack. It is needed
+// when the racks of workers have changed.
 func (s *State) rebuildSpread() {
 	for _, j := range s.jobs {
 		if j.spread == nil {
--- a/place/state.go
+++ b/place/state.go
@@ -20,31 +20,34 @@
 	DefaultGangPatience        = 500 * time.Millisecond
 )
 
-// A Config describes a [State]. The zero value is usable.
+// A Config configures a [State]. The zero value is usable.
 type Config struct {
-	// MaxAttempts is how often a task is started before it counts as failed; 0
-	// means DefaultMaxAttempts. Services are started again without end.
+	// MaxAttempts is the number of failed attempts at which a task ends as
+	// failed; 0 means DefaultMaxAttempts. Tasks of services are retried without
+	// limit.
 	MaxAttempts int
-	// Backoff is the wait before the second try; it doubles up to MaxBackoff.
+	// Backoff is the delay before the second attempt; it doubles with each
+	// further failure, up to MaxBackoff.
 	Backoff    time.Duration
 	MaxBackoff time.Duration
-	// Quarantine is how long a worker that fails everything gets no work the
-	// first time; it doubles.
+	// Quarantine is how long a failing worker gets no new tasks; it doubles
+	// with each further quarantine until a task on the worker succeeds.
 	Quarantine time.Duration
-	// QuarantinedPerMille bounds the share of workers in quarantine at once.
+	// QuarantinedPerMille bounds the share of workers in quarantine at once;
+	// one is always allowed.
 	QuarantinedPerMille int
-	// GangPatience is how long a normal gang waits before patient work is
-	// checkpointed for it; below 0 means for ever.
+	// GangPatience is how long a gang of class Normal waits before it may
+	// preempt tasks of class Patient; below 0 it never may.
 	GangPatience time.Duration
-	// FinishedJobs is how many finished jobs are remembered.
+	// FinishedJobs is how many finished jobs are retained.
 	FinishedJobs int
-	// Decisions bounds the records of one Decide call.
+	// Decisions bounds the number of records of one Decide call.
 	Decisions int
-	// NoReservation switches gang reservations off, for measurements.
+	// NoReservation disables reservations for gangs, for benchmarks and tests.
 	NoReservation bool
-	// NoQuarantine switches the quarantine off, for measurements.
+	// NoQuarantine disables the quarantine of workers, for benchmarks and tests.
 	NoQuarantine bool
-	// NoPreemption switches preemption off, for measurements.
+	// NoPreemption disables preemption, for benchmarks and tests.
 	NoPreemption bool
 }
 
@@ -62,38 +65,39 @@
 
 // A State holds the workers, jobs and tasks of one hall.
 type State struct {
-	config   Config
-	workers  map[spoolsill.WorkerID]*worker
-	order    []*worker // by id, so that decisions do not depend on map order
-	jobs     map[spoolsill.JobID]*job
-	teams    map[spoolsill.TeamID]*team
-	active   []*team // teams with waiting jobs, by id
-	total    spoolsill.Resources
-	added    uint64   // jobs added so far
-	past     []*job   // finished jobs, oldest first
-	never    []*job   // jobs that no worker is large enough for
-	delayed  []*task  // requeued tasks that are not ready yet
-	gangs    []*job   // waiting gangs, oldest first
-	reserve  reserve  // what is kept for the oldest waiting gang
-	promised []*task  // tasks that room is kept for
-	learnt   learnt   // run times against declarations
-	plans    planRing // confirmed plans
-	// freed counts the changes that may let waiting work start.
-	freed uint64
-	round uint64 // counts Decide calls
-	racks map[spoolsill.RackID]*rack
+	config         Config
+	workers        map[spoolsill.WorkerID]*worker
+	workerList     []*worker // sorted by ID, so that decisions do not depend on map order
+	jobs           map[spoolsill.JobID]*job
+	teams          map[spoolsill.TeamID]*team
+	active         []*team // teams with waiting jobs, sorted by ID
+	total          spoolsill.Resources
+	added          uint64       // number of jobs added so far
+	finished       []*job       // finished jobs, oldest first
+	unschedulable  []*job       // jobs that would not fit even in an empty hall
+	backingOff     []*task      // requeued tasks whose retry time has not come
+	waitingGangs   []*job       // in the order in which they were queued
+	reservation    reservation  // capacity kept for the oldest waiting gang
+	nominated      []*task      // tasks for which capacity is held on a worker
+	runtimes       runtimeStats // measured against declared run times
+	confirmedPlans planLog
+	// capacityVersion is incremented by each change that may let a waiting job
+	// start.
+	capacityVersion uint64
+	round           uint64 // number of Decide calls
+	racks           map[spoolsill.RackID]*rack
 }
 
 type worker struct {
 	spoolsill.Worker
-	index    int
-	known    bool // it is on the platform's list
-	silent   bool // it does not answer now
-	free     spoolsill.Resources
-	promised spoolsill.Resources // kept for urgent work whose room is being made
-	tasks    map[spoolsill.TaskID]*task
-	rack     *rack
-	health   health
+	index        int
+	listed       bool // on the platform's list
+	unresponsive bool
+	free         spoolsill.Resources
+	nominated    spoolsill.Resources // held for tasks that preempt others here
+	tasks        map[spoolsill.TaskID]*task
+	rack         *rack
+	health       health
 }
 
 type rack struct {
@@ -101,73 +105,74 @@
 }
 
 type job struct {
-	spec       spoolsill.Job
-	team       *team
-	number     uint64
-	added      time.Time
-	tasks      []task
-	pending    []int // indexes of tasks that wait and are ready
-	live       int   // tasks that are not final
-	held       int   // tasks that hold capacity
-	cancelled  bool
-	inQueue    bool
-	never      bool
-	why        Reason
-	roomSought time.Time // when room was last sought for this gang
-	blocked    uint64    // the value of State.freed at which it last did not fit
-	spread     *spread
-	failedOn   []spoolsill.WorkerID
-	exits      int // tasks that ran to their end
-	fails      int // tasks that failed
-	finished   time.Time
+	spec              spoolsill.Job
+	team              *team
+	seq               uint64
+	added             time.Time
+	tasks             []task
+	pending           []int // indexes of the tasks that wait and are not backing off
+	unfinished        int   // number of tasks whose state is not final
+	allocated         int   // number of tasks that hold capacity of a worker
+	cancelled         bool
+	queued            bool
+	unschedulable     bool
+	reason            Reason
+	preemptionTriedAt time.Time // last search for tasks to preempt for this gang
+	blockedVersion    uint64    // State.capacityVersion at which it last did not fit
+	spread            *spread
+	failedOn          []spoolsill.WorkerID
+	completions       int // attempts that exited by themselves
+	failures          int // attempts that failed or were refused
+	finishedAt        time.Time
 }
 
 type task struct {
-	id      spoolsill.TaskID
-	job     *job
-	state   spoolsill.TaskState
-	worker  *worker
-	attempt spoolsill.Attempt
-	fails   int
-	since   time.Time // when it entered its state
-	started time.Time // when it last was confirmed as running
-	ready   time.Time
-	cause   Cause
-	avoid   []spoolsill.WorkerID
-	target  *worker // where room is being made for it
-	until   time.Time
-	over    int // reports in a row of use above the declared size
+	id               spoolsill.TaskID
+	job              *job
+	state            spoolsill.TaskState
+	worker           *worker
+	attempt          spoolsill.Attempt
+	failures         int
+	stateSince       time.Time
+	runningSince     time.Time // when the worker last confirmed a start
+	retryAt          time.Time
+	cause            Cause
+	avoided          []spoolsill.WorkerID
+	nominatedWorker  *worker // where tasks are preempted for it
+	nominationExpiry time.Time
+	overuseReports   int // consecutive reports of usage above its shape
 }
 
 type team struct {
-	id      spoolsill.TeamID
-	weight  int
-	limited bool
-	quota   spoolsill.Resources
-	used    spoolsill.Resources
-	queues  [spoolsill.Patient + 1]queue
-	queued  int
-	listed  bool
+	id          spoolsill.TeamID
+	weight      int
+	limited     bool
+	quota       spoolsill.Resources
+	used        spoolsill.Resources
+	queues      [spoolsill.Patient + 1]queue
+	waitingJobs int
+	isActive    bool
 }
 
 // NewState returns an empty state.
 func NewState(c Config) *State {
 	return &State{
-		config:  c.withDefaults(),
-		workers: map[spoolsill.WorkerID]*worker{},
-		jobs:    map[spoolsill.JobID]*job{},
-		teams:   map[spoolsill.TeamID]*team{},
-		racks:   map[spoolsill.RackID]*rack{},
-		learnt:  learnt{},
-		freed:   1,
+		config:          c.withDefaults(),
+		workers:         map[spoolsill.WorkerID]*worker{},
+		jobs:            map[spoolsill.JobID]*job{},
+		teams:           map[spoolsill.TeamID]*team{},
+		racks:           map[spoolsill.RackID]*rack{},
+		runtimes:        runtimeStats{},
+		capacityVersion: 1,
 	}
 }
 
-// A Quota is what a team may use in this hall.
+// A Quota limits what a team may use in this hall.
 type Quota struct {
 	Team spoolsill.TeamID
-	// Limit is the most that the team uses when Limited is set. Patient work
-	// may pass it while the hall has room, and is preempted first.
+	// Limit is the most that the team may use if Limited is set. Tasks of class
+	// Patient may exceed it while the hall has free capacity; as long as the
+	// team is over the limit, jobs of class Normal may preempt them as well.
 	Limit   spoolsill.Resources
 	Limited bool
 	// Weight scales the team's fair share; 0 means 1.
@@ -187,38 +192,40 @@
 		t.limited = q.Limited
 		t.weight = max(q.Weight, 1)
 	}
-	s.freed++
+	s.capacityVersion++
 }
 
-// SetWorkers takes the platform's list of the hall's workers. A worker that
-// is not listed gets no new work; its tasks stay until their end is recorded.
+// SetWorkers replaces the list of the hall's workers by the platform's. A
+// worker that is not listed gets no new tasks; its tasks stay until their end
+// is recorded.
 func (s *State) SetWorkers(list []spoolsill.Worker) {
 	for _, w := range s.workers {
-		w.known = false
+		w.listed = false
 	}
 	for _, l := range list {
 		s.setWorker(l)
 	}
 	for id, w := range s.workers {
-		if !w.known && len(w.tasks) == 0 {
+		if !w.listed && len(w.tasks) == 0 {
 			delete(s.workers, id)
 		}
 	}
 	s.sortWorkers()
 	s.rebuildSpread()
-	s.freed++
-	s.judgeNever()
+	s.capacityVersion++
+	s.classifyAll()
 }
 
-// SetUnresponsive says whether a worker answers. A silent one gets no new work.
+// SetUnresponsive sets whether a worker fails to answer. An unresponsive
+// worker gets no new tasks.
 func (s *State) SetUnresponsive(id spoolsill.WorkerID, silent bool) {
 	w, ok := s.workers[id]
-	if !ok || w.silent == silent {
+	if !ok || w.unresponsive == silent {
 		return
 	}
-	w.silent = silent
+	w.unresponsive = silent
 	if !silent {
-		s.freed++
+		s.capacityVersion++
 	}
 }
 
@@ -226,11 +233,12 @@
 	w := s.worker(l.ID)
 	w.free = w.free.Add(l.Capacity.Sub(w.Capacity))
 	w.Worker = l
-	w.known = true
-	w.rack = s.rackOf(l.Rack)
+	w.listed = true
+	w.rack = s.rackByID(l.Rack)
 }
 
-// worker returns the worker with an id, which may not be listed yet.
+// worker returns the worker with the given ID, creating an unlisted one if it
+// is not known: replayed records may name workers before they are listed.
 func (s *State) worker(id spoolsill.WorkerID) *worker {
 	w, ok := s.workers[id]
 	if ok {
@@ -242,12 +250,12 @@
 		},
 		tasks: map[spoolsill.TaskID]*task{},
 	}
-	w.rack = s.rackOf("")
+	w.rack = s.rackByID("")
 	s.workers[id] = w
 	return w
 }
 
-func (s *State) rackOf(id spoolsill.RackID) *rack {
+func (s *State) rackByID(id spoolsill.RackID) *rack {
 	r, ok := s.racks[id]
 	if !ok {
 		r = &rack{
@@ -259,18 +267,18 @@
 }
 
 func (s *State) sortWorkers() {
-	s.order = s.order[:0]
+	s.workerList = s.workerList[:0]
 	s.total = spoolsill.Resources{}
 	for _, w := range s.workers {
-		s.order = append(s.order, w)
-		if w.known {
+		s.workerList = append(s.workerList, w)
+		if w.listed {
 			s.total = s.total.Add(w.Capacity)
 		}
 	}
-	sort.Slice(s.order, func(i, j int) bool {
-		return s.order[i].ID < s.order[j].ID
+	sort.Slice(s.workerList, func(i, j int) bool {
+		return s.workerList[i].ID < s.workerList[j].ID
 	})
-	for i, w := range s.order {
+	for i, w := range s.workerList {
 		w.index = i
 	}
 }
@@ -292,11 +300,12 @@
 	return s.total
 }
 
-// Free returns the free capacity of all listed workers that take new work.
+// Free returns the free capacity of the listed workers that are neither leaving
+// nor unresponsive.
 func (s *State) Free() spoolsill.Resources {
 	var f spoolsill.Resources
-	for _, w := range s.order {
-		if w.known && !w.Leaving && !w.silent {
+	for _, w := range s.workerList {
+		if w.listed && !w.Leaving && !w.unresponsive {
 			f = f.Add(w.free)
 		}
 	}
--- a/place/view.go
+++ b/place/view.go
@@ -8,7 +8,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A TaskView is what operators see of a task.
+// A TaskView describes a task to operators.
 type TaskView struct {
 	ID      string              `json:"id"                msgpack:"i"`
 	State   spoolsill.TaskState `json:"state"             msgpack:"s"`
@@ -19,7 +19,7 @@
 	Avoids  []string            `json:"avoids,omitempty"  msgpack:"v"`
 }
 
-// A JobView is what operators see of a job.
+// A JobView describes a job to operators.
 type JobView struct {
 	ID        spoolsill.JobID             `json:"id"        msgpack:"i"`
 	Team      spoolsill.TeamID            `json:"team"      msgpack:"t"`
@@ -32,7 +32,7 @@
 	Reason    string                      `json:"reason"    msgpack:"r"`
 }
 
-// A WorkerView is what operators see of a worker.
+// A WorkerView describes a worker to operators.
 type WorkerView struct {
 	ID           spoolsill.WorkerID  `json:"id"          msgpack:"i"`
 	Rack         spoolsill.RackID    `json:"rack"        msgpack:"k"`
@@ -52,7 +52,7 @@
 		list = append(list, j)
 	}
 	sort.Slice(list, func(a, b int) bool {
-		return list[a].number < list[b].number
+		return list[a].seq < list[b].seq
 	})
 	out := make([]JobView, 0, len(list))
 	for _, j := range list {
@@ -74,10 +74,10 @@
 	return j.view(), tasks, true
 }
 
-// Workers returns all workers, by id.
+// Workers returns all workers, sorted by ID.
 func (s *State) Workers() []WorkerView {
-	out := make([]WorkerView, 0, len(s.order))
-	for _, w := range s.order {
+	out := make([]WorkerView, 0, len(s.workerList))
+	for _, w := range s.workerList {
 		out = append(out, WorkerView{
 			ID:           w.ID,
 			Rack:         w.Rack,
@@ -85,15 +85,15 @@
 			Free:         w.free,
 			Tasks:        len(w.tasks),
 			Leaving:      w.Leaving,
-			Unresponsive: w.silent,
-			Listed:       w.known,
-			Quarantined:  w.health.until,
+			Unresponsive: w.unresponsive,
+			Listed:       w.listed,
+			Quarantined:  w.health.quarantinedUntil,
 		})
 	}
 	return out
 }
 
-// A Allocation is one task that holds capacity of a worker.
+// An Allocation is a task that holds capacity of a worker.
 type Allocation struct {
 	Task    spoolsill.TaskID
 	Attempt spoolsill.Attempt
@@ -103,27 +103,27 @@
 	Service bool
 }
 
-// Allocations returns the tasks that hold capacity of a worker, by id.
+// Allocations returns the tasks that hold capacity of a worker, sorted by ID.
 func (s *State) Allocations(id spoolsill.WorkerID) []Allocation {
 	w, ok := s.workers[id]
 	if !ok {
 		return nil
 	}
 	out := make([]Allocation, 0, len(w.tasks))
-	for _, t := range w.sorted() {
+	for _, t := range w.sortedTasks() {
 		out = append(out, Allocation{
 			Task:    t.id,
 			Attempt: t.attempt,
 			State:   t.state,
 			Shape:   t.job.spec.Shape,
-			Since:   t.since,
+			Since:   t.stateSince,
 			Service: t.job.spec.Kind == spoolsill.Service,
 		})
 	}
 	return out
 }
 
-// JobSpec returns the job of a task.
+// JobSpec returns the specification of a job.
 func (s *State) JobSpec(id spoolsill.JobID) (spoolsill.Job, bool) {
 	j, ok := s.jobs[id]
 	if !ok {
@@ -132,7 +132,7 @@
 	return j.spec, true
 }
 
-func (w *worker) sorted() []*task {
+func (w *worker) sortedTasks() []*task {
 	out := make([]*task, 0, len(w.tasks))
 	for _, t := range w.tasks {
 		out = append(out, t)
@@ -160,20 +160,20 @@
 	for i := range j.tasks {
 		v.States[j.tasks[i].state]++
 	}
-	v.Reason = j.reason()
+	v.Reason = j.explain()
 	return v
 }
 
-func (j *job) reason() string {
+func (j *job) explain() string {
 	switch {
 	case j.cancelled:
 		return "an operator cancelled it"
-	case !j.finished.IsZero():
+	case !j.finishedAt.IsZero():
 		return "all its tasks have ended"
-	case len(j.pending) > 0 || j.never:
-		return j.why.text(j.spec)
+	case len(j.pending) > 0 || j.unschedulable:
+		return j.reason.text(j.spec)
 	default:
-		return fmt.Sprintf("all its %d open tasks have workers or wait for their next try", j.live)
+		return fmt.Sprintf("all its %d open tasks have workers or wait for their next try", j.unfinished)
 	}
 }
 
@@ -182,24 +182,24 @@
 		ID:      t.id.String(),
 		State:   t.state,
 		Attempt: t.attempt,
-		Since:   t.since,
-		Reason:  t.reason(),
+		Since:   t.stateSince,
+		Reason:  t.explain(),
 	}
 	if t.worker != nil {
 		v.Worker = t.worker.ID
 	}
-	for _, a := range t.avoid {
+	for _, a := range t.avoided {
 		v.Avoids = append(v.Avoids, string(a))
 	}
 	return v
 }
 
-func (t *task) reason() string {
+func (t *task) explain() string {
 	switch t.state {
 	case spoolsill.TaskNever:
-		return t.job.why.text(t.job.spec)
+		return t.job.reason.text(t.job.spec)
 	case spoolsill.TaskQueued:
-		r := t.job.why.text(t.job.spec)
+		r := t.job.reason.text(t.job.spec)
 		if t.attempt == 0 {
 			return r
 		}
