--- a/entry/host.go
+++ b/entry/host.go
@@ -136,7 +136,7 @@
 	h.node = h.newNode()
 	for _, s := range c.Settings.Services {
 		v := h.newService(s)
-		v.router.SetHome(now.Add(time.Duration(s.SlotLifetime)))
+		v.router.EnableOwnSlots(now.Add(time.Duration(s.SlotLifetime)))
 		h.services[s.ID] = v
 	}
 	h.holder = holder.New(h.holderConfig())
@@ -172,9 +172,9 @@
 
 func (h *Host) newService(s settings.Service) *service {
 	client := upstream.NewClient(upstream.Config{
-		Connections: max(s.Connections/len(h.hallHosts), 1),
-		Answer:      s.MaxAnswer,
-		Dial:        h.config.Dial,
+		Connections:    max(s.Connections/len(h.hallHosts), 1),
+		MaxAnswerBytes: s.MaxAnswer,
+		Dial:           h.config.Dial,
 	})
 	return &service{
 		settings: s,
@@ -185,7 +185,7 @@
 				Host:         h.settings.Host.ID,
 				Hosts:        h.hallHosts,
 				Slots:        s.Slots,
-				Queue:        s.Queue,
+				MaxQueued:    s.Queue,
 				SlotLifetime: time.Duration(s.SlotLifetime),
 				FirstLoan:    uint64(h.incarnation),
 			},
@@ -329,7 +329,7 @@
 	}
 	empty := true
 	for _, v := range h.services {
-		empty = v.router.Stop(ctx) && empty
+		empty = v.router.StopAndWait(ctx) && empty
 	}
 	h.holder.Drain(ctx)
 	ctx, cancel := context.WithTimeout(ctx, releaseWithin)
--- a/entry/life.go
+++ b/entry/life.go
@@ -56,7 +56,7 @@
 
 func (h *Host) useHome() {
 	for _, s := range h.services {
-		s.router.SetHome(time.Time{})
+		s.router.EnableOwnSlots(time.Time{})
 	}
 	h.event(timeline.KindMembership, "own slots are in use: the last life left no request behind")
 }
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -71,7 +71,7 @@
 func (h *Host) takeOffer(_ context.Context, _ peer.Caller, q wireOffer) (wireYes, error) {
 	s, ok := h.services[q.Service]
 	return wireYes{
-		Yes: ok && !h.stopping.Load() && s.router.Spare() > 0,
+		Yes: ok && !h.stopping.Load() && s.router.FreeSlots() > 0,
 	}, nil
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -252,7 +252,7 @@
 	if !ok {
 		return empty{}, badInput(errNoService)
 	}
-	s.router.Returned(q.Loans)
+	s.router.LoansReturned(q.Loans)
 	return empty{}, nil
 }
 
--- a/entry/request.go
+++ b/entry/request.go
@@ -30,18 +30,18 @@
 }
 
 var causeTexts = map[route.Cause]string{
-	route.CauseDeadline:  "its time passed before it could be sent to a runner",
-	route.CauseOverload:  "there is more work than can be done, and it is worth the least",
-	route.CauseNoRunner:  "no runner of the service is known in this hall",
-	route.CauseRefused:   "the runners refused it",
-	route.CauseFailed:    "the runner failed after it got the request",
-	route.CauseTimeout:   "no answer came in time",
-	route.CauseCancelled: "the caller left",
-	route.CauseStopping:  "this host is stopping: ask again at once",
-	route.CauseLimit:     "the caller sends more than its rate",
-	route.CauseClaimed:   "a request with the same key was sent before",
-	route.CauseNoRecord:  "it could not be recorded that the request runs",
-	route.CauseBadInput:  "the request can't be accepted",
+	route.CauseDeadline:     "its time passed before it could be sent to a runner",
+	route.CauseOverload:     "there is more work than can be done, and it is worth the least",
+	route.CauseNoRunner:     "no runner of the service is known in this hall",
+	route.CauseRefused:      "the runners refused it",
+	route.CauseFailed:       "the runner failed after it got the request",
+	route.CauseTimeout:      "no answer came in time",
+	route.CauseCancelled:    "the caller left",
+	route.CauseStopping:     "this host is stopping: ask again at once",
+	route.CauseRateLimit:    "the caller sends more than its rate",
+	route.CauseDuplicateKey: "a request with the same key was sent before",
+	route.CauseNotRecorded:  "it could not be recorded that the request runs",
+	route.CauseBadInput:     "the request can't be accepted",
 }
 
 // call serves one request of a caller.
@@ -111,7 +111,7 @@
 // serve admits, claims and routes a call.
 func (h *Host) serve(ctx context.Context, s *service, c router.Call) reply {
 	if wait, ok := h.limits.allow(time.Now(), c.Request.Caller); !ok {
-		return notRun(route.CauseLimit, wait)
+		return notRun(route.CauseRateLimit, wait)
 	}
 	if !c.Request.Unrepeatable {
 		return reply{
@@ -130,9 +130,9 @@
 	case claim.Used:
 		return replay(a)
 	case claim.NoHost:
-		return notRun(route.CauseNoRecord, time.Second)
+		return notRun(route.CauseNotRecorded, time.Second)
 	default:
-		return unknown(route.CauseClaimed)
+		return unknown(route.CauseDuplicateKey)
 	}
 	p := h.route(ctx, s, c)
 	if p.Outcome == spoolsill.NotRun {
@@ -153,7 +153,7 @@
 // replay answers with what became of the first request with a key.
 func replay(a claim.Answer) reply {
 	if a.Outcome != spoolsill.Done || a.Body == nil {
-		return unknown(route.CauseClaimed)
+		return unknown(route.CauseDuplicateKey)
 	}
 	return reply{
 		replayed: true,
@@ -202,13 +202,13 @@
 }
 
 var causeStatus = map[route.Cause]int{
-	route.CauseDeadline: http.StatusGatewayTimeout,
-	route.CauseTimeout:  http.StatusGatewayTimeout,
-	route.CauseFailed:   http.StatusBadGateway,
-	route.CauseRefused:  http.StatusServiceUnavailable,
-	route.CauseLimit:    http.StatusTooManyRequests,
-	route.CauseClaimed:  http.StatusConflict,
-	route.CauseBadInput: http.StatusBadRequest,
+	route.CauseDeadline:     http.StatusGatewayTimeout,
+	route.CauseTimeout:      http.StatusGatewayTimeout,
+	route.CauseFailed:       http.StatusBadGateway,
+	route.CauseRefused:      http.StatusServiceUnavailable,
+	route.CauseRateLimit:    http.StatusTooManyRequests,
+	route.CauseDuplicateKey: http.StatusConflict,
+	route.CauseBadInput:     http.StatusBadRequest,
 }
 
 func writeReply(w http.ResponseWriter, p reply) {
--- a/internal/bench/routebench/run.go
+++ b/internal/bench/routebench/run.go
@@ -386,7 +386,7 @@
 		s.loop.After(q.at, func() {
 			o := hosts[q.host]
 			now := s.loop.Time()
-			o.do(o.state.Arrive(now, route.Ask{
+			o.do(o.state.Arrive(now, route.Arrival{
 				Ticket: route.Ticket(i + 1),
 				Request: spoolsill.Request{
 					Caller:   spoolsill.CallerID(fmt.Sprintf("c%d", q.caller)),
@@ -406,7 +406,7 @@
 		switch a.Kind {
 		case route.Dispatch:
 			o.dispatch(a, hosts)
-		case route.Settle:
+		case route.Fail:
 			if a.Outcome == spoolsill.NotRun {
 				s.report.NotRun++
 			} else {
@@ -417,7 +417,7 @@
 		case route.Return:
 			s.msgs++
 			to := hosts[int(a.To[1]-'0')]
-			s.loop.After(oneWay, func() { to.do(to.state.Returned(s.loop.Time(), a.Loans), hosts) })
+			s.loop.After(oneWay, func() { to.do(to.state.LoansReturned(s.loop.Time(), a.Loans), hosts) })
 		}
 	}
 	o.schedule(hosts)
@@ -427,7 +427,7 @@
 func (o *ours) borrow(n, step int, asked time.Time, hosts []*ours) {
 	s := o.s
 	if step == len(hosts) {
-		o.do(o.state.Granted(s.loop.Time(), asked, nil), hosts)
+		o.do(o.state.LoansGranted(s.loop.Time(), asked, nil), hosts)
 		return
 	}
 	s.msgs += 2
@@ -439,7 +439,7 @@
 				o.borrow(n, step+1, s.loop.Time(), hosts)
 				return
 			}
-			o.do(o.state.Granted(s.loop.Time(), asked, loans), hosts)
+			o.do(o.state.LoansGranted(s.loop.Time(), asked, loans), hosts)
 		})
 	})
 }
--- a/place/state.go
+++ b/place/state.go
@@ -218,13 +218,13 @@
 
 // SetUnresponsive sets whether a worker fails to answer. An unresponsive
 // worker gets no new tasks.
-func (s *State) SetUnresponsive(id spoolsill.WorkerID, silent bool) {
+func (s *State) SetUnresponsive(id spoolsill.WorkerID, unresponsive bool) {
 	w, ok := s.workers[id]
-	if !ok || w.unresponsive == silent {
+	if !ok || w.unresponsive == unresponsive {
 		return
 	}
-	w.unresponsive = silent
-	if !silent {
+	w.unresponsive = unresponsive
+	if !unresponsive {
 		s.capacityVersion++
 	}
 }
--- a/route/action.go
+++ b/route/action.go
@@ -9,8 +9,8 @@
 // A Ticket names one waiting or running request of a [State].
 type Ticket uint64
 
-// An Ask is a request that arrives.
-type Ask struct {
+// An Arrival is a request that arrives.
+type Arrival struct {
 	Ticket  Ticket
 	Request spoolsill.Request
 }
@@ -23,8 +23,8 @@
 	// Dispatch sends the request to Runner, in the slot of Loan if it is set,
 	// else in a slot of the host's own. It must be sent before Until.
 	Dispatch ActionKind = iota + 1
-	// Settle answers the caller with Outcome, Cause and RetryAfter.
-	Settle
+	// Fail answers the caller with Outcome, Cause and RetryAfter.
+	Fail
 	// Borrow asks the other hosts of the hall for Count slots.
 	Borrow
 	// Return gives the slots of Loans back to the host To.
@@ -36,18 +36,18 @@
 
 // The causes.
 const (
-	CauseDeadline  Cause = "deadline"    // it passed in the queue
-	CauseOverload  Cause = "overload"    // work that is worth more fills the queue
-	CauseNoRunner  Cause = "no-runner"   // no runner is known
-	CauseRefused   Cause = "refused"     // runners refused it and no try is left
-	CauseFailed    Cause = "failed"      // the runner failed after it got the request
-	CauseTimeout   Cause = "timeout"     // no answer came in time
-	CauseCancelled Cause = "cancelled"   // the caller left while it waited
-	CauseStopping  Cause = "stopping"    // the host is stopping
-	CauseLimit     Cause = "limit"       // the caller's rate is used up
-	CauseClaimed   Cause = "claimed"     // the same key was used before
-	CauseNoRecord  Cause = "no-record"   // it could not be recorded that the request runs
-	CauseBadInput  Cause = "bad-request" // the request can't be accepted
+	CauseDeadline     Cause = "deadline"    // it passed in the queue
+	CauseOverload     Cause = "overload"    // work that is worth more fills the queue
+	CauseNoRunner     Cause = "no-runner"   // no runner is known
+	CauseRefused      Cause = "refused"     // runners refused it and no try is left
+	CauseFailed       Cause = "failed"      // the runner failed after it got the request
+	CauseTimeout      Cause = "timeout"     // no answer came in time
+	CauseCancelled    Cause = "cancelled"   // the caller left while it waited
+	CauseStopping     Cause = "stopping"    // the host is stopping
+	CauseRateLimit    Cause = "limit"       // the caller's rate is used up
+	CauseDuplicateKey Cause = "claimed"     // the same key was used before
+	CauseNotRecorded  Cause = "no-record"   // it could not be recorded that the request runs
+	CauseBadInput     Cause = "bad-request" // the request can't be accepted
 )
 
 // An Action is what the caller of a [State] has to do.
@@ -77,14 +77,14 @@
 	Refused
 	// Failed says that the runner answered that it failed. The slot is free.
 	Failed
-	// Broken says that the connection broke after the request was sent. The
+	// ConnectionLost says that the connection broke after the request was sent. The
 	// runner may be at work on it still: the slot stays taken until its
 	// lifetime has passed.
-	Broken
+	ConnectionLost
 	// TimedOut says that no answer came in time. The request may occupy the
 	// runner still: the slot stays taken until [State.Release].
 	TimedOut
-	// Unsent says that the host itself did not send it, for example because
+	// NotSent says that the host itself did not send it, for example because
 	// Until had passed. It says nothing about the runner.
-	Unsent
+	NotSent
 )
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -29,7 +29,7 @@
 		Deadline: now.Add(time.Hour),
 	}
 	for i := range 68 {
-		s.Arrive(now, route.Ask{
+		s.Arrive(now, route.Arrival{
 			Ticket:  route.Ticket(i + 1),
 			Request: r,
 		})
@@ -38,7 +38,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		t++
-		s.Arrive(now, route.Ask{
+		s.Arrive(now, route.Arrival{
 			Ticket:  t,
 			Request: r,
 		})
--- a/route/config.go
+++ b/route/config.go
@@ -9,15 +9,15 @@
 
 // Defaults of [Config].
 const (
-	DefaultSlots        = 8
-	DefaultQueue        = 4096
-	DefaultSlotLifetime = 30 * time.Second
-	DefaultLoan         = 200 * time.Millisecond
-	DefaultEjectAfter   = 3
-	DefaultEject        = 2 * time.Second
-	DefaultMaxEject     = time.Minute
-	DefaultEjected      = 300 // of 1000 runners
-	DefaultRetries      = 100 // of 1000 requests
+	DefaultSlots           = 8
+	DefaultMaxQueued       = 4096
+	DefaultSlotLifetime    = 30 * time.Second
+	DefaultLoanDuration    = 200 * time.Millisecond
+	DefaultEjectAfter      = 3
+	DefaultEject           = 2 * time.Second
+	DefaultMaxEject        = time.Minute
+	DefaultEjectedPerMille = 300 // of 1000 runners
+	DefaultRetriesPerMille = 100 // of 1000 requests
 )
 
 // A Config describes a [State]. The zero value is usable for one host that
@@ -30,13 +30,13 @@
 	Hosts []spoolsill.HostID
 	// Slots is how many requests a runner takes at once.
 	Slots int
-	// Queue bounds the waiting requests.
-	Queue int
+	// MaxQueued bounds the waiting requests.
+	MaxQueued int
 	// SlotLifetime is how long a request may occupy a runner. After it a slot
 	// is free whatever became of the request.
 	SlotLifetime time.Duration
-	// Loan is how long requests may be started in a borrowed slot.
-	Loan time.Duration
+	// LoanDuration is how long requests may be started in a borrowed slot.
+	LoanDuration time.Duration
 	// EjectAfter is the number of failures in a row that eject a runner, for
 	// Eject, which doubles up to MaxEject.
 	EjectAfter int
@@ -60,14 +60,14 @@
 
 func (c Config) withDefaults() Config {
 	zero.Default(&c.Slots, DefaultSlots)
-	zero.Default(&c.Queue, DefaultQueue)
+	zero.Default(&c.MaxQueued, DefaultMaxQueued)
 	zero.Default(&c.SlotLifetime, DefaultSlotLifetime)
-	zero.Default(&c.Loan, DefaultLoan)
+	zero.Default(&c.LoanDuration, DefaultLoanDuration)
 	zero.Default(&c.EjectAfter, DefaultEjectAfter)
 	zero.Default(&c.Eject, DefaultEject)
 	zero.Default(&c.MaxEject, DefaultMaxEject)
-	zero.Default(&c.EjectedPerMille, DefaultEjected)
-	zero.Default(&c.RetriesPerMille, DefaultRetries)
+	zero.Default(&c.EjectedPerMille, DefaultEjectedPerMille)
+	zero.Default(&c.RetriesPerMille, DefaultRetriesPerMille)
 	if len(c.Hosts) == 0 {
 		c.Hosts = []spoolsill.HostID{c.Host}
 	}
--- a/route/dispatch.go
+++ b/route/dispatch.go
@@ -17,7 +17,7 @@
 const maxAside = 64
 
 // Arrive takes in a request.
-func (s *State) Arrive(now time.Time, a Ask) []Action {
+func (s *State) Arrive(now time.Time, a Arrival) []Action {
 	x := &item{
 		ticket:  a.Ticket,
 		request: a.Request,
@@ -66,7 +66,7 @@
 
 // shed settles the least worth while too many requests wait.
 func (s *State) shed(now time.Time) {
-	limit := min(s.config.Queue, s.load.limit(s.Running()))
+	limit := min(s.config.MaxQueued, s.load.limit(s.Running()))
 	for s.Waiting() > limit {
 		s.load.shed = now
 		s.settle(s.heaps[byWorth].first(), spoolsill.NotRun, CauseOverload)
@@ -120,7 +120,7 @@
 	if r != nil {
 		r.busy++
 		s.sent(x, r, now, Action{
-			Until: now.Add(s.config.Loan),
+			Until: now.Add(s.config.LoanDuration),
 		})
 		return true
 	}
@@ -200,7 +200,7 @@
 	if res == Answered || res == Failed {
 		s.load.finish(now.Sub(x.sent))
 	}
-	if res == Broken || res == TimedOut {
+	if res == ConnectionLost || res == TimedOut {
 		s.hold(x)
 	} else {
 		s.freeSlot(x.runner, x.loan)
@@ -219,10 +219,10 @@
 		delete(s.items, x.ticket)
 		return
 	}
-	if res != Unsent {
+	if res != NotSent {
 		x.failed = append(x.failed, r.id)
 	}
-	x.mayHave = x.mayHave || (res != Unsent && res != Refused)
+	x.mayHave = x.mayHave || (res != NotSent && res != Refused)
 	if s.mayRetry(x, res, now) {
 		s.push(x)
 		return
@@ -230,7 +230,7 @@
 	switch res {
 	case Refused:
 		s.settle(x, spoolsill.NotRun, CauseRefused)
-	case Unsent:
+	case NotSent:
 		s.settle(x, spoolsill.NotRun, CauseDeadline)
 	case TimedOut:
 		s.settle(x, spoolsill.Unknown, CauseTimeout)
@@ -247,9 +247,9 @@
 		return false
 	}
 	switch res {
-	case Unsent, Refused:
+	case NotSent, Refused:
 		return true
-	case Failed, Broken:
+	case Failed, ConnectionLost:
 		return !x.request.Unrepeatable && s.spend()
 	default:
 		return false
@@ -275,9 +275,9 @@
 	return true
 }
 
-// Leave withdraws a request whose caller has gone. One that runs is left to
+// Cancel withdraws a request whose caller has gone. One that runs is left to
 // its end.
-func (s *State) Leave(now time.Time, t Ticket) []Action {
+func (s *State) Cancel(now time.Time, t Ticket) []Action {
 	x, ok := s.items[t]
 	if !ok || !x.waits {
 		return nil
@@ -287,8 +287,8 @@
 	return s.take()
 }
 
-// End refuses all new requests and withdraws all that wait.
-func (s *State) End() []Action {
+// Abort refuses all new requests and withdraws all that wait.
+func (s *State) Abort() []Action {
 	s.stop = true
 	for x := s.heaps[byTurn].first(); x != nil; x = s.heaps[byTurn].first() {
 		s.settle(x, spoolsill.NotRun, CauseStopping)
--- a/route/load.go
+++ b/route/load.go
@@ -55,9 +55,9 @@
 // retryAfter returns when a caller should ask again.
 func (s *State) retryAfter(c Cause) time.Duration {
 	switch c {
-	case CauseOverload, CauseDeadline, CauseLimit:
+	case CauseOverload, CauseDeadline, CauseRateLimit:
 		return min(max(s.drainTime(), minRetry), maxRetry)
-	case CauseNoRunner, CauseRefused, CauseNoRecord:
+	case CauseNoRunner, CauseRefused, CauseNotRecorded:
 		return time.Second
 	case CauseStopping:
 		return minRetry
--- a/route/loan.go
+++ b/route/loan.go
@@ -15,9 +15,9 @@
 // A Loan is one slot of a runner, lent by one host to another. The borrower
 // may start requests in it for Life, counted from before it asked.
 type Loan struct {
-	ID     LoanID             `msgpack:"i"`
-	Runner spoolsill.RunnerID `msgpack:"r"`
-	Life   time.Duration      `msgpack:"l"`
+	ID       LoanID             `msgpack:"i"`
+	Runner   spoolsill.RunnerID `msgpack:"r"`
+	ValidFor time.Duration      `msgpack:"l"`
 }
 
 // reclaimMargin is added to the latest end of a request in a lent slot, for
@@ -91,17 +91,17 @@
 	r.lent++
 	s.loans.lent[id] = lentSlot{
 		runner: r,
-		end:    now.Add(s.config.Loan + s.config.SlotLifetime + reclaimMargin),
+		end:    now.Add(s.config.LoanDuration + s.config.SlotLifetime + reclaimMargin),
 	}
 	return Loan{
-		ID:     id,
-		Runner: r.id,
-		Life:   s.config.Loan,
+		ID:       id,
+		Runner:   r.id,
+		ValidFor: s.config.LoanDuration,
 	}
 }
 
-// Returned takes back lent slots.
-func (s *State) Returned(now time.Time, ids []LoanID) []Action {
+// LoansReturned takes back lent slots.
+func (s *State) LoansReturned(now time.Time, ids []LoanID) []Action {
 	for _, id := range ids {
 		s.reclaim(id)
 	}
@@ -126,9 +126,9 @@
 	}
 }
 
-// Granted takes in the answer to a [Borrow] action; asked is the time from
+// LoansGranted takes in the answer to a [Borrow] action; asked is the time from
 // before asking. Loans of runners that are not known here go back.
-func (s *State) Granted(now, asked time.Time, list []Loan) []Action {
+func (s *State) LoansGranted(now, asked time.Time, list []Loan) []Action {
 	l := &s.loans
 	l.asking = false
 	if len(list) == 0 {
@@ -158,7 +158,7 @@
 	b := &borrowed{
 		id:     x.ID,
 		runner: r,
-		until:  asked.Add(x.Life),
+		until:  asked.Add(x.ValidFor),
 	}
 	s.loans.borrowed[x.ID] = b
 	s.loans.idle = append(s.loans.idle, b)
--- a/route/rapid_test.go
+++ b/route/rapid_test.go
@@ -91,13 +91,13 @@
 	if c.SlotLifetime == 0 {
 		c.SlotLifetime = testLifetime
 	}
-	c.Loan = testLoan
+	c.LoanDuration = testLoan
 	h.lives[id]++
 	c.FirstLoan = uint64(h.lives[id]) << 32
 	s := route.NewState(c)
 	h.states[id] = s
 	h.asks[id] = map[route.Ticket]spoolsill.Request{}
-	s.SetHome(h.now, open)
+	s.EnableOwnSlots(h.now, open)
 	s.SetRunners(h.now, testRunners)
 }
 
@@ -111,7 +111,7 @@
 		switch a.Kind {
 		case route.Dispatch:
 			h.dispatch(t, id, a)
-		case route.Settle:
+		case route.Fail:
 			h.settle(t, id, a)
 		case route.Borrow:
 			h.wanted = append(h.wanted, wanted{
@@ -124,7 +124,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "return lost") == 0 {
 				continue
 			}
-			h.do(t, a.To, h.states[a.To].Returned(h.now, a.Loans))
+			h.do(t, a.To, h.states[a.To].LoansReturned(h.now, a.Loans))
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		Unrepeatable: rapid.Bool().Draw(t, "unrepeatable"),
 	}
 	h.asks[id][h.tickets] = r
-	h.do(t, id, h.states[id].Arrive(h.now, route.Ask{
+	h.do(t, id, h.states[id].Arrive(h.now, route.Arrival{
 		Ticket:  h.tickets,
 		Request: r,
 	}))
@@ -199,12 +199,12 @@
 	}
 	f := rapid.SampledFrom(open).Draw(t, "flight")
 	res := rapid.SampledFrom([]route.Result{
-		route.Answered, route.Refused, route.Failed, route.Broken, route.TimedOut, route.Unsent,
+		route.Answered, route.Refused, route.Failed, route.ConnectionLost, route.TimedOut, route.NotSent,
 	}).Draw(t, "result")
 	f.over = true
 	r := h.asks[f.host][f.ticket]
 	switch res {
-	case route.Refused, route.Unsent:
+	case route.Refused, route.NotSent:
 		h.runs[r.Key]--
 		h.land(f)
 	case route.Answered, route.Failed:
@@ -253,7 +253,7 @@
 	if rapid.IntRange(0, 3).Draw(t, "answer lost") == 0 {
 		loans = nil
 	}
-	h.do(t, w.host, h.states[w.host].Granted(h.now, w.asked, loans))
+	h.do(t, w.host, h.states[w.host].LoansGranted(h.now, w.asked, loans))
 }
 
 func (h *hall) pass(t *rapid.T) {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -32,7 +32,7 @@
 		return list
 	}
 	for i := range requests {
-		open := count(s.Arrive(now, route.Ask{
+		open := count(s.Arrive(now, route.Arrival{
 			Ticket: route.Ticket(i + 1),
 			Request: spoolsill.Request{
 				Deadline: now.Add(time.Minute),
@@ -52,22 +52,22 @@
 func TestOverloadShedsTheLeastWorth(t *testing.T) {
 	c := qt.New(t)
 	s := route.NewState(route.Config{
-		Host:  "h",
-		Slots: 1,
-		Queue: 2,
+		Host:      "h",
+		Slots:     1,
+		MaxQueued: 2,
 	})
 	now := time.UnixMicro(1_000_000_000)
 	s.SetRunners(now, testRunners[:1])
 	var shed []route.Action
 	for i, worth := range []int{9, 5, 7, 3, 8} {
-		for _, a := range s.Arrive(now, route.Ask{
+		for _, a := range s.Arrive(now, route.Arrival{
 			Ticket: route.Ticket(i + 1),
 			Request: spoolsill.Request{
 				Deadline: now.Add(time.Minute),
 				Worth:    worth,
 			},
 		}) {
-			if a.Kind == route.Settle {
+			if a.Kind == route.Fail {
 				shed = append(shed, a)
 			}
 		}
--- a/route/runner.go
+++ b/route/runner.go
@@ -41,10 +41,10 @@
 	return r.freeOwn()
 }
 
-// SetHome says from when on the host may use the slots that have their home
+// EnableOwnSlots says from when on the host may use the slots that have their home
 // on it. A host that does not know that its earlier life stopped cleanly waits
 // for the lifetime of a slot; until then it can borrow.
-func (s *State) SetHome(now, from time.Time) []Action {
+func (s *State) EnableOwnSlots(now, from time.Time) []Action {
 	s.homeFrom = from
 	s.dispatch(now)
 	return s.take()
@@ -101,7 +101,7 @@
 // note learns from the end of one dispatch.
 func (s *State) note(r *runner, res Result, now time.Time) {
 	switch res {
-	case Unsent:
+	case NotSent:
 	case Answered:
 		r.fails = 0
 		r.ejects = 0
@@ -142,12 +142,12 @@
 
 // A RunnerView is what operators see of a runner.
 type RunnerView struct {
-	ID       spoolsill.RunnerID `json:"id"       msgpack:"i"`
-	Leaving  bool               `json:"leaving"  msgpack:"l"`
-	Home     int                `json:"home"     msgpack:"h"`
-	InFlight int                `json:"in_flight" msgpack:"f"`
-	Lent     int                `json:"lent"     msgpack:"n"`
-	Ejected  time.Time          `json:"ejected"  msgpack:"e"`
+	ID           spoolsill.RunnerID `json:"id"       msgpack:"i"`
+	Leaving      bool               `json:"leaving"  msgpack:"l"`
+	OwnSlots     int                `json:"home"     msgpack:"h"`
+	InFlight     int                `json:"in_flight" msgpack:"f"`
+	Lent         int                `json:"lent"     msgpack:"n"`
+	EjectedUntil time.Time          `json:"ejected"  msgpack:"e"`
 }
 
 // Runners returns all runners, by id.
@@ -155,19 +155,19 @@
 	out := make([]RunnerView, 0, len(s.order))
 	for _, r := range s.order {
 		out = append(out, RunnerView{
-			ID:       r.id,
-			Leaving:  r.leaving || r.gone,
-			Home:     r.home,
-			InFlight: r.busy + r.inLoan,
-			Lent:     r.lent,
-			Ejected:  r.until,
+			ID:           r.id,
+			Leaving:      r.leaving || r.gone,
+			OwnSlots:     r.home,
+			InFlight:     r.busy + r.inLoan,
+			Lent:         r.lent,
+			EjectedUntil: r.until,
 		})
 	}
 	return out
 }
 
-// Spare returns how many own slots are free now, none while requests wait.
-func (s *State) Spare(now time.Time) int {
+// FreeSlots returns how many own slots are free now, none while requests wait.
+func (s *State) FreeSlots(now time.Time) int {
 	if s.Waiting() > 0 || s.stop {
 		return 0
 	}
--- a/route/state.go
+++ b/route/state.go
@@ -140,15 +140,15 @@
 	return len(s.items) - s.Waiting()
 }
 
-// Open returns the number of requests and slots that a planned stop waits
+// Outstanding returns the number of requests and slots that a planned stop waits
 // for: requests that wait or run, slots that are held and slots that are lent.
-func (s *State) Open() int {
+func (s *State) Outstanding() int {
 	return len(s.items) + len(s.held) + len(s.loans.lent)
 }
 
-// Stop makes s refuse all new requests; those that wait and run go on.
+// Drain makes s refuse all new requests; those that wait and run go on.
 // No more slots are lent.
-func (s *State) Stop() {
+func (s *State) Drain() {
 	s.stop = true
 }
 
@@ -188,7 +188,7 @@
 	}
 	delete(s.items, x.ticket)
 	s.emit(Action{
-		Kind:       Settle,
+		Kind:       Fail,
 		Ticket:     x.ticket,
 		Outcome:    o,
 		Cause:      c,
--- a/router/router.go
+++ b/router/router.go
@@ -13,8 +13,8 @@
 	"github.com/spoolsill/spoolsill/upstream"
 )
 
-// Upstream sends a call to a runner. It fails with [upstream.ErrRefused] or
-// [upstream.ErrBroken].
+// Upstream sends a call to a runner. It fails with [upstream.ErrNotRun] or
+// [upstream.ErrUnknownOutcome].
 type Upstream interface {
 	Do(ctx context.Context, c upstream.Call) (upstream.Answer, error)
 }
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 			r.mu.Lock()
 			r.closed = true
-			r.do(r.state.End())
+			r.do(r.state.Abort())
 			r.mu.Unlock()
 			return
 		case <-t.C:
@@ -136,11 +136,11 @@
 	r.do(r.state.SetRunners(time.Now(), list))
 }
 
-// SetHome says from when on the host may use its own slots.
-func (r *Router) SetHome(from time.Time) {
+// EnableOwnSlots says from when on the host may use its own slots.
+func (r *Router) EnableOwnSlots(from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.SetHome(time.Now(), from))
+	r.do(r.state.EnableOwnSlots(time.Now(), from))
 }
 
 // Lend answers another host that asks for slots.
@@ -150,24 +150,24 @@
 	return r.state.Lend(time.Now(), n)
 }
 
-// Returned takes back lent slots.
-func (r *Router) Returned(ids []route.LoanID) {
+// LoansReturned takes back lent slots.
+func (r *Router) LoansReturned(ids []route.LoanID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Returned(time.Now(), ids))
+	r.do(r.state.LoansReturned(time.Now(), ids))
 }
 
-// Stop refuses new requests and waits until none waits or runs and no slot is
+// StopAndWait refuses new requests and waits until none waits or runs and no slot is
 // lent, or ctx ends. It reports whether nothing is left.
-func (r *Router) Stop(ctx context.Context) bool {
+func (r *Router) StopAndWait(ctx context.Context) bool {
 	r.mu.Lock()
-	r.state.Stop()
+	r.state.Drain()
 	r.mu.Unlock()
 	t := time.NewTicker(10 * time.Millisecond)
 	defer t.Stop()
 	for {
 		r.mu.Lock()
-		n := r.state.Open()
+		n := r.state.Outstanding()
 		r.mu.Unlock()
 		if n == 0 {
 			return true
@@ -187,11 +187,11 @@
 	return r.state.Waiting(), r.state.Running()
 }
 
-// Spare returns how many own slots are free, none while requests wait.
-func (r *Router) Spare() int {
+// FreeSlots returns how many own slots are free, none while requests wait.
+func (r *Router) FreeSlots() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Spare(time.Now())
+	return r.state.FreeSlots(time.Now())
 }
 
 // Runners returns what the host knows of the service's runners.
@@ -214,7 +214,7 @@
 			r.leave(t)
 			a = <-acts
 		}
-		if a.Kind == route.Settle {
+		if a.Kind == route.Fail {
 			return Reply{
 				Outcome:    a.Outcome,
 				Cause:      a.Cause,
@@ -242,7 +242,7 @@
 	r.tickets++
 	t := r.tickets
 	r.waiting[t] = acts
-	r.do(r.state.Arrive(now, route.Ask{
+	r.do(r.state.Arrive(now, route.Arrival{
 		Ticket:  t,
 		Request: c.Request,
 	}))
@@ -264,7 +264,7 @@
 func (r *Router) leave(t route.Ticket) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Leave(time.Now(), t))
+	r.do(r.state.Cancel(time.Now(), t))
 }
 
 func (r *Router) finish(t route.Ticket, res route.Result) {
@@ -290,7 +290,7 @@
 		switch a.Kind {
 		case route.Dispatch:
 			r.waiting[a.Ticket] <- a
-		case route.Settle:
+		case route.Fail:
 			r.waiting[a.Ticket] <- a
 			delete(r.waiting, a.Ticket)
 		case route.Borrow:
@@ -341,7 +341,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Granted(time.Now(), asked, loans))
+	r.do(r.state.LoansGranted(time.Now(), asked, loans))
 	r.poke()
 }
 
@@ -359,7 +359,7 @@
 // whether the answer came; otherwise another action follows.
 func (r *Router) send(t route.Ticket, a route.Action, c Call) (upstream.Answer, bool) {
 	if !time.Now().Before(a.Until) {
-		r.finish(t, route.Unsent)
+		r.finish(t, route.NotSent)
 		return upstream.Answer{}, false
 	}
 	r.event(timeline.KindDispatch, a.Runner, c, "sent to the runner")
@@ -420,10 +420,10 @@
 		r.config.Leaves(a.Runner)
 	}
 	switch {
-	case errors.Is(err, upstream.ErrRefused):
+	case errors.Is(err, upstream.ErrNotRun):
 		return p, route.Refused
 	case err != nil:
-		return p, route.Broken
+		return p, route.ConnectionLost
 	case p.Status >= 500:
 		return p, route.Failed
 	default:
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -27,21 +27,21 @@
 // HeaderKey is the header that carries the request key.
 const HeaderKey = "Spoolsill-Key"
 
-// DefaultAnswer is the length in bytes of the longest answer by default.
-const DefaultAnswer = 16 << 20
+// DefaultMaxAnswerBytes is the length in bytes of the longest answer by default.
+const DefaultMaxAnswerBytes = 16 << 20
 
-// ErrRefused is returned when the request certainly did not run.
-var ErrRefused = errors.New("upstream: refused")
+// ErrNotRun is returned when the request certainly did not run.
+var ErrNotRun = errors.New("upstream: refused")
 
-// ErrBroken is returned when the request may have run, and may run still.
-var ErrBroken = errors.New("upstream: connection broke")
+// ErrUnknownOutcome is returned when the request may have run, and may run still.
+var ErrUnknownOutcome = errors.New("upstream: connection broke")
 
 // A Config describes a [Client].
 type Config struct {
 	// Connections bounds the connections to one runner.
 	Connections int
-	// Answer bounds the length in bytes of an answer.
-	Answer int64
+	// MaxAnswerBytes bounds the length in bytes of an answer.
+	MaxAnswerBytes int64
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// DialTimeout bounds the opening of a connection.
@@ -76,8 +76,8 @@
 
 // NewClient returns a client.
 func NewClient(c Config) *Client {
-	if c.Answer == 0 {
-		c.Answer = DefaultAnswer
+	if c.MaxAnswerBytes == 0 {
+		c.MaxAnswerBytes = DefaultMaxAnswerBytes
 	}
 	if c.DialTimeout == 0 {
 		c.DialTimeout = time.Second
@@ -120,8 +120,8 @@
 	c.http.CloseIdleConnections()
 }
 
-// Do sends a call and waits for its whole answer. It fails with [ErrRefused]
-// or [ErrBroken]. It never sends the call twice.
+// Do sends a call and waits for its whole answer. It fails with [ErrNotRun]
+// or [ErrUnknownOutcome]. It never sends the call twice.
 func (c *Client) Do(ctx context.Context, x Call) (Answer, error) {
 	var sent atomic.Bool
 	ctx = context.WithValue(ctx, untilKey{}, x.Until)
@@ -132,14 +132,14 @@
 	})
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+x.Address+x.Path, bytes.NewReader(x.Body))
 	if err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrRefused, err)
+		return Answer{}, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	// Without GetBody the transport can't send the body a second time.
 	q.GetBody = nil
 	q.Header.Set("Content-Type", x.Type)
 	q.Header.Set(HeaderKey, string(x.Key))
 	if !x.Until.IsZero() && !time.Now().Before(x.Until) {
-		return Answer{}, fmt.Errorf("%w: the slot may not be used any more", ErrRefused)
+		return Answer{}, fmt.Errorf("%w: the slot may not be used any more", ErrNotRun)
 	}
 	r, err := c.http.Do(q)
 	if err != nil {
@@ -150,15 +150,15 @@
 }
 
 func (c *Client) read(r *http.Response) (Answer, error) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, c.config.Answer+1))
+	b, err := io.ReadAll(io.LimitReader(r.Body, c.config.MaxAnswerBytes+1))
 	if err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrBroken, err)
+		return Answer{}, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
-	if int64(len(b)) > c.config.Answer {
-		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrBroken, c.config.Answer)
+	if int64(len(b)) > c.config.MaxAnswerBytes {
+		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrUnknownOutcome, c.config.MaxAnswerBytes)
 	}
 	if r.Header.Get(HeaderOutcome) == string(spoolsill.NotRun) {
-		return Answer{}, fmt.Errorf("%w: by the runner: status %d", ErrRefused, r.StatusCode)
+		return Answer{}, fmt.Errorf("%w: by the runner: status %d", ErrNotRun, r.StatusCode)
 	}
 	return Answer{
 		Status:  r.StatusCode,
@@ -170,7 +170,7 @@
 
 func classify(err error, sent bool) error {
 	if !sent {
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
-	return fmt.Errorf("%w: %w", ErrBroken, err)
+	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 }
