--- a/route/action.go
+++ b/route/action.go
@@ -6,51 +6,52 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Ticket names one waiting or running request of a [State].
+// A Ticket identifies a waiting or running request of a [State].
 type Ticket uint64
 
-// An Arrival is a request that arrives.
+// An Arrival is a new request and the ticket that its caller chose for it.
 type Arrival struct {
 	Ticket  Ticket
 	Request spoolsill.Request
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an [Action].
 type ActionKind int
 
 // The kinds of actions.
 const (
-	// Dispatch sends the request to Runner, in the slot of Loan if it is set,
-	// else in a slot of the host's own. It must be sent before Until.
+	// Dispatch sends the request to Runner, in the slot of Loan if that is set,
+	// otherwise in an own slot of the host. It must be sent before Until.
 	Dispatch ActionKind = iota + 1
-	// Fail answers the caller with Outcome, Cause and RetryAfter.
+	// Fail ends the request without an answer of a runner: the caller gets
+	// Outcome, Cause and RetryAfter.
 	Fail
 	// Borrow asks the other hosts of the hall for Count slots.
 	Borrow
-	// Return gives the slots of Loans back to the host To.
+	// Return returns the slots of Loans to the host To.
 	Return
 )
 
-// Cause says why a request was settled without an answer.
+// Cause is the reason for which a request failed.
 type Cause string
 
 // The causes.
 const (
-	CauseDeadline     Cause = "deadline"    // it passed in the queue
-	CauseOverload     Cause = "overload"    // work that is worth more fills the queue
+	CauseDeadline     Cause = "deadline"    // it passed while the request was queued
+	CauseOverload     Cause = "overload"    // the queue is full of requests that are worth more
 	CauseNoRunner     Cause = "no-runner"   // no runner is known
-	CauseRefused      Cause = "refused"     // runners refused it and no try is left
+	CauseRefused      Cause = "refused"     // runners refused it and it may not be dispatched again
 	CauseFailed       Cause = "failed"      // the runner failed after it got the request
 	CauseTimeout      Cause = "timeout"     // no answer came in time
-	CauseCancelled    Cause = "cancelled"   // the caller left while it waited
+	CauseCancelled    Cause = "cancelled"   // the caller went away while it was queued
 	CauseStopping     Cause = "stopping"    // the host is stopping
 	CauseRateLimit    Cause = "limit"       // the caller's rate is used up
 	CauseDuplicateKey Cause = "claimed"     // the same key was used before
-	CauseNotRecorded  Cause = "no-record"   // it could not be recorded that the request runs
-	CauseBadInput     Cause = "bad-request" // the request can't be accepted
+	CauseNotRecorded  Cause = "no-record"   // its start could not be recorded
+	CauseBadInput     Cause = "bad-request" // the request is invalid
 )
 
-// An Action is what the caller of a [State] has to do.
+// An Action is an operation that the owner of a [State] must carry out.
 type Action struct {
 	Kind       ActionKind
 	Ticket     Ticket
@@ -65,26 +66,27 @@
 	Loans      []LoanID
 }
 
-// Result is what became of one dispatch.
+// Result is the result of a dispatch.
 type Result int
 
 // The results of a dispatch.
 const (
-	// Answered says that the whole answer came: the request is done.
+	// Answered means that the whole answer was received: the request is done.
 	Answered Result = iota
-	// Refused says that the request certainly did not run there: the
-	// connection was refused or the runner said so.
+	// Refused means that the request certainly did not run: the connection was
+	// refused or the runner reported it.
 	Refused
-	// Failed says that the runner answered that it failed. The slot is free.
+	// Failed means that the runner answered with an error. The slot is free.
 	Failed
-	// ConnectionLost says that the connection broke after the request was sent. The
-	// runner may be at work on it still: the slot stays taken until its
-	// lifetime has passed.
+	// ConnectionLost means that the connection broke after the request was
+	// sent. The runner may still be processing it, so the slot stays occupied
+	// until its lifetime has passed.
 	ConnectionLost
-	// TimedOut says that no answer came in time. The request may occupy the
-	// runner still: the slot stays taken until [State.Release].
+	// TimedOut means that no answer was received in time. The runner may still
+	// be processing the request, so the slot stays occupied until
+	// [State.Release] or the end of its lifetime.
 	TimedOut
-	// NotSent says that the host itself did not send it, for example because
-	// Until had passed. It says nothing about the runner.
+	// NotSent means that the host did not send the request, for example because
+	// Until had passed. It implies nothing about the runner.
 	NotSent
 )
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/route"
 )
 
-// BenchmarkRequest routes one request to its end, with 17 runners of which
-// half the slots are taken.
+// BenchmarkRequest dispatches and finishes one request, with 17 runners of which
+// half the slots are occupied.
 func BenchmarkRequest(b *testing.B) {
 	s := route.NewState(route.Config{
 		Host: "h",
--- a/route/config.go
+++ b/route/config.go
@@ -20,41 +20,44 @@
 	DefaultRetriesPerMille = 100 // of 1000 requests
 )
 
-// A Config describes a [State]. The zero value is usable for one host that
-// has a hall for itself.
+// A Config configures a [State]. The zero value is usable for the only host of a
+// hall.
 type Config struct {
 	Service spoolsill.ServiceID
 	Host    spoolsill.HostID
-	// Hosts are the entry hosts of the hall, all that may share its runners.
-	// The same on each of them.
+	// Hosts are the entry hosts of the hall that share its runners. The list
+	// must be the same on each of them.
 	Hosts []spoolsill.HostID
-	// Slots is how many requests a runner takes at once.
+	// Slots is how many requests a runner processes concurrently.
 	Slots int
-	// MaxQueued bounds the waiting requests.
+	// MaxQueued bounds the number of waiting requests.
 	MaxQueued int
-	// SlotLifetime is how long a request may occupy a runner. After it a slot
-	// is free whatever became of the request.
+	// SlotLifetime is how long a request may occupy a runner. After that its slot
+	// is free, whether or not the result of the request is known.
 	SlotLifetime time.Duration
-	// LoanDuration is how long requests may be started in a borrowed slot.
+	// LoanDuration is how long requests may be sent in a borrowed slot.
 	LoanDuration time.Duration
-	// EjectAfter is the number of failures in a row that eject a runner, for
-	// Eject, which doubles up to MaxEject.
+	// EjectAfter is the number of consecutive failures after which a runner is
+	// ejected, for Eject the first time; the duration doubles up to MaxEject.
 	EjectAfter int
 	Eject      time.Duration
 	MaxEject   time.Duration
-	// EjectedPerMille bounds the share of ejected runners.
+	// EjectedPerMille bounds the share of runners that are ejected at once; one
+	// is always allowed.
 	EjectedPerMille int
-	// RetriesPerMille bounds retries to a share of the requests.
+	// RetriesPerMille bounds the retries of requests that may have run, as a
+	// share of all requests.
 	RetriesPerMille int
-	// FirstLoan is the number before the first loan's. It grows with each life
-	// of the host, so that loans of two lives are not mistaken.
+	// FirstLoan is the number below that of the first loan. It must be larger
+	// after each restart of the host, so that loans from before a restart are not
+	// confused with later ones.
 	FirstLoan uint64
-	// FillFirst takes the first runner with a free slot instead of the one
-	// with the fewest requests, for measurements.
+	// FillFirst selects the first runner with a free slot instead of the one with
+	// the fewest requests, for benchmarks.
 	FillFirst bool
-	// NoEject keeps failing runners, for measurements.
+	// NoEject disables the ejection of runners, for benchmarks and tests.
 	NoEject bool
-	// NoLoans keeps every slot at home, for measurements.
+	// NoLoans disables loans between hosts, for benchmarks.
 	NoLoans bool
 }
 
--- a/route/dispatch.go
+++ b/route/dispatch.go
@@ -6,17 +6,17 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// maxTries bounds the dispatches of one request.
-const maxTries = 4
+// maxDispatches bounds how often one request is dispatched.
+const maxDispatches = 4
 
-// maxCredit bounds the retries that can be saved up.
-const maxCredit = 50
+// maxRetryBudget bounds the retries that can accumulate.
+const maxRetryBudget = 50
 
-// maxAside bounds the requests that are passed over in one search because
-// they failed at the only free runners.
-const maxAside = 64
+// maxSkipped bounds the requests that one call to dispatch skips because they
+// have failed at all runners that are free.
+const maxSkipped = 64
 
-// Arrive takes in a request.
+// Arrive handles a new request.
 func (s *State) Arrive(now time.Time, a Arrival) []Action {
 	x := &item{
 		ticket:  a.Ticket,
@@ -24,124 +24,127 @@
 	}
 	s.items[x.ticket] = x
 	switch {
-	case s.stop:
-		s.settle(x, spoolsill.NotRun, CauseStopping)
+	case s.draining:
+		s.fail(x, spoolsill.NotRun, CauseStopping)
 	case !now.Before(x.request.Expires()):
-		s.settle(x, spoolsill.NotRun, CauseDeadline)
-	case len(s.order) == 0:
-		s.settle(x, spoolsill.NotRun, CauseNoRunner)
+		s.fail(x, spoolsill.NotRun, CauseDeadline)
+	case len(s.runnerList) == 0:
+		s.fail(x, spoolsill.NotRun, CauseNoRunner)
 	default:
-		s.enqueue(x, now)
+		s.admit(x, now)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-func (s *State) enqueue(x *item, now time.Time) {
-	s.load.arrive(x.request.Expires().Sub(now))
-	s.credit = min(s.credit+float64(s.config.RetriesPerMille)/1000, maxCredit)
-	s.arrived++
-	x.arrived = s.arrived
-	x.turn = s.takeTurn(x.request.Caller)
-	s.push(x)
+func (s *State) admit(x *item, now time.Time) {
+	s.load.observeSlack(x.request.Expires().Sub(now))
+	s.retryBudget = min(s.retryBudget+float64(s.config.RetriesPerMille)/1000, maxRetryBudget)
+	s.seq++
+	x.seq = s.seq
+	x.startTag = s.nextStartTag(x.request.Caller)
+	s.enqueue(x)
 	s.dispatch(now)
 	s.shed(now)
 }
 
-// takeTurn returns the place of the next request of a caller: callers take
-// turns, so that many requests of one do not delay the few of another.
-func (s *State) takeTurn(c spoolsill.CallerID) float64 {
-	t := max(s.callers[c], s.turn)
-	s.callers[c] = t + 1
+// nextStartTag returns the start tag of the next request of a caller, as in
+// start-time fair queueing: many requests of one caller do not delay the few of
+// another.
+func (s *State) nextStartTag(c spoolsill.CallerID) float64 {
+	t := max(s.finishTags[c], s.virtualTime)
+	s.finishTags[c] = t + 1
 	return t
 }
 
-// forgetCallers drops the callers whose turn has come.
-func (s *State) forgetCallers() {
-	for c, t := range s.callers {
-		if t <= s.turn {
-			delete(s.callers, c)
+// pruneCallers removes the finish tags that the virtual time has reached.
+func (s *State) pruneCallers() {
+	for c, t := range s.finishTags {
+		if t <= s.virtualTime {
+			delete(s.finishTags, c)
 		}
 	}
 }
 
-// shed settles the least worth while too many requests wait.
+// shed fails the requests of the least worth while too many are queued.
 func (s *State) shed(now time.Time) {
-	limit := min(s.config.MaxQueued, s.load.limit(s.Running()))
+	limit := min(s.config.MaxQueued, s.load.queueLimit(s.Running()))
 	for s.Waiting() > limit {
-		s.load.shed = now
-		s.settle(s.heaps[byWorth].first(), spoolsill.NotRun, CauseOverload)
+		s.load.lastShed = now
+		s.fail(s.heaps[byLeastWorth].first(), spoolsill.NotRun, CauseOverload)
 	}
 }
 
-// dispatch sends waiting requests into free slots.
+// dispatch dispatches queued requests to free slots, and borrows or returns
+// slots as needed.
 func (s *State) dispatch(now time.Time) {
 	s.expire(now)
-	var aside []*item
-	for s.Waiting() > 0 && len(aside) < maxAside {
-		x := s.choose(now)
-		s.pull(x)
-		if !s.send(x, now) {
-			aside = append(aside, x)
-			if len(x.failed) == 0 {
+	var skipped []*item
+	for s.Waiting() > 0 && len(skipped) < maxSkipped {
+		x := s.nextItem(now)
+		s.dequeue(x)
+		if !s.dispatchItem(x, now) {
+			skipped = append(skipped, x)
+			if len(x.failedOn) == 0 {
 				break
 			}
 		}
 	}
-	for _, x := range aside {
-		s.push(x)
+	for _, x := range skipped {
+		s.enqueue(x)
 	}
 	s.borrow(now)
 	s.returnIdle(now)
 }
 
-// choose returns the request to dispatch next: by turn and deadline, and by
-// worth while there is more than can be done.
-func (s *State) choose(now time.Time) *item {
+// nextItem returns the request to dispatch next: by class and fair order or,
+// under overload, by worth.
+func (s *State) nextItem(now time.Time) *item {
 	if s.load.overloaded(now) {
-		return s.heaps[byValue].first()
+		return s.heaps[byMostWorth].first()
 	}
-	return s.heaps[byTurn].first()
+	return s.heaps[byFairness].first()
 }
 
-// expire settles the requests whose time has passed while they waited.
+// expire fails the queued requests that have expired.
 func (s *State) expire(now time.Time) {
 	for {
 		x := s.heaps[byExpiry].first()
 		if x == nil || now.Before(x.request.Expires()) {
 			return
 		}
-		s.settle(x, spoolsill.NotRun, CauseDeadline)
+		s.fail(x, spoolsill.NotRun, CauseDeadline)
 	}
 }
 
-// send dispatches x into a free slot, if there is one.
-func (s *State) send(x *item, now time.Time) bool {
-	r := s.pick(x, now)
+// dispatchItem dispatches x to a free own or borrowed slot and reports whether
+// there was one.
+func (s *State) dispatchItem(x *item, now time.Time) bool {
+	r := s.pickRunner(x, now)
 	if r != nil {
-		r.busy++
-		s.sent(x, r, now, Action{
+		r.ownBusy++
+		s.recordDispatch(x, r, now, Action{
 			Until: now.Add(s.config.LoanDuration),
 		})
 		return true
 	}
-	b := s.takeIdle(x, now)
+	b := s.takeBorrowed(x, now)
 	if b == nil {
 		return false
 	}
-	b.runner.inLoan++
+	b.runner.borrowedBusy++
 	x.loan = b.id
-	s.sent(x, b.runner, now, Action{
+	s.recordDispatch(x, b.runner, now, Action{
 		Loan:  b.id,
-		Until: b.until,
+		Until: b.usableUntil,
 	})
 	return true
 }
 
-func (s *State) sent(x *item, r *runner, now time.Time, a Action) {
+func (s *State) recordDispatch(x *item, r *runner, now time.Time, a Action) {
 	x.runner = r
-	x.sent = now
-	x.tries++
-	s.turn = max(s.turn, x.turn)
+	x.sentAt = now
+	x.dispatches++
+	s.virtualTime = max(s.virtualTime, x.startTag)
 	a.Kind = Dispatch
 	a.Ticket = x.ticket
 	a.Runner = r.id
@@ -149,7 +152,7 @@
 }
 
 func (x *item) avoids(r *runner) bool {
-	for _, id := range x.failed {
+	for _, id := range x.failedOn {
 		if id == r.id {
 			return true
 		}
@@ -157,109 +160,110 @@
 	return false
 }
 
-// pick returns the runner with a free own slot that has the fewest requests,
-// or nil. Cost: O(runners).
-func (s *State) pick(x *item, now time.Time) *runner {
+// pickRunner returns the runner with the fewest requests among those with a
+// usable own slot, or nil. Cost: O(runners).
+func (s *State) pickRunner(x *item, now time.Time) *runner {
 	var best *runner
-	for i := range s.order {
-		r := s.order[(s.next+i)%len(s.order)]
-		if s.freeHome(r, now) == 0 || !r.takes(now) || x.avoids(r) {
+	for i := range s.runnerList {
+		r := s.runnerList[(s.firstRunner+i)%len(s.runnerList)]
+		if s.usableOwnSlots(r, now) == 0 || !r.available(now) || x.avoids(r) {
 			continue
 		}
-		if best == nil || r.busy+r.inLoan < best.busy+best.inLoan {
+		if best == nil || r.ownBusy+r.borrowedBusy < best.ownBusy+best.borrowedBusy {
 			best = r
 		}
-		if s.config.FillFirst || best.busy+best.inLoan == 0 {
+		if s.config.FillFirst || best.ownBusy+best.borrowedBusy == 0 {
 			break
 		}
 	}
 	if best != nil && !s.config.FillFirst {
-		s.next = (s.next + 1) % len(s.order)
+		s.firstRunner = (s.firstRunner + 1) % len(s.runnerList)
 	}
 	return best
 }
 
-// ownFree returns the number of own slots that may take a request.
-func (s *State) ownFree(now time.Time) int {
+// totalUsableOwnSlots returns the number of own slots of available runners that
+// a request may be sent to.
+func (s *State) totalUsableOwnSlots(now time.Time) int {
 	n := 0
-	for _, r := range s.order {
-		if r.takes(now) {
-			n += s.freeHome(r, now)
+	for _, r := range s.runnerList {
+		if r.available(now) {
+			n += s.usableOwnSlots(r, now)
 		}
 	}
 	return n
 }
 
-// Finish takes in what became of a dispatch.
+// Finish handles the result of a dispatch.
 func (s *State) Finish(now time.Time, t Ticket, res Result) []Action {
 	x, ok := s.items[t]
-	if !ok || x.runner == nil || x.waits {
+	if !ok || x.runner == nil || x.queued {
 		return nil
 	}
-	s.note(x.runner, res, now)
+	s.recordResult(x.runner, res, now)
 	if res == Answered || res == Failed {
-		s.load.finish(now.Sub(x.sent))
+		s.load.observeServiceTime(now.Sub(x.sentAt))
 	}
 	if res == ConnectionLost || res == TimedOut {
-		s.hold(x)
+		s.holdSlot(x)
 	} else {
 		s.freeSlot(x.runner, x.loan)
 	}
 	r := x.runner
 	x.runner = nil
 	x.loan = LoanID{}
-	s.conclude(x, r, res, now)
+	s.concludeDispatch(x, r, res, now)
 	s.dispatch(now)
-	return s.take()
+	return s.takeActions()
 }
 
-// conclude settles a request after a dispatch, or lets it wait again.
-func (s *State) conclude(x *item, r *runner, res Result, now time.Time) {
+// concludeDispatch removes a request after a dispatch, queues it again or fails
+// it.
+func (s *State) concludeDispatch(x *item, r *runner, res Result, now time.Time) {
 	if res == Answered {
 		delete(s.items, x.ticket)
 		return
 	}
 	if res != NotSent {
-		x.failed = append(x.failed, r.id)
+		x.failedOn = append(x.failedOn, r.id)
 	}
-	x.mayHave = x.mayHave || (res != NotSent && res != Refused)
+	x.mayHaveRun = x.mayHaveRun || (res != NotSent && res != Refused)
 	if s.mayRetry(x, res, now) {
-		s.push(x)
+		s.enqueue(x)
 		return
 	}
 	switch res {
 	case Refused:
-		s.settle(x, spoolsill.NotRun, CauseRefused)
+		s.fail(x, spoolsill.NotRun, CauseRefused)
 	case NotSent:
-		s.settle(x, spoolsill.NotRun, CauseDeadline)
+		s.fail(x, spoolsill.NotRun, CauseDeadline)
 	case TimedOut:
-		s.settle(x, spoolsill.Unknown, CauseTimeout)
+		s.fail(x, spoolsill.Unknown, CauseTimeout)
 	default:
-		s.settle(x, spoolsill.Unknown, CauseFailed)
+		s.fail(x, spoolsill.Unknown, CauseFailed)
 	}
 }
 
-// mayRetry reports whether x may be dispatched again: what certainly did not
-// run while it has tries, what may have run only if it can be repeated, and
-// within the budget.
+// mayRetry reports whether x may be dispatched again. Requests that may have run
+// are retried only if they are repeatable and the retry budget allows it.
 func (s *State) mayRetry(x *item, res Result, now time.Time) bool {
-	if !now.Before(x.request.Expires()) || x.tries >= maxTries || !s.hasOther(x) {
+	if !now.Before(x.request.Expires()) || x.dispatches >= maxDispatches || !s.hasAlternative(x) {
 		return false
 	}
 	switch res {
 	case NotSent, Refused:
 		return true
 	case Failed, ConnectionLost:
-		return !x.request.Unrepeatable && s.spend()
+		return !x.request.Unrepeatable && s.spendRetry()
 	default:
 		return false
 	}
 }
 
-// hasOther reports whether there is a runner at which x has not failed. Without
-// one it would only stand in the way of others.
-func (s *State) hasOther(x *item) bool {
-	for _, r := range s.order {
+// hasAlternative reports whether there is a runner at which x has not failed. If
+// there is none, queueing x again would only delay other requests.
+func (s *State) hasAlternative(x *item) bool {
+	for _, r := range s.runnerList {
 		if !r.leaving && !r.gone && !x.avoids(r) {
 			return true
 		}
@@ -267,43 +271,43 @@
 	return false
 }
 
-func (s *State) spend() bool {
-	if s.credit < 1 {
+func (s *State) spendRetry() bool {
+	if s.retryBudget < 1 {
 		return false
 	}
-	s.credit--
+	s.retryBudget--
 	return true
 }
 
-// Cancel withdraws a request whose caller has gone. One that runs is left to
-// its end.
+// Cancel removes a queued request whose caller has gone away. It has no effect
+// on a request that has been dispatched.
 func (s *State) Cancel(now time.Time, t Ticket) []Action {
 	x, ok := s.items[t]
-	if !ok || !x.waits {
+	if !ok || !x.queued {
 		return nil
 	}
-	s.settle(x, spoolsill.NotRun, CauseCancelled)
+	s.fail(x, spoolsill.NotRun, CauseCancelled)
 	s.dispatch(now)
-	return s.take()
+	return s.takeActions()
 }
 
-// Abort refuses all new requests and withdraws all that wait.
+// Abort fails all queued requests and makes s fail all new ones.
 func (s *State) Abort() []Action {
-	s.stop = true
-	for x := s.heaps[byTurn].first(); x != nil; x = s.heaps[byTurn].first() {
-		s.settle(x, spoolsill.NotRun, CauseStopping)
+	s.draining = true
+	for x := s.heaps[byFairness].first(); x != nil; x = s.heaps[byFairness].first() {
+		s.fail(x, spoolsill.NotRun, CauseStopping)
 	}
-	return s.take()
+	return s.takeActions()
 }
 
-// Tick does what has become due, and returns when to call it again. A zero
-// time says that nothing is due later.
+// Tick performs the operations that have become due, and returns when to call it
+// again. A zero time means that nothing is due later.
 func (s *State) Tick(now time.Time) ([]Action, time.Time) {
-	s.forgetCallers()
-	s.reclaimOld(now)
-	s.releaseOld(now)
+	s.pruneCallers()
+	s.reclaimExpired(now)
+	s.releaseExpired(now)
 	s.dispatch(now)
-	return s.take(), s.nextDue(now)
+	return s.takeActions(), s.nextDue(now)
 }
 
 func (s *State) nextDue(now time.Time) time.Time {
@@ -315,23 +319,23 @@
 	}
 	if x := s.heaps[byExpiry].first(); x != nil {
 		add(x.request.Expires())
-		if s.loans.next.After(now) {
-			add(s.loans.next)
+		if s.loans.nextBorrow.After(now) {
+			add(s.loans.nextBorrow)
 		}
-		if s.homeFrom.After(now) {
-			add(s.homeFrom)
+		if s.ownSlotsFrom.After(now) {
+			add(s.ownSlotsFrom)
 		}
-		for _, r := range s.order {
-			if r.until.After(now) {
-				add(r.until)
+		for _, r := range s.runnerList {
+			if r.ejectedUntil.After(now) {
+				add(r.ejectedUntil)
 			}
 		}
 	}
-	for _, h := range s.held {
-		add(h.end)
+	for _, h := range s.heldSlots {
+		add(h.releaseAt)
 	}
 	for _, l := range s.loans.lent {
-		add(l.end)
+		add(l.reclaimAt)
 	}
 	return due
 }
--- a/route/heap.go
+++ b/route/heap.go
@@ -1,7 +1,7 @@
 package route
 
-// A heap orders items by one of several orders. Every item knows its place in
-// each, so that it can be removed from all of them.
+// A heap is a binary heap of items in one of several orders. Each item holds its
+// index in every heap, so that it can be removed from all of them.
 type heap struct {
 	order int
 	less  func(a, b *item) bool
@@ -20,13 +20,13 @@
 }
 
 func (h *heap) push(x *item) {
-	x.at[h.order] = len(h.items)
+	x.heapIndex[h.order] = len(h.items)
 	h.items = append(h.items, x)
 	h.up(len(h.items) - 1)
 }
 
 func (h *heap) remove(x *item) {
-	i := x.at[h.order]
+	i := x.heapIndex[h.order]
 	last := len(h.items) - 1
 	h.swap(i, last)
 	h.items[last] = nil
@@ -67,6 +67,6 @@
 
 func (h *heap) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].at[h.order] = i
-	h.items[j].at[h.order] = j
+	h.items[i].heapIndex[h.order] = i
+	h.items[j].heapIndex[h.order] = j
 }
--- a/route/load.go
+++ b/route/load.go
@@ -4,70 +4,72 @@
 	"time"
 )
 
-// Weights and bounds of what is learnt of the load.
+// Parameters of the load estimate.
 const (
-	loadWeight   = 0.02 // of one request in the running means
-	shareOfSlack = 0.5  // of the time to the deadline may be spent waiting
-	minPerSlot   = 0.25 // waiting requests for each running one
-	maxPerSlot   = 16.0
-	minQueue     = 16
-	calmAfter    = 200 * time.Millisecond // without shedding
-	minRetry     = 50 * time.Millisecond
-	maxRetry     = 10 * time.Second
+	ewmaWeight          = 0.02 // weight of one request in the moving averages
+	maxWaitShare        = 0.5  // share of the time to expiry that may be spent queued
+	minQueuedPerRunning = 0.25 // queued requests for each running one
+	maxQueuedPerRunning = 16.0
+	minQueueLimit       = 16
+	overloadPeriod      = 200 * time.Millisecond // after the last shed request
+	minRetryAfter       = 50 * time.Millisecond
+	maxRetryAfter       = 10 * time.Second
 )
 
-// load is what a host learns of the requests of a service.
+// load estimates the load of a service on a host.
 type load struct {
-	service float64   // mean time at a runner, seconds
-	slack   float64   // mean time from arrival to expiry, seconds
-	shed    time.Time // the last time that the queue was too long
+	meanServiceTime float64   // at a runner, in seconds
+	meanSlack       float64   // from arrival to expiry, in seconds
+	lastShed        time.Time // the last time that a request was shed
 }
 
-func (l *load) arrive(slack time.Duration) {
-	l.slack = mean(l.slack, slack.Seconds())
+func (l *load) observeSlack(slack time.Duration) {
+	l.meanSlack = ewma(l.meanSlack, slack.Seconds())
 }
 
-func (l *load) finish(took time.Duration) {
-	l.service = mean(l.service, took.Seconds())
+func (l *load) observeServiceTime(took time.Duration) {
+	l.meanServiceTime = ewma(l.meanServiceTime, took.Seconds())
 }
 
-func mean(old, x float64) float64 {
+func ewma(old, x float64) float64 {
 	if old == 0 {
 		return x
 	}
-	return old + loadWeight*(x-old)
+	return old + ewmaWeight*(x-old)
 }
 
-// limit returns how many requests may wait while running ones occupy all
-// slots: so many that the last one still has a good part of its time left.
-func (l *load) limit(running int) int {
-	if l.service == 0 || l.slack == 0 {
-		return int(maxPerSlot) * max(running, minQueue)
+// queueLimit returns how many requests may be queued while running ones occupy
+// all slots. It is chosen so that the last one still has about half of its time
+// left when it is dispatched.
+func (l *load) queueLimit(running int) int {
+	if l.meanServiceTime == 0 || l.meanSlack == 0 {
+		return int(maxQueuedPerRunning) * max(running, minQueueLimit)
 	}
-	per := min(max(shareOfSlack*l.slack/l.service, minPerSlot), maxPerSlot)
-	return max(minQueue, int(per*float64(running)))
+	per := min(max(maxWaitShare*l.meanSlack/l.meanServiceTime, minQueuedPerRunning), maxQueuedPerRunning)
+	return max(minQueueLimit, int(per*float64(running)))
 }
 
 func (l *load) overloaded(now time.Time) bool {
-	return now.Sub(l.shed) < calmAfter
+	return now.Sub(l.lastShed) < overloadPeriod
 }
 
-// retryAfter returns when a caller should ask again.
+// retryAfter returns the delay after which a caller should retry, or 0 to give no
+// advice.
 func (s *State) retryAfter(c Cause) time.Duration {
 	switch c {
 	case CauseOverload, CauseDeadline, CauseRateLimit:
-		return min(max(s.drainTime(), minRetry), maxRetry)
+		return min(max(s.drainTime(), minRetryAfter), maxRetryAfter)
 	case CauseNoRunner, CauseRefused, CauseNotRecorded:
 		return time.Second
 	case CauseStopping:
-		return minRetry
+		return minRetryAfter
 	default:
 		return 0
 	}
 }
 
-// drainTime is how long the waiting requests will take.
+// drainTime estimates how long it takes to process the queued requests.
 func (s *State) drainTime() time.Duration {
 	n := max(s.Running(), 1)
-	return time.Duration(s.load.service * float64(s.Waiting()+n) / float64(n) * float64(time.Second))
+	return time.Duration(s.load.meanServiceTime * float64(s.Waiting()+n) / float64(n) * float64(time.Second))
 }
--- a/route/loan.go
+++ b/route/loan.go
@@ -6,92 +6,94 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A LoanID names one lent slot.
+// A LoanID identifies a lent slot.
 type LoanID struct {
 	From   spoolsill.HostID `msgpack:"f"`
 	Number uint64           `msgpack:"n"`
 }
 
-// A Loan is one slot of a runner, lent by one host to another. The borrower
-// may start requests in it for Life, counted from before it asked.
+// A Loan is a slot of a runner that one host has lent to another. The borrower
+// may send requests in it for ValidFor, counted from the time at which it asked
+// for the slot.
 type Loan struct {
 	ID       LoanID             `msgpack:"i"`
 	Runner   spoolsill.RunnerID `msgpack:"r"`
 	ValidFor time.Duration      `msgpack:"l"`
 }
 
-// reclaimMargin is added to the latest end of a request in a lent slot, for
-// clocks that run at different speeds.
+// reclaimMargin is added to the latest end of a request in a lent slot to allow
+// for clock drift between the hosts.
 const reclaimMargin = 500 * time.Millisecond
 
-// Bounds of the wait between two requests for loans that brought nothing.
+// Bounds of the delay after a request for slots that yielded none, and of the
+// request.
 const (
-	minBorrowWait = time.Millisecond
-	maxBorrowWait = 4 * time.Millisecond
-	maxBorrow     = 64 // slots asked for at once
+	minBorrowBackoff = time.Millisecond
+	maxBorrowBackoff = 4 * time.Millisecond
+	maxBorrow        = 64 // slots per request
 )
 
-// A lentSlot is an own slot that another host may use.
+// A lentSlot is an own slot that is lent to another host.
 type lentSlot struct {
-	runner *runner
-	end    time.Time // the latest time at which a request may occupy it
+	runner    *runner
+	reclaimAt time.Time // no request of the borrower can occupy it from then on
 }
 
-// A borrowed is a slot of another host that may be used here.
-type borrowed struct {
-	id     LoanID
-	runner *runner
-	until  time.Time
-	busy   bool
+// A borrowedSlot is a slot that is borrowed from another host.
+type borrowedSlot struct {
+	id          LoanID
+	runner      *runner
+	usableUntil time.Time
+	busy        bool
 }
 
 type loans struct {
-	number   uint64
-	lent     map[LoanID]lentSlot
-	borrowed map[LoanID]*borrowed
-	idle     []*borrowed
-	asking   bool
-	wait     time.Duration
-	next     time.Time
+	lastNumber uint64
+	lent       map[LoanID]lentSlot
+	borrowed   map[LoanID]*borrowedSlot
+	idle       []*borrowedSlot
+	borrowing  bool
+	backoff    time.Duration
+	nextBorrow time.Time
 }
 
 func newLoans(first uint64) loans {
 	return loans{
-		number:   first,
-		lent:     map[LoanID]lentSlot{},
-		borrowed: map[LoanID]*borrowed{},
-		wait:     minBorrowWait,
+		lastNumber: first,
+		lent:       map[LoanID]lentSlot{},
+		borrowed:   map[LoanID]*borrowedSlot{},
+		backoff:    minBorrowBackoff,
 	}
 }
 
-// Lend answers another host that asks for n slots. It lends idle own slots,
-// half of them at most, and none while requests wait here.
+// Lend handles a request of another host for n slots. It lends at most half of
+// the usable own slots, and none while requests are queued here.
 func (s *State) Lend(now time.Time, n int) []Loan {
-	if s.stop || s.Waiting() > 0 || s.config.NoLoans {
+	if s.draining || s.Waiting() > 0 || s.config.NoLoans {
 		return nil
 	}
-	free := s.ownFree(now)
+	free := s.totalUsableOwnSlots(now)
 	n = min(n, (free+1)/2)
 	var out []Loan
-	for i := 0; i < len(s.order) && len(out) < n; i++ {
-		r := s.order[(s.next+i)%len(s.order)]
-		for s.freeHome(r, now) > 0 && r.takes(now) && len(out) < n {
-			out = append(out, s.lend(r, now))
+	for i := 0; i < len(s.runnerList) && len(out) < n; i++ {
+		r := s.runnerList[(s.firstRunner+i)%len(s.runnerList)]
+		for s.usableOwnSlots(r, now) > 0 && r.available(now) && len(out) < n {
+			out = append(out, s.lendSlot(r, now))
 		}
 	}
 	return out
 }
 
-func (s *State) lend(r *runner, now time.Time) Loan {
-	s.loans.number++
+func (s *State) lendSlot(r *runner, now time.Time) Loan {
+	s.loans.lastNumber++
 	id := LoanID{
 		From:   s.config.Host,
-		Number: s.loans.number,
+		Number: s.loans.lastNumber,
 	}
 	r.lent++
 	s.loans.lent[id] = lentSlot{
-		runner: r,
-		end:    now.Add(s.config.LoanDuration + s.config.SlotLifetime + reclaimMargin),
+		runner:    r,
+		reclaimAt: now.Add(s.config.LoanDuration + s.config.SlotLifetime + reclaimMargin),
 	}
 	return Loan{
 		ID:       id,
@@ -100,13 +102,13 @@
 	}
 }
 
-// LoansReturned takes back lent slots.
+// LoansReturned handles the return of lent slots.
 func (s *State) LoansReturned(now time.Time, ids []LoanID) []Action {
 	for _, id := range ids {
 		s.reclaim(id)
 	}
 	s.dispatch(now)
-	return s.take()
+	return s.takeActions()
 }
 
 func (s *State) reclaim(id LoanID) {
@@ -118,34 +120,35 @@
 	l.runner.lent--
 }
 
-func (s *State) reclaimOld(now time.Time) {
+func (s *State) reclaimExpired(now time.Time) {
 	for id, l := range s.loans.lent {
-		if !now.Before(l.end) {
+		if !now.Before(l.reclaimAt) {
 			s.reclaim(id)
 		}
 	}
 }
 
-// LoansGranted takes in the answer to a [Borrow] action; asked is the time from
-// before asking. Loans of runners that are not known here go back.
+// LoansGranted handles the loans that a [Borrow] action yielded, if any. The
+// lender must have been asked after the time asked. Loans of runners that are
+// not known here are returned.
 func (s *State) LoansGranted(now, asked time.Time, list []Loan) []Action {
 	l := &s.loans
-	l.asking = false
+	l.borrowing = false
 	if len(list) == 0 {
-		l.next = now.Add(l.wait)
-		l.wait = min(2*l.wait, maxBorrowWait)
+		l.nextBorrow = now.Add(l.backoff)
+		l.backoff = min(2*l.backoff, maxBorrowBackoff)
 	} else {
-		l.wait = minBorrowWait
-		l.next = now
+		l.backoff = minBorrowBackoff
+		l.nextBorrow = now
 	}
 	for _, x := range list {
-		s.accept(x, asked)
+		s.addBorrowed(x, asked)
 	}
 	s.dispatch(now)
-	return s.take()
+	return s.takeActions()
 }
 
-func (s *State) accept(x Loan, asked time.Time) {
+func (s *State) addBorrowed(x Loan, asked time.Time) {
 	r, ok := s.runners[x.Runner]
 	if !ok {
 		s.emit(Action{
@@ -155,30 +158,30 @@
 		})
 		return
 	}
-	b := &borrowed{
-		id:     x.ID,
-		runner: r,
-		until:  asked.Add(x.ValidFor),
+	b := &borrowedSlot{
+		id:          x.ID,
+		runner:      r,
+		usableUntil: asked.Add(x.ValidFor),
 	}
 	s.loans.borrowed[x.ID] = b
 	s.loans.idle = append(s.loans.idle, b)
 }
 
-// borrow asks for slots when requests wait and none is free.
+// borrow asks for slots if requests are queued for which there is none.
 func (s *State) borrow(now time.Time) {
 	l := &s.loans
-	if s.config.NoLoans || len(s.config.Hosts) < 2 || l.asking || s.Waiting() == 0 || now.Before(l.next) {
+	if s.config.NoLoans || len(s.config.Hosts) < 2 || l.borrowing || s.Waiting() == 0 || now.Before(l.nextBorrow) {
 		return
 	}
-	l.asking = true
+	l.borrowing = true
 	s.emit(Action{
 		Kind:  Borrow,
 		Count: min(s.Waiting(), maxBorrow),
 	})
 }
 
-// returnIdle gives back borrowed slots that are not needed or may not be used
-// any more.
+// returnIdle returns idle borrowed slots that are not needed or whose loan has
+// ended.
 func (s *State) returnIdle(now time.Time) {
 	l := &s.loans
 	if len(l.idle) == 0 {
@@ -187,7 +190,7 @@
 	back := map[spoolsill.HostID][]LoanID{}
 	kept := l.idle[:0]
 	for _, b := range l.idle {
-		if s.Waiting() > 0 && now.Before(b.until) {
+		if s.Waiting() > 0 && now.Before(b.usableUntil) {
 			kept = append(kept, b)
 			continue
 		}
@@ -207,11 +210,12 @@
 	}
 }
 
-// takeIdle returns a borrowed slot that x may use, or nil.
-func (s *State) takeIdle(x *item, now time.Time) *borrowed {
+// takeBorrowed marks an idle borrowed slot that x may use as busy and returns
+// it, or nil if there is none.
+func (s *State) takeBorrowed(x *item, now time.Time) *borrowedSlot {
 	l := &s.loans
 	for i, b := range l.idle {
-		if !now.Before(b.until) || !b.runner.takes(now) || x.avoids(b.runner) {
+		if !now.Before(b.usableUntil) || !b.runner.available(now) || x.avoids(b.runner) {
 			continue
 		}
 		l.idle = append(l.idle[:i], l.idle[i+1:]...)
--- a/route/rapid_test.go
+++ b/route/rapid_test.go
@@ -13,38 +13,38 @@
 	"github.com/spoolsill/spoolsill/route"
 )
 
-// A hall drives the states of several hosts of one hall, with messages that
-// get lost and hosts that die, and counts what really occupies each runner.
+// A hall simulates several hosts of one hall, with lost messages and host
+// crashes, and counts the requests that actually occupy each runner.
 type hall struct {
-	now     time.Time
-	hosts   []spoolsill.HostID
-	states  map[spoolsill.HostID]*route.State
-	lives   map[spoolsill.HostID]int
-	tickets route.Ticket
-	flights []*flight
-	runs    map[spoolsill.RequestKey]int // dispatches that may have run
-	asks    map[spoolsill.HostID]map[route.Ticket]spoolsill.Request
-	settled map[string]bool
-	wanted  []wanted
-	config  route.Config
-	reopen  time.Duration // a new life waits so long for its own slots
+	now            time.Time
+	hosts          []spoolsill.HostID
+	states         map[spoolsill.HostID]*route.State
+	incarnations   map[spoolsill.HostID]int
+	tickets        route.Ticket
+	inFlight       []*flight
+	runs           map[spoolsill.RequestKey]int // dispatches that may have run
+	requests       map[spoolsill.HostID]map[route.Ticket]spoolsill.Request
+	failed         map[string]bool
+	borrowRequests []borrowRequest
+	config         route.Config
+	ownSlotsDelay  time.Duration // from a restart of a host until it uses its own slots
 }
 
 // A flight is a request that occupies a runner.
 type flight struct {
-	host   spoolsill.HostID
-	life   int
-	ticket route.Ticket
-	runner spoolsill.RunnerID
-	end    time.Time // when the runner is done with it at the latest
-	over   bool      // its host has settled it
+	host        spoolsill.HostID
+	incarnation int
+	ticket      route.Ticket
+	runner      spoolsill.RunnerID
+	end         time.Time // the latest time at which the runner is done with it
+	finished    bool      // its host has been given a result
 }
 
-type wanted struct {
-	host  spoolsill.HostID
-	life  int
-	count int
-	asked time.Time
+type borrowRequest struct {
+	host        spoolsill.HostID
+	incarnation int
+	count       int
+	asked       time.Time
 }
 
 const (
@@ -64,26 +64,26 @@
 
 func newHall(hosts int, c route.Config) *hall {
 	h := &hall{
-		now:     time.UnixMicro(1_000_000_000),
-		states:  map[spoolsill.HostID]*route.State{},
-		lives:   map[spoolsill.HostID]int{},
-		runs:    map[spoolsill.RequestKey]int{},
-		asks:    map[spoolsill.HostID]map[route.Ticket]spoolsill.Request{},
-		settled: map[string]bool{},
-		config:  c,
-		reopen:  testLifetime,
+		now:           time.UnixMicro(1_000_000_000),
+		states:        map[spoolsill.HostID]*route.State{},
+		incarnations:  map[spoolsill.HostID]int{},
+		runs:          map[spoolsill.RequestKey]int{},
+		requests:      map[spoolsill.HostID]map[route.Ticket]spoolsill.Request{},
+		failed:        map[string]bool{},
+		config:        c,
+		ownSlotsDelay: testLifetime,
 	}
 	for i := range hosts {
 		h.hosts = append(h.hosts, spoolsill.HostID(fmt.Sprintf("h%d", i)))
 	}
 	for _, id := range h.hosts {
-		h.begin(id, time.Time{})
+		h.startHost(id, time.Time{})
 	}
 	return h
 }
 
-// begin starts a life of a host whose own slots open at a time.
-func (h *hall) begin(id spoolsill.HostID, open time.Time) {
+// startHost starts or restarts a host that may use its own slots from a time on.
+func (h *hall) startHost(id spoolsill.HostID, open time.Time) {
 	c := h.config
 	c.Host = id
 	c.Hosts = h.hosts
@@ -92,11 +92,11 @@
 		c.SlotLifetime = testLifetime
 	}
 	c.LoanDuration = testLoan
-	h.lives[id]++
-	c.FirstLoan = uint64(h.lives[id]) << 32
+	h.incarnations[id]++
+	c.FirstLoan = uint64(h.incarnations[id]) << 32
 	s := route.NewState(c)
 	h.states[id] = s
-	h.asks[id] = map[route.Ticket]spoolsill.Request{}
+	h.requests[id] = map[route.Ticket]spoolsill.Request{}
 	s.EnableOwnSlots(h.now, open)
 	s.SetRunners(h.now, testRunners)
 }
@@ -105,48 +105,49 @@
 	return rapid.SampledFrom(h.hosts).Draw(t, "host")
 }
 
-// do does what a host's state says, and fails when that must not be.
-func (h *hall) do(t *rapid.T, id spoolsill.HostID, acts []route.Action) {
+// execute carries out the actions of a host's state, and fails the test if one
+// violates an invariant.
+func (h *hall) execute(t *rapid.T, id spoolsill.HostID, acts []route.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case route.Dispatch:
 			h.dispatch(t, id, a)
 		case route.Fail:
-			h.settle(t, id, a)
+			h.failRequest(t, id, a)
 		case route.Borrow:
-			h.wanted = append(h.wanted, wanted{
-				host:  id,
-				life:  h.lives[id],
-				count: a.Count,
-				asked: h.now,
+			h.borrowRequests = append(h.borrowRequests, borrowRequest{
+				host:        id,
+				incarnation: h.incarnations[id],
+				count:       a.Count,
+				asked:       h.now,
 			})
 		case route.Return:
 			if rapid.IntRange(0, 3).Draw(t, "return lost") == 0 {
 				continue
 			}
-			h.do(t, a.To, h.states[a.To].LoansReturned(h.now, a.Loans))
+			h.execute(t, a.To, h.states[a.To].LoansReturned(h.now, a.Loans))
 		}
 	}
 }
 
 func (h *hall) dispatch(t *rapid.T, id spoolsill.HostID, a route.Action) {
 	if !h.now.Before(a.Until) {
-		t.Fatalf("%s: dispatch after its time", id)
+		t.Fatalf("%s: dispatched after Until", id)
 	}
-	r := h.asks[id][a.Ticket]
+	r := h.requests[id][a.Ticket]
 	h.runs[r.Key]++
 	if r.Unrepeatable && h.runs[r.Key] > 1 {
 		t.Fatalf("%s: unrepeatable %s is dispatched after it may have run", id, r.Key)
 	}
-	h.flights = append(h.flights, &flight{
-		host:   id,
-		life:   h.lives[id],
-		ticket: a.Ticket,
-		runner: a.Runner,
-		end:    h.now.Add(testLifetime),
+	h.inFlight = append(h.inFlight, &flight{
+		host:        id,
+		incarnation: h.incarnations[id],
+		ticket:      a.Ticket,
+		runner:      a.Runner,
+		end:         h.now.Add(testLifetime),
 	})
 	n := 0
-	for _, f := range h.flights {
+	for _, f := range h.inFlight {
 		if f.runner == a.Runner {
 			n++
 		}
@@ -156,15 +157,15 @@
 	}
 }
 
-func (h *hall) settle(t *rapid.T, id spoolsill.HostID, a route.Action) {
-	k := fmt.Sprintf("%s/%d/%d", id, h.lives[id], a.Ticket)
-	if h.settled[k] {
-		t.Fatalf("%s: ticket %d is settled twice", id, a.Ticket)
+func (h *hall) failRequest(t *rapid.T, id spoolsill.HostID, a route.Action) {
+	k := fmt.Sprintf("%s/%d/%d", id, h.incarnations[id], a.Ticket)
+	if h.failed[k] {
+		t.Fatalf("%s: ticket %d has failed twice", id, a.Ticket)
 	}
-	h.settled[k] = true
-	r := h.asks[id][a.Ticket]
+	h.failed[k] = true
+	r := h.requests[id][a.Ticket]
 	if a.Outcome == spoolsill.NotRun && h.runs[r.Key] > 0 {
-		t.Fatalf("%s: %s is called not run and may have run", id, r.Key)
+		t.Fatalf("%s: %s is reported as not run but may have run", id, r.Key)
 	}
 }
 
@@ -179,18 +180,18 @@
 		Deadline:     h.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "deadline")) * time.Millisecond),
 		Unrepeatable: rapid.Bool().Draw(t, "unrepeatable"),
 	}
-	h.asks[id][h.tickets] = r
-	h.do(t, id, h.states[id].Arrive(h.now, route.Arrival{
+	h.requests[id][h.tickets] = r
+	h.execute(t, id, h.states[id].Arrive(h.now, route.Arrival{
 		Ticket:  h.tickets,
 		Request: r,
 	}))
 }
 
-// finish ends one flight in some way.
+// finish reports a random result of a random request in flight to its host.
 func (h *hall) finish(t *rapid.T) {
 	var open []*flight
-	for _, f := range h.flights {
-		if !f.over && f.life == h.lives[f.host] {
+	for _, f := range h.inFlight {
+		if !f.finished && f.incarnation == h.incarnations[f.host] {
 			open = append(open, f)
 		}
 	}
@@ -201,80 +202,81 @@
 	res := rapid.SampledFrom([]route.Result{
 		route.Answered, route.Refused, route.Failed, route.ConnectionLost, route.TimedOut, route.NotSent,
 	}).Draw(t, "result")
-	f.over = true
-	r := h.asks[f.host][f.ticket]
+	f.finished = true
+	r := h.requests[f.host][f.ticket]
 	switch res {
 	case route.Refused, route.NotSent:
 		h.runs[r.Key]--
-		h.land(f)
+		h.complete(f)
 	case route.Answered, route.Failed:
-		h.land(f)
+		h.complete(f)
 	}
-	h.do(t, f.host, h.states[f.host].Finish(h.now, f.ticket, res))
+	h.execute(t, f.host, h.states[f.host].Finish(h.now, f.ticket, res))
 }
 
-// land ends a flight at its runner.
-func (h *hall) land(f *flight) {
-	for i, x := range h.flights {
+// complete removes a request that its runner is done with.
+func (h *hall) complete(f *flight) {
+	for i, x := range h.inFlight {
 		if x == f {
-			h.flights = append(h.flights[:i], h.flights[i+1:]...)
+			h.inFlight = append(h.inFlight[:i], h.inFlight[i+1:]...)
 			return
 		}
 	}
 }
 
-// release has a runner be done with a request that was settled before.
+// release completes a request at the runner after its host has been given a
+// result.
 func (h *hall) release(t *rapid.T) {
-	for _, f := range h.flights {
-		if f.over && f.life == h.lives[f.host] {
-			h.land(f)
-			h.do(t, f.host, h.states[f.host].Release(h.now, f.ticket))
+	for _, f := range h.inFlight {
+		if f.finished && f.incarnation == h.incarnations[f.host] {
+			h.complete(f)
+			h.execute(t, f.host, h.states[f.host].Release(h.now, f.ticket))
 			return
 		}
 	}
 }
 
-// lend carries a question for slots to another host, or loses it, or its
-// answer.
-func (h *hall) lend(t *rapid.T) {
-	if len(h.wanted) == 0 {
+// deliverBorrowRequest delivers a request for slots to another host. The request
+// or its answer may be lost.
+func (h *hall) deliverBorrowRequest(t *rapid.T) {
+	if len(h.borrowRequests) == 0 {
 		return
 	}
-	w := h.wanted[0]
-	h.wanted = h.wanted[1:]
+	w := h.borrowRequests[0]
+	h.borrowRequests = h.borrowRequests[1:]
 	to := h.host(t)
 	var loans []route.Loan
 	if to != w.host && rapid.IntRange(0, 3).Draw(t, "question lost") > 0 {
 		loans = h.states[to].Lend(h.now, w.count)
 	}
-	if w.life != h.lives[w.host] {
+	if w.incarnation != h.incarnations[w.host] {
 		return
 	}
 	if rapid.IntRange(0, 3).Draw(t, "answer lost") == 0 {
 		loans = nil
 	}
-	h.do(t, w.host, h.states[w.host].LoansGranted(h.now, w.asked, loans))
+	h.execute(t, w.host, h.states[w.host].LoansGranted(h.now, w.asked, loans))
 }
 
-func (h *hall) pass(t *rapid.T) {
+func (h *hall) advance(t *rapid.T) {
 	h.now = h.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
-	kept := h.flights[:0]
-	for _, f := range h.flights {
+	kept := h.inFlight[:0]
+	for _, f := range h.inFlight {
 		if h.now.Before(f.end) {
 			kept = append(kept, f)
 		}
 	}
-	h.flights = kept
+	h.inFlight = kept
 	for _, id := range h.hosts {
 		acts, _ := h.states[id].Tick(h.now)
-		h.do(t, id, acts)
+		h.execute(t, id, acts)
 	}
 }
 
-// die ends a life of a host; the next one does not know that its own slots
-// are empty.
-func (h *hall) die(t *rapid.T) {
-	h.begin(h.host(t), h.now.Add(h.reopen))
+// restartHost crashes and restarts a host, which then does not know whether its
+// own slots are free.
+func (h *hall) restartHost(t *rapid.T) {
+	h.startHost(h.host(t), h.now.Add(h.ownSlotsDelay))
 }
 
 func (h *hall) check(t *rapid.T) {
@@ -288,7 +290,8 @@
 	}
 }
 
-// slotsAndOutcomesHold is what no sequence of events may break.
+// slotsAndOutcomesHold is the property that the invariants of slots and outcomes
+// hold for all sequences of events, on a hall modified by change.
 func slotsAndOutcomesHold(change func(*hall)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		h := newHall(rapid.IntRange(1, 3).Draw(t, "hosts"), route.Config{})
@@ -300,30 +303,31 @@
 			"finish":  h.finish,
 			"finish2": h.finish,
 			"release": h.release,
-			"lend":    h.lend,
-			"pass":    h.pass,
-			"die":     h.die,
+			"lend":    h.deliverBorrowRequest,
+			"pass":    h.advance,
+			"die":     h.restartHost,
 		})
 	}
 }
 
-func TestSlotsAndOutcomesHoldOverHostsThatDie(t *testing.T) {
+func TestSlotsAndOutcomesHoldAcrossHostCrashes(t *testing.T) {
 	rapid.Check(t, slotsAndOutcomesHold(func(*hall) {}))
 }
 
-func TestSlotLimitNeedsTheWaitOfANewLife(t *testing.T) {
+func TestSlotLimitNeedsOwnSlotsDelay(t *testing.T) {
 	qt.Assert(t, seed.Fails(t, slotsAndOutcomesHold(func(h *hall) {
-		h.reopen = 0
+		h.ownSlotsDelay = 0
 	})), qt.IsTrue)
 }
 
-// TestSlotLimitNeedsTheLifetime has hosts count lost requests and lent slots
-// as over before the runner is done with them.
-func TestSlotLimitNeedsTheLifetime(t *testing.T) {
+// TestSlotLimitNeedsSlotLifetime checks that the slot limit is violated if hosts
+// free the slots of lost requests and reclaim lent slots before the runner is
+// done with them.
+func TestSlotLimitNeedsSlotLifetime(t *testing.T) {
 	qt.Assert(t, seed.Fails(t, slotsAndOutcomesHold(func(h *hall) {
 		h.config.SlotLifetime = time.Millisecond
 		for _, id := range h.hosts {
-			h.begin(id, time.Time{})
+			h.startHost(id, time.Time{})
 		}
 	})), qt.IsTrue)
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolsill/spoolsill/route"
 )
 
-// TestRetriesHaveABudget sends repeatable requests to runners of which most
-// fail, so that every request would be tried again.
+// TestRetriesHaveABudget sends repeatable requests to runners that fail all of
+// them, so that without a budget every request would be retried.
 func TestRetriesHaveABudget(t *testing.T) {
 	c := qt.New(t)
 	s := route.NewState(route.Config{
@@ -43,12 +43,12 @@
 			open = append(open[1:], next...)
 		}
 	}
-	const saved = 50 // retries that may be saved up
+	const saved = 50 // retries that may accumulate
 	c.Assert(dispatched > requests, qt.IsTrue)
 	c.Assert(dispatched <= requests+requests/10+saved, qt.IsTrue, qt.Commentf("%d", dispatched))
 }
 
-// TestOverloadShedsTheLeastWorth fills the slots and the queue.
+// TestOverloadShedsTheLeastWorth sends more requests than slots and queue hold.
 func TestOverloadShedsTheLeastWorth(t *testing.T) {
 	c := qt.New(t)
 	s := route.NewState(route.Config{
--- a/route/runner.go
+++ b/route/runner.go
@@ -7,62 +7,64 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A runner is what a host knows of one upstream process.
+// A runner is a host's view of one upstream process.
 type runner struct {
-	id      spoolsill.RunnerID
-	leaving bool
-	gone    bool
-	home    int // slots that have their home here
-	busy    int // own slots with a request in flight
-	lent    int // own slots lent to other hosts
-	inLoan  int // borrowed slots with a request in flight
-	fails   int // in a row
-	until   time.Time
-	ejects  int
-	probe   bool // after an ejection, until the first answer
-	warm    int  // answers since it is known or came back, up to warmAt
+	id                  spoolsill.RunnerID
+	leaving             bool
+	gone                bool
+	ownSlots            int // slots owned by the host
+	ownBusy             int // own slots with a request in flight
+	lent                int // own slots lent to other hosts
+	borrowedBusy        int // borrowed slots with a request in flight
+	consecutiveFailures int
+	ejectedUntil        time.Time
+	ejections           int
+	probing             bool // from an ejection until the first answer
+	warmup              int  // answers since it was added or ejected, up to warmupAnswers
 }
 
-// warmAt is the number of answers after which a runner gets all its slots;
-// until then it gets one more for each answer.
-const warmAt = 8
+// warmupAnswers is the length of the slow start of a runner: it gets one request
+// at a time at first and one more for each answer, until it has given this many.
+const warmupAnswers = 8
 
-// freeOwn returns the own slots of r that may take a request now.
-func (r *runner) freeOwn() int {
-	return max(0, r.home-r.lent-r.busy)
+// idleOwnSlots returns the number of own slots of r that are neither lent nor
+// busy.
+func (r *runner) idleOwnSlots() int {
+	return max(0, r.ownSlots-r.lent-r.ownBusy)
 }
 
-// freeHome returns the own slots of r that may take a request at now: none
-// while an earlier life of the host may still have requests in them.
-func (s *State) freeHome(r *runner, now time.Time) int {
-	if now.Before(s.homeFrom) {
+// usableOwnSlots returns the number of own slots of r that a request may be sent
+// to at time now. There are none as long as requests from before a restart of
+// the host may occupy them.
+func (s *State) usableOwnSlots(r *runner, now time.Time) int {
+	if now.Before(s.ownSlotsFrom) {
 		return 0
 	}
-	return r.freeOwn()
+	return r.idleOwnSlots()
 }
 
-// EnableOwnSlots says from when on the host may use the slots that have their home
-// on it. A host that does not know that its earlier life stopped cleanly waits
-// for the lifetime of a slot; until then it can borrow.
+// EnableOwnSlots sets the time from which the host may use its own slots. A host
+// that can't tell whether it was stopped cleanly before its restart must wait for
+// the lifetime of a slot; until then it can only borrow.
 func (s *State) EnableOwnSlots(now, from time.Time) []Action {
-	s.homeFrom = from
+	s.ownSlotsFrom = from
 	s.dispatch(now)
-	return s.take()
+	return s.takeActions()
 }
 
-// takes reports whether r may get one more request at time now.
-func (r *runner) takes(now time.Time) bool {
-	if r.leaving || r.gone || now.Before(r.until) {
+// available reports whether r may get another request at time now.
+func (r *runner) available(now time.Time) bool {
+	if r.leaving || r.gone || now.Before(r.ejectedUntil) {
 		return false
 	}
-	if r.probe {
-		return r.busy+r.inLoan == 0
+	if r.probing {
+		return r.ownBusy+r.borrowedBusy == 0
 	}
-	return r.warm >= warmAt || r.busy+r.inLoan <= r.warm
+	return r.warmup >= warmupAnswers || r.ownBusy+r.borrowedBusy <= r.warmup
 }
 
-// SetRunners takes the list of the service's runners in the hall. One that is
-// not listed any more gets no new requests.
+// SetRunners replaces the list of the service's runners in the hall. A runner
+// that is not listed any more gets no new requests.
 func (s *State) SetRunners(now time.Time, list []spoolsill.Runner) []Action {
 	for _, r := range s.runners {
 		r.gone = true
@@ -70,27 +72,27 @@
 	for _, l := range list {
 		s.setRunner(l)
 	}
-	s.order = s.order[:0]
+	s.runnerList = s.runnerList[:0]
 	for id, r := range s.runners {
-		if r.gone && r.busy+r.lent+r.inLoan == 0 {
+		if r.gone && r.ownBusy+r.lent+r.borrowedBusy == 0 {
 			delete(s.runners, id)
 			continue
 		}
-		s.order = append(s.order, r)
+		s.runnerList = append(s.runnerList, r)
 	}
-	sort.Slice(s.order, func(i, j int) bool {
-		return s.order[i].id < s.order[j].id
+	sort.Slice(s.runnerList, func(i, j int) bool {
+		return s.runnerList[i].id < s.runnerList[j].id
 	})
 	s.dispatch(now)
-	return s.take()
+	return s.takeActions()
 }
 
 func (s *State) setRunner(l spoolsill.Runner) {
 	r, ok := s.runners[l.ID]
 	if !ok {
 		r = &runner{
-			id:   l.ID,
-			home: s.config.home(l.ID),
+			id:       l.ID,
+			ownSlots: s.config.ownSlots(l.ID),
 		}
 		s.runners[l.ID] = r
 	}
@@ -98,18 +100,18 @@
 	r.leaving = l.Leaving
 }
 
-// note learns from the end of one dispatch.
-func (s *State) note(r *runner, res Result, now time.Time) {
+// recordResult updates r with the result of a dispatch.
+func (s *State) recordResult(r *runner, res Result, now time.Time) {
 	switch res {
 	case NotSent:
 	case Answered:
-		r.fails = 0
-		r.ejects = 0
-		r.probe = false
-		r.warm = min(r.warm+1, warmAt)
+		r.consecutiveFailures = 0
+		r.ejections = 0
+		r.probing = false
+		r.warmup = min(r.warmup+1, warmupAnswers)
 	default:
-		r.fails++
-		if r.probe || r.fails >= s.config.EjectAfter {
+		r.consecutiveFailures++
+		if r.probing || r.consecutiveFailures >= s.config.EjectAfter {
 			s.eject(r, now)
 		}
 	}
@@ -117,30 +119,31 @@
 
 const maxDoublings = 16
 
-// eject keeps a failing runner from new requests for a while. No more than a
-// stated share is ejected at once: beyond it the failing look like all.
+// eject excludes a failing runner from new requests for a while. The share of
+// runners ejected at once is bounded: if more of them fail, a failing runner
+// can't be told from the others.
 func (s *State) eject(r *runner, now time.Time) {
-	if s.config.NoEject || now.Before(r.until) {
+	if s.config.NoEject || now.Before(r.ejectedUntil) {
 		return
 	}
 	n := 0
-	for _, x := range s.order {
-		if now.Before(x.until) {
+	for _, x := range s.runnerList {
+		if now.Before(x.ejectedUntil) {
 			n++
 		}
 	}
-	if n >= max(1, len(s.order)*s.config.EjectedPerMille/1000) {
+	if n >= max(1, len(s.runnerList)*s.config.EjectedPerMille/1000) {
 		return
 	}
-	d := min(s.config.Eject<<min(r.ejects, maxDoublings), s.config.MaxEject)
-	r.until = now.Add(d)
-	r.ejects++
-	r.probe = true
-	r.warm = 0
-	r.fails = 0
+	d := min(s.config.Eject<<min(r.ejections, maxDoublings), s.config.MaxEject)
+	r.ejectedUntil = now.Add(d)
+	r.ejections++
+	r.probing = true
+	r.warmup = 0
+	r.consecutiveFailures = 0
 }
 
-// A RunnerView is what operators see of a runner.
+// A RunnerView describes a runner to operators.
 type RunnerView struct {
 	ID           spoolsill.RunnerID `json:"id"       msgpack:"i"`
 	Leaving      bool               `json:"leaving"  msgpack:"l"`
@@ -150,26 +153,27 @@
 	EjectedUntil time.Time          `json:"ejected"  msgpack:"e"`
 }
 
-// Runners returns all runners, by id.
+// Runners returns all runners, sorted by ID.
 func (s *State) Runners() []RunnerView {
-	out := make([]RunnerView, 0, len(s.order))
-	for _, r := range s.order {
+	out := make([]RunnerView, 0, len(s.runnerList))
+	for _, r := range s.runnerList {
 		out = append(out, RunnerView{
 			ID:           r.id,
 			Leaving:      r.leaving || r.gone,
-			OwnSlots:     r.home,
-			InFlight:     r.busy + r.inLoan,
+			OwnSlots:     r.ownSlots,
+			InFlight:     r.ownBusy + r.borrowedBusy,
 			Lent:         r.lent,
-			EjectedUntil: r.until,
+			EjectedUntil: r.ejectedUntil,
 		})
 	}
 	return out
 }
 
-// FreeSlots returns how many own slots are free now, none while requests wait.
+// FreeSlots returns the number of own slots that a request may be sent to, or 0
+// while requests are queued.
 func (s *State) FreeSlots(now time.Time) int {
-	if s.Waiting() > 0 || s.stop {
+	if s.Waiting() > 0 || s.draining {
 		return 0
 	}
-	return s.ownFree(now)
+	return s.totalUsableOwnSlots(now)
 }
--- a/route/state.go
+++ b/route/state.go
@@ -9,49 +9,49 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// The orders in which waiting requests are kept.
+// The orders in which queued requests are kept.
 const (
-	byTurn   = iota // the next to dispatch first
-	byWorth         // the least worth first
-	byExpiry        // the first to expire first
-	byValue         // the most worth first
-	orders
+	byFairness   = iota // by class, start tag and arrival
+	byLeastWorth        // least worth first
+	byExpiry            // earliest to expire first
+	byMostWorth         // most worth first
+	orderCount
 )
 
-// An item is a request that waits or runs.
+// An item is a queued or running request.
 type item struct {
-	ticket  Ticket
-	request spoolsill.Request
-	at      [orders]int
-	turn    float64 // place in the order of fairness between callers
-	arrived uint64
-	sent    time.Time
-	tries   int
-	failed  []spoolsill.RunnerID
-	runner  *runner
-	loan    LoanID
-	waits   bool
-	mayHave bool // an earlier dispatch may have run
+	ticket     Ticket
+	request    spoolsill.Request
+	heapIndex  [orderCount]int
+	startTag   float64 // of start-time fair queueing between callers
+	seq        uint64
+	sentAt     time.Time
+	dispatches int
+	failedOn   []spoolsill.RunnerID
+	runner     *runner
+	loan       LoanID
+	queued     bool
+	mayHaveRun bool // an earlier dispatch may have run
 }
 
 // A State holds the queue of one service on one host.
 type State struct {
-	config   Config
-	runners  map[spoolsill.RunnerID]*runner
-	order    []*runner
-	items    map[Ticket]*item
-	heaps    [orders]heap
-	callers  map[spoolsill.CallerID]float64 // the turn after the caller's last request
-	turn     float64                        // the turn of the request dispatched last
-	arrived  uint64
-	next     int // where the search for a runner starts
-	credit   float64
-	load     load
-	loans    loans
-	held     []heldSlot
-	homeFrom time.Time
-	stop     bool
-	out      []Action
+	config       Config
+	runners      map[spoolsill.RunnerID]*runner
+	runnerList   []*runner
+	items        map[Ticket]*item
+	heaps        [orderCount]heap
+	finishTags   map[spoolsill.CallerID]float64 // of each caller's last request
+	virtualTime  float64                        // highest start tag dispatched so far
+	seq          uint64
+	firstRunner  int // index in runnerList at which the next search starts
+	retryBudget  float64
+	load         load
+	loans        loans
+	heldSlots    []heldSlot
+	ownSlotsFrom time.Time
+	draining     bool
+	actions      []Action
 }
 
 // NewState returns a state without runners.
@@ -62,18 +62,18 @@
 		return c.Hosts[i] < c.Hosts[j]
 	})
 	s := &State{
-		config:  c,
-		runners: map[spoolsill.RunnerID]*runner{},
-		items:   map[Ticket]*item{},
-		callers: map[spoolsill.CallerID]float64{},
-		loans:   newLoans(c.FirstLoan),
-		credit:  maxCredit,
+		config:      c,
+		runners:     map[spoolsill.RunnerID]*runner{},
+		items:       map[Ticket]*item{},
+		finishTags:  map[spoolsill.CallerID]float64{},
+		loans:       newLoans(c.FirstLoan),
+		retryBudget: maxRetryBudget,
 	}
-	less := [orders]func(a, b *item) bool{
-		byTurn:   turnLess,
-		byWorth:  worthLess,
-		byExpiry: expiryLess,
-		byValue:  valueLess,
+	less := [orderCount]func(a, b *item) bool{
+		byFairness:   fairerFirst,
+		byLeastWorth: leastWorthFirst,
+		byExpiry:     soonestExpiryFirst,
+		byMostWorth:  mostWorthFirst,
 	}
 	for o := range s.heaps {
 		s.heaps[o] = heap{
@@ -84,37 +84,37 @@
 	return s
 }
 
-func turnLess(a, b *item) bool {
+func fairerFirst(a, b *item) bool {
 	if a.request.Class != b.request.Class {
 		return a.request.Class < b.request.Class
 	}
-	if a.turn != b.turn {
-		return a.turn < b.turn
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
-	return a.arrived < b.arrived
+	return a.seq < b.seq
 }
 
-func worthLess(a, b *item) bool {
+func leastWorthFirst(a, b *item) bool {
 	if a.request.Worth != b.request.Worth {
 		return a.request.Worth < b.request.Worth
 	}
-	return a.arrived > b.arrived
+	return a.seq > b.seq
 }
 
-func valueLess(a, b *item) bool {
+func mostWorthFirst(a, b *item) bool {
 	if a.request.Worth != b.request.Worth {
 		return a.request.Worth > b.request.Worth
 	}
-	return turnLess(a, b)
+	return fairerFirst(a, b)
 }
 
-func expiryLess(a, b *item) bool {
+func soonestExpiryFirst(a, b *item) bool {
 	return a.request.Expires().Before(b.request.Expires())
 }
 
-// home returns how many slots of a runner have their home on the host. The
-// shares of all hosts of the hall add up to the runner's slots.
-func (c Config) home(id spoolsill.RunnerID) int {
+// ownSlots returns how many slots of a runner the host owns. The numbers of all
+// hosts of the hall add up to the runner's slots.
+func (c Config) ownSlots(id spoolsill.RunnerID) int {
 	n := len(c.Hosts)
 	first := int(xxhash.Sum64String(string(id)) % uint64(n))
 	for i, h := range c.Hosts {
@@ -130,9 +130,9 @@
 	return 0
 }
 
-// Waiting returns the number of waiting requests.
+// Waiting returns the number of queued requests.
 func (s *State) Waiting() int {
-	return s.heaps[byTurn].len()
+	return s.heaps[byFairness].len()
 }
 
 // Running returns the number of dispatched requests.
@@ -140,51 +140,51 @@
 	return len(s.items) - s.Waiting()
 }
 
-// Outstanding returns the number of requests and slots that a planned stop waits
-// for: requests that wait or run, slots that are held and slots that are lent.
+// Outstanding returns the number of requests and slots that a graceful stop has
+// to wait for: queued and running requests, held slots and lent slots.
 func (s *State) Outstanding() int {
-	return len(s.items) + len(s.held) + len(s.loans.lent)
+	return len(s.items) + len(s.heldSlots) + len(s.loans.lent)
 }
 
-// Drain makes s refuse all new requests; those that wait and run go on.
-// No more slots are lent.
+// Drain makes s fail all new requests and lend no more slots. Queued and running
+// requests continue.
 func (s *State) Drain() {
-	s.stop = true
+	s.draining = true
 }
 
 func (s *State) emit(a Action) {
-	s.out = append(s.out, a)
+	s.actions = append(s.actions, a)
 }
 
-// take returns the actions collected so far.
-func (s *State) take() []Action {
-	out := s.out
-	s.out = nil
+// takeActions returns the actions emitted since the last call.
+func (s *State) takeActions() []Action {
+	out := s.actions
+	s.actions = nil
 	return out
 }
 
-func (s *State) push(x *item) {
-	x.waits = true
+func (s *State) enqueue(x *item) {
+	x.queued = true
 	for o := range s.heaps {
 		s.heaps[o].push(x)
 	}
 }
 
-func (s *State) pull(x *item) {
-	x.waits = false
+func (s *State) dequeue(x *item) {
+	x.queued = false
 	for o := range s.heaps {
 		s.heaps[o].remove(x)
 	}
 }
 
-// settle gives a request its outcome. One that was dispatched before and may
-// have run is never called not run, whatever becomes of it later.
-func (s *State) settle(x *item, o spoolsill.Outcome, c Cause) {
-	if x.mayHave && o == spoolsill.NotRun {
+// fail ends a request with an outcome. If an earlier dispatch of it may have
+// run, NotRun becomes Unknown.
+func (s *State) fail(x *item, o spoolsill.Outcome, c Cause) {
+	if x.mayHaveRun && o == spoolsill.NotRun {
 		o = spoolsill.Unknown
 	}
-	if x.waits {
-		s.pull(x)
+	if x.queued {
+		s.dequeue(x)
 	}
 	delete(s.items, x.ticket)
 	s.emit(Action{
--- a/router/router.go
+++ b/router/router.go
@@ -60,16 +60,16 @@
 // A Router routes the requests of one service. It is safe for concurrent use.
 type Router struct {
 	config Config
-	due    chan struct{}
-
-	mu        sync.Mutex // guards what follows
-	state     *route.State
-	tickets   route.Ticket
-	waiting   map[route.Ticket]chan route.Action
-	addresses map[spoolsill.RunnerID]string
-	life      context.Context
-	closed    bool
-	wg        sync.WaitGroup
+	wake   chan struct{}
+
+	mu         sync.Mutex // guards what follows
+	state      *route.State
+	lastTicket route.Ticket
+	actions    map[route.Ticket]chan route.Action
+	addresses  map[spoolsill.RunnerID]string
+	runCtx     context.Context
+	closed     bool
+	wg         sync.WaitGroup
 }
 
 // New returns a router without runners.
@@ -82,11 +82,11 @@
 	}
 	return &Router{
 		config:    c,
-		due:       make(chan struct{}, 1),
+		wake:      make(chan struct{}, 1),
 		state:     route.NewState(c.Route),
-		waiting:   map[route.Ticket]chan route.Action{},
+		actions:   map[route.Ticket]chan route.Action{},
 		addresses: map[spoolsill.RunnerID]string{},
-		life:      context.Background(),
+		runCtx:    context.Background(),
 	}
 }
 
@@ -97,7 +97,7 @@
 	defer r.wg.Wait()
 	defer cancel()
 	r.mu.Lock()
-	r.life = ctx
+	r.runCtx = ctx
 	r.mu.Unlock()
 	const idle = time.Second
 	t := time.NewTimer(idle)
@@ -107,16 +107,16 @@
 		case <-ctx.Done():
 			r.mu.Lock()
 			r.closed = true
-			r.do(r.state.Abort())
+			r.execute(r.state.Abort())
 			r.mu.Unlock()
 			return
 		case <-t.C:
-		case <-r.due:
+		case <-r.wake:
 		}
 		now := time.Now()
 		r.mu.Lock()
 		acts, next := r.state.Tick(now)
-		r.do(acts)
+		r.execute(acts)
 		r.mu.Unlock()
 		wait := idle
 		if !next.IsZero() {
@@ -133,14 +133,14 @@
 	for _, x := range list {
 		r.addresses[x.ID] = x.Address
 	}
-	r.do(r.state.SetRunners(time.Now(), list))
+	r.execute(r.state.SetRunners(time.Now(), list))
 }
 
 // EnableOwnSlots says from when on the host may use its own slots.
 func (r *Router) EnableOwnSlots(from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.EnableOwnSlots(time.Now(), from))
+	r.execute(r.state.EnableOwnSlots(time.Now(), from))
 }
 
 // Lend answers another host that asks for slots.
@@ -154,7 +154,7 @@
 func (r *Router) LoansReturned(ids []route.LoanID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.LoansReturned(time.Now(), ids))
+	r.execute(r.state.LoansReturned(time.Now(), ids))
 }
 
 // StopAndWait refuses new requests and waits until none waits or runs and no slot is
@@ -211,7 +211,7 @@
 		select {
 		case a = <-acts:
 		case <-ctx.Done():
-			r.leave(t)
+			r.cancel(t)
 			a = <-acts
 		}
 		if a.Kind == route.Fail {
@@ -239,74 +239,74 @@
 	acts := make(chan route.Action, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tickets++
-	t := r.tickets
-	r.waiting[t] = acts
-	r.do(r.state.Arrive(now, route.Arrival{
+	r.lastTicket++
+	t := r.lastTicket
+	r.actions[t] = acts
+	r.execute(r.state.Arrive(now, route.Arrival{
 		Ticket:  t,
 		Request: c.Request,
 	}))
-	r.poke()
+	r.notifyRun()
 	return t, acts
 }
 
-// poke has Run look at what falls due when requests wait. The lock is held.
-func (r *Router) poke() {
+// notifyRun has Run look at what falls due when requests wait. The lock is held.
+func (r *Router) notifyRun() {
 	if r.state.Waiting() == 0 {
 		return
 	}
 	select {
-	case r.due <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Router) leave(t route.Ticket) {
+func (r *Router) cancel(t route.Ticket) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Cancel(time.Now(), t))
+	r.execute(r.state.Cancel(time.Now(), t))
 }
 
 func (r *Router) finish(t route.Ticket, res route.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if res == route.Answered {
-		delete(r.waiting, t)
+		delete(r.actions, t)
 	}
-	r.do(r.state.Finish(time.Now(), t, res))
-	r.poke()
+	r.execute(r.state.Finish(time.Now(), t, res))
+	r.notifyRun()
 }
 
 func (r *Router) release(t route.Ticket) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Release(time.Now(), t))
-	r.poke()
+	r.execute(r.state.Release(time.Now(), t))
+	r.notifyRun()
 }
 
-// do hands actions to those who wait for them. The lock is held.
-func (r *Router) do(acts []route.Action) {
+// execute hands actions to those who wait for them. The lock is held.
+func (r *Router) execute(acts []route.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case route.Dispatch:
-			r.waiting[a.Ticket] <- a
+			r.actions[a.Ticket] <- a
 		case route.Fail:
-			r.waiting[a.Ticket] <- a
-			delete(r.waiting, a.Ticket)
+			r.actions[a.Ticket] <- a
+			delete(r.actions, a.Ticket)
 		case route.Borrow:
-			r.spawn(func(ctx context.Context) { r.borrow(ctx, a.Count) })
+			r.start(func(ctx context.Context) { r.borrow(ctx, a.Count) })
 		case route.Return:
-			r.spawn(func(ctx context.Context) {
+			r.start(func(ctx context.Context) {
 				r.config.Peers.Return(ctx, a.To, r.config.Route.Service, a.Loans)
 			})
 		}
 	}
 }
 
-// spawn runs f for as long as the router does; after its end f runs with a
+// start runs f for as long as the router does; after its end f runs with a
 // context that has ended. The lock is held.
-func (r *Router) spawn(f func(ctx context.Context)) {
-	ctx := r.life
+func (r *Router) start(f func(ctx context.Context)) {
+	ctx := r.runCtx
 	if r.closed {
 		go f(ctx)
 		return
@@ -341,8 +341,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.LoansGranted(time.Now(), asked, loans))
-	r.poke()
+	r.execute(r.state.LoansGranted(time.Now(), asked, loans))
+	r.notifyRun()
 }
 
 func (r *Router) borrowFrom(ctx context.Context, h spoolsill.HostID, n int) []route.Loan {
@@ -362,7 +362,7 @@
 		r.finish(t, route.NotSent)
 		return upstream.Answer{}, false
 	}
-	r.event(timeline.KindDispatch, a.Runner, c, "sent to the runner")
+	r.recordEvent(timeline.KindDispatch, a.Runner, c, "sent to the runner")
 	type result struct {
 		answer upstream.Answer
 		res    route.Result
@@ -371,7 +371,7 @@
 	settled := make(chan struct{})
 	r.mu.Lock()
 	address := r.addresses[a.Runner]
-	r.spawn(func(ctx context.Context) {
+	r.start(func(ctx context.Context) {
 		p, res := r.call(ctx, address, a, c)
 		done <- result{
 			answer: p,
@@ -431,7 +431,7 @@
 	}
 }
 
-func (r *Router) event(k timeline.Kind, id spoolsill.RunnerID, c Call, text string) {
+func (r *Router) recordEvent(k timeline.Kind, id spoolsill.RunnerID, c Call, text string) {
 	r.config.Events.Add(timeline.Event{
 		Kind:    k,
 		Request: c.Request.Key,
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -102,12 +102,12 @@
 	}
 }
 
-type untilKey struct{}
+type sendBeforeKey struct{}
 
 // dial opens a connection before the request that it is for must be sent.
 func (c Config) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	end := time.Now().Add(c.DialTimeout)
-	if u, ok := ctx.Value(untilKey{}).(time.Time); ok && !u.IsZero() && u.Before(end) {
+	if u, ok := ctx.Value(sendBeforeKey{}).(time.Time); ok && !u.IsZero() && u.Before(end) {
 		end = u
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
@@ -124,7 +124,7 @@
 // or [ErrUnknownOutcome]. It never sends the call twice.
 func (c *Client) Do(ctx context.Context, x Call) (Answer, error) {
 	var sent atomic.Bool
-	ctx = context.WithValue(ctx, untilKey{}, x.Until)
+	ctx = context.WithValue(ctx, sendBeforeKey{}, x.Until)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
 			sent.Store(true)
@@ -146,10 +146,10 @@
 		return Answer{}, classify(err, sent.Load())
 	}
 	defer func() { _ = r.Body.Close() }()
-	return c.read(r)
+	return c.readAnswer(r)
 }
 
-func (c *Client) read(r *http.Response) (Answer, error) {
+func (c *Client) readAnswer(r *http.Response) (Answer, error) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, c.config.MaxAnswerBytes+1))
 	if err != nil {
 		return Answer{}, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
