--- a/router/router.go
+++ b/router/router.go
@@ -19,27 +19,28 @@
 	Do(ctx context.Context, c upstream.Call) (upstream.Answer, error)
 }
 
-// Peers reaches the other hosts of the hall.
+// Peers sends calls to the other hosts of the hall.
 type Peers interface {
 	// Borrow asks a host for slots of a service.
 	Borrow(ctx context.Context, h spoolsill.HostID, s spoolsill.ServiceID, n int) ([]route.Loan, error)
-	// Return gives slots back to the host that lent them.
+	// Return returns slots to the host that lent them.
 	Return(ctx context.Context, h spoolsill.HostID, s spoolsill.ServiceID, ids []route.LoanID)
 }
 
-// A Config describes a [Router].
+// A Config configures a [Router].
 type Config struct {
 	Route    route.Config
 	Upstream Upstream
 	Peers    Peers
 	Events   *timeline.Ring
-	// Saw is told whether a runner answered; nil drops it.
+	// Saw is called after each call with whether the runner answered it; it may
+	// be nil.
 	Saw func(r spoolsill.RunnerID, answered bool)
-	// Leaves is told that a runner says it is leaving; nil drops it.
+	// Leaves is called if a runner answers that it is leaving; it may be nil.
 	Leaves func(r spoolsill.RunnerID)
 }
 
-// A Call is a request with what goes to the runner.
+// A Call is a request and the content that is sent to the runner.
 type Call struct {
 	Request spoolsill.Request
 	Path    string
@@ -47,7 +48,8 @@
 	Body    []byte
 }
 
-// A Reply is what became of a request.
+// A Reply is the result of a request. Answer is the runner's answer if Outcome
+// is Done.
 type Reply struct {
 	Outcome    spoolsill.Outcome
 	Cause      route.Cause
@@ -62,7 +64,7 @@
 	config Config
 	wake   chan struct{}
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the following fields
 	state      *route.State
 	lastTicket route.Ticket
 	actions    map[route.Ticket]chan route.Action
@@ -90,8 +92,8 @@
 	}
 }
 
-// Run does what falls due until ctx ends. Calls that wait or are under way end
-// with it too.
+// Run performs the operations that become due until ctx ends. It then fails the
+// queued calls and cancels those in flight.
 func (r *Router) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.wg.Wait()
@@ -126,7 +128,7 @@
 	}
 }
 
-// SetRunners takes the list of the service's runners.
+// SetRunners replaces the list of the service's runners.
 func (r *Router) SetRunners(list []spoolsill.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,29 +138,30 @@
 	r.execute(r.state.SetRunners(time.Now(), list))
 }
 
-// EnableOwnSlots says from when on the host may use its own slots.
+// EnableOwnSlots sets the time from which the host may use its own slots.
 func (r *Router) EnableOwnSlots(from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.execute(r.state.EnableOwnSlots(time.Now(), from))
 }
 
-// Lend answers another host that asks for slots.
+// Lend handles a request of another host for n slots.
 func (r *Router) Lend(n int) []route.Loan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Lend(time.Now(), n)
 }
 
-// LoansReturned takes back lent slots.
+// LoansReturned handles the return of lent slots.
 func (r *Router) LoansReturned(ids []route.LoanID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.execute(r.state.LoansReturned(time.Now(), ids))
 }
 
-// StopAndWait refuses new requests and waits until none waits or runs and no slot is
-// lent, or ctx ends. It reports whether nothing is left.
+// StopAndWait makes r fail new requests, and waits until no request is queued or
+// running and no slot is held or lent, or until ctx ends. It reports whether
+// nothing is outstanding.
 func (r *Router) StopAndWait(ctx context.Context) bool {
 	r.mu.Lock()
 	r.state.Drain()
@@ -180,29 +183,31 @@
 	}
 }
 
-// Load returns how many requests wait and run.
+// Load returns the numbers of queued and running requests.
 func (r *Router) Load() (waiting, running int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Waiting(), r.state.Running()
 }
 
-// FreeSlots returns how many own slots are free, none while requests wait.
+// FreeSlots returns the number of own slots that a request may be sent to, or 0
+// while requests are queued.
 func (r *Router) FreeSlots() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.FreeSlots(time.Now())
 }
 
-// Runners returns what the host knows of the service's runners.
+// Runners describes the service's runners.
 func (r *Router) Runners() []route.RunnerView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Runners()
 }
 
-// Do routes a call and returns what became of it. When ctx ends while the
-// call waits it is withdrawn; once it was sent, Do waits for its end.
+// Do routes a call and returns its result. If ctx ends while the call is queued,
+// the call is cancelled. Once it has been sent, Do waits for its end regardless
+// of ctx.
 func (r *Router) Do(ctx context.Context, c Call) Reply {
 	arrived := time.Now()
 	t, acts := r.arrive(arrived, c)
@@ -250,7 +255,8 @@
 	return t, acts
 }
 
-// notifyRun has Run look at what falls due when requests wait. The lock is held.
+// notifyRun wakes Run if requests are queued, since the next time at which an
+// operation is due may have changed. The caller must hold r.mu.
 func (r *Router) notifyRun() {
 	if r.state.Waiting() == 0 {
 		return
@@ -284,7 +290,8 @@
 	r.notifyRun()
 }
 
-// execute hands actions to those who wait for them. The lock is held.
+// execute carries out actions: those of a request go to the goroutine that waits
+// for it in Do, the others are run in new goroutines. The caller must hold r.mu.
 func (r *Router) execute(acts []route.Action) {
 	for _, a := range acts {
 		switch a.Kind {
@@ -303,8 +310,9 @@
 	}
 }
 
-// start runs f for as long as the router does; after its end f runs with a
-// context that has ended. The lock is held.
+// start runs f in a goroutine with the context of Run, which waits for f before
+// it returns. After the end of Run, f is run with the ended context and not
+// waited for. The caller must hold r.mu.
 func (r *Router) start(f func(ctx context.Context)) {
 	ctx := r.runCtx
 	if r.closed {
@@ -318,11 +326,11 @@
 	}()
 }
 
-// borrowTimeout bounds one question for slots.
+// borrowTimeout bounds one request for slots.
 const borrowTimeout = 50 * time.Millisecond
 
-// borrow asks the hall's other hosts for n slots, in random order, until one
-// lends some.
+// borrow asks the hall's other hosts for n slots, one after the other from a
+// random one on, until one lends some.
 func (r *Router) borrow(ctx context.Context, n int) {
 	asked := time.Now()
 	var loans []route.Loan
@@ -355,8 +363,10 @@
 	return l
 }
 
-// send sends a dispatched call and takes in what became of it. It reports
-// whether the answer came; otherwise another action follows.
+// send sends a dispatched call to its runner and reports the result to the
+// state. It returns the answer and whether the call is done; otherwise another
+// action follows. If the request expires first, its slot is released when the
+// call ends.
 func (r *Router) send(t route.Ticket, a route.Action, c Call) (upstream.Answer, bool) {
 	if !time.Now().Before(a.Until) {
 		r.finish(t, route.NotSent)
@@ -402,8 +412,8 @@
 	return upstream.Answer{}, false
 }
 
-// call sends a call to a runner and waits for its end, for the lifetime of a
-// slot at most.
+// call sends a call to a runner and waits for its result, at most for the
+// lifetime of a slot.
 func (r *Router) call(ctx context.Context, address string, a route.Action, c Call) (upstream.Answer, route.Result) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Route.SlotLifetime)
 	defer cancel()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to runners over HTTP and tells what became
-// of each: answered, certainly not run, or not known.
+// Package upstream sends requests to runners over HTTP. For each request it
+// reports whether it was answered, certainly did not run, or may have run.
 package upstream
 
 import (
@@ -17,54 +17,57 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// HeaderOutcome is the header in which a runner, or an entry host, says what
-// became of a request.
+// HeaderOutcome is the header in which a runner or an entry host reports the
+// outcome of a request.
 const HeaderOutcome = "Spoolsill-Outcome"
 
-// HeaderLeaving is the header in which a runner says that it is leaving.
+// HeaderLeaving is the header in which a runner announces that it is leaving.
 const HeaderLeaving = "Spoolsill-Leaving"
 
 // HeaderKey is the header that carries the request key.
 const HeaderKey = "Spoolsill-Key"
 
-// DefaultMaxAnswerBytes is the length in bytes of the longest answer by default.
+// DefaultMaxAnswerBytes is the default of Config.MaxAnswerBytes.
 const DefaultMaxAnswerBytes = 16 << 20
 
-// ErrNotRun is returned when the request certainly did not run.
-var ErrNotRun = errors.New("upstream: refused")
+// ErrNotRun is returned if the request certainly did not run.
+var ErrNotRun = errors.New("upstream: request did not run")
 
-// ErrUnknownOutcome is returned when the request may have run, and may run still.
-var ErrUnknownOutcome = errors.New("upstream: connection broke")
+// ErrUnknownOutcome is returned if the request may have run or may still be
+// running.
+var ErrUnknownOutcome = errors.New("upstream: outcome of the request is unknown")
 
-// A Config describes a [Client].
+// A Config configures a [Client].
 type Config struct {
-	// Connections bounds the connections to one runner.
+	// Connections bounds the number of connections to one runner.
 	Connections int
-	// MaxAnswerBytes bounds the length in bytes of an answer.
+	// MaxAnswerBytes bounds the length of the body of an answer; 0 means
+	// DefaultMaxAnswerBytes.
 	MaxAnswerBytes int64
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the time to open a connection; 0 means one second.
 	DialTimeout time.Duration
 }
 
-// A Call is one request as it goes to a runner.
+// A Call is a request to a runner.
 type Call struct {
 	Address string
 	Path    string
 	Key     spoolsill.RequestKey
 	Type    string // the content type
 	Body    []byte
-	// Until is when the call must have been sent, else it is not.
+	// Until is the time from which the call must not be sent any more; zero
+	// means that it may be sent at any time.
 	Until time.Time
 }
 
-// An Answer is a whole answer.
+// An Answer is a complete HTTP response of a runner.
 type Answer struct {
 	Status int
 	Type   string
 	Body   []byte
-	// Leaving says that the runner wants no further requests.
+	// Leaving is set if the runner asks for no further requests.
 	Leaving bool
 }
 
@@ -74,7 +77,7 @@
 	http   *http.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client with the configuration c.
 func NewClient(c Config) *Client {
 	if c.MaxAnswerBytes == 0 {
 		c.MaxAnswerBytes = DefaultMaxAnswerBytes
@@ -104,7 +107,8 @@
 
 type sendBeforeKey struct{}
 
-// dial opens a connection before the request that it is for must be sent.
+// dial opens a connection. It gives up at the time from which the request that
+// needs the connection must not be sent any more.
 func (c Config) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	end := time.Now().Add(c.DialTimeout)
 	if u, ok := ctx.Value(sendBeforeKey{}).(time.Time); ok && !u.IsZero() && u.Before(end) {
@@ -115,12 +119,12 @@
 	return c.Dial(ctx, network, address)
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// Do sends a call and waits for its whole answer. It fails with [ErrNotRun]
+// Do sends a call and waits for the complete answer. Its error wraps [ErrNotRun]
 // or [ErrUnknownOutcome]. It never sends the call twice.
 func (c *Client) Do(ctx context.Context, x Call) (Answer, error) {
 	var sent atomic.Bool
@@ -139,7 +143,7 @@
 	q.Header.Set("Content-Type", x.Type)
 	q.Header.Set(HeaderKey, string(x.Key))
 	if !x.Until.IsZero() && !time.Now().Before(x.Until) {
-		return Answer{}, fmt.Errorf("%w: the slot may not be used any more", ErrNotRun)
+		return Answer{}, fmt.Errorf("%w: the time to send it has passed", ErrNotRun)
 	}
 	r, err := c.http.Do(q)
 	if err != nil {
@@ -158,7 +162,7 @@
 		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrUnknownOutcome, c.config.MaxAnswerBytes)
 	}
 	if r.Header.Get(HeaderOutcome) == string(spoolsill.NotRun) {
-		return Answer{}, fmt.Errorf("%w: by the runner: status %d", ErrNotRun, r.StatusCode)
+		return Answer{}, fmt.Errorf("%w: refused by the runner: status %d", ErrNotRun, r.StatusCode)
 	}
 	return Answer{
 		Status:  r.StatusCode,
