--- a/place/gang.go
+++ b/place/gang.go
@@ -106,7 +106,8 @@
 // same gang.
 const reservationInterval = time.Second
 
-// blocks reports whether the reservation prevents placing a task of j on w.
+// blocks reports whether the reservation prevents placing a task of j on w. It
+// never blocks jobs of class Urgent.
 func (r *reservation) blocks(j *job, w *worker, now time.Time, l runtimeStats) bool {
 	if r.job == nil || r.job == j || j.spec.Class == spoolsill.Urgent {
 		return false
@@ -217,14 +218,14 @@
 		copies += copiesThatFit(j.spec.Shape, free[w])
 	}
 	at := now
-	for _, d := range s.expectedEnds(free, now) {
+	for _, end := range s.expectedEnds(free, now) {
 		if copies >= len(j.pending) {
 			break
 		}
-		before := copiesThatFit(j.spec.Shape, free[d.onWorker])
-		free[d.onWorker] = free[d.onWorker].Add(d.shape)
-		copies += copiesThatFit(j.spec.Shape, free[d.onWorker]) - before
-		at = d.at
+		before := copiesThatFit(j.spec.Shape, free[end.onWorker])
+		free[end.onWorker] = free[end.onWorker].Add(end.shape)
+		copies += copiesThatFit(j.spec.Shape, free[end.onWorker]) - before
+		at = end.at
 	}
 	return at, copies >= len(j.pending)
 }
--- a/place/plan.go
+++ b/place/plan.go
@@ -159,8 +159,8 @@
 	return append(records, r), nil
 }
 
-// Confirmed reports whether a plan is among the last maxConfirmedPlans
-// confirmed ones.
+// Confirmed reports whether a plan was confirmed. Only the last few thousand
+// confirmed plans are retained.
 func (s *State) Confirmed(id spoolsill.PlanID) bool {
 	return s.confirmedPlans.has(id)
 }
--- a/place/reason.go
+++ b/place/reason.go
@@ -40,7 +40,7 @@
 }
 
 func (s *State) exclusionReason(t *task, counts *[exclusionCount]int) Reason {
-	w := Reason{
+	reason := Reason{
 		Code:        ReasonNoCapacity,
 		Considered:  int32(len(s.workerList) - counts[exclusionUnlisted]),
 		Full:        int32(counts[exclusionCapacity]),
@@ -51,10 +51,10 @@
 		Reserved:    int32(counts[exclusionReserved]),
 	}
 	if t.nominatedWorker != nil {
-		w.Code = ReasonPreempting
-		w.Worker = t.nominatedWorker.ID
+		reason.Code = ReasonPreempting
+		reason.Worker = t.nominatedWorker.ID
 	}
-	return w
+	return reason
 }
 
 // unschedulableReason returns why j can't run on the listed workers even if they
--- a/place/record.go
+++ b/place/record.go
@@ -41,7 +41,7 @@
 	CauseCancelled      Cause = 3
 	CauseExited         Cause = 4
 	CauseFailed         Cause = 5
-	CauseRefused        Cause = 6 // the worker did not take the start
+	CauseRefused        Cause = 6 // the worker refused the start
 	CauseWorkerLost     Cause = 7 // all leases on the worker have expired
 	CauseTaskNotFound   Cause = 8 // the worker does not know the task
 	CauseDrained        Cause = 9
--- a/place/report.go
+++ b/place/report.go
@@ -244,10 +244,10 @@
 // Thresholds of enforcement: numbers of consecutive reports of usage above the
 // declared shape, and the usage that is tolerated, per mille of the shape.
 const (
-	throttleAfter       = 1
-	checkpointAfter     = 3
-	stopAfter           = 6
-	usageMarginPerMille = 1100
+	throttleAfter          = 1
+	checkpointAfter        = 3
+	stopAfter              = 6
+	toleratedUsagePerMille = 1100
 )
 
 // ReportUsage handles the measured usage of a task and returns the action to
@@ -260,7 +260,7 @@
 		return EnforceNone, nil
 	}
 	limit := t.job.spec.Shape
-	if used.Processors*1000 <= limit.Processors*usageMarginPerMille && used.Memory*1000 <= limit.Memory*usageMarginPerMille {
+	if used.Processors*1000 <= limit.Processors*toleratedUsagePerMille && used.Memory*1000 <= limit.Memory*toleratedUsagePerMille {
 		t.overuseReports = 0
 		return EnforceNone, nil
 	}
