--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -161,9 +161,9 @@
 	c, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	r, _, err := store.CommitHedged(c, w.Store, t, store.HedgePolicy{
-		First:    w.Timeout(),
-		Max:      writeTimeout,
-		Attempts: maxAttempts,
+		First: w.Timeout(),
+		Max:   writeTimeout,
+		Tries: maxAttempts,
 	})
 	switch {
 	case errors.Is(err, store.ErrRefused):
--- a/leader/chain.go
+++ b/leader/chain.go
@@ -199,9 +199,9 @@
 	ctx, cancel := context.WithTimeout(ctx, triesTimeout)
 	defer cancel()
 	r, took, err := store.CommitHedged(ctx, c.store, t, store.HedgePolicy{
-		First:    min(max(firstTryTimeout, 4*c.commitLatency), maxTryTimeout),
-		Max:      maxTryTimeout,
-		Attempts: maxConcurrentTries,
+		First: min(max(firstTryTimeout, 4*c.commitLatency), maxTryTimeout),
+		Max:   maxTryTimeout,
+		Tries: maxConcurrentTries,
 	})
 	if err == nil {
 		c.observe(took)
--- a/place/fixture_test.go
+++ b/place/fixture_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// job returns a batch job of one-GiB tasks.
+// job returns a batch job whose tasks need 1 GiB each.
 func job(id string, tasks, cores int) spoolsill.Job {
 	return spoolsill.Job{
 		ID:    spoolsill.JobID(id),
@@ -54,10 +54,10 @@
 	}), qt.IsNil)
 }
 
-// decide returns the records of kind k that Decide gives.
+// decide calls Decide and returns its records of kind k.
 func decide(c *qt.C, s *place.State, at time.Time, k place.RecordKind) []place.Record {
 	records, _ := s.Decide(at)
-	c.Assert(s.Check(), qt.IsNil)
+	c.Assert(s.CheckInvariants(), qt.IsNil)
 	var out []place.Record
 	for _, r := range records {
 		if r.Kind == k {
@@ -73,15 +73,15 @@
 		s.Report(at, place.Report{
 			Task:    r.Task,
 			Attempt: r.Attempt,
-			Fate:    place.Started,
+			Outcome: place.Started,
 		})
 	}
 }
 
-func end(s *place.State, at time.Time, r place.Record, f place.Fate) {
+func end(s *place.State, at time.Time, r place.Record, outcome place.Outcome) {
 	s.Report(at, place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
-		Fate:    f,
+		Outcome: outcome,
 	})
 }
--- a/place/fate_test.go
+++ b/place/outcome_test.go
@@ -11,15 +11,15 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// TestBadWorkerIsQuarantined gives many jobs to a hall in which one worker
-// fails everything at once, so that it always looks free.
+// TestBadWorkerIsQuarantined guards against a worker that fails every task at
+// once and therefore always has free capacity, so that it attracts new tasks.
 func TestBadWorkerIsQuarantined(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		t.Run(fmt.Sprintf("quarantine off=%t", off), func(t *testing.T) {
 			c := qt.New(t)
 			s := newHall(place.Config{
 				NoQuarantine: off,
-				Tries:        10,
+				MaxAttempts:  10,
 			}, 10)
 			failed := 0
 			now := start
@@ -45,10 +45,10 @@
 	}
 }
 
-func TestBadJobDoesNotCondemnWorkers(t *testing.T) {
+func TestBadJobDoesNotQuarantineWorkers(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{
-		Tries: 20,
+		MaxAttempts: 20,
 	}, 10)
 	add(c, s, start, job("bad", 40, 1))
 	now := start
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestFailedTaskAvoidsWhereItFailedAndHasABudget(t *testing.T) {
+func TestFailedTaskAvoidsItsWorkersAndHasLimitedAttempts(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 8)
 	add(c, s, start, job("job", 1, 1))
@@ -77,7 +77,7 @@
 		}
 		now = now.Add(time.Minute)
 	}
-	c.Assert(seen, qt.HasLen, place.DefaultTries)
+	c.Assert(seen, qt.HasLen, place.DefaultMaxAttempts)
 	_, tasks, _ := s.Job("job")
 	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskFailed)
 }
@@ -96,7 +96,7 @@
 	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskLost)
 }
 
-func TestCancelWaveStopsWhatRunsAndDropsWhatWaits(t *testing.T) {
+func TestCancelStopsRunningAndDropsWaitingTasks(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 4)
 	var ids []spoolsill.JobID
@@ -107,7 +107,7 @@
 	}
 	run(s, start, decide(c, s, start, place.TaskPlaced))
 	records := s.Cancel(start, ids)
-	c.Assert(s.Check(), qt.IsNil)
+	c.Assert(s.CheckInvariants(), qt.IsNil)
 	stops := 0
 	for _, r := range records {
 		if r.Kind == place.TaskStopping {
@@ -120,7 +120,7 @@
 	c.Assert(s.Free(), qt.Equals, s.Total())
 }
 
-func TestOversizeTaskIsThrottledThenCheckpointedThenStopped(t *testing.T) {
+func TestOverusingTaskIsThrottledThenCheckpointedThenStopped(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
 	add(c, s, start, job("greedy", 1, 1))
@@ -129,17 +129,17 @@
 	used := spoolsill.Resources{
 		Processors: 4 * spoolsill.Core,
 	}
-	var got []place.Measure
+	var got []place.Enforcement
 	for range 6 {
-		m, _ := s.Use(start, r.Task, used)
+		m, _ := s.ReportUsage(start, r.Task, used)
 		got = append(got, m)
 	}
-	c.Assert(got, qt.DeepEquals, []place.Measure{
-		place.MeasureThrottle,
-		place.MeasureThrottle,
-		place.MeasureCheckpoint,
-		place.MeasureCheckpoint,
-		place.MeasureCheckpoint,
-		place.MeasureStop,
+	c.Assert(got, qt.DeepEquals, []place.Enforcement{
+		place.EnforceThrottle,
+		place.EnforceThrottle,
+		place.EnforceCheckpoint,
+		place.EnforceCheckpoint,
+		place.EnforceCheckpoint,
+		place.EnforceStop,
 	})
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolsill/spoolsill/route"
 )
 
-// TestRetriesHaveABudget sends repeatable requests to runners of which most
-// fail, so that every request would be tried again.
+// TestRetriesHaveABudget sends repeatable requests to runners that fail all of
+// them, so that without a budget every request would be retried.
 func TestRetriesHaveABudget(t *testing.T) {
 	c := qt.New(t)
 	s := route.NewState(route.Config{
@@ -32,7 +32,7 @@
 		return list
 	}
 	for i := range requests {
-		open := count(s.Arrive(now, route.Ask{
+		open := count(s.Arrive(now, route.Arrival{
 			Ticket: route.Ticket(i + 1),
 			Request: spoolsill.Request{
 				Deadline: now.Add(time.Minute),
@@ -43,31 +43,31 @@
 			open = append(open[1:], next...)
 		}
 	}
-	const saved = 50 // retries that may be saved up
+	const saved = 50 // retries that may accumulate
 	c.Assert(dispatched > requests, qt.IsTrue)
 	c.Assert(dispatched <= requests+requests/10+saved, qt.IsTrue, qt.Commentf("%d", dispatched))
 }
 
-// TestOverloadShedsTheLeastWorth fills the slots and the queue.
+// TestOverloadShedsTheLeastWorth sends more requests than slots and queue hold.
 func TestOverloadShedsTheLeastWorth(t *testing.T) {
 	c := qt.New(t)
 	s := route.NewState(route.Config{
-		Host:  "h",
-		Slots: 1,
-		Queue: 2,
+		Host:      "h",
+		Slots:     1,
+		MaxQueued: 2,
 	})
 	now := time.UnixMicro(1_000_000_000)
 	s.SetRunners(now, testRunners[:1])
 	var shed []route.Action
 	for i, worth := range []int{9, 5, 7, 3, 8} {
-		for _, a := range s.Arrive(now, route.Ask{
+		for _, a := range s.Arrive(now, route.Arrival{
 			Ticket: route.Ticket(i + 1),
 			Request: spoolsill.Request{
 				Deadline: now.Add(time.Minute),
 				Worth:    worth,
 			},
 		}) {
-			if a.Kind == route.Settle {
+			if a.Kind == route.Fail {
 				shed = append(shed, a)
 			}
 		}
--- a/router/router.go
+++ b/router/router.go
@@ -13,33 +13,34 @@
 	"github.com/spoolsill/spoolsill/upstream"
 )
 
-// Upstream sends a call to a runner. It fails with [upstream.ErrRefused] or
-// [upstream.ErrBroken].
+// Upstream sends a call to a runner. It fails with [upstream.ErrNotRun] or
+// [upstream.ErrUnknownOutcome].
 type Upstream interface {
 	Do(ctx context.Context, c upstream.Call) (upstream.Answer, error)
 }
 
-// Peers reaches the other hosts of the hall.
+// Peers sends calls to the other hosts of the hall.
 type Peers interface {
 	// Borrow asks a host for slots of a service.
 	Borrow(ctx context.Context, h spoolsill.HostID, s spoolsill.ServiceID, n int) ([]route.Loan, error)
-	// Return gives slots back to the host that lent them.
+	// Return returns slots to the host that lent them.
 	Return(ctx context.Context, h spoolsill.HostID, s spoolsill.ServiceID, ids []route.LoanID)
 }
 
-// A Config describes a [Router].
+// A Config configures a [Router].
 type Config struct {
 	Route    route.Config
 	Upstream Upstream
 	Peers    Peers
 	Events   *timeline.Ring
-	// Saw is told whether a runner answered; nil drops it.
+	// Saw is called after each call with whether the runner answered it; it may
+	// be nil.
 	Saw func(r spoolsill.RunnerID, answered bool)
-	// Leaves is told that a runner says it is leaving; nil drops it.
+	// Leaves is called if a runner answers that it is leaving; it may be nil.
 	Leaves func(r spoolsill.RunnerID)
 }
 
-// A Call is a request with what goes to the runner.
+// A Call is a request and the content that is sent to the runner.
 type Call struct {
 	Request spoolsill.Request
 	Path    string
@@ -47,7 +48,8 @@
 	Body    []byte
 }
 
-// A Reply is what became of a request.
+// A Reply is the result of a request. Answer is the runner's answer if Outcome
+// is Done.
 type Reply struct {
 	Outcome    spoolsill.Outcome
 	Cause      route.Cause
@@ -60,16 +62,16 @@
 // A Router routes the requests of one service. It is safe for concurrent use.
 type Router struct {
 	config Config
-	due    chan struct{}
-
-	mu        sync.Mutex // guards what follows
-	state     *route.State
-	tickets   route.Ticket
-	waiting   map[route.Ticket]chan route.Action
-	addresses map[spoolsill.RunnerID]string
-	life      context.Context
-	closed    bool
-	wg        sync.WaitGroup
+	wake   chan struct{}
+
+	mu         sync.Mutex // guards the following fields
+	state      *route.State
+	lastTicket route.Ticket
+	actions    map[route.Ticket]chan route.Action
+	addresses  map[spoolsill.RunnerID]string
+	runCtx     context.Context
+	closed     bool
+	wg         sync.WaitGroup
 }
 
 // New returns a router without runners.
@@ -82,22 +84,22 @@
 	}
 	return &Router{
 		config:    c,
-		due:       make(chan struct{}, 1),
+		wake:      make(chan struct{}, 1),
 		state:     route.NewState(c.Route),
-		waiting:   map[route.Ticket]chan route.Action{},
+		actions:   map[route.Ticket]chan route.Action{},
 		addresses: map[spoolsill.RunnerID]string{},
-		life:      context.Background(),
+		runCtx:    context.Background(),
 	}
 }
 
-// Run does what falls due until ctx ends. Calls that wait or are under way end
-// with it too.
+// Run performs the operations that become due until ctx ends. It then fails the
+// queued calls and cancels those in flight.
 func (r *Router) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.wg.Wait()
 	defer cancel()
 	r.mu.Lock()
-	r.life = ctx
+	r.runCtx = ctx
 	r.mu.Unlock()
 	const idle = time.Second
 	t := time.NewTimer(idle)
@@ -107,16 +109,16 @@
 		case <-ctx.Done():
 			r.mu.Lock()
 			r.closed = true
-			r.do(r.state.End())
+			r.execute(r.state.Abort())
 			r.mu.Unlock()
 			return
 		case <-t.C:
-		case <-r.due:
+		case <-r.wake:
 		}
 		now := time.Now()
 		r.mu.Lock()
 		acts, next := r.state.Tick(now)
-		r.do(acts)
+		r.execute(acts)
 		r.mu.Unlock()
 		wait := idle
 		if !next.IsZero() {
@@ -126,48 +128,49 @@
 	}
 }
 
-// SetRunners takes the list of the service's runners.
+// SetRunners replaces the list of the service's runners.
 func (r *Router) SetRunners(list []spoolsill.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, x := range list {
 		r.addresses[x.ID] = x.Address
 	}
-	r.do(r.state.SetRunners(time.Now(), list))
+	r.execute(r.state.SetRunners(time.Now(), list))
 }
 
-// SetHome says from when on the host may use its own slots.
-func (r *Router) SetHome(from time.Time) {
+// EnableOwnSlots sets the time from which the host may use its own slots.
+func (r *Router) EnableOwnSlots(from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.SetHome(time.Now(), from))
+	r.execute(r.state.EnableOwnSlots(time.Now(), from))
 }
 
-// Lend answers another host that asks for slots.
+// Lend handles a request of another host for n slots.
 func (r *Router) Lend(n int) []route.Loan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Lend(time.Now(), n)
 }
 
-// Returned takes back lent slots.
-func (r *Router) Returned(ids []route.LoanID) {
+// LoansReturned handles the return of lent slots.
+func (r *Router) LoansReturned(ids []route.LoanID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Returned(time.Now(), ids))
+	r.execute(r.state.LoansReturned(time.Now(), ids))
 }
 
-// Stop refuses new requests and waits until none waits or runs and no slot is
-// lent, or ctx ends. It reports whether nothing is left.
-func (r *Router) Stop(ctx context.Context) bool {
+// StopAndWait makes r fail new requests, and waits until no request is queued or
+// running and no slot is held or lent, or until ctx ends. It reports whether
+// nothing is outstanding.
+func (r *Router) StopAndWait(ctx context.Context) bool {
 	r.mu.Lock()
-	r.state.Stop()
+	r.state.Drain()
 	r.mu.Unlock()
 	t := time.NewTicker(10 * time.Millisecond)
 	defer t.Stop()
 	for {
 		r.mu.Lock()
-		n := r.state.Open()
+		n := r.state.Outstanding()
 		r.mu.Unlock()
 		if n == 0 {
 			return true
@@ -180,29 +183,31 @@
 	}
 }
 
-// Load returns how many requests wait and run.
+// Load returns the numbers of queued and running requests.
 func (r *Router) Load() (waiting, running int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Waiting(), r.state.Running()
 }
 
-// Spare returns how many own slots are free, none while requests wait.
-func (r *Router) Spare() int {
+// FreeSlots returns the number of own slots that a request may be sent to, or 0
+// while requests are queued.
+func (r *Router) FreeSlots() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Spare(time.Now())
+	return r.state.FreeSlots(time.Now())
 }
 
-// Runners returns what the host knows of the service's runners.
+// Runners describes the service's runners.
 func (r *Router) Runners() []route.RunnerView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Runners()
 }
 
-// Do routes a call and returns what became of it. When ctx ends while the
-// call waits it is withdrawn; once it was sent, Do waits for its end.
+// Do routes a call and returns its result. If ctx ends while the call is queued,
+// the call is cancelled. Once it has been sent, Do waits for its end regardless
+// of ctx.
 func (r *Router) Do(ctx context.Context, c Call) Reply {
 	arrived := time.Now()
 	t, acts := r.arrive(arrived, c)
@@ -211,10 +216,10 @@
 		select {
 		case a = <-acts:
 		case <-ctx.Done():
-			r.leave(t)
+			r.cancel(t)
 			a = <-acts
 		}
-		if a.Kind == route.Settle {
+		if a.Kind == route.Fail {
 			return Reply{
 				Outcome:    a.Outcome,
 				Cause:      a.Cause,
@@ -239,74 +244,77 @@
 	acts := make(chan route.Action, 1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tickets++
-	t := r.tickets
-	r.waiting[t] = acts
-	r.do(r.state.Arrive(now, route.Ask{
+	r.lastTicket++
+	t := r.lastTicket
+	r.actions[t] = acts
+	r.execute(r.state.Arrive(now, route.Arrival{
 		Ticket:  t,
 		Request: c.Request,
 	}))
-	r.poke()
+	r.notifyRun()
 	return t, acts
 }
 
-// poke has Run look at what falls due when requests wait. The lock is held.
-func (r *Router) poke() {
+// notifyRun wakes Run if requests are queued, since the next time at which an
+// operation is due may have changed. The caller must hold r.mu.
+func (r *Router) notifyRun() {
 	if r.state.Waiting() == 0 {
 		return
 	}
 	select {
-	case r.due <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (r *Router) leave(t route.Ticket) {
+func (r *Router) cancel(t route.Ticket) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Leave(time.Now(), t))
+	r.execute(r.state.Cancel(time.Now(), t))
 }
 
 func (r *Router) finish(t route.Ticket, res route.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if res == route.Answered {
-		delete(r.waiting, t)
+		delete(r.actions, t)
 	}
-	r.do(r.state.Finish(time.Now(), t, res))
-	r.poke()
+	r.execute(r.state.Finish(time.Now(), t, res))
+	r.notifyRun()
 }
 
 func (r *Router) release(t route.Ticket) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Release(time.Now(), t))
-	r.poke()
+	r.execute(r.state.Release(time.Now(), t))
+	r.notifyRun()
 }
 
-// do hands actions to those who wait for them. The lock is held.
-func (r *Router) do(acts []route.Action) {
+// execute carries out actions: those of a request go to the goroutine that waits
+// for it in Do, the others are run in new goroutines. The caller must hold r.mu.
+func (r *Router) execute(acts []route.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case route.Dispatch:
-			r.waiting[a.Ticket] <- a
-		case route.Settle:
-			r.waiting[a.Ticket] <- a
-			delete(r.waiting, a.Ticket)
+			r.actions[a.Ticket] <- a
+		case route.Fail:
+			r.actions[a.Ticket] <- a
+			delete(r.actions, a.Ticket)
 		case route.Borrow:
-			r.spawn(func(ctx context.Context) { r.borrow(ctx, a.Count) })
+			r.start(func(ctx context.Context) { r.borrow(ctx, a.Count) })
 		case route.Return:
-			r.spawn(func(ctx context.Context) {
+			r.start(func(ctx context.Context) {
 				r.config.Peers.Return(ctx, a.To, r.config.Route.Service, a.Loans)
 			})
 		}
 	}
 }
 
-// spawn runs f for as long as the router does; after its end f runs with a
-// context that has ended. The lock is held.
-func (r *Router) spawn(f func(ctx context.Context)) {
-	ctx := r.life
+// start runs f in a goroutine with the context of Run, which waits for f before
+// it returns. After the end of Run, f is run with the ended context and not
+// waited for. The caller must hold r.mu.
+func (r *Router) start(f func(ctx context.Context)) {
+	ctx := r.runCtx
 	if r.closed {
 		go f(ctx)
 		return
@@ -318,11 +326,11 @@
 	}()
 }
 
-// borrowTimeout bounds one question for slots.
+// borrowTimeout bounds one request for slots.
 const borrowTimeout = 50 * time.Millisecond
 
-// borrow asks the hall's other hosts for n slots, in random order, until one
-// lends some.
+// borrow asks the hall's other hosts for n slots, one after the other from a
+// random one on, until one lends some.
 func (r *Router) borrow(ctx context.Context, n int) {
 	asked := time.Now()
 	var loans []route.Loan
@@ -341,8 +349,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.do(r.state.Granted(time.Now(), asked, loans))
-	r.poke()
+	r.execute(r.state.LoansGranted(time.Now(), asked, loans))
+	r.notifyRun()
 }
 
 func (r *Router) borrowFrom(ctx context.Context, h spoolsill.HostID, n int) []route.Loan {
@@ -355,14 +363,16 @@
 	return l
 }
 
-// send sends a dispatched call and takes in what became of it. It reports
-// whether the answer came; otherwise another action follows.
+// send sends a dispatched call to its runner and reports the result to the
+// state. It returns the answer and whether the call is done; otherwise another
+// action follows. If the request expires first, its slot is released when the
+// call ends.
 func (r *Router) send(t route.Ticket, a route.Action, c Call) (upstream.Answer, bool) {
 	if !time.Now().Before(a.Until) {
-		r.finish(t, route.Unsent)
+		r.finish(t, route.NotSent)
 		return upstream.Answer{}, false
 	}
-	r.event(timeline.KindDispatch, a.Runner, c, "sent to the runner")
+	r.recordEvent(timeline.KindDispatch, a.Runner, c, "sent to the runner")
 	type result struct {
 		answer upstream.Answer
 		res    route.Result
@@ -371,7 +381,7 @@
 	settled := make(chan struct{})
 	r.mu.Lock()
 	address := r.addresses[a.Runner]
-	r.spawn(func(ctx context.Context) {
+	r.start(func(ctx context.Context) {
 		p, res := r.call(ctx, address, a, c)
 		done <- result{
 			answer: p,
@@ -402,8 +412,8 @@
 	return upstream.Answer{}, false
 }
 
-// call sends a call to a runner and waits for its end, for the lifetime of a
-// slot at most.
+// call sends a call to a runner and waits for its result, at most for the
+// lifetime of a slot.
 func (r *Router) call(ctx context.Context, address string, a route.Action, c Call) (upstream.Answer, route.Result) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Route.SlotLifetime)
 	defer cancel()
@@ -420,10 +430,10 @@
 		r.config.Leaves(a.Runner)
 	}
 	switch {
-	case errors.Is(err, upstream.ErrRefused):
+	case errors.Is(err, upstream.ErrNotRun):
 		return p, route.Refused
 	case err != nil:
-		return p, route.Broken
+		return p, route.ConnectionLost
 	case p.Status >= 500:
 		return p, route.Failed
 	default:
@@ -431,7 +441,7 @@
 	}
 }
 
-func (r *Router) event(k timeline.Kind, id spoolsill.RunnerID, c Call, text string) {
+func (r *Router) recordEvent(k timeline.Kind, id spoolsill.RunnerID, c Call, text string) {
 	r.config.Events.Add(timeline.Event{
 		Kind:    k,
 		Request: c.Request.Key,
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -14,8 +14,8 @@
 	// with each further attempt, up to Max.
 	First time.Duration
 	Max   time.Duration
-	// Attempts is the maximum number of attempts, including the first.
-	Attempts int
+	// Tries is the maximum number of attempts, including the first.
+	Tries int
 }
 
 // An attempt is the result of one completed attempt of a transaction.
@@ -39,7 +39,7 @@
 func CommitHedged(ctx context.Context, s Store, t Transaction, p HedgePolicy) (Result, time.Duration, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	done := make(chan attempt, max(p.Attempts, 1))
+	done := make(chan attempt, max(p.Tries, 1))
 	send := func(ctx context.Context) {
 		start := time.Now() //nolint:forbidigo // duration of an attempt, without the time that the machine is suspended
 		r, err := s.Commit(ctx, t)
@@ -65,7 +65,7 @@
 			}
 			worst = lessCertain(worst, a.err)
 		case <-timer.C:
-			if sent >= p.Attempts {
+			if sent >= p.Tries {
 				continue
 			}
 			go send(withNewConnection(ctx))
--- a/store/hedge_test.go
+++ b/store/hedge_test.go
@@ -35,9 +35,9 @@
 }
 
 var hedgePolicy = store.HedgePolicy{
-	First:    150 * time.Millisecond,
-	Max:      time.Second,
-	Attempts: 4,
+	First: 150 * time.Millisecond,
+	Max:   time.Second,
+	Tries: 4,
 }
 
 // With a slow store the first attempt is not cancelled, and its response is the one that
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to runners over HTTP and tells what became
-// of each: answered, certainly not run, or not known.
+// Package upstream sends requests to runners over HTTP. For each request it
+// reports whether it was answered, certainly did not run, or may have run.
 package upstream
 
 import (
@@ -17,54 +17,57 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// HeaderOutcome is the header in which a runner, or an entry host, says what
-// became of a request.
+// HeaderOutcome is the header in which a runner or an entry host reports the
+// outcome of a request.
 const HeaderOutcome = "Spoolsill-Outcome"
 
-// HeaderLeaving is the header in which a runner says that it is leaving.
+// HeaderLeaving is the header in which a runner announces that it is leaving.
 const HeaderLeaving = "Spoolsill-Leaving"
 
 // HeaderKey is the header that carries the request key.
 const HeaderKey = "Spoolsill-Key"
 
-// DefaultAnswer is the length in bytes of the longest answer by default.
-const DefaultAnswer = 16 << 20
+// DefaultMaxAnswerBytes is the default of Config.MaxAnswerBytes.
+const DefaultMaxAnswerBytes = 16 << 20
 
-// ErrRefused is returned when the request certainly did not run.
-var ErrRefused = errors.New("upstream: refused")
+// ErrNotRun is returned if the request certainly did not run.
+var ErrNotRun = errors.New("upstream: request did not run")
 
-// ErrBroken is returned when the request may have run, and may run still.
-var ErrBroken = errors.New("upstream: connection broke")
+// ErrUnknownOutcome is returned if the request may have run or may still be
+// running.
+var ErrUnknownOutcome = errors.New("upstream: outcome of the request is unknown")
 
-// A Config describes a [Client].
+// A Config configures a [Client].
 type Config struct {
-	// Connections bounds the connections to one runner.
+	// Connections bounds the number of connections to one runner.
 	Connections int
-	// Answer bounds the length in bytes of an answer.
-	Answer int64
+	// MaxAnswerBytes bounds the length of the body of an answer; 0 means
+	// DefaultMaxAnswerBytes.
+	MaxAnswerBytes int64
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the time to open a connection; 0 means one second.
 	DialTimeout time.Duration
 }
 
-// A Call is one request as it goes to a runner.
+// A Call is a request to a runner.
 type Call struct {
 	Address string
 	Path    string
 	Key     spoolsill.RequestKey
 	Type    string // the content type
 	Body    []byte
-	// Until is when the call must have been sent, else it is not.
+	// Until is the time from which the call must not be sent any more; zero
+	// means that it may be sent at any time.
 	Until time.Time
 }
 
-// An Answer is a whole answer.
+// An Answer is a complete HTTP response of a runner.
 type Answer struct {
 	Status int
 	Type   string
 	Body   []byte
-	// Leaving says that the runner wants no further requests.
+	// Leaving is set if the runner asks for no further requests.
 	Leaving bool
 }
 
@@ -74,10 +77,10 @@
 	http   *http.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client with the configuration c.
 func NewClient(c Config) *Client {
-	if c.Answer == 0 {
-		c.Answer = DefaultAnswer
+	if c.MaxAnswerBytes == 0 {
+		c.MaxAnswerBytes = DefaultMaxAnswerBytes
 	}
 	if c.DialTimeout == 0 {
 		c.DialTimeout = time.Second
@@ -102,12 +105,13 @@
 	}
 }
 
-type untilKey struct{}
+type sendBeforeKey struct{}
 
-// dial opens a connection before the request that it is for must be sent.
+// dial opens a connection. It gives up at the time from which the request that
+// needs the connection must not be sent any more.
 func (c Config) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	end := time.Now().Add(c.DialTimeout)
-	if u, ok := ctx.Value(untilKey{}).(time.Time); ok && !u.IsZero() && u.Before(end) {
+	if u, ok := ctx.Value(sendBeforeKey{}).(time.Time); ok && !u.IsZero() && u.Before(end) {
 		end = u
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
@@ -115,16 +119,16 @@
 	return c.Dial(ctx, network, address)
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// Do sends a call and waits for its whole answer. It fails with [ErrRefused]
-// or [ErrBroken]. It never sends the call twice.
+// Do sends a call and waits for the complete answer. Its error wraps [ErrNotRun]
+// or [ErrUnknownOutcome]. It never sends the call twice.
 func (c *Client) Do(ctx context.Context, x Call) (Answer, error) {
 	var sent atomic.Bool
-	ctx = context.WithValue(ctx, untilKey{}, x.Until)
+	ctx = context.WithValue(ctx, sendBeforeKey{}, x.Until)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
 			sent.Store(true)
@@ -132,33 +136,33 @@
 	})
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+x.Address+x.Path, bytes.NewReader(x.Body))
 	if err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrRefused, err)
+		return Answer{}, fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	// Without GetBody the transport can't send the body a second time.
 	q.GetBody = nil
 	q.Header.Set("Content-Type", x.Type)
 	q.Header.Set(HeaderKey, string(x.Key))
 	if !x.Until.IsZero() && !time.Now().Before(x.Until) {
-		return Answer{}, fmt.Errorf("%w: the slot may not be used any more", ErrRefused)
+		return Answer{}, fmt.Errorf("%w: the time to send it has passed", ErrNotRun)
 	}
 	r, err := c.http.Do(q)
 	if err != nil {
 		return Answer{}, classify(err, sent.Load())
 	}
 	defer func() { _ = r.Body.Close() }()
-	return c.read(r)
+	return c.readAnswer(r)
 }
 
-func (c *Client) read(r *http.Response) (Answer, error) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, c.config.Answer+1))
+func (c *Client) readAnswer(r *http.Response) (Answer, error) {
+	b, err := io.ReadAll(io.LimitReader(r.Body, c.config.MaxAnswerBytes+1))
 	if err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrBroken, err)
+		return Answer{}, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
-	if int64(len(b)) > c.config.Answer {
-		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrBroken, c.config.Answer)
+	if int64(len(b)) > c.config.MaxAnswerBytes {
+		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrUnknownOutcome, c.config.MaxAnswerBytes)
 	}
 	if r.Header.Get(HeaderOutcome) == string(spoolsill.NotRun) {
-		return Answer{}, fmt.Errorf("%w: by the runner: status %d", ErrRefused, r.StatusCode)
+		return Answer{}, fmt.Errorf("%w: refused by the runner: status %d", ErrNotRun, r.StatusCode)
 	}
 	return Answer{
 		Status:  r.StatusCode,
@@ -170,7 +174,7 @@
 
 func classify(err error, sent bool) error {
 	if !sent {
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
-	return fmt.Errorf("%w: %w", ErrBroken, err)
+	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 }
