--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -14,26 +14,28 @@
 
 // A Config describes a [Ledger].
 type Config struct {
-	// Started is when the process started. Keys made before are not known to
-	// be unused.
+	// Started is the start time of the process. Keys created before it may
+	// have been claimed without this ledger knowing.
 	Started time.Time
-	// Keep is how long a claim is remembered. A key that is older is refused.
+	// Keep is how long a claim is retained. Claims of older keys are refused.
 	Keep time.Duration
-	// Entries bounds the claims remembered; further ones are refused.
+	// Entries is the maximum number of retained claims. Further claims are
+	// refused.
 	Entries int
-	// Skew is how far the clock of a caller, or of another host, may be off.
+	// Skew is the maximum clock error of a caller or another host.
 	Skew time.Duration
 }
 
-// An Owner says who claimed a key: one dispatch of one life of a host.
+// An Owner identifies the dispatch that claimed a key. Life tells apart the
+// processes that ran on the same host, Nonce the dispatches of one process.
 type Owner struct {
 	Host  spoolsill.HostID      `msgpack:"h"`
 	Life  spoolsill.Incarnation `msgpack:"l"`
 	Nonce uint64                `msgpack:"n"`
 }
 
-// An Answer is what became of a claimed request. Body is set only with
-// outcome done, and only when it is short enough to keep.
+// An Answer is the result of a claimed request. Body is set only for
+// [spoolsill.Done], and only if it is no longer than [MaxBody].
 type Answer struct {
 	Outcome spoolsill.Outcome `msgpack:"o"`
 	Status  int               `msgpack:"s"`
@@ -41,46 +43,48 @@
 	Body    []byte            `msgpack:"b"`
 }
 
-// MaxBody is the length in bytes of the longest answer that is kept.
+// MaxBody is the maximum length in bytes of a response body that is retained.
 const MaxBody = 4 << 10
 
-// Verdict answers a claim.
+// A Verdict is the response of one host to a claim.
 type Verdict int
 
-// The verdicts.
+// Verdicts.
 const (
-	// Granted says that the key was unused: the owner may dispatch.
+	// Granted means that the key was unused and is now claimed for the owner.
 	Granted Verdict = iota + 1
-	// Taken says that another request with the key was dispatched, or may
-	// have been. Answer tells what became of it.
+	// Taken means that another request with the key was, or may have been,
+	// dispatched. The [Answer] holds its result, if known.
 	Taken
-	// Unsure says that this host can't know whether the key was used.
+	// Unsure means that this host cannot tell whether the key was used.
 	Unsure
-	// TooOld says that the key was made longer ago than claims are kept.
+	// TooOld means that the key was created longer ago than claims are
+	// retained.
 	TooOld
-	// Full says that no more claims can be remembered now.
+	// Full means that the ledger has reached its maximum number of claims.
 	Full
 )
 
 type entry struct {
-	owner  Owner
-	at     time.Time
-	answer Answer
-	// unsure says that the key was made before this host started: it may
-	// have been claimed in an earlier life, whatever became of this claim.
-	unsure bool
+	owner     Owner
+	claimedAt time.Time
+	answer    Answer
+	// uncertain is set if the key was created before this process started. The
+	// previous process of this host may have granted it, whatever the result
+	// of the current claim is.
+	uncertain bool
 }
 
-// grant returns the verdict for the owner of e.
-func (e *entry) grant() Verdict {
-	if e.unsure {
+// verdict returns the verdict for the owner of e.
+func (e *entry) verdict() Verdict {
+	if e.uncertain {
 		return Unsure
 	}
 	return Granted
 }
 
-// A Ledger is what one host remembers of claimed keys. It is not safe for
-// concurrent use.
+// A Ledger holds the claims known to one host. It is not safe for concurrent
+// use.
 type Ledger struct {
 	config  Config
 	entries map[spoolsill.RequestKey]*entry
@@ -101,23 +105,23 @@
 	}
 }
 
-// A Claim asks for a key.
+// A Claim is a request for exclusive use of a key.
 type Claim struct {
 	Key    spoolsill.RequestKey `msgpack:"k"`
 	Owner  Owner                `msgpack:"o"`
-	Issued time.Time            `msgpack:"i"` // when the caller made the key
+	Issued time.Time            `msgpack:"i"` // when the caller created the key
 }
 
-// Take claims a key for an owner. The same owner asking again is granted
-// again. Unsure comes with the claim recorded, so that nobody is granted the
-// key after it.
+// Take claims a key for an owner. Claiming is idempotent: the same owner is
+// granted the key again until the result is recorded. A claim with the verdict
+// [Unsure] is recorded too, so that no other owner is granted the key later.
 func (l *Ledger) Take(now time.Time, c Claim) (Verdict, Answer) {
-	l.forget(now)
+	l.expire(now)
 	if e, ok := l.entries[c.Key]; ok {
 		if e.owner == c.Owner && e.answer.Outcome == "" {
-			return e.grant(), Answer{}
+			return e.verdict(), Answer{}
 		}
-		return l.taken(c, e)
+		return l.reclaim(c, e)
 	}
 	if now.Sub(c.Issued) > l.config.Keep {
 		return TooOld, Answer{}
@@ -125,33 +129,33 @@
 	if len(l.entries) >= l.config.Entries {
 		return Full, Answer{}
 	}
-	return l.add(now, c).grant(), Answer{}
+	return l.add(now, c).verdict(), Answer{}
 }
 
-// taken answers a claim of a key that is known. A request that certainly did
-// not run gives its key free for the next one.
-func (l *Ledger) taken(c Claim, e *entry) (Verdict, Answer) {
+// reclaim handles a claim of a key that is already claimed. If the previous
+// request did not run, the key passes to the new owner.
+func (l *Ledger) reclaim(c Claim, e *entry) (Verdict, Answer) {
 	if e.answer.Outcome == spoolsill.NotRun {
 		e.owner = c.Owner
 		e.answer = Answer{}
-		return e.grant(), Answer{}
+		return e.verdict(), Answer{}
 	}
 	return Taken, e.answer
 }
 
 func (l *Ledger) add(now time.Time, c Claim) *entry {
 	e := &entry{
-		owner:  c.Owner,
-		at:     now,
-		unsure: !c.Issued.Add(-l.config.Skew).After(l.config.Started),
+		owner:     c.Owner,
+		claimedAt: now,
+		uncertain: !c.Issued.Add(-l.config.Skew).After(l.config.Started),
 	}
 	l.entries[c.Key] = e
 	l.queue = append(l.queue, c.Key)
 	return e
 }
 
-// Settle records what became of a claimed request. Only its owner's word
-// counts, and only the first.
+// Settle records the result of a claimed request. It ignores results from
+// anyone but the owner of the claim, and all but the first result.
 func (l *Ledger) Settle(k spoolsill.RequestKey, o Owner, a Answer) {
 	e, ok := l.entries[k]
 	if !ok || e.owner != o || e.answer.Outcome != "" {
@@ -163,17 +167,18 @@
 	e.answer = a
 }
 
-// Len returns the number of claims remembered.
+// Len returns the number of retained claims.
 func (l *Ledger) Len() int {
 	return len(l.entries)
 }
 
-// forget drops claims that are older than keys may be.
-func (l *Ledger) forget(now time.Time) {
+// expire removes claims whose keys are too old to be claimed again, allowing
+// for clock skew.
+func (l *Ledger) expire(now time.Time) {
 	for len(l.queue) > 0 {
 		k := l.queue[0]
 		e := l.entries[k]
-		if now.Sub(e.at) <= l.config.Keep+l.config.Skew {
+		if now.Sub(e.claimedAt) <= l.config.Keep+l.config.Skew {
 			return
 		}
 		delete(l.entries, k)
--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -13,38 +13,39 @@
 	"github.com/spoolsill/spoolsill/internal/seed"
 )
 
-// A hall drives the ledgers of a home hall's hosts and several dispatchers
-// that claim the same few keys again and again, over hosts that restart,
-// messages that get lost and a table that is down at times.
-type hall struct {
-	now    time.Time
-	hosts  []*claim.Ledger
-	begun  []time.Time
-	table  map[spoolsill.RequestKey]claim.Owner
-	issued map[spoolsill.RequestKey]time.Time
-	runs   map[spoolsill.RequestKey]int
-	nonce  uint64
-	open   []*claiming
-	amnesy bool // hosts that restart forget when they did
-}
-
-// A claiming is one dispatcher on its way through the hosts.
-type claiming struct {
-	claim claim.Claim
-	tally claim.Tally
-	next  int
-	row   bool
-}
-
-func newHall(n int) *hall {
-	h := &hall{
+// A hallModel is a model of a home hall: the ledgers of its hosts, and several
+// dispatchers that claim a small set of keys repeatedly, with host restarts,
+// lost messages and an intermittently unavailable table.
+type hallModel struct {
+	now         time.Time
+	hosts       []*claim.Ledger
+	startedAt   []time.Time
+	table       map[spoolsill.RequestKey]claim.Owner
+	issued      map[spoolsill.RequestKey]time.Time
+	runs        map[spoolsill.RequestKey]int
+	nonce       uint64
+	open        []*pendingClaim
+	forgetStart bool // restarted hosts do not know their start time
+}
+
+// A pendingClaim is a claim in progress: one dispatcher queries the hosts in
+// order.
+type pendingClaim struct {
+	claim  claim.Claim
+	tally  claim.Tally
+	next   int
+	hasRow bool
+}
+
+func newHallModel(n int) *hallModel {
+	h := &hallModel{
 		now:    time.UnixMicro(1_000_000_000),
 		table:  map[spoolsill.RequestKey]claim.Owner{},
 		issued: map[spoolsill.RequestKey]time.Time{},
 		runs:   map[spoolsill.RequestKey]int{},
 	}
 	for range n {
-		h.begun = append(h.begun, h.now)
+		h.startedAt = append(h.startedAt, h.now)
 		h.hosts = append(h.hosts, claim.NewLedger(claim.Config{
 			Started: h.now,
 		}))
@@ -53,14 +54,14 @@
 	return h
 }
 
-// begin starts a claim of one of a few keys.
-func (h *hall) begin(t *rapid.T) {
+// startClaim starts a claim of a random key.
+func (h *hallModel) startClaim(t *rapid.T) {
 	k := spoolsill.RequestKey(fmt.Sprintf("k%d", rapid.IntRange(0, 3).Draw(t, "key")))
 	if _, ok := h.issued[k]; !ok {
 		h.issued[k] = h.now
 	}
 	h.nonce++
-	h.open = append(h.open, &claiming{
+	h.open = append(h.open, &pendingClaim{
 		claim: claim.Claim{
 			Key:    k,
 			Issued: h.issued[k],
@@ -75,8 +76,9 @@
 	})
 }
 
-// step has one claim ask its next host, or come to its judgement.
-func (h *hall) step(t *rapid.T) {
+// advanceClaim advances a random claim: it queries the next host, or concludes
+// the claim if all hosts have been queried.
+func (h *hallModel) advanceClaim(t *rapid.T) {
 	if len(h.open) == 0 {
 		return
 	}
@@ -87,10 +89,10 @@
 		return
 	}
 	h.open = append(h.open[:i], h.open[i+1:]...)
-	h.judge(t, c)
+	h.conclude(t, c)
 }
 
-func (h *hall) ask(t *rapid.T, c *claiming) {
+func (h *hallModel) ask(t *rapid.T, c *pendingClaim) {
 	l := h.hosts[c.next]
 	c.next++
 	lost := rapid.IntRange(0, 5).Draw(t, "lost")
@@ -106,42 +108,42 @@
 	}
 }
 
-func (h *hall) judge(t *rapid.T, c *claiming) {
+func (h *hallModel) conclude(t *rapid.T, c *pendingClaim) {
 	j := c.tally.Judge()
 	if j == claim.AskTable {
 		j = h.askTable(t, c)
 	}
 	if j != claim.Dispatch {
-		h.settle(t, c, spoolsill.NotRun)
+		h.recordResult(t, c, spoolsill.NotRun)
 		return
 	}
 	switch rapid.IntRange(0, 3).Draw(t, "dispatch") {
-	case 0: // given up in the queue
-		if c.row {
+	case 0: // abandoned before dispatch
+		if c.hasRow {
 			delete(h.table, c.claim.Key)
 		}
-		h.settle(t, c, spoolsill.NotRun)
+		h.recordResult(t, c, spoolsill.NotRun)
 		return
-	case 1: // dispatched by a host that then dies
+	case 1: // the host crashes after the dispatch
 		h.run(t, c)
 	default:
 		h.run(t, c)
-		h.settle(t, c, spoolsill.Done)
+		h.recordResult(t, c, spoolsill.Done)
 	}
 }
 
-func (h *hall) run(t *rapid.T, c *claiming) {
+func (h *hallModel) run(t *rapid.T, c *pendingClaim) {
 	h.runs[c.claim.Key]++
 	if h.runs[c.claim.Key] > 1 {
 		t.Fatalf("%s runs %d times", c.claim.Key, h.runs[c.claim.Key])
 	}
 }
 
-func (h *hall) askTable(t *rapid.T, c *claiming) claim.Judgement {
+func (h *hallModel) askTable(t *rapid.T, c *pendingClaim) claim.Judgement {
 	switch rapid.IntRange(0, 3).Draw(t, "table") {
 	case 0:
 		return claim.NoHost
-	case 1: // written, and the answer is lost for good
+	case 1: // written, but the response is lost
 		if _, ok := h.table[c.claim.Key]; !ok {
 			h.table[c.claim.Key] = c.claim.Owner
 		}
@@ -151,12 +153,12 @@
 			return claim.Used
 		}
 		h.table[c.claim.Key] = c.claim.Owner
-		c.row = true
+		c.hasRow = true
 		return claim.Dispatch
 	}
 }
 
-func (h *hall) settle(t *rapid.T, c *claiming, o spoolsill.Outcome) {
+func (h *hallModel) recordResult(t *rapid.T, c *pendingClaim, o spoolsill.Outcome) {
 	for _, l := range h.hosts {
 		if rapid.IntRange(0, 2).Draw(t, "settle lost") == 0 {
 			continue
@@ -167,10 +169,10 @@
 	}
 }
 
-func (h *hall) restart(t *rapid.T) {
+func (h *hallModel) restart(t *rapid.T) {
 	i := rapid.IntRange(0, len(h.hosts)-1).Draw(t, "host")
 	started := h.now
-	if h.amnesy {
+	if h.forgetStart {
 		started = time.Time{}
 	}
 	h.hosts[i] = claim.NewLedger(claim.Config{
@@ -178,21 +180,21 @@
 	})
 }
 
-func (h *hall) pass(*rapid.T) {
+func (h *hallModel) advanceClock(*rapid.T) {
 	h.now = h.now.Add(time.Second)
 }
 
-func atMostOnce(amnesy bool) func(*rapid.T) {
+func atMostOnce(forgetStart bool) func(*rapid.T) {
 	return func(t *rapid.T) {
-		h := newHall(rapid.IntRange(1, 3).Draw(t, "hosts"))
-		h.amnesy = amnesy
+		h := newHallModel(rapid.IntRange(1, 3).Draw(t, "hosts"))
+		h.forgetStart = forgetStart
 		t.Repeat(map[string]func(*rapid.T){
-			"begin":   h.begin,
-			"step":    h.step,
-			"step2":   h.step,
-			"step3":   h.step,
+			"begin":   h.startClaim,
+			"step":    h.advanceClaim,
+			"step2":   h.advanceClaim,
+			"step3":   h.advanceClaim,
 			"restart": h.restart,
-			"pass":    h.pass,
+			"pass":    h.advanceClock,
 		})
 	}
 }
@@ -201,13 +203,13 @@
 	rapid.Check(t, atMostOnce(false))
 }
 
-// TestAtMostOnceNeedsToKnowWhenAHostStarted has hosts that restarted grant
-// keys that were made before.
-func TestAtMostOnceNeedsToKnowWhenAHostStarted(t *testing.T) {
+// TestAtMostOnceFailsIfHostsForgetTheirStart lets restarted hosts grant keys
+// that were created before the restart. The property must then fail.
+func TestAtMostOnceFailsIfHostsForgetTheirStart(t *testing.T) {
 	qt.Assert(t, seed.Fails(t, atMostOnce(true)), qt.IsTrue)
 }
 
-func TestTheFirstOutcomeIsKept(t *testing.T) {
+func TestFirstResultIsKept(t *testing.T) {
 	c := qt.New(t)
 	now := time.UnixMicro(1_000_000_000)
 	l := claim.NewLedger(claim.Config{
--- a/claim/tally.go
+++ b/claim/tally.go
@@ -1,66 +1,68 @@
 package claim
 
-// A Judgement says what the answers of the home hall's hosts come to.
+// A Judgement is the combined result of the verdicts of the home hall's hosts.
 type Judgement int
 
-// The judgements.
+// Judgements.
 const (
-	// Dispatch says that nobody has used the key: the request may run.
+	// Dispatch means that the key is unused and the request may run.
 	Dispatch Judgement = iota + 1
-	// AskTable says that a row of the table decides: the request may run if
-	// the row is written now and did not exist.
+	// AskTable means that the platform's table decides: the request may run if
+	// a conditional insert of the key's row succeeds.
 	AskTable
-	// Used says that another request with the key was, or may be, dispatched.
+	// Used means that another request with the key was, or may be, dispatched.
 	Used
-	// CannotKnow says that none of the hosts can know whether the key was
-	// used: the request must not run, and may have run before.
+	// CannotKnow means that none of the hosts can tell whether the key was
+	// used. The request must not run, and an earlier request with the key may
+	// have run.
 	CannotKnow
-	// NoHost says that no host could record the claim: the request must not
-	// run. It is certain that this one did not.
+	// NoHost means that the claim could not be recorded. The request has not
+	// run and must not run.
 	NoHost
 )
 
-// A Tally counts the answers of the hosts of a key's home hall, which are
-// asked one after another in the same order by everybody, so that two who
-// claim at once don't each win one.
+// A Tally combines the verdicts of the hosts of a key's home hall. All
+// dispatchers must query the hosts one at a time and in the same order, so
+// that two concurrent claims are not each granted by some of the hosts.
 type Tally struct {
-	// Hosts is the number of hosts of the hall.
+	// Hosts is the number of hosts in the hall.
 	Hosts int
 
-	granted int
-	unsure  int
-	final   Judgement
+	granted   int
+	uncertain int
+	decided   Judgement
 }
 
-// Add counts one answer, and reports whether the next host is to be asked.
+// Add counts one verdict and reports whether to query the next host.
 func (t *Tally) Add(v Verdict) bool {
 	switch v {
 	case Granted:
 		t.granted++
 	case Unsure:
-		t.unsure++
+		t.uncertain++
 	case Taken:
-		t.final = Used
+		t.decided = Used
 	default:
-		t.final = NoHost
+		t.decided = NoHost
 	}
-	return t.final == 0
+	return t.decided == 0
 }
 
-// Judge returns the judgement. Hosts that could not be reached were not added.
+// Judge returns the judgement. Hosts that could not be reached are not added.
 //
-// A key that all hosts grant was never granted before: any of them would know.
-// A key that one host grants for certain was never granted by all, but maybe
-// through the table. When no host is certain, either may have happened.
+// If all hosts grant a key, it has not been granted before, since any of them
+// would know. If at least one host grants it, it has not been granted by all
+// hosts, but possibly through the table. If no host grants it, but some answer
+// Unsure, either may have happened.
 func (t *Tally) Judge() Judgement {
 	switch {
-	case t.final != 0:
-		return t.final
+	case t.decided != 0:
+		return t.decided
 	case t.granted == t.Hosts:
 		return Dispatch
 	case t.granted > 0:
 		return AskTable
-	case t.unsure > 0:
+	case t.uncertain > 0:
 		return CannotKnow
 	default:
 		return NoHost
--- a/member/member.go
+++ b/member/member.go
@@ -1,13 +1,14 @@
-// Package member joins the platform's lagging list of workers and runners
-// with the evidence of the own hall into one view.
+// Package member maintains a process's view of the workers and runners of its
+// hall. It merges the platform's list, which may be stale or missing, with
+// local observations.
 //
-// The list can be late or absent, so each process adds what it sees itself: a
-// [View] takes the lists as they come, the results of calls, and the signs of
-// leaving that other hosts of the hall report. A sign of leaving holds, from
-// wherever it came first, until the platform's list has shown the machine as
-// staying for a while, or not at all.
+// A [View] combines the lists as they arrive, the results of calls to the
+// machines, and reports that a machine is leaving. A machine counts as leaving
+// from the first report, whatever its source, until neither a list nor another
+// report has confirmed it for [Config.HoldLeaving].
 //
-// The package has no clock, I/O, lock or goroutine.
+// The package performs no I/O, does not read the clock, takes no locks and
+// starts no goroutines.
 package member
 
 import (
@@ -17,15 +18,15 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// State says how a machine is seen.
+// State is the state of a machine as observed by one process.
 type State string
 
-// The states of a machine.
+// Machine states.
 const (
 	Live    State = "live"
 	Suspect State = "suspect" // calls to it fail
 	Leaving State = "leaving"
-	Gone    State = "gone" // the platform lists it no longer
+	Gone    State = "gone" // not in the platform's list
 )
 
 // Defaults of [Config].
@@ -36,33 +37,33 @@
 
 // A Config describes a [View]. The zero value is usable.
 type Config struct {
-	// SuspectAfter is the number of failed calls in a row that make a machine
-	// suspect.
+	// SuspectAfter is the number of consecutive failed calls after which a
+	// machine is suspect.
 	SuspectAfter int
-	// HoldLeaving is how long a sign of leaving outlives a platform list that
-	// does not show it.
+	// HoldLeaving is how long a machine counts as leaving after the last
+	// report, while the platform's lists do not show it as leaving.
 	HoldLeaving time.Duration
 }
 
-// A List is what the platform says.
+// A List is the platform's list of machines.
 type List struct {
 	Workers []spoolsill.Worker `json:"workers"`
 	Runners []spoolsill.Runner `json:"runners"`
 }
 
-// A View is what one process holds for true of the machines of its hall. It
-// is not safe for concurrent use.
+// A View is one process's view of the machines of its hall. It is not safe for
+// concurrent use.
 type View struct {
-	config  Config
-	list    List
-	listed  time.Time
-	known   bool
-	leaving map[string]time.Time // id -> when the last sign came
-	drained map[string]bool      // id -> an operator drains it
-	fails   map[string]int
+	config   Config
+	list     List
+	listedAt time.Time
+	hasList  bool
+	leaving  map[string]time.Time // by id, time of the last report
+	drained  map[string]bool      // by id, set if an operator drains the machine
+	failures map[string]int
 }
 
-// NewView returns a view of nothing.
+// NewView returns an empty view.
 func NewView(c Config) *View {
 	if c.SuspectAfter == 0 {
 		c.SuspectAfter = DefaultSuspectAfter
@@ -71,18 +72,18 @@
 		c.HoldLeaving = DefaultHoldLeaving
 	}
 	return &View{
-		config:  c,
-		leaving: map[string]time.Time{},
-		drained: map[string]bool{},
-		fails:   map[string]int{},
+		config:   c,
+		leaving:  map[string]time.Time{},
+		drained:  map[string]bool{},
+		failures: map[string]int{},
 	}
 }
 
-// SetList takes in the platform's list.
+// SetList replaces the platform's list.
 func (v *View) SetList(now time.Time, l List) {
 	v.list = l
-	v.listed = now
-	v.known = true
+	v.listedAt = now
+	v.hasList = true
 	for _, w := range l.Workers {
 		if w.Leaving {
 			v.leaving[string(w.ID)] = now
@@ -100,17 +101,17 @@
 	}
 }
 
-// Known reports whether a list has ever come, and when the last one did.
+// Known returns when the last list arrived and reports whether any has.
 func (v *View) Known() (time.Time, bool) {
-	return v.listed, v.known
+	return v.listedAt, v.hasList
 }
 
-// List returns the last list that came.
+// List returns the last list set with [View.SetList].
 func (v *View) List() List {
 	return v.list
 }
 
-// SetDrained takes in which machines the operators drain.
+// SetDrained replaces the set of machines that operators drain.
 func (v *View) SetDrained(ids []string) {
 	v.drained = map[string]bool{}
 	for _, id := range ids {
@@ -118,15 +119,16 @@
 	}
 }
 
-// SetLeaving takes in a sign, from whomever, that a machine is leaving. It
-// reports whether that is news.
+// SetLeaving records a report, from any source, that a machine is leaving. It
+// reports whether the machine was not known to be leaving.
 func (v *View) SetLeaving(now time.Time, id string) bool {
 	_, known := v.leaving[id]
 	v.leaving[id] = now
 	return !known
 }
 
-// Leaving returns the ids of all machines that are leaving, in order.
+// Leaving returns the sorted ids of the machines reported as leaving. Machines
+// that are only drained by operators are not included.
 func (v *View) Leaving() []string {
 	out := make([]string, 0, len(v.leaving))
 	for id := range v.leaving {
@@ -136,30 +138,31 @@
 	return out
 }
 
-// Saw takes in whether a call to a machine was answered.
+// Saw records whether a call to a machine was answered.
 func (v *View) Saw(id string, answered bool) {
 	if answered {
-		delete(v.fails, id)
+		delete(v.failures, id)
 		return
 	}
-	v.fails[id]++
+	v.failures[id]++
 }
 
-// State returns how a machine is seen.
+// State returns the state of a machine.
 func (v *View) State(id string) State {
 	switch {
-	case !v.lists(id):
+	case !v.isListed(id):
 		return Gone
 	case v.isLeaving(id):
 		return Leaving
-	case v.fails[id] >= v.config.SuspectAfter:
+	case v.failures[id] >= v.config.SuspectAfter:
 		return Suspect
 	default:
 		return Live
 	}
 }
 
-// Workers returns the workers of a hall, with the signs of leaving joined in.
+// Workers returns the workers of a hall, with Leaving set for those that are
+// reported as leaving or drained.
 func (v *View) Workers(h spoolsill.HallID) []spoolsill.Worker {
 	var out []spoolsill.Worker
 	for _, w := range v.list.Workers {
@@ -172,7 +175,8 @@
 	return out
 }
 
-// Runners returns the runners of a hall, with the signs of leaving joined in.
+// Runners returns the runners of a hall, with Leaving set for those that are
+// reported as leaving or drained.
 func (v *View) Runners(h spoolsill.HallID) []spoolsill.Runner {
 	var out []spoolsill.Runner
 	for _, r := range v.list.Runners {
@@ -190,7 +194,7 @@
 	return ok || v.drained[id]
 }
 
-func (v *View) lists(id string) bool {
+func (v *View) isListed(id string) bool {
 	for _, w := range v.list.Workers {
 		if string(w.ID) == id {
 			return true
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestLeavingHoldsFromTheFirstSign(t *testing.T) {
+func TestLeavingTakesEffectAtFirstReport(t *testing.T) {
 	c := qt.New(t)
 	now := time.UnixMicro(1_000_000)
 	v := member.NewView(member.Config{})
@@ -31,11 +31,11 @@
 	c.Assert(v.State("r"), qt.Equals, member.Live)
 	c.Assert(v.SetLeaving(now, "r"), qt.IsTrue)
 	c.Assert(v.SetLeaving(now, "r"), qt.IsFalse)
-	// A list that lags behind does not take the sign back.
+	// A stale list does not clear the report.
 	v.SetList(now.Add(time.Second), list())
 	c.Assert(v.Runners("h")[0].Leaving, qt.IsTrue)
 	c.Assert(v.State("r"), qt.Equals, member.Leaving)
-	// One that still does not show it after a while does.
+	// A list that still does not show it after HoldLeaving clears it.
 	v.SetList(now.Add(2*member.DefaultHoldLeaving), list())
 	c.Assert(v.Runners("h")[0].Leaving, qt.IsFalse)
 }
@@ -50,7 +50,7 @@
 	c.Assert(v.Workers("h")[0].Leaving, qt.IsFalse)
 }
 
-func TestFailedCallsMakeSuspect(t *testing.T) {
+func TestMachineIsSuspectAfterFailedCalls(t *testing.T) {
 	c := qt.New(t)
 	v := member.NewView(member.Config{})
 	v.SetList(time.UnixMicro(1), list())
