--- a/claim/doc.go
+++ b/claim/doc.go
@@ -5,7 +5,7 @@
 // the key. If only some of them do, a conditional insert into the platform's
 // table decides; while the table is unavailable, the request does not run. A
 // host that started after the key was created does not know which claims it
-// granted before the restart, so it answers [Unsure].
+// granted before the restart, so it answers [Uncertain].
 //
 // A [Ledger] holds the claims known to one host of the home hall. A repeated
 // request with the same key receives the result of the first one for as long
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -8,8 +8,8 @@
 
 // Defaults of [Config].
 const (
-	DefaultKeep    = 10 * time.Minute
-	DefaultEntries = 200_000
+	DefaultKeep       = 10 * time.Minute
+	DefaultMaxEntries = 200_000
 )
 
 // A Config describes a [Ledger].
@@ -19,9 +19,9 @@
 	Started time.Time
 	// Keep is how long a claim is retained. Claims of older keys are refused.
 	Keep time.Duration
-	// Entries is the maximum number of retained claims. Further claims are
+	// MaxEntries is the maximum number of retained claims. Further claims are
 	// refused.
-	Entries int
+	MaxEntries int
 	// Skew is the maximum clock error of a caller or another host.
 	Skew time.Duration
 }
@@ -34,9 +34,9 @@
 	Nonce uint64                `msgpack:"n"`
 }
 
-// An Answer is the result of a claimed request. Body is set only for
+// A Result is the result of a claimed request. Body is set only for
 // [spoolsill.Done], and only if it is no longer than [MaxBody].
-type Answer struct {
+type Result struct {
 	Outcome spoolsill.Outcome `msgpack:"o"`
 	Status  int               `msgpack:"s"`
 	Type    string            `msgpack:"t"`
@@ -54,13 +54,13 @@
 	// Granted means that the key was unused and is now claimed for the owner.
 	Granted Verdict = iota + 1
 	// Taken means that another request with the key was, or may have been,
-	// dispatched. The [Answer] holds its result, if known.
+	// dispatched. The [Result] is that request's, if known.
 	Taken
-	// Unsure means that this host cannot tell whether the key was used.
-	Unsure
-	// TooOld means that the key was created longer ago than claims are
+	// Uncertain means that this host cannot tell whether the key was used.
+	Uncertain
+	// Expired means that the key was created longer ago than claims are
 	// retained.
-	TooOld
+	Expired
 	// Full means that the ledger has reached its maximum number of claims.
 	Full
 )
@@ -68,7 +68,7 @@
 type entry struct {
 	owner     Owner
 	claimedAt time.Time
-	answer    Answer
+	result    Result
 	// uncertain is set if the key was created before this process started. The
 	// previous process of this host may have granted it, whatever the result
 	// of the current claim is.
@@ -78,7 +78,7 @@
 // verdict returns the verdict for the owner of e.
 func (e *entry) verdict() Verdict {
 	if e.uncertain {
-		return Unsure
+		return Uncertain
 	}
 	return Granted
 }
@@ -96,8 +96,8 @@
 	if c.Keep == 0 {
 		c.Keep = DefaultKeep
 	}
-	if c.Entries == 0 {
-		c.Entries = DefaultEntries
+	if c.MaxEntries == 0 {
+		c.MaxEntries = DefaultMaxEntries
 	}
 	return &Ledger{
 		config:  c,
@@ -112,35 +112,35 @@
 	Issued time.Time            `msgpack:"i"` // when the caller created the key
 }
 
-// Take claims a key for an owner. Claiming is idempotent: the same owner is
+// Claim claims a key for an owner. Claiming is idempotent: the same owner is
 // granted the key again until the result is recorded. A claim with the verdict
-// [Unsure] is recorded too, so that no other owner is granted the key later.
-func (l *Ledger) Take(now time.Time, c Claim) (Verdict, Answer) {
+// [Uncertain] is recorded too, so that no other owner is granted the key later.
+func (l *Ledger) Claim(now time.Time, c Claim) (Verdict, Result) {
 	l.expire(now)
 	if e, ok := l.entries[c.Key]; ok {
-		if e.owner == c.Owner && e.answer.Outcome == "" {
-			return e.verdict(), Answer{}
+		if e.owner == c.Owner && e.result.Outcome == "" {
+			return e.verdict(), Result{}
 		}
-		return l.reclaim(c, e)
+		return l.claimTaken(c, e)
 	}
 	if now.Sub(c.Issued) > l.config.Keep {
-		return TooOld, Answer{}
+		return Expired, Result{}
 	}
-	if len(l.entries) >= l.config.Entries {
-		return Full, Answer{}
+	if len(l.entries) >= l.config.MaxEntries {
+		return Full, Result{}
 	}
-	return l.add(now, c).verdict(), Answer{}
+	return l.add(now, c).verdict(), Result{}
 }
 
-// reclaim handles a claim of a key that is already claimed. If the previous
+// claimTaken handles a claim of a key that is already claimed. If the previous
 // request did not run, the key passes to the new owner.
-func (l *Ledger) reclaim(c Claim, e *entry) (Verdict, Answer) {
-	if e.answer.Outcome == spoolsill.NotRun {
+func (l *Ledger) claimTaken(c Claim, e *entry) (Verdict, Result) {
+	if e.result.Outcome == spoolsill.NotRun {
 		e.owner = c.Owner
-		e.answer = Answer{}
-		return e.verdict(), Answer{}
+		e.result = Result{}
+		return e.verdict(), Result{}
 	}
-	return Taken, e.answer
+	return Taken, e.result
 }
 
 func (l *Ledger) add(now time.Time, c Claim) *entry {
@@ -154,17 +154,17 @@
 	return e
 }
 
-// Settle records the result of a claimed request. It ignores results from
-// anyone but the owner of the claim, and all but the first result.
-func (l *Ledger) Settle(k spoolsill.RequestKey, o Owner, a Answer) {
+// RecordResult records the result of a claimed request. It ignores results
+// from anyone but the owner of the claim, and all but the first result.
+func (l *Ledger) RecordResult(k spoolsill.RequestKey, o Owner, a Result) {
 	e, ok := l.entries[k]
-	if !ok || e.owner != o || e.answer.Outcome != "" {
+	if !ok || e.owner != o || e.result.Outcome != "" {
 		return
 	}
 	if len(a.Body) > MaxBody {
 		a.Body = nil
 	}
-	e.answer = a
+	e.result = a
 }
 
 // Len returns the number of retained claims.
--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -99,7 +99,7 @@
 	if lost == 0 {
 		return
 	}
-	v, _ := l.Take(h.now, c.claim)
+	v, _ := l.Claim(h.now, c.claim)
 	if lost == 1 {
 		return
 	}
@@ -109,7 +109,7 @@
 }
 
 func (h *hallModel) conclude(t *rapid.T, c *pendingClaim) {
-	j := c.tally.Judge()
+	j := c.tally.Decide()
 	if j == claim.AskTable {
 		j = h.askTable(t, c)
 	}
@@ -139,18 +139,18 @@
 	}
 }
 
-func (h *hallModel) askTable(t *rapid.T, c *pendingClaim) claim.Judgement {
+func (h *hallModel) askTable(t *rapid.T, c *pendingClaim) claim.Decision {
 	switch rapid.IntRange(0, 3).Draw(t, "table") {
 	case 0:
-		return claim.NoHost
+		return claim.NotRecorded
 	case 1: // written, but the response is lost
 		if _, ok := h.table[c.claim.Key]; !ok {
 			h.table[c.claim.Key] = c.claim.Owner
 		}
-		return claim.NoHost
+		return claim.NotRecorded
 	default:
 		if _, ok := h.table[c.claim.Key]; ok {
-			return claim.Used
+			return claim.KeyUsed
 		}
 		h.table[c.claim.Key] = c.claim.Owner
 		c.hasRow = true
@@ -163,7 +163,7 @@
 		if rapid.IntRange(0, 2).Draw(t, "settle lost") == 0 {
 			continue
 		}
-		l.Settle(c.claim.Key, c.claim.Owner, claim.Answer{
+		l.RecordResult(c.claim.Key, c.claim.Owner, claim.Result{
 			Outcome: o,
 		})
 	}
@@ -223,22 +223,22 @@
 			Nonce: 1,
 		},
 	}
-	v, _ := l.Take(now, first)
+	v, _ := l.Claim(now, first)
 	c.Assert(v, qt.Equals, claim.Granted)
-	a := claim.Answer{
+	a := claim.Result{
 		Outcome: spoolsill.Done,
 		Body:    []byte("answer"),
 	}
-	l.Settle("k", first.Owner, a)
-	l.Settle("k", first.Owner, claim.Answer{
+	l.RecordResult("k", first.Owner, a)
+	l.RecordResult("k", first.Owner, claim.Result{
 		Outcome: spoolsill.NotRun,
 	})
 	second := first
 	second.Owner.Nonce = 2
-	v, got := l.Take(now.Add(time.Second), second)
+	v, got := l.Claim(now.Add(time.Second), second)
 	c.Assert(v, qt.Equals, claim.Taken)
 	c.Assert(got, qt.DeepEquals, a)
-	v, _ = l.Take(now.Add(claim.DefaultKeep+time.Second), second)
-	c.Assert(v, qt.Equals, claim.TooOld)
+	v, _ = l.Claim(now.Add(claim.DefaultKeep+time.Second), second)
+	c.Assert(v, qt.Equals, claim.Expired)
 	c.Assert(l.Len(), qt.Equals, 0)
 }
--- a/claim/tally.go
+++ b/claim/tally.go
@@ -1,24 +1,25 @@
 package claim
 
-// A Judgement is the combined result of the verdicts of the home hall's hosts.
-type Judgement int
+// A Decision is the combined result of the verdicts of the home hall's hosts.
+type Decision int
 
-// Judgements.
+// Decisions.
 const (
 	// Dispatch means that the key is unused and the request may run.
-	Dispatch Judgement = iota + 1
+	Dispatch Decision = iota + 1
 	// AskTable means that the platform's table decides: the request may run if
 	// a conditional insert of the key's row succeeds.
 	AskTable
-	// Used means that another request with the key was, or may be, dispatched.
-	Used
-	// CannotKnow means that none of the hosts can tell whether the key was
+	// KeyUsed means that another request with the key was, or may be,
+	// dispatched.
+	KeyUsed
+	// Undetermined means that none of the hosts can tell whether the key was
 	// used. The request must not run, and an earlier request with the key may
 	// have run.
-	CannotKnow
-	// NoHost means that the claim could not be recorded. The request has not
-	// run and must not run.
-	NoHost
+	Undetermined
+	// NotRecorded means that the claim could not be recorded. The request has
+	// not run and must not run.
+	NotRecorded
 )
 
 // A Tally combines the verdicts of the hosts of a key's home hall. All
@@ -30,7 +31,7 @@
 
 	granted   int
 	uncertain int
-	decided   Judgement
+	decided   Decision
 }
 
 // Add counts one verdict and reports whether to query the next host.
@@ -38,23 +39,23 @@
 	switch v {
 	case Granted:
 		t.granted++
-	case Unsure:
+	case Uncertain:
 		t.uncertain++
 	case Taken:
-		t.decided = Used
+		t.decided = KeyUsed
 	default:
-		t.decided = NoHost
+		t.decided = NotRecorded
 	}
 	return t.decided == 0
 }
 
-// Judge returns the judgement. Hosts that could not be reached are not added.
+// Decide returns the decision. Hosts that could not be reached are not added.
 //
 // If all hosts grant a key, it has not been granted before, since any of them
 // would know. If at least one host grants it, it has not been granted by all
 // hosts, but possibly through the table. If no host grants it, but some answer
-// Unsure, either may have happened.
-func (t *Tally) Judge() Judgement {
+// [Uncertain], either may have happened.
+func (t *Tally) Decide() Decision {
 	switch {
 	case t.decided != 0:
 		return t.decided
@@ -63,8 +64,8 @@
 	case t.granted > 0:
 		return AskTable
 	case t.uncertain > 0:
-		return CannotKnow
+		return Undetermined
 	default:
-		return NoHost
+		return NotRecorded
 	}
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -23,19 +23,19 @@
 
 type wireVerdict struct {
 	Verdict claim.Verdict `msgpack:"v"`
-	Answer  claim.Answer  `msgpack:"a"`
+	Answer  claim.Result  `msgpack:"a"`
 }
 
 type wireSettle struct {
 	Key    spoolsill.RequestKey `msgpack:"k"`
 	Owner  claim.Owner          `msgpack:"o"`
-	Answer claim.Answer         `msgpack:"a"`
+	Answer claim.Result         `msgpack:"a"`
 }
 
 func (h *Host) takeClaim(_ context.Context, _ peer.Caller, q claim.Claim) (wireVerdict, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v, a := h.ledger.Take(time.Now(), q)
+	v, a := h.ledger.Claim(time.Now(), q)
 	return wireVerdict{
 		Verdict: v,
 		Answer:  a,
@@ -45,7 +45,7 @@
 func (h *Host) takeSettle(_ context.Context, _ peer.Caller, q wireSettle) (empty, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ledger.Settle(q.Key, q.Owner, q.Answer)
+	h.ledger.RecordResult(q.Key, q.Owner, q.Answer)
 	return empty{}, nil
 }
 
@@ -76,9 +76,9 @@
 	return best
 }
 
-// take claims the key of an unrepeatable request; see package claim. Used
+// take claims the key of an unrepeatable request; see package claim. KeyUsed
 // comes with what became of the first request.
-func (h *Host) take(ctx context.Context, r spoolsill.Request) (claimed, claim.Judgement, claim.Answer) {
+func (h *Host) take(ctx context.Context, r spoolsill.Request) (claimed, claim.Decision, claim.Result) {
 	c := claimed{
 		home: h.homeHall(r.Key),
 		claim: claim.Claim{
@@ -92,12 +92,12 @@
 		},
 	}
 	if h.config.Break.Claim {
-		return c, claim.Dispatch, claim.Answer{}
+		return c, claim.Dispatch, claim.Result{}
 	}
 	tally := claim.Tally{
 		Hosts: len(c.home.Hosts),
 	}
-	var first claim.Answer
+	var first claim.Result
 	for _, x := range c.home.IDs() {
 		v, err := h.claimAt(ctx, x, c.claim)
 		if err != nil {
@@ -108,7 +108,7 @@
 			break
 		}
 	}
-	j := tally.Judge()
+	j := tally.Decide()
 	if j == claim.AskTable {
 		j = h.takeRow(ctx, &c)
 	}
@@ -127,11 +127,11 @@
 
 // takeRow has the table decide a claim that not every host of the home hall
 // could grant.
-func (h *Host) takeRow(ctx context.Context, c *claimed) claim.Judgement {
+func (h *Host) takeRow(ctx context.Context, c *claimed) claim.Decision {
 	key := claimPrefix + string(c.claim.Key)
 	value, err := msgpack.Marshal(&c.claim.Owner)
 	if err != nil {
-		return claim.NoHost
+		return claim.NotRecorded
 	}
 	r, err := h.platform.Commit(ctx, table.Txn{
 		Conditions: []table.Condition{{
@@ -146,10 +146,10 @@
 		r, err = h.readClaim(ctx, key)
 	}
 	if err != nil {
-		return claim.NoHost
+		return claim.NotRecorded
 	}
 	if !r.Applied && !h.owns(r.Conflicts, *c) {
-		return claim.Used
+		return claim.KeyUsed
 	}
 	c.row = true
 	c.timer = h.forgetRow(key)
@@ -194,7 +194,7 @@
 // giveUp frees what was claimed for a request that certainly did not run, so
 // that its caller may ask again.
 func (h *Host) giveUp(ctx context.Context, c claimed) {
-	h.tell(ctx, c, claim.Answer{
+	h.tell(ctx, c, claim.Result{
 		Outcome: spoolsill.NotRun,
 	})
 	if !c.row {
@@ -213,7 +213,7 @@
 }
 
 // tell tells the hosts of the home hall what became of a claimed request.
-func (h *Host) tell(ctx context.Context, c claimed, a claim.Answer) {
+func (h *Host) tell(ctx context.Context, c claimed, a claim.Result) {
 	if len(a.Body) > claim.MaxBody {
 		a.Body = nil
 	}
--- a/entry/members.go
+++ b/entry/members.go
@@ -43,7 +43,7 @@
 // has none yet and the platform is silent.
 func (h *Host) membersFromPeers(ctx context.Context) (member.List, error) {
 	h.mu.Lock()
-	_, known := h.view.Known()
+	_, known := h.view.ListTime()
 	h.mu.Unlock()
 	if known {
 		return member.List{}, errNoList
@@ -72,7 +72,7 @@
 func (h *Host) takeMembersRead(context.Context, peer.Caller, empty) (wireMembers, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, known := h.view.Known()
+	_, known := h.view.ListTime()
 	return wireMembers{
 		Known: known,
 		List:  h.view.List(),
@@ -99,7 +99,7 @@
 func (h *Host) workers() ([]spoolsill.Worker, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, known := h.view.Known()
+	_, known := h.view.ListTime()
 	return h.view.Workers(h.hall.ID), known
 }
 
@@ -134,7 +134,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.view.Saw(string(id), answered)
+	h.view.RecordCall(string(id), answered)
 }
 
 // runnerLeaves takes in a runner's own word that it is leaving. The hall's
--- a/entry/request.go
+++ b/entry/request.go
@@ -127,9 +127,9 @@
 	k, j, a := h.take(ctx, c.Request)
 	switch j {
 	case claim.Dispatch:
-	case claim.Used:
+	case claim.KeyUsed:
 		return replay(a)
-	case claim.NoHost:
+	case claim.NotRecorded:
 		return notRun(route.CauseNoRecord, time.Second)
 	default:
 		return unknown(route.CauseClaimed)
@@ -138,7 +138,7 @@
 	if p.Outcome == spoolsill.NotRun {
 		h.giveUp(ctx, k)
 	} else {
-		go h.tell(ctx, k, claim.Answer{
+		go h.tell(ctx, k, claim.Result{
 			Outcome: p.Outcome,
 			Status:  p.Answer.Status,
 			Type:    p.Answer.Type,
@@ -151,7 +151,7 @@
 }
 
 // replay answers with what became of the first request with a key.
-func replay(a claim.Answer) reply {
+func replay(a claim.Result) reply {
 	if a.Outcome != spoolsill.Done || a.Body == nil {
 		return unknown(route.CauseClaimed)
 	}
--- a/entry/status.go
+++ b/entry/status.go
@@ -49,7 +49,7 @@
 	defer h.mu.Unlock()
 	s.Config = h.store.Current().Version
 	s.ConfigSure = h.configSure()
-	_, s.Members = h.view.Known()
+	_, s.Members = h.view.ListTime()
 	return s
 }
 
--- a/member/member.go
+++ b/member/member.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Known returns when the last list arrived and reports whether any has.
-func (v *View) Known() (time.Time, bool) {
+// ListTime returns when the last list arrived and reports whether any has.
+func (v *View) ListTime() (time.Time, bool) {
 	return v.listedAt, v.hasList
 }
 
@@ -138,8 +138,8 @@
 	return out
 }
 
-// Saw records whether a call to a machine was answered.
-func (v *View) Saw(id string, answered bool) {
+// RecordCall records whether a call to a machine was answered.
+func (v *View) RecordCall(id string, answered bool) {
 	if answered {
 		delete(v.failures, id)
 		return
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -55,10 +55,10 @@
 	v := member.NewView(member.Config{})
 	v.SetList(time.UnixMicro(1), list())
 	for range member.DefaultSuspectAfter {
-		v.Saw("w", false)
+		v.RecordCall("w", false)
 	}
 	c.Assert(v.State("w"), qt.Equals, member.Suspect)
-	v.Saw("w", true)
+	v.RecordCall("w", true)
 	c.Assert(v.State("w"), qt.Equals, member.Live)
 	c.Assert(v.State("x"), qt.Equals, member.Gone)
 }
