--- a/holder/call.go
+++ b/holder/call.go
@@ -13,7 +13,7 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// A Plan is what an operator may confirm.
+// A Plan describes changes that take effect when an operator confirms them.
 type Plan struct {
 	ID      spoolsill.PlanID `json:"id"      msgpack:"i"`
 	Hall    spoolsill.HallID `json:"hall"    msgpack:"h"`
@@ -32,8 +32,9 @@
 // ErrNoJob is returned for a job that is not known in the hall.
 var ErrNoJob = errors.New("holder: no such job in this hall")
 
-// Plan returns what an intent would change. It changes nothing. It fails with
-// [intent.ErrIntent], a [*place.StaleError] or [ErrNotHolder].
+// Plan returns the changes that an intent would make, without making them. It
+// returns [intent.ErrIntent], a [*place.StaleError] or [ErrNotHolder] on
+// failure.
 func (h *Holder) Plan(i intent.Intent) (Plan, error) {
 	if err := i.Check(); err != nil {
 		return Plan{}, err
@@ -71,15 +72,16 @@
 	return spoolsill.PlanID("p-" + hex.EncodeToString(b[:]))
 }
 
-// Confirm applies a plan as it was shown, and returns once that lasts. It
-// fails with a [*place.StaleError], [ErrNotHolder] or [ErrNotLasting]; after
-// the last, confirming again is safe.
+// Confirm applies a plan exactly as [Holder.Plan] returned it, and returns once
+// it is durable. It returns a [*place.StaleError], [ErrNotHolder] or
+// [ErrNotLasting] on failure. Confirming a plan is idempotent, so it may be
+// retried after [ErrNotLasting].
 func (h *Holder) Confirm(ctx context.Context, id spoolsill.PlanID) error {
 	t, err := h.current()
 	if err != nil {
 		return err
 	}
-	if err := t.register(ctx, id); err != nil {
+	if err := t.registerJobID(ctx, id); err != nil {
 		return err
 	}
 	w, err := t.confirm(id)
@@ -96,8 +98,8 @@
 	}
 }
 
-// register makes the id of a job that a plan adds the hall's own.
-func (t *tenure) register(ctx context.Context, id spoolsill.PlanID) error {
+// registerJobID reserves the id of the job that a plan adds, if it adds one.
+func (t *tenure) registerJobID(ctx context.Context, id spoolsill.PlanID) error {
 	if t.h.config.Register == nil {
 		return nil
 	}
@@ -141,27 +143,27 @@
 			return nil, err
 		}
 	}
-	s := t.record(records)
+	s := t.appendRecords(records)
 	w := waiter{
 		sequence: s,
-		lasting:  make(chan struct{}),
+		durable:  make(chan struct{}),
 	}
 	t.waiters = append(t.waiters, w)
-	t.release()
+	t.processDurable()
 	t.wake()
-	return w.lasting, nil
+	return w.durable, nil
 }
 
-// Jobs returns all jobs of the hall.
+// Jobs returns all jobs in the hall.
 func (h *Holder) Jobs() ([]place.JobView, error) {
-	return ask(h, func(s *place.State) ([]place.JobView, error) {
+	return query(h, func(s *place.State) ([]place.JobView, error) {
 		return s.Jobs(), nil
 	})
 }
 
-// Job returns one job with its tasks, or [ErrNoJob].
+// Job returns a job with its tasks, or [ErrNoJob].
 func (h *Holder) Job(id spoolsill.JobID) (Detail, error) {
-	return ask(h, func(s *place.State) (Detail, error) {
+	return query(h, func(s *place.State) (Detail, error) {
 		j, tasks, ok := s.Job(id)
 		if !ok {
 			return Detail{}, ErrNoJob
@@ -173,22 +175,23 @@
 	})
 }
 
-// Workers returns all workers of the hall.
+// Workers returns all workers in the hall.
 func (h *Holder) Workers() ([]place.WorkerView, error) {
-	return ask(h, func(s *place.State) ([]place.WorkerView, error) {
+	return query(h, func(s *place.State) ([]place.WorkerView, error) {
 		return s.Workers(), nil
 	})
 }
 
-// Check verifies what must hold at all times over the hall's state.
+// Check verifies the invariants of the hall's state.
 func (h *Holder) Check() error {
-	_, err := ask(h, func(s *place.State) (struct{}, error) {
+	_, err := query(h, func(s *place.State) (struct{}, error) {
 		return struct{}{}, s.Check()
 	})
 	return err
 }
 
-func ask[R any](h *Holder, f func(*place.State) (R, error)) (R, error) {
+// query runs f on the state of the current tenure, with its lock held.
+func query[R any](h *Holder, f func(*place.State) (R, error)) (R, error) {
 	var zero R
 	t, err := h.current()
 	if err != nil {
--- a/holder/commit.go
+++ b/holder/commit.go
@@ -19,32 +19,33 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// Waits between failed table writes.
+// Bounds of the delay after a failed table write.
 const (
-	minRetry = 50 * time.Millisecond
-	maxRetry = 2 * time.Second
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// errDeposed is returned when another host has taken the lease over.
-var errDeposed = errors.New("holder: deposed")
+// errLeaseLost is returned when another host has taken over the lease.
+var errLeaseLost = errors.New("holder: another host has taken over the lease")
 
-// pump moves the journal on and does what has come to last.
-func (t *tenure) pump() {
+// advanceJournal acts on durable records, then writes pending entries to the
+// table, or copies them to the other hosts while the table is silent.
+func (t *tenure) advanceJournal() {
 	silent := t.h.config.Table.Silent()
-	held := t.holds()
+	held := t.holdsLease()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.release()
+	t.processDurable()
 	if held {
-		t.copyOut(silent)
+		t.replicate(silent)
 	}
-	if t.silent && !silent {
-		// What waits since the table fell silent is in the memory of the hall's
-		// hosts only, and should be no longer than it must.
-		t.retry = time.Time{}
+	if t.tableSilent && !silent {
+		// Entries written while the table was silent exist only in the memory
+		// of the hall's hosts. Write them without waiting for the retry delay.
+		t.nextWrite = time.Time{}
 	}
-	t.silent = silent
-	if time.Now().Before(t.retry) {
+	t.tableSilent = silent
+	if time.Now().Before(t.nextWrite) {
 		return
 	}
 	a := t.writer.Next()
@@ -54,30 +55,30 @@
 	t.wg.Add(1)
 	go func() {
 		defer t.wg.Done()
-		t.write(a.Entries)
+		t.writeEntries(a.Entries)
 	}()
 }
 
-// copyOut hands entries to the hall's other hosts while the table is silent.
-// The lock is held.
-func (t *tenure) copyOut(silent bool) {
+// replicate copies entries to the hall's other hosts while the table is silent.
+// t.mu must be held.
+func (t *tenure) replicate(silent bool) {
 	if !silent {
 		return
 	}
 	a := t.writer.NextCopy()
 	if a.Kind != recordlog.Copy {
-		t.release()
+		t.processDurable()
 		return
 	}
-	t.copied = true
+	t.replicated = true
 	t.wg.Add(1)
 	go func() {
 		defer t.wg.Done()
-		t.copy(a.Entries)
+		t.sendCopies(a.Entries)
 	}()
 }
 
-func (t *tenure) copy(entries []recordlog.Entry) {
+func (t *tenure) sendCopies(entries []recordlog.Entry) {
 	ctx, cancel := context.WithTimeout(t.ctx, time.Second)
 	defer cancel()
 	all := true
@@ -90,13 +91,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.writer.Copied(entries[len(entries)-1].Sequence, all)
-	t.release()
+	t.processDurable()
 }
 
-// write writes entries to the table.
-func (t *tenure) write(entries []recordlog.Entry) {
-	err := t.commit(entries)
-	if errors.Is(err, errDeposed) {
+// writeEntries writes entries to the table.
+func (t *tenure) writeEntries(entries []recordlog.Entry) {
+	err := t.commitEntries(entries)
+	if errors.Is(err, errLeaseLost) {
 		t.h.event(timeline.Event{
 			Kind: timeline.KindLease,
 			Text: "the table refused the journal: another host has the lease",
@@ -104,40 +105,40 @@
 		t.cancel()
 		return
 	}
-	stored, ok := t.wrote(err)
+	stored, ok := t.writeDone(err)
 	if ok {
-		t.h.stored(recordlog.Mark{
+		t.h.dropStored(recordlog.Mark{
 			Epoch:    t.epoch,
 			Sequence: stored,
 		})
 	}
 }
 
-// wrote takes in what became of a write, and returns the last entry in the
-// table when it succeeded.
-func (t *tenure) wrote(err error) (spoolsill.Sequence, bool) {
+// writeDone handles the result of a write. If the write succeeded, it returns
+// the last entry in the table and true.
+func (t *tenure) writeDone(err error) (spoolsill.Sequence, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.writer.Wrote(err == nil)
 	if err != nil {
-		t.backOff()
+		t.scheduleRetry()
 		return 0, false
 	}
-	t.failed = 0
-	t.retry = time.Time{}
-	t.release()
-	t.dropCopies()
+	t.writeFailures = 0
+	t.nextWrite = time.Time{}
+	t.processDurable()
+	t.dropPeerCopies()
 	t.maybeSnapshot()
 	return t.writer.Stored(), true
 }
 
-// dropCopies tells the hall's other hosts which copies the table has now. The
-// lock is held.
-func (t *tenure) dropCopies() {
-	if !t.copied || t.writer.Open() > 0 {
+// dropPeerCopies tells the hall's other hosts, once the table has all entries,
+// that they may drop their copies. t.mu must be held.
+func (t *tenure) dropPeerCopies() {
+	if !t.replicated || t.writer.Open() > 0 {
 		return
 	}
-	t.copied = false
+	t.replicated = false
 	stored := t.writer.Stored()
 	t.wg.Add(1)
 	go func() {
@@ -152,15 +153,16 @@
 	}()
 }
 
-func (t *tenure) backOff() {
-	d := min(minRetry<<min(t.failed, 8), maxRetry)
-	t.failed++
-	t.retry = time.Now().Add(d/2 + rand.N(d/2+1))
+func (t *tenure) scheduleRetry() {
+	d := min(minRetryDelay<<min(t.writeFailures, 8), maxRetryDelay)
+	t.writeFailures++
+	t.nextWrite = time.Now().Add(d/2 + rand.N(d/2+1))
 }
 
-// commit writes entries in one transaction. It returns nil when they stand,
-// errDeposed when they never will, and another error when that is not known.
-func (t *tenure) commit(entries []recordlog.Entry) error {
+// commitEntries writes entries in one transaction. It returns nil if they are
+// in the table, errLeaseLost if they will never be, and another error if the
+// outcome is unknown.
+func (t *tenure) commitEntries(entries []recordlog.Entry) error {
 	x := table.Txn{}
 	if !t.h.config.Break.Fence {
 		x.Conditions = append(x.Conditions, table.Condition{
@@ -189,12 +191,13 @@
 	if r.Applied {
 		return nil
 	}
-	return t.conflict(r.Conflicts, x.Puts)
+	return t.checkConflict(r.Conflicts, x.Puts)
 }
 
-// conflict tells an own write whose answer was lost, which stands to the
-// letter, from one of another host.
-func (t *tenure) conflict(rows []table.Row, puts []table.Put) error {
+// checkConflict determines whether the conflicting rows come from an earlier
+// attempt at the same write, whose response was lost. It returns nil if they
+// are identical to puts, and errLeaseLost otherwise.
+func (t *tenure) checkConflict(rows []table.Row, puts []table.Put) error {
 	written := map[string][]byte{}
 	for _, p := range puts {
 		written[p.Key] = p.Value
@@ -202,32 +205,33 @@
 	for _, r := range rows {
 		b, ok := written[r.Key]
 		if !ok || !bytes.Equal(b, r.Value) {
-			return errDeposed
+			return errLeaseLost
 		}
 		delete(written, r.Key)
 	}
 	if len(written) > 0 {
-		return errDeposed
+		return errLeaseLost
 	}
 	return nil
 }
 
-// loadPage is the number of journal rows read at a time.
-const loadPage = 500
+// journalPageSize is the number of journal rows read per request.
+const journalPageSize = 500
 
-// load rebuilds the state from what the former holder left. It tries until
-// the tenure ends, and reports whether it succeeded.
+// load rebuilds the state from the snapshot, the journal and the copies that
+// the previous holder left. It retries until it succeeds or the tenure ends,
+// and reports whether it succeeded.
 func (t *tenure) load() bool {
 	for {
 		err := t.tryLoad()
 		if err == nil {
-			t.h.joined()
+			t.h.markJoined()
 			return true
 		}
-		t.h.config.Log.WithError(err).Warn("the hall's record can't be loaded yet")
+		t.h.config.Log.WithError(err).Warn("cannot load the hall's journal, retrying")
 		t.h.event(timeline.Event{
 			Kind: timeline.KindFault,
-			Text: "the hall's record can't be loaded: " + err.Error(),
+			Text: "cannot load the hall's journal: " + err.Error(),
 		})
 		select {
 		case <-t.ctx.Done():
@@ -265,10 +269,10 @@
 		Last:   last.Sequence,
 		Copies: len(t.h.config.Hosts) > 1,
 	})
-	if err := t.adopt(s, w, last); err != nil {
+	if err := t.recoverCopies(s, w, last); err != nil {
 		return err
 	}
-	t.h.stored(last)
+	t.h.dropStored(last)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state = s
@@ -277,8 +281,8 @@
 	return nil
 }
 
-// readEpoch learns the version of the epoch row, on which all writes of the
-// tenure are conditional.
+// readEpoch reads the version of the epoch row. All writes of the tenure are
+// conditional on it.
 func (t *tenure) readEpoch() error {
 	row, err := t.h.config.Table.Get(t.ctx, lease.EpochKey(t.h.config.Hall))
 	if err != nil {
@@ -290,7 +294,7 @@
 	}
 	if r.Epoch != t.epoch {
 		t.cancel()
-		return errDeposed
+		return errLeaseLost
 	}
 	t.version = row.Version
 	return nil
@@ -317,7 +321,7 @@
 
 func (t *tenure) readJournal(s *place.State, last recordlog.Mark) (recordlog.Mark, error) {
 	for {
-		rows, err := t.h.config.Table.List(t.ctx, recordlog.Prefix(t.h.config.Hall), recordlog.Key(t.h.config.Hall, last.Sequence), loadPage)
+		rows, err := t.h.config.Table.List(t.ctx, recordlog.Prefix(t.h.config.Hall), recordlog.Key(t.h.config.Hall, last.Sequence), journalPageSize)
 		if err != nil {
 			return last, err
 		}
@@ -337,7 +341,7 @@
 				Sequence: e.Sequence,
 			}
 		}
-		if len(rows) < loadPage {
+		if len(rows) < journalPageSize {
 			return last, nil
 		}
 	}
@@ -352,9 +356,10 @@
 	return nil
 }
 
-// adopt takes over the entries that the former holder could only copy to the
-// hosts of the hall, this one or another.
-func (t *tenure) adopt(s *place.State, w *recordlog.Writer, last recordlog.Mark) error {
+// recoverCopies applies the entries that the previous holder copied to the
+// hosts of the hall, including this one, but did not write to the table. They
+// are added to the journal of this tenure.
+func (t *tenure) recoverCopies(s *place.State, w *recordlog.Writer, last recordlog.Mark) error {
 	best, _ := t.h.Copies(t.epoch, last)
 	for _, h := range t.h.config.Hosts {
 		if h == t.h.config.Host {
@@ -377,7 +382,7 @@
 	return nil
 }
 
-// newer reports whether the copies a tell more than b.
+// newer reports whether a ends with a later entry than b.
 func newer(a, b []recordlog.Entry) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return len(a) > 0
--- a/holder/config.go
+++ b/holder/config.go
@@ -18,11 +18,12 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// ErrNotHolder is returned by calls that only the hall's holder can answer.
+// ErrNotHolder is returned by calls that only the holder of the hall's lease
+// can answer.
 var ErrNotHolder = errors.New("holder: this host does not hold the hall's lease")
 
-// ErrNotLasting is returned when a decision was made and could not be made to
-// last in time: it may come into force or not.
+// ErrNotLasting is returned when a decision was made but did not become
+// durable in time. It may still take effect.
 var ErrNotLasting = errors.New("holder: not known whether it is in force")
 
 // Defaults of [Config].
@@ -35,52 +36,56 @@
 	DefaultStarts        = 64
 )
 
-// Table is what a holder needs of the platform's table.
+// Table is the part of the platform's table that a [Holder] uses.
 type Table interface {
 	Commit(ctx context.Context, t table.Txn) (table.Result, error)
 	Get(ctx context.Context, key string) (table.Row, error)
 	List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error)
-	// Silent reports whether the table has not answered lately.
+	// Silent reports whether the table is currently not responding.
 	Silent() bool
 }
 
-// Objects is what a holder needs of the platform's object store.
+// Objects is the part of the platform's object store that a [Holder] uses.
 type Objects interface {
 	PutObject(ctx context.Context, name string, b []byte) error
 	GetObject(ctx context.Context, name string) ([]byte, error)
 }
 
-// Agents reaches the workers.
+// Agents sends requests to the workers.
 type Agents interface {
 	Start(ctx context.Context, address string, s agent.Start) error
 	Renew(ctx context.Context, address string, r agent.Renewal) ([]agent.Status, error)
 	Signal(ctx context.Context, address string, s agent.Signal) error
 }
 
-// Peers reaches the other hosts of the hall.
+// Peers sends requests to the other hosts of the hall.
 type Peers interface {
-	// Promise asks a host not to take the lease over for a while.
+	// Promise asks a host to promise not to take over the lease of epoch e for
+	// a limited time. It reports whether the host has promised.
 	Promise(ctx context.Context, h spoolsill.HostID, e spoolsill.Epoch) bool
-	// Copy hands entries to a host and reports whether it keeps them. stored
-	// is the newest entry that the table has: copies up to it may be dropped.
+	// Copy sends copies of entries to a host and reports whether the host keeps
+	// them. stored is the newest entry in the table: the host may drop copies
+	// up to it.
 	Copy(ctx context.Context, h spoolsill.HostID, e spoolsill.Epoch, stored spoolsill.Sequence, entries []recordlog.Entry) bool
-	// HandOver hands entries of this host, which leaves, to another one and
-	// reports whether it keeps them; one that leaves too does not.
+	// HandOver sends the entries that only this host has, which is stopping, to
+	// another host. It reports whether the host keeps them. A host that is
+	// stopping too does not.
 	HandOver(ctx context.Context, h spoolsill.HostID, e spoolsill.Epoch, entries []recordlog.Entry) bool
-	// Copies returns the entries that a host keeps and that follow on the last
-	// one in the table, or all for the zero mark. whole says that nothing is
-	// kept elsewhere in the hall that the host does not know.
+	// Copies returns the entries that a host keeps and that follow last, the
+	// newest entry in the table, or all its entries if last is zero. whole
+	// reports whether the host knows all entries that any host of the hall
+	// keeps.
 	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, whole bool, err error)
 }
 
-// Breaks switches mechanisms off, so that tests can show what each is for.
-// Nothing else sets it.
+// Breaks disables safety mechanisms, so that tests can show which failure each
+// of them prevents. Nothing else sets it.
 type Breaks struct {
-	Promise bool // go on past the lease's end without promises
+	Promise bool // extend the lease past its end without promises
 	Fence   bool // write the journal without the condition on the epoch
-	Settle  bool // decide before the workers are listed
-	Record  bool // act before a decision lasts
-	Lapse   bool // start a task elsewhere before its leases have lapsed
+	Settle  bool // make decisions before reconciling with the workers
+	Record  bool // act on decisions before they are durable
+	Lapse   bool // restart a task before the leases on its worker have expired
 }
 
 // A Config describes a [Holder].
@@ -88,38 +93,41 @@
 	Host        spoolsill.HostID
 	Incarnation spoolsill.Incarnation
 	Hall        spoolsill.HallID
-	// Hosts are the entry hosts of the hall, this one included.
+	// Hosts are the entry hosts of the hall, including this one.
 	Hosts   []spoolsill.HostID
 	Table   Table
 	Objects Objects
 	Agents  Agents
 	Peers   Peers
-	// Workers returns the hall's workers as they are seen now; ok is false
-	// while no list has come.
+	// Workers returns the current list of the hall's workers. ok is false until
+	// a list is available.
 	Workers func() (list []spoolsill.Worker, ok bool)
-	// Quotas returns what each team may use in this hall.
+	// Quotas returns the quota of each team in this hall.
 	Quotas func() []place.Quota
-	// Register makes a job's id the hall's own, for a plan, before the plan is
-	// applied. It fails with a [*place.StaleError] when another hall has a job
-	// of that id. Nil registers nothing.
+	// Register reserves the id of a job that plan p adds for this hall, before
+	// the plan is applied. It returns a [*place.StaleError] if another hall has
+	// a job with that id. If Register is nil, ids are not reserved.
 	Register func(ctx context.Context, j spoolsill.JobID, p spoolsill.PlanID) error
 	Events   *timeline.Ring
 	Log      logrus.FieldLogger
 
-	Lease  lease.Config // Host, Incarnation and Hosts are filled in
+	// Lease configures the lease. New sets Host, Incarnation, Hosts, Join and
+	// NoPromises.
+	Lease  lease.Config
 	Place  place.Config
 	Intent intent.Config
-	// TaskLease is how long a worker runs a task without a renewal, and
-	// TaskMargin what the holder waits beyond it.
+	// TaskLease is how long a worker runs a task without a renewal. TaskMargin
+	// is how much longer the holder waits before it considers the lease expired.
 	TaskLease  time.Duration
 	TaskMargin time.Duration
-	// Poll is the time between two renewals at a worker.
+	// Poll is the interval between renewals of a worker's leases.
 	Poll time.Duration
-	// Group is the time for which decisions are collected into one write.
+	// Group is the interval at which decisions are made and written together.
 	Group time.Duration
-	// SnapshotEvery is the number of entries between two snapshots.
+	// SnapshotEvery is the number of entries between snapshots.
 	SnapshotEvery int
-	// Starts bounds the starts under way at once.
+	// Starts is the maximum number of concurrent requests to workers, not
+	// counting the periodic renewals.
 	Starts int
 	Break  Breaks
 }
@@ -131,7 +139,7 @@
 	zero.Default(&c.Group, DefaultGroup)
 	zero.Default(&c.SnapshotEvery, DefaultSnapshotEvery)
 	zero.Default(&c.Starts, DefaultStarts)
-	c.Lease.Join = joinWithin
+	c.Lease.Join = joinTimeout
 	c.Lease.Host = c.Host
 	c.Lease.Incarnation = c.Incarnation
 	c.Lease.Hosts = c.Hosts
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -14,79 +14,85 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// silentAfter is the number of calls in a row without an answer after which
-// a worker gets no new work.
-const silentAfter = 3
+// unresponsiveAfter is the number of consecutive failed renewals after which a
+// worker is given no new tasks.
+const unresponsiveAfter = 3
 
-// A driver looks after one worker: it renews leases, starts and stops tasks
-// and takes in what became of them. The tenure's lock guards its fields.
+// A driver manages one worker: it renews the leases, starts and signals tasks
+// and processes the worker's reports. Its fields are guarded by t.mu.
 type driver struct {
 	t       *tenure
 	id      spoolsill.WorkerID
 	address string
-	// granted is the latest time at which a lease was, or may have been,
-	// granted on the worker, by any holder.
-	granted lease.Reading
-	// starting has the starts whose outcome is not known, with the end of the
-	// lease that they carried.
-	starting map[agent.Ref]lease.Reading
-	// started has when starts were answered, until a renewal that was sent
-	// later has told of the task: an earlier one may have been answered before
-	// the start and be heard of after it.
-	started map[agent.Ref]lease.Reading
-	// born is when this tenure began to look after the worker. A start that a
-	// former holder sent may arrive for the length of a lease after it.
-	born   lease.Reading
-	forget map[agent.Ref]spoolsill.Sequence
-	fails  int
-	asked  bool
-	strays bool          // it runs what no record names
-	soon   chan struct{} // a task has been started: there is something to tell soon
+	// grantedAt is the latest time at which any holder may have granted a lease
+	// on the worker.
+	grantedAt lease.Reading
+	// pendingStarts are the start requests whose outcome is unknown, with the
+	// time at which their lease was granted.
+	pendingStarts map[agent.Ref]lease.Reading
+	// ackedStarts are the acknowledged start requests, with the time of the
+	// acknowledgment. The worker may have processed a renewal that was sent
+	// before that time ahead of the start, so a report that lacks the task does
+	// not mean that it is not running. An entry is removed when a renewal that
+	// was sent later is answered.
+	ackedStarts map[agent.Ref]lease.Reading
+	// createdAt is when this tenure began to manage the worker. Start requests
+	// of a previous holder may be accepted for the duration of a lease after it.
+	createdAt lease.Reading
+	// forgetAfter are the ended tasks that the worker still reports. The worker
+	// may forget a task once the entry with that sequence number is durable.
+	forgetAfter  map[agent.Ref]spoolsill.Sequence
+	failures     int  // consecutive failed renewals
+	responded    bool // a renewal has succeeded in this tenure
+	unknownTasks bool // the worker runs tasks that are not in the state
+	renewSoon    chan struct{}
 }
 
 func newDriver(t *tenure, id spoolsill.WorkerID) *driver {
 	now := t.h.reading()
 	return &driver{
-		t:        t,
-		id:       id,
-		granted:  now,
-		born:     now,
-		starting: map[agent.Ref]lease.Reading{},
-		started:  map[agent.Ref]lease.Reading{},
-		forget:   map[agent.Ref]spoolsill.Sequence{},
-		soon:     make(chan struct{}, 1),
+		t:             t,
+		id:            id,
+		grantedAt:     now,
+		createdAt:     now,
+		pendingStarts: map[agent.Ref]lease.Reading{},
+		ackedStarts:   map[agent.Ref]lease.Reading{},
+		forgetAfter:   map[agent.Ref]spoolsill.Sequence{},
+		renewSoon:     make(chan struct{}, 1),
 	}
 }
 
-// idlePolls is how many times slower a worker without tasks is asked.
-const idlePolls = 5
+// idleRenewFactor is the factor by which the renewal interval is longer for a
+// worker without tasks.
+const idleRenewFactor = 5
 
-// wait returns the time to the next renewal.
-func (d *driver) wait() time.Duration {
+// renewDelay returns the delay before the next renewal.
+func (d *driver) renewDelay() time.Duration {
 	poll := d.t.h.config.Poll
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	if d.t.ready && d.fails == 0 && !d.strays && len(d.forget) == 0 && len(d.t.state.Holds(d.id)) == 0 {
-		poll *= idlePolls
+	if d.t.ready && d.failures == 0 && !d.unknownTasks && len(d.forgetAfter) == 0 && len(d.t.state.Holds(d.id)) == 0 {
+		poll *= idleRenewFactor
 	}
 	return poll - poll/10 + rand.N(poll/5)
 }
 
-// hurry has the next renewal made within the usual time.
-func (d *driver) hurry() {
+// requestRenewal makes run send the next renewal within the normal interval,
+// if the worker was idle and a later one is scheduled.
+func (d *driver) requestRenewal() {
 	select {
-	case d.soon <- struct{}{}:
+	case d.renewSoon <- struct{}{}:
 	default:
 	}
 }
 
-// setAddress takes in the worker's address. The lock is held.
+// setAddress sets the worker's address. t.mu must be held.
 func (d *driver) setAddress(a string) {
 	d.address = a
 }
 
-// run renews until the tenure ends. The first wait is random, so that the
-// renewals of a hall spread.
+// run sends renewals until the tenure ends. The first delay is random, so that
+// the renewals of a hall's workers are spread over time.
 func (d *driver) run() {
 	next := time.Now().Add(rand.N(d.t.h.config.Poll))
 	for {
@@ -95,10 +101,10 @@
 		case <-d.t.ctx.Done():
 			t.Stop()
 			return
-		case <-d.soon:
+		case <-d.renewSoon:
 			t.Stop()
-			// A time that is set is never put off: leases depend on it.
-			if at := time.Now().Add(d.wait()); at.Before(next) {
+			// Never postpone a scheduled renewal: leases depend on it.
+			if at := time.Now().Add(d.renewDelay()); at.Before(next) {
 				next = at
 			}
 			continue
@@ -110,39 +116,39 @@
 		if ready {
 			d.renew()
 		}
-		next = time.Now().Add(d.wait())
+		next = time.Now().Add(d.renewDelay())
 	}
 }
 
-// renew extends the leases on the worker and takes in its report.
+// renew renews the leases on the worker and processes its report.
 func (d *driver) renew() {
 	sent := d.t.h.reading()
-	q, address := d.renewal()
+	q, address := d.buildRenewal()
 	if address == "" {
-		d.unlisted()
+		d.recordUnlisted()
 		return
 	}
 	list, err := d.t.h.config.Agents.Renew(d.t.ctx, address, q)
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	if err != nil {
-		d.unanswered()
+		d.recordFailure()
 		return
 	}
-	d.answered()
+	d.recordResponse()
 	for _, r := range q.Forget {
-		delete(d.forget, r)
+		delete(d.forgetAfter, r)
 	}
-	d.forgetStarted(sent)
-	d.take(list, q)
+	d.pruneAckedStarts(sent)
+	d.applyReport(list, q)
 	d.t.wake()
 }
 
-// renewal returns what to ask the worker. When the hall's lease does not
-// stand, only services are renewed: a service that for a while runs twice
-// breaks no promise, work of other kinds would.
-func (d *driver) renewal() (agent.Renewal, string) {
-	holds := d.t.holds()
+// buildRenewal returns the renewal to send and the worker's address. While the
+// host does not hold the hall's lease, only the leases of services are renewed:
+// a service may temporarily run twice, tasks of other kinds must not.
+func (d *driver) buildRenewal() (agent.Renewal, string) {
+	holds := d.t.holdsLease()
 	now := d.t.h.reading()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
@@ -159,44 +165,48 @@
 		}
 	}
 	lasting := d.t.writer.Lasting()
-	for r, s := range d.forget {
+	for r, s := range d.forgetAfter {
 		if s <= lasting {
 			q.Forget = append(q.Forget, r)
 		}
 	}
 	if len(q.Tasks) > 0 && d.address != "" {
-		d.granted = now
+		d.grantedAt = now
 	}
 	return q, d.address
 }
 
-// unlisted treats a worker that the record names and no list does as silent.
-func (d *driver) unlisted() {
+// recordUnlisted handles a worker without an address, which is in the state but
+// not in the list of workers. It counts as a failed renewal once the list is
+// available.
+func (d *driver) recordUnlisted() {
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	if d.t.listed {
-		d.unanswered()
+	if d.t.workersListed {
+		d.recordFailure()
 	}
 }
 
-// answered and unanswered keep count of the worker's silence. The lock is
-// held.
-func (d *driver) answered() {
-	d.fails = 0
-	d.asked = true
+// recordResponse records an answered renewal. t.mu must be held.
+func (d *driver) recordResponse() {
+	d.failures = 0
+	d.responded = true
 }
 
-func (d *driver) unanswered() {
-	d.fails++
-	if d.fails == silentAfter {
+// recordFailure records a failed renewal. If the worker stays unresponsive until
+// the leases on it have expired, its tasks are reported as lost. t.mu must be
+// held.
+func (d *driver) recordFailure() {
+	d.failures++
+	if d.failures == unresponsiveAfter {
 		d.t.state.SetSilent(d.id, true)
 		d.t.h.event(timeline.Event{
 			Kind:   timeline.KindMembership,
 			Worker: d.id,
-			Text:   "worker does not answer",
+			Text:   "worker is not responding",
 		})
 	}
-	if d.fails < silentAfter || (!d.lapsed() && !d.t.h.config.Break.Lapse) {
+	if d.failures < unresponsiveAfter || (!d.leasesExpired() && !d.t.h.config.Break.Lapse) {
 		return
 	}
 	for _, h := range d.t.state.Holds(d.id) {
@@ -208,49 +218,50 @@
 	d.t.wake()
 }
 
-// lapsed reports whether every lease that may have been granted on the worker
-// has ended for certain. Both clocks must agree.
-func (d *driver) lapsed() bool {
+// leasesExpired reports whether every lease that may have been granted on the
+// worker has certainly expired, by both the wall and the monotonic clock.
+func (d *driver) leasesExpired() bool {
 	c := d.t.h.config
 	now := d.t.h.reading()
 	wait := c.TaskLease + c.TaskMargin
-	return now.Mono-d.granted.Mono > wait && now.Wall.Sub(d.granted.Wall) > wait
+	return now.Mono-d.grantedAt.Mono > wait && now.Wall.Sub(d.grantedAt.Wall) > wait
 }
 
-// forgetStarted drops the starts that were answered before a renewal was sent: its
-// report tells of them. The lock is held.
-func (d *driver) forgetStarted(sent lease.Reading) {
-	maps.DeleteFunc(d.started, func(_ agent.Ref, at lease.Reading) bool { return at.Mono < sent.Mono })
+// pruneAckedStarts removes the starts that were acknowledged before a renewal
+// was sent, since the report of that renewal covers them. t.mu must be held.
+func (d *driver) pruneAckedStarts(sent lease.Reading) {
+	maps.DeleteFunc(d.ackedStarts, func(_ agent.Ref, at lease.Reading) bool { return at.Mono < sent.Mono })
 }
 
-// take takes in the report of the worker. The lock is held.
-func (d *driver) take(list []agent.Status, q agent.Renewal) {
-	there := make(map[agent.Ref]bool, len(list))
-	strays := 0
+// applyReport processes the worker's response to renewal q. t.mu must be held.
+func (d *driver) applyReport(list []agent.Status, q agent.Renewal) {
+	reported := make(map[agent.Ref]bool, len(list))
+	unknown := 0
 	for _, s := range list {
-		there[s.Ref] = true
-		if d.takeStatus(s) {
-			strays++
+		reported[s.Ref] = true
+		if d.applyStatus(s) {
+			unknown++
 		}
 	}
-	// What strays use is in no account: the worker gets nothing new beside them.
-	d.strays = strays > 0
-	d.t.state.SetSilent(d.id, d.strays)
+	// The resources that unknown tasks use are not accounted for, so the worker
+	// gets no new tasks while it runs any.
+	d.unknownTasks = unknown > 0
+	d.t.state.SetSilent(d.id, d.unknownTasks)
 	for _, r := range q.Tasks {
-		if !there[r] {
-			d.missing(r)
+		if !reported[r] {
+			d.reportMissing(r)
 		}
 	}
 }
 
-// takeStatus takes in the status of one task, and reports whether it is a
-// stray.
-func (d *driver) takeStatus(s agent.Status) bool {
-	h, held := d.held(s.Ref)
+// applyStatus processes the status of one task and reports whether the task is
+// running but not in the state.
+func (d *driver) applyStatus(s agent.Status) bool {
+	h, held := d.allocation(s.Ref)
 	if s.State == agent.Running {
 		switch {
 		case !held:
-			d.stray(s.Ref)
+			d.stopUnknown(s.Ref)
 			return true
 		case h.State == spoolsill.TaskCheckpointing:
 			d.t.spawn(func() { d.signal(s.Ref, agent.Checkpoint) })
@@ -258,20 +269,20 @@
 			d.t.spawn(func() { d.signal(s.Ref, agent.Stop) })
 		default:
 			d.report(s.Ref, place.Started)
-			d.use(s)
+			d.applyUsage(s)
 		}
 		return false
 	}
 	if held {
-		d.report(s.Ref, fates[s.State])
+		d.report(s.Ref, outcomes[s.State])
 	}
-	if _, ok := d.forget[s.Ref]; !ok {
-		d.forget[s.Ref] = d.t.writer.Cut()
+	if _, ok := d.forgetAfter[s.Ref]; !ok {
+		d.forgetAfter[s.Ref] = d.t.writer.Cut()
 	}
 	return false
 }
 
-var fates = map[agent.State]place.Fate{
+var outcomes = map[agent.State]place.Fate{
 	agent.Exited:       place.Exited,
 	agent.Failed:       place.Failed,
 	agent.Checkpointed: place.Checkpointed,
@@ -279,7 +290,8 @@
 	agent.Expired:      place.Expired,
 }
 
-func (d *driver) held(r agent.Ref) (place.Hold, bool) {
+// allocation returns the resources that a task holds on the worker.
+func (d *driver) allocation(r agent.Ref) (place.Hold, bool) {
 	for _, h := range d.t.state.Holds(d.id) {
 		if h.Task == r.Task && h.Attempt == r.Attempt {
 			return h, true
@@ -288,47 +300,49 @@
 	return place.Hold{}, false
 }
 
-// stray has a task stopped that the worker runs and no record names.
-func (d *driver) stray(r agent.Ref) {
+// stopUnknown stops a task that the worker runs but that is not in the state.
+func (d *driver) stopUnknown(r agent.Ref) {
 	d.t.h.event(timeline.Event{
 		Kind:   timeline.KindFault,
 		Job:    r.Task.Job,
 		Task:   r.Task.String(),
 		Worker: d.id,
-		Text:   "worker runs what no record names: it is stopped",
+		Text:   "worker runs a task that is not in the journal, stopping it",
 	})
 	d.t.spawn(func() { d.signal(r, agent.Stop) })
 }
 
-// missing settles a task that the record places on the worker and that the
-// worker does not know. While its start may still arrive, nothing is known.
-func (d *driver) missing(r agent.Ref) {
-	_, overtaken := d.started[r]
-	if overtaken || d.unsent(r) || d.mayArrive(r) {
+// reportMissing handles a task that is placed on the worker but that the worker
+// did not report. The task is reported as missing unless its start request has
+// just been acknowledged, has not been sent, or may still arrive.
+func (d *driver) reportMissing(r agent.Ref) {
+	_, acked := d.ackedStarts[r]
+	if acked || d.startUnsent(r) || d.startMayArrive(r) {
 		return
 	}
-	delete(d.starting, r)
+	delete(d.pendingStarts, r)
 	d.report(r, place.Missing)
 }
 
-// mayArrive reports whether the start of a task may still arrive at the worker
-// and be taken: the lease that it carries has not ended for certain.
-func (d *driver) mayArrive(r agent.Ref) bool {
-	from, ok := d.starting[r]
+// startMayArrive reports whether the worker may still receive and accept the
+// start request of a task, because the lease in it may not have expired.
+func (d *driver) startMayArrive(r agent.Ref) bool {
+	from, ok := d.pendingStarts[r]
 	if !ok {
-		h, held := d.held(r)
+		h, held := d.allocation(r)
 		if !held || h.State != spoolsill.TaskPlaced {
 			return false
 		}
-		from = d.born
+		from = d.createdAt
 	}
 	c := d.t.h.config
 	return d.t.h.reading().Mono-from.Mono <= c.TaskLease+c.TaskMargin
 }
 
-// unsent reports whether the start of a task waits to be sent.
-func (d *driver) unsent(r agent.Ref) bool {
-	for _, a := range d.t.acts {
+// startUnsent reports whether the start request of a task is still waiting for
+// the task's placement to become durable.
+func (d *driver) startUnsent(r agent.Ref) bool {
+	for _, a := range d.t.pending {
 		if a.record.Kind == place.TaskPlaced && a.record.Task == r.Task && a.record.Attempt == r.Attempt {
 			return true
 		}
@@ -336,18 +350,19 @@
 	return false
 }
 
-// use takes in what a task uses, and does what follows.
-func (d *driver) use(s agent.Status) {
+// applyUsage records the resources that a task uses and applies the resulting
+// measure.
+func (d *driver) applyUsage(s agent.Status) {
 	m, records := d.t.state.Use(time.Now(), s.Task, s.Used)
-	d.t.record(records)
+	d.t.appendRecords(records)
 	if m == place.MeasureThrottle {
 		d.t.spawn(func() { d.signal(s.Ref, agent.Throttle) })
 	}
 }
 
-// report hands a fate to the decisions. The lock is held.
+// report records what happened to a task. t.mu must be held.
 func (d *driver) report(r agent.Ref, f place.Fate) {
-	d.t.record(d.t.state.Report(time.Now(), place.Report{
+	d.t.appendRecords(d.t.state.Report(time.Now(), place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
 		Fate:    f,
@@ -356,11 +371,11 @@
 
 // start starts a placed task on the worker.
 func (d *driver) start(r agent.Ref) {
-	s, address, ok := d.prepare(r)
+	s, address, ok := d.prepareStart(r)
 	if !ok {
 		return
 	}
-	if !d.t.holds() {
+	if !d.t.holdsLease() {
 		return
 	}
 	err := d.t.h.config.Agents.Start(d.t.ctx, address, s)
@@ -368,32 +383,34 @@
 	defer d.t.mu.Unlock()
 	switch {
 	case err == nil:
-		delete(d.starting, r)
-		d.started[r] = d.t.h.reading()
+		delete(d.pendingStarts, r)
+		d.ackedStarts[r] = d.t.h.reading()
 		d.report(r, place.Started)
 	case errors.Is(err, agent.ErrRefused):
-		delete(d.starting, r)
+		delete(d.pendingStarts, r)
 		d.report(r, place.Refused)
 	default:
-		// The start may have arrived, or may arrive yet: a renewal will tell.
+		// The worker may have received the start request, or may still receive
+		// it. A later renewal determines the outcome.
 	}
 	d.t.wake()
 }
 
-// prepare returns the start of a task that is still wanted, and counts its
-// lease as granted from before it is sent.
-func (d *driver) prepare(r agent.Ref) (agent.Start, string, bool) {
+// prepareStart returns the start request of a task and the worker's address. It
+// reports false if the task must not be started any more or the address is not
+// known. The lease in the request counts as granted before the request is sent.
+func (d *driver) prepareStart(r agent.Ref) (agent.Start, string, bool) {
 	now := d.t.h.reading()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	h, held := d.held(r)
+	h, held := d.allocation(r)
 	spec, known := d.t.state.Spec(r.Task.Job)
 	if !held || !known || h.State != spoolsill.TaskPlaced {
 		return agent.Start{}, "", false
 	}
-	d.granted = now
-	d.starting[r] = now
-	d.hurry()
+	d.grantedAt = now
+	d.pendingStarts[r] = now
+	d.requestRenewal()
 	return agent.Start{
 		Task:     r.Task,
 		Attempt:  r.Attempt,
@@ -405,13 +422,13 @@
 	}, d.address, d.address != ""
 }
 
-// signal asks something of a task. What gets lost is asked again after the
-// next renewal.
+// signal sends a signal to a task. A lost signal is sent again after the next
+// renewal.
 func (d *driver) signal(r agent.Ref, v agent.Verb) {
 	d.t.mu.Lock()
 	address := d.address
 	d.t.mu.Unlock()
-	if address == "" || !d.t.holds() {
+	if address == "" || !d.t.holdsLease() {
 		return
 	}
 	err := d.t.h.config.Agents.Signal(d.t.ctx, address, agent.Signal{
@@ -419,16 +436,16 @@
 		Verb: v,
 	})
 	if err != nil && !errors.Is(err, context.Canceled) {
-		d.t.h.config.Log.WithError(err).WithField("worker", d.id).Debug("signal not taken")
+		d.t.h.config.Log.WithError(err).WithField("worker", d.id).Debug("cannot signal the task")
 	}
 }
 
-// settle lists what every worker runs and settles the differences from the
-// record, before the first decision of the tenure.
-func (t *tenure) settle() {
+// reconcile renews the leases on all workers and applies their reports to the
+// state, before the first decision of the tenure.
+func (t *tenure) reconcile() {
 	t.mu.Lock()
 	var list []*driver
-	for _, d := range t.workers {
+	for _, d := range t.drivers {
 		list = append(list, d)
 	}
 	t.mu.Unlock()
@@ -448,9 +465,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, d := range list {
-		if !d.asked && d.address != "" {
+		if !d.responded && d.address != "" {
 			t.state.SetSilent(d.id, true)
-			d.fails = silentAfter
+			d.failures = unresponsiveAfter
 		}
 	}
 }
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -13,29 +13,29 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// leaseTick is how often the lease is looked after.
-const leaseTick = 50 * time.Millisecond
+// leaseInterval is the interval at which the state of the lease is checked.
+const leaseInterval = 50 * time.Millisecond
 
-// A Holder tries for the hall's lease and places tasks while it has it. It is
-// safe for concurrent use.
+// A Holder competes for the hall's lease and places tasks while it holds it. It
+// is safe for concurrent use.
 type Holder struct {
 	config  Config
 	started time.Time
 
-	mu     sync.Mutex // guards what follows
-	keeper *lease.Keeper
-	copies recordlog.Copies
-	tenure *tenure
-	wg     sync.WaitGroup
-	whole  bool // what lasts in the memory of the hall's hosts is known here
-	// going says that the process will end soon, draining that nothing new is
-	// decided any more, leaving that no tenure begins either.
-	going    bool
-	draining bool
-	leaving  bool
+	mu             sync.Mutex // guards the fields below
+	keeper         *lease.Keeper
+	copies         recordlog.Copies
+	tenure         *tenure
+	wg             sync.WaitGroup
+	copiesComplete bool // copies has all that any host of the hall keeps
+	// leaving is set when the process is about to stop, draining when no more
+	// decisions are made, releasing when no more tenures begin.
+	leaving   bool
+	draining  bool
+	releasing bool
 }
 
-// New returns a holder that does nothing before Run.
+// New returns a holder. It is idle until [Holder.Run] is called.
 func New(c Config) *Holder {
 	h := &Holder{
 		config:  c.withDefaults(),
@@ -45,7 +45,7 @@
 	return h
 }
 
-// reading looks at both clocks.
+// reading reads the wall clock and the monotonic clock.
 func (h *Holder) reading() lease.Reading {
 	now := time.Now()
 	return lease.Reading{
@@ -54,15 +54,15 @@
 	}
 }
 
-// Run looks after the lease until ctx ends, then gives it back if it can in
-// time.
+// Run acquires and renews the lease, and places tasks while it holds it, until
+// ctx is done. It does not release the lease, see [Holder.Release].
 func (h *Holder) Run(ctx context.Context) {
 	defer h.wg.Wait()
-	h.spawn(func() { h.join(ctx) })
-	t := time.NewTicker(leaseTick)
+	h.spawn(func() { h.fetchCopies(ctx) })
+	t := time.NewTicker(leaseInterval)
 	defer t.Stop()
 	for {
-		h.step(ctx)
+		h.advanceLease(ctx)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -72,7 +72,7 @@
 	}
 }
 
-// Holds reports whether this host may act for the hall now.
+// Holds reports whether this host holds the hall's lease now.
 func (h *Holder) Holds() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,8 +80,8 @@
 	return ok
 }
 
-// Placing reports whether this host holds the lease and has settled what the
-// former holder left, so that it answers calls.
+// Placing reports whether this host holds the lease and has completed the
+// takeover from the previous holder, so that it answers calls.
 func (h *Holder) Placing() bool {
 	t, err := h.current()
 	if err != nil {
@@ -92,7 +92,8 @@
 	return t.ready
 }
 
-// Seen returns the holder of the hall's lease as last seen, and its epoch.
+// Seen returns the last known holder of the hall's lease and its epoch. It
+// reports false if no holder is known.
 func (h *Holder) Seen() (spoolsill.HostID, spoolsill.Epoch, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,20 +104,21 @@
 	return x, h.keeper.Epoch(), ok
 }
 
-// step does what the lease needs now.
-func (h *Holder) step(ctx context.Context) {
+// advanceLease performs the action that the lease requires now, and starts or
+// ends the tenure accordingly.
+func (h *Holder) advanceLease(ctx context.Context) {
 	h.mu.Lock()
 	a := h.keeper.Next(h.reading())
 	h.mu.Unlock()
 	switch a.Kind {
 	case lease.Read:
-		h.spawn(func() { h.read(ctx) })
+		h.spawn(func() { h.readLease(ctx) })
 	case lease.Write:
-		h.spawn(func() { h.write(ctx, a) })
+		h.spawn(func() { h.writeLease(ctx, a) })
 	case lease.Ask:
-		h.ask(ctx, a.Row)
+		h.requestPromises(ctx, a.Row)
 	}
-	h.follow(ctx)
+	h.updateTenure(ctx)
 }
 
 func (h *Holder) spawn(f func()) {
@@ -127,13 +129,13 @@
 	}()
 }
 
-func (h *Holder) read(ctx context.Context) {
+func (h *Holder) readLease(ctx context.Context) {
 	row, err := h.config.Table.Get(ctx, lease.Key(h.config.Hall))
 	var r lease.Row
 	if err == nil && row.Version > 0 {
 		r, err = lease.Decode(row.Value)
 		if err != nil {
-			h.config.Log.WithError(err).Error("lease row can't be read")
+			h.config.Log.WithError(err).Error("cannot decode the lease row")
 		}
 	}
 	h.mu.Lock()
@@ -141,7 +143,7 @@
 	h.keeper.ReadDone(h.reading(), err == nil, row.Version, r)
 }
 
-func (h *Holder) write(ctx context.Context, a lease.Action) {
+func (h *Holder) writeLease(ctx context.Context, a lease.Action) {
 	x := table.Txn{
 		Conditions: []table.Condition{{
 			Key:     lease.Key(h.config.Hall),
@@ -164,10 +166,10 @@
 	r, err := h.config.Table.Commit(context.WithoutCancel(ctx), x)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.keeper.WriteDone(h.reading(), written(r, err))
+	h.keeper.WriteDone(h.reading(), writeOutcome(r, err))
 }
 
-func written(r table.Result, err error) lease.Written {
+func writeOutcome(r table.Result, err error) lease.Written {
 	switch {
 	case errors.Is(err, table.ErrDown):
 		return lease.NotTaken
@@ -180,8 +182,9 @@
 	}
 }
 
-// ask asks every other host of the roster for a promise.
-func (h *Holder) ask(ctx context.Context, r lease.Row) {
+// requestPromises asks every other host of the roster to promise not to take
+// over the lease.
+func (h *Holder) requestPromises(ctx context.Context, r lease.Row) {
 	asked := h.reading()
 	for _, x := range r.Roster {
 		if x == h.config.Host {
@@ -200,14 +203,16 @@
 	}
 }
 
-// Promise answers another host that asks this one not to take the lease over.
+// Promise handles the request of the holder of epoch e not to take over the
+// lease. It reports whether this host promises that.
 func (h *Holder) Promise(e spoolsill.Epoch) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.keeper.Promise(h.reading(), e)
 }
 
-// Copy keeps entries for the holder of an epoch, and drops those up to stored.
+// Copy keeps copies of entries for the holder of epoch e, and drops the copies
+// up to stored. It reports whether this host keeps the entries.
 func (h *Holder) Copy(e spoolsill.Epoch, stored spoolsill.Sequence, entries []recordlog.Entry) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -223,23 +228,24 @@
 	return true
 }
 
-// Copies returns the entries known here that follow on the last entry in the
-// table, and takes no more copies of epochs before one. Entries that a tenure
-// here could not write are among them: the host that asks may be the only one
-// that reaches the table, and its own copies may have been lost. whole says
-// that nothing is kept elsewhere in the hall that is not known here.
+// Copies returns the entries known to this host that follow last, the newest
+// entry in the table, or all of them if last is zero. From then on, it refuses
+// copies of epochs before e. The entries include those that a tenure of this
+// host has not written yet: the host that asks may be the only one that reaches
+// the table, and may have lost its own copies. whole reports whether this host
+// knows all entries that any host of the hall keeps.
 func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Mark) (list []recordlog.Entry, whole bool) {
-	h.keepOpen()
+	h.keepUnstored()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copies.Fence(e)
 	if last == (recordlog.Mark{}) {
-		return h.copies.All(), h.whole
+		return h.copies.All(), h.copiesComplete
 	}
-	return h.copies.After(last.Epoch, last.Sequence), h.whole
+	return h.copies.After(last.Epoch, last.Sequence), h.copiesComplete
 }
 
-// Forgot says that another host of the hall has restarted, so that it has lost
+// Forgot records that another host of the hall has restarted and thereby lost
 // the copies that it kept.
 func (h *Holder) Forgot() {
 	h.mu.Lock()
@@ -255,16 +261,17 @@
 	}
 }
 
-// follow starts and ends tenures as the lease comes and goes.
-func (h *Holder) follow(ctx context.Context) {
+// updateTenure starts a tenure when the lease is acquired and ends it when the
+// lease is lost.
+func (h *Holder) updateTenure(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	e, ok := h.keeper.Tenure()
 	if t := h.tenure; t != nil && (!ok || t.epoch != e || t.ctx.Err() != nil) {
-		h.keep(t.epoch, t.unstored())
+		h.keepCopies(t.epoch, t.unstored())
 		if ok && t.epoch == e {
-			// Writes of the ended tenure may arrive late: only a new epoch
-			// keeps them out.
+			// Writes of the ended tenure may still be in flight. Only a new
+			// epoch prevents them from taking effect.
 			h.keeper.Abandon()
 		}
 		t.cancel()
@@ -275,20 +282,21 @@
 		})
 	}
 	e, holds := h.keeper.Holds(h.reading())
-	if !holds || h.tenure != nil || h.leaving || ctx.Err() != nil {
+	if !holds || h.tenure != nil || h.releasing || ctx.Err() != nil {
 		return
 	}
 	h.event(timeline.Event{
 		Kind: timeline.KindLease,
-		Text: "took the hall's lease",
+		Text: "acquired the hall's lease",
 	})
-	h.config.Log.WithField("epoch", e).Info("took the hall's lease")
+	h.config.Log.WithField("epoch", e).Info("acquired the hall's lease")
 	h.tenure = newTenure(ctx, h, e)
 	h.spawn(h.tenure.run)
 }
 
-// keepOpen keeps the entries of the own tenure that the table lacks as copies.
-func (h *Holder) keepOpen() {
+// keepUnstored keeps copies of the entries of this host's tenure that are not
+// in the table yet.
+func (h *Holder) keepUnstored() {
 	h.mu.Lock()
 	t := h.tenure
 	h.mu.Unlock()
@@ -298,25 +306,26 @@
 	list := t.unstored()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.keep(t.epoch, list)
+	h.keepCopies(t.epoch, list)
 }
 
-// stored drops the own copies of what the table has now: they would be handed
-// on as if only this host had them.
-func (h *Holder) stored(m recordlog.Mark) {
+// dropStored drops the copies of entries that are in the table. Otherwise they
+// would be handed over to other hosts as if only this host had them.
+func (h *Holder) dropStored(m recordlog.Mark) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copies.Drop(m)
 }
 
-// keep keeps entries of an epoch as copies. The lock is held.
-func (h *Holder) keep(e spoolsill.Epoch, list []recordlog.Entry) {
+// keepCopies keeps copies of entries of epoch e. h.mu must be held.
+func (h *Holder) keepCopies(e spoolsill.Epoch, list []recordlog.Entry) {
 	if len(list) > 0 && !h.copies.Add(e, list) {
 		h.config.Log.WithField("epoch", e).WithField("entries", len(list)).Warn("entries that the table lacks are not kept: another host leads the hall")
 	}
 }
 
-// endTenure ends the tenure and keeps what the table lacks of it as copies.
+// endTenure ends the tenure, if there is one, and keeps copies of its entries
+// that are not in the table.
 func (h *Holder) endTenure() {
 	h.mu.Lock()
 	t := h.tenure
@@ -330,14 +339,15 @@
 	list := t.unstored()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.keep(t.epoch, list)
+	h.keepCopies(t.epoch, list)
 }
 
 func (h *Holder) event(e timeline.Event) {
 	h.config.Events.Add(e)
 }
 
-// current returns the tenure that may answer calls.
+// current returns the current tenure, or [ErrNotHolder] if this host does not
+// hold the lease.
 func (h *Holder) current() (*tenure, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/holder/join.go
+++ b/holder/join.go
@@ -9,17 +9,18 @@
 	"github.com/spoolsill/spoolsill/recordlog"
 )
 
-// joinWithin is how long after its start a host does not take the hall's lease
-// over while it has not heard what the others keep. It is longer than most
-// pauses and cuts; a hall whose other hosts are gone waits this long for its
-// first decision after a restart, and no longer.
-const joinWithin = 10 * time.Second
+// joinTimeout is how long after its start a host does not take over the hall's
+// lease while it has not received the copies of the other hosts. It is longer
+// than most process pauses and network partitions. If the other hosts are gone,
+// it is also the delay before the first decision after a restart.
+const joinTimeout = 10 * time.Second
 
-// join takes over the copies that the hall's other hosts keep, so that what
-// only copies hold outlives the hosts that end one after another. What lasts
-// has a copy at every host that was up: one of these tells it all. Where all
-// hosts are new, they know it all together.
-func (h *Holder) join(ctx context.Context) {
+// fetchCopies fetches the copies that the hall's other hosts keep, so that
+// entries that exist only as copies survive the restart of one host after
+// another. Every host that has not restarted keeps a copy of each durable entry
+// that the table lacks, so the response of one such host is sufficient. If all
+// hosts have restarted, the responses of all other hosts are needed.
+func (h *Holder) fetchCopies(ctx context.Context) {
 	for ctx.Err() == nil && !h.hasJoined() {
 		heard := 0
 		for _, x := range h.config.Hosts {
@@ -33,13 +34,13 @@
 			heard++
 			h.Copy(lastEpoch(list), 0, list)
 			if whole {
-				h.joined()
+				h.markJoined()
 			}
 		}
 		if heard == len(h.config.Hosts)-1 {
-			h.joined()
+			h.markJoined()
 		}
-		pause.For(ctx, leaseTick)
+		pause.For(ctx, leaseInterval)
 	}
 }
 
@@ -50,16 +51,17 @@
 	return list[len(list)-1].Epoch
 }
 
-// joined notes that all is known here that lasts in the hall's memory.
-func (h *Holder) joined() {
+// markJoined records that this host knows all entries that any host of the hall
+// keeps.
+func (h *Holder) markJoined() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.whole = true
+	h.copiesComplete = true
 	h.keeper.Joined()
 }
 
 func (h *Holder) hasJoined() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.whole
+	return h.copiesComplete
 }
--- a/holder/leave.go
+++ b/holder/leave.go
@@ -9,64 +9,66 @@
 	"github.com/spoolsill/spoolsill/recordlog"
 )
 
-// Leave says that the host will be gone soon. It goes on as before, but keeps
-// nothing any more for a host that leaves as well: two that hand what only
-// they know to each other would both be gone with it.
+// Leave marks the host as about to stop. The host continues to work, but no
+// longer accepts entries from other hosts that are stopping: if two stopping
+// hosts handed their entries to each other, both copies would be lost.
 func (h *Holder) Leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.going = true
+	h.leaving = true
 }
 
-// Drain returns once the table has all that this host knows and the table may
-// lack, or another host that stays keeps it; else when ctx ends. The hall's
-// lease is kept meanwhile, and taken where it is free: only its holder can
-// write. Nothing new is decided.
+// Drain stops making decisions. It returns once all entries that this host
+// knows are in the table or on a host that is not stopping, or when ctx is
+// done. Until then this host keeps the hall's lease, or acquires it if it is
+// free, because only the holder can write to the table.
 func (h *Holder) Drain(ctx context.Context) {
 	h.mu.Lock()
 	h.draining = true
 	h.mu.Unlock()
 	for ctx.Err() == nil {
-		list := h.only()
+		list := h.unstoredEntries()
 		if len(list) == 0 {
 			return
 		}
-		// The holder writes by itself what the table takes.
+		// While the table responds, the tenure writes the entries itself.
 		writes := h.Holds() && !h.config.Table.Silent()
 		if !writes && h.handOver(ctx, list) {
 			return
 		}
-		pause.For(ctx, leaseTick)
+		pause.For(ctx, leaseInterval)
 	}
 }
 
-// drains reports whether nothing new is decided here any more.
-func (h *Holder) drains() bool {
+// isDraining reports whether [Holder.Drain] was called.
+func (h *Holder) isDraining() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.draining
 }
 
-// only returns the entries known here that the table may lack.
-func (h *Holder) only() []recordlog.Entry {
-	h.keepOpen()
+// unstoredEntries returns the entries known to this host that may not be in the
+// table.
+func (h *Holder) unstoredEntries() []recordlog.Entry {
+	h.keepUnstored()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.copies.All()
 }
 
-// Release hands on what only this host knows, gives the lease back and returns
-// once the table has taken that, or when ctx ends. Run must be running.
+// Release ends the tenure, hands over the entries that only this host has, and
+// releases the lease. It returns once the release is in the table, or when ctx
+// is done. [Holder.Run] must be running.
 func (h *Holder) Release(ctx context.Context) {
 	h.mu.Lock()
-	h.leaving = true
+	h.releasing = true
 	h.mu.Unlock()
 	h.endTenure()
-	h.handOn(ctx)
+	h.handOverAll(ctx)
 	h.mu.Lock()
 	h.keeper.Release()
 	h.mu.Unlock()
-	t := time.NewTicker(leaseTick)
+	t := time.NewTicker(leaseInterval)
 	defer t.Stop()
 	for {
 		h.mu.Lock()
@@ -83,20 +85,20 @@
 	}
 }
 
-// handOn hands the copies that this host keeps to the hall's other hosts, and
-// tries again until one has taken them or ctx ends.
-func (h *Holder) handOn(ctx context.Context) {
+// handOverAll hands the copies that this host keeps over to another host of the
+// hall. It retries until one has accepted them or ctx is done.
+func (h *Holder) handOverAll(ctx context.Context) {
 	for ctx.Err() == nil {
-		list := h.only()
+		list := h.unstoredEntries()
 		if len(list) == 0 || len(h.config.Hosts) < 2 || h.handOver(ctx, list) {
 			return
 		}
-		pause.For(ctx, leaseTick)
+		pause.For(ctx, leaseInterval)
 	}
 }
 
-// handOver hands entries to another host of the hall and reports whether one
-// that stays keeps them.
+// handOver sends entries to the other hosts of the hall, one after another, and
+// reports whether one of them has accepted them.
 func (h *Holder) handOver(ctx context.Context, list []recordlog.Entry) bool {
 	for _, x := range h.config.Hosts {
 		if x != h.config.Host && h.config.Peers.HandOver(ctx, x, list[len(list)-1].Epoch, list) {
@@ -106,9 +108,10 @@
 	return false
 }
 
-// HandOver keeps entries for a host that leaves, unless this one leaves too.
+// HandOver keeps copies of the entries of a host that is stopping. It reports
+// false, and keeps none, if this host is stopping too.
 func (h *Holder) HandOver(e spoolsill.Epoch, entries []recordlog.Entry) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.going && h.copies.Add(e, entries)
+	return !h.leaving && h.copies.Add(e, entries)
 }
--- a/holder/snapshot.go
+++ b/holder/snapshot.go
@@ -9,17 +9,17 @@
 	"github.com/spoolsill/spoolsill/table"
 )
 
-// maxDeletes is the number of journal rows deleted in one transaction.
+// maxDeletes is the maximum number of journal rows deleted in one transaction.
 const maxDeletes = 500
 
-// A snapshotter remembers what of the journal a snapshot covers.
+// A snapshotter tracks which part of the journal the newest snapshot covers.
 type snapshotter struct {
-	last spoolsill.Sequence // the newest snapshot
-	busy bool
+	last spoolsill.Sequence // last entry that the newest snapshot covers
+	busy bool               // a snapshot is being written
 }
 
-// maybeSnapshot writes a snapshot when enough entries came since the last
-// one. The lock is held.
+// maybeSnapshot writes a snapshot in the background if SnapshotEvery entries
+// were stored since the last one. t.mu must be held.
 func (t *tenure) maybeSnapshot() {
 	s := t.writer.Stored()
 	if t.snap.busy || t.writer.Open() > 0 || int(s-t.snap.last) < t.h.config.SnapshotEvery {
@@ -38,7 +38,7 @@
 		defer t.wg.Done()
 		err := t.snapshot(e)
 		if err != nil {
-			t.h.config.Log.WithError(err).Warn("snapshot not written")
+			t.h.config.Log.WithError(err).Warn("cannot write the snapshot")
 		}
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -49,8 +49,8 @@
 	}()
 }
 
-// snapshot writes the object, then the row that names it, and deletes the
-// entries that it covers.
+// snapshot writes the snapshot object, then the row that refers to it, and
+// deletes the journal rows that the snapshot covers.
 func (t *tenure) snapshot(e recordlog.Entry) error {
 	b, err := recordlog.Encode(e)
 	if err != nil {
@@ -76,7 +76,7 @@
 			return err
 		}
 		if !r.Applied {
-			return errDeposed
+			return errLeaseLost
 		}
 		if first > e.Sequence {
 			return nil
@@ -85,7 +85,8 @@
 	}
 }
 
-// fenced returns a transaction that takes effect only in this tenure.
+// fenced returns a transaction that is applied only while no later epoch has
+// begun.
 func (t *tenure) fenced() table.Txn {
 	return table.Txn{
 		Conditions: []table.Condition{{
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -14,11 +14,11 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// maxOpen is the number of entries that may wait for the table before no
+// maxOpenEntries is the number of entries missing from the table above which no
 // further decisions are made.
-const maxOpen = 256
+const maxOpenEntries = 256
 
-// A tenure is the time under one epoch of the lease.
+// A tenure is the time for which the host holds the lease under one epoch.
 type tenure struct {
 	h       *Holder
 	epoch   spoolsill.Epoch
@@ -26,38 +26,38 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	done    chan struct{}
-	kick    chan struct{}
-	starts  chan struct{}
+	wakeup  chan struct{}
+	slots   chan struct{}
 	wg      sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
-	closed  bool       // nothing is begun any more
-	ready   bool
-	state   *place.State
-	book    *intent.Book
-	writer  *recordlog.Writer
-	acts    []act
-	waiters []waiter
-	workers map[spoolsill.WorkerID]*driver
-	copied  bool      // other hosts keep copies
-	silent  bool      // the table was, when it was last looked at
-	retry   time.Time // no table write before
-	failed  int       // table writes failed in a row
-	snap    snapshotter
-	members []spoolsill.Worker
-	listed  bool // the list of workers has come
+	mu            sync.Mutex // guards the fields below
+	closed        bool       // no more goroutines are started
+	ready         bool
+	state         *place.State
+	book          *intent.Book
+	writer        *recordlog.Writer
+	pending       []action
+	waiters       []waiter
+	drivers       map[spoolsill.WorkerID]*driver
+	replicated    bool      // other hosts keep copies
+	tableSilent   bool      // as of the last call of advanceJournal
+	nextWrite     time.Time // earliest time of the next table write
+	writeFailures int       // consecutive failed table writes
+	snap          snapshotter
+	workers       []spoolsill.Worker
+	workersListed bool // the list of workers is available
 }
 
-// An act is what follows from a record once it lasts.
-type act struct {
+// An action is a record to act on once it is durable.
+type action struct {
 	sequence spoolsill.Sequence
 	record   place.Record
 }
 
-// A waiter is told when a sequence number lasts.
+// A waiter waits for a sequence number to become durable.
 type waiter struct {
 	sequence spoolsill.Sequence
-	lasting  chan struct{}
+	durable  chan struct{}
 }
 
 func newTenure(ctx context.Context, h *Holder, e spoolsill.Epoch) *tenure {
@@ -65,16 +65,17 @@
 		h:       h,
 		epoch:   e,
 		done:    make(chan struct{}),
-		kick:    make(chan struct{}, 1),
-		starts:  make(chan struct{}, h.config.Starts),
+		wakeup:  make(chan struct{}, 1),
+		slots:   make(chan struct{}, h.config.Starts),
 		book:    intent.NewBook(h.config.Intent),
-		workers: map[spoolsill.WorkerID]*driver{},
+		drivers: map[spoolsill.WorkerID]*driver{},
 	}
 	t.ctx, t.cancel = context.WithCancel(ctx)
 	return t
 }
 
-// run loads, settles and then decides until the tenure ends.
+// run loads the state, reconciles it with the workers, and then makes decisions
+// until the tenure ends.
 func (t *tenure) run() {
 	defer close(t.done)
 	defer t.wg.Wait()
@@ -84,19 +85,19 @@
 	}
 	t.refresh()
 	if !t.h.config.Break.Settle {
-		t.settle()
+		t.reconcile()
 	}
 	t.mu.Lock()
 	t.ready = true
 	t.mu.Unlock()
 	t.h.event(timeline.Event{
 		Kind: timeline.KindLease,
-		Text: "all differences are settled, placement goes on",
+		Text: "worker state reconciled, placement resumes",
 	})
 	t.loop()
 }
 
-// close ends the tenure: nothing more is begun in it.
+// close ends the tenure. No more goroutines are started in it.
 func (t *tenure) close() {
 	t.cancel()
 	t.mu.Lock()
@@ -104,74 +105,77 @@
 	t.closed = true
 }
 
-// refreshEvery is how often the list of workers and the quotas are looked at.
-const refreshEvery = 500 * time.Millisecond
+// refreshInterval is the interval at which the list of workers and the quotas
+// are read.
+const refreshInterval = 500 * time.Millisecond
 
 func (t *tenure) loop() {
 	group := time.NewTicker(t.h.config.Group)
 	defer group.Stop()
-	refresh := time.NewTicker(refreshEvery)
+	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
-	kicked := true
+	due := true
 	for {
 		select {
 		case <-t.ctx.Done():
 			return
-		case <-t.kick:
-			kicked = true
+		case <-t.wakeup:
+			due = true
 		case <-refresh.C:
 			t.refresh()
-			kicked = true
+			due = true
 		case <-group.C:
-			if kicked {
-				kicked = t.decide()
+			if due {
+				due = t.decide()
 			}
-			t.pump()
+			t.advanceJournal()
 		}
 	}
 }
 
-// wake has the next decisions made soon.
+// wake requests that decisions be made at the next group interval.
 func (t *tenure) wake() {
 	select {
-	case t.kick <- struct{}{}:
+	case t.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// holds asks whether the host may act in this epoch now.
-func (t *tenure) holds() bool {
+// holdsLease reports whether the host holds the lease under the tenure's epoch
+// now.
+func (t *tenure) holdsLease() bool {
 	t.h.mu.Lock()
 	defer t.h.mu.Unlock()
 	e, ok := t.h.keeper.Holds(t.h.reading())
 	return ok && e == t.epoch && t.ctx.Err() == nil
 }
 
-// decide makes decisions, and reports whether there may be more.
+// decide makes decisions and reports whether there may be more to make.
 func (t *tenure) decide() bool {
-	if !t.holds() || t.h.drains() {
+	if !t.holdsLease() || t.h.isDraining() {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.writer.Open() > maxOpen {
+	if t.writer.Open() > maxOpenEntries {
 		return true
 	}
-	records, full := t.state.Decide(time.Now())
-	t.record(records)
-	return full
+	records, more := t.state.Decide(time.Now())
+	t.appendRecords(records)
+	return more
 }
 
-// record hands applied records to the journal and keeps what follows from
-// them. The lock is held. It returns the number under which they last.
-func (t *tenure) record(records []place.Record) spoolsill.Sequence {
+// appendRecords appends records that are applied to the state to the journal,
+// and queues the actions that follow from them. It returns the sequence number
+// of their last entry. t.mu must be held.
+func (t *tenure) appendRecords(records []place.Record) spoolsill.Sequence {
 	t.writer.Append(records)
 	s := t.writer.Cut()
 	for _, r := range records {
-		t.note(r)
+		t.recordEvent(r)
 		switch r.Kind {
 		case place.TaskPlaced, place.TaskCheckpointing, place.TaskStopping:
-			t.acts = append(t.acts, act{
+			t.pending = append(t.pending, action{
 				sequence: s,
 				record:   r,
 			})
@@ -180,7 +184,7 @@
 	return s
 }
 
-func (t *tenure) note(r place.Record) {
+func (t *tenure) recordEvent(r place.Record) {
 	t.h.event(timeline.Event{
 		Kind:   timeline.KindDecision,
 		Job:    r.Task.Job,
@@ -204,7 +208,7 @@
 	place.TaskRunning:       "task runs",
 	place.TaskCheckpointing: "task is checkpointed",
 	place.TaskStopping:      "task is stopped",
-	place.TaskRequeued:      "task waits again",
+	place.TaskRequeued:      "task requeued",
 	place.TaskEnded:         "task ended",
 	place.PlanApplied:       "plan confirmed",
 }
@@ -223,22 +227,23 @@
 	return s
 }
 
-// release does what has come to last. The lock is held.
-func (t *tenure) release() {
+// processDurable executes the actions and notifies the waiters whose entries are
+// durable. t.mu must be held.
+func (t *tenure) processDurable() {
 	lasting := t.writer.Lasting()
 	if t.h.config.Break.Record {
 		lasting = 1 << 62
 	}
 	n := 0
-	for n < len(t.acts) && t.acts[n].sequence <= lasting {
-		t.do(t.acts[n].record)
+	for n < len(t.pending) && t.pending[n].sequence <= lasting {
+		t.execute(t.pending[n].record)
 		n++
 	}
-	t.acts = t.acts[n:]
+	t.pending = t.pending[n:]
 	kept := t.waiters[:0]
 	for _, w := range t.waiters {
 		if w.sequence <= lasting {
-			close(w.lasting)
+			close(w.durable)
 			continue
 		}
 		kept = append(kept, w)
@@ -246,8 +251,8 @@
 	t.waiters = kept
 }
 
-// do acts on a record that lasts. The lock is held.
-func (t *tenure) do(r place.Record) {
+// execute acts on a durable record. t.mu must be held.
+func (t *tenure) execute(r place.Record) {
 	d := t.driver(r.Worker)
 	ref := agent.Ref{
 		Task:    r.Task,
@@ -263,8 +268,8 @@
 	}
 }
 
-// spawn runs f in the tenure, with a bound on how many run at once. The lock
-// is held.
+// spawn runs f in a goroutine of the tenure. At most Config.Starts of them run
+// at once. t.mu must be held.
 func (t *tenure) spawn(f func()) {
 	if t.closed {
 		return
@@ -273,16 +278,16 @@
 	go func() {
 		defer t.wg.Done()
 		select {
-		case t.starts <- struct{}{}:
+		case t.slots <- struct{}{}:
 		case <-t.ctx.Done():
 			return
 		}
-		defer func() { <-t.starts }()
+		defer func() { <-t.slots }()
 		f()
 	}()
 }
 
-// refresh takes in the list of workers and the quotas.
+// refresh updates the list of workers and the quotas.
 func (t *tenure) refresh() {
 	list, ok := t.h.config.Workers()
 	if !ok {
@@ -290,11 +295,11 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !sameWorkers(t.members, list) {
-		t.members = append([]spoolsill.Worker(nil), list...)
+	if !sameWorkers(t.workers, list) {
+		t.workers = append([]spoolsill.Worker(nil), list...)
 		t.state.SetWorkers(list)
 	}
-	t.listed = true
+	t.workersListed = true
 	t.state.SetQuotas(t.h.config.Quotas())
 	for _, w := range t.state.Workers() {
 		t.driver(w.ID)
@@ -302,7 +307,7 @@
 	for _, w := range list {
 		t.driver(w.ID).setAddress(w.Address)
 		if w.Leaving && t.ready {
-			t.record(t.state.DrainWorker(time.Now(), w.ID))
+			t.appendRecords(t.state.DrainWorker(time.Now(), w.ID))
 		}
 	}
 }
@@ -319,15 +324,15 @@
 	return true
 }
 
-// driver returns the driver of a worker, and starts it when it is new. The
-// lock is held.
+// driver returns the driver of a worker, and creates and starts it if there is
+// none. t.mu must be held.
 func (t *tenure) driver(id spoolsill.WorkerID) *driver {
-	d, ok := t.workers[id]
+	d, ok := t.drivers[id]
 	if ok {
 		return d
 	}
 	d = newDriver(t, id)
-	t.workers[id] = d
+	t.drivers[id] = d
 	if t.closed {
 		return d
 	}
@@ -339,12 +344,12 @@
 	return d
 }
 
-// leaseEnd returns the end of a task lease granted now.
+// leaseEnd returns the end of a task lease that is granted at now.
 func (t *tenure) leaseEnd(now lease.Reading) time.Time {
 	return now.Wall.Add(t.h.config.TaskLease)
 }
 
-// unstored returns the entries that the table lacks, as far as is known.
+// unstored returns the entries that are not known to be in the table.
 func (t *tenure) unstored() []recordlog.Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
