--- a/holder/commit.go
+++ b/holder/commit.go
@@ -29,7 +29,7 @@
 var errLeaseLost = errors.New("holder: another host has taken over the lease")
 
 // advanceJournal acts on durable records, then writes pending entries to the
-// table, or copies them to the other hosts while the table is silent.
+// table, or copies them to the other hosts while the table is unavailable.
 func (t *tenure) advanceJournal() {
 	silent := t.h.config.Table.Silent()
 	held := t.holdsLease()
@@ -40,8 +40,9 @@
 		t.replicate(silent)
 	}
 	if t.tableSilent && !silent {
-		// Entries written while the table was silent exist only in the memory
-		// of the hall's hosts. Write them without waiting for the retry delay.
+		// Entries appended while the table was unavailable exist only in the
+		// memory of the hall's hosts. Write them without waiting for the retry
+		// delay.
 		t.nextWrite = time.Time{}
 	}
 	t.tableSilent = silent
@@ -59,8 +60,8 @@
 	}()
 }
 
-// replicate copies entries to the hall's other hosts while the table is silent.
-// t.mu must be held.
+// replicate copies entries to the hall's other hosts while the table is
+// unavailable. t.mu must be held.
 func (t *tenure) replicate(silent bool) {
 	if !silent {
 		return
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -68,13 +68,13 @@
 
 // renewDelay returns the delay before the next renewal.
 func (d *driver) renewDelay() time.Duration {
-	poll := d.t.h.config.Poll
+	interval := d.t.h.config.Poll
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	if d.t.ready && d.failures == 0 && !d.unknownTasks && len(d.forgetAfter) == 0 && len(d.t.state.Holds(d.id)) == 0 {
-		poll *= idleRenewFactor
+		interval *= idleRenewFactor
 	}
-	return poll - poll/10 + rand.N(poll/5)
+	return interval - interval/10 + rand.N(interval/5)
 }
 
 // requestRenewal makes run send the next renewal within the normal interval,
@@ -164,9 +164,9 @@
 			})
 		}
 	}
-	lasting := d.t.writer.Lasting()
+	durable := d.t.writer.Lasting()
 	for r, s := range d.forgetAfter {
-		if s <= lasting {
+		if s <= durable {
 			q.Forget = append(q.Forget, r)
 		}
 	}
--- a/holder/join.go
+++ b/holder/join.go
@@ -22,7 +22,7 @@
 // hosts have restarted, the responses of all other hosts are needed.
 func (h *Holder) fetchCopies(ctx context.Context) {
 	for ctx.Err() == nil && !h.hasJoined() {
-		heard := 0
+		answered := 0
 		for _, x := range h.config.Hosts {
 			if x == h.config.Host {
 				continue
@@ -31,13 +31,13 @@
 			if err != nil {
 				continue
 			}
-			heard++
+			answered++
 			h.Copy(lastEpoch(list), 0, list)
 			if whole {
 				h.markJoined()
 			}
 		}
-		if heard == len(h.config.Hosts)-1 {
+		if answered == len(h.config.Hosts)-1 {
 			h.markJoined()
 		}
 		pause.For(ctx, leaseInterval)
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -230,19 +230,19 @@
 // processDurable executes the actions and notifies the waiters whose entries are
 // durable. t.mu must be held.
 func (t *tenure) processDurable() {
-	lasting := t.writer.Lasting()
+	durable := t.writer.Lasting()
 	if t.h.config.Break.Record {
-		lasting = 1 << 62
+		durable = 1 << 62
 	}
 	n := 0
-	for n < len(t.pending) && t.pending[n].sequence <= lasting {
+	for n < len(t.pending) && t.pending[n].sequence <= durable {
 		t.execute(t.pending[n].record)
 		n++
 	}
 	t.pending = t.pending[n:]
 	kept := t.waiters[:0]
 	for _, w := range t.waiters {
-		if w.sequence <= lasting {
+		if w.sequence <= durable {
 			close(w.durable)
 			continue
 		}
