--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -112,10 +112,10 @@
 	Issued time.Time            `msgpack:"i"` // when the caller created the key
 }
 
-// Claim claims a key for an owner. Claiming is idempotent: the same owner is
+// Acquire claims a key for an owner. Claiming is idempotent: the same owner is
 // granted the key again until the result is recorded. A claim with the verdict
 // [Uncertain] is recorded too, so that no other owner is granted the key later.
-func (l *Ledger) Claim(now time.Time, c Claim) (Verdict, Result) {
+func (l *Ledger) Acquire(now time.Time, c Claim) (Verdict, Result) {
 	l.expire(now)
 	if e, ok := l.entries[c.Key]; ok {
 		if e.owner == c.Owner && e.result.Outcome == "" {
--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -99,7 +99,7 @@
 	if lost == 0 {
 		return
 	}
-	v, _ := l.Claim(h.now, c.claim)
+	v, _ := l.Acquire(h.now, c.claim)
 	if lost == 1 {
 		return
 	}
@@ -223,7 +223,7 @@
 			Nonce: 1,
 		},
 	}
-	v, _ := l.Claim(now, first)
+	v, _ := l.Acquire(now, first)
 	c.Assert(v, qt.Equals, claim.Granted)
 	a := claim.Result{
 		Outcome: spoolsill.Done,
@@ -235,10 +235,10 @@
 	})
 	second := first
 	second.Owner.Nonce = 2
-	v, got := l.Claim(now.Add(time.Second), second)
+	v, got := l.Acquire(now.Add(time.Second), second)
 	c.Assert(v, qt.Equals, claim.Taken)
 	c.Assert(got, qt.DeepEquals, a)
-	v, _ = l.Claim(now.Add(claim.DefaultKeep+time.Second), second)
+	v, _ = l.Acquire(now.Add(claim.DefaultKeep+time.Second), second)
 	c.Assert(v, qt.Equals, claim.Expired)
 	c.Assert(l.Len(), qt.Equals, 0)
 }
--- a/entry/beat.go
+++ b/entry/beat.go
@@ -100,7 +100,7 @@
 	h.mu.Unlock()
 	if reborn {
 		h.event(timeline.KindMembership, "host "+string(from)+" has restarted")
-		h.holder.Forgot()
+		h.holder.PeerRestarted()
 	}
 	if back {
 		h.event(timeline.KindMembership, "host "+string(from)+" is heard again")
--- a/entry/cell.go
+++ b/entry/cell.go
@@ -89,7 +89,7 @@
 			Body: b,
 		}, err
 	}
-	to, _, ok := h.holder.Seen()
+	to, _, ok := h.holder.LeaseHolder()
 	if !ok || to == h.settings.Host.ID || q.Hops >= maxHops {
 		return wireAnswer{}, refusal(holder.ErrNotHolder)
 	}
@@ -174,9 +174,9 @@
 		return codeIntent
 	case errors.Is(err, holder.ErrNotHolder):
 		return codeNotHolder
-	case errors.Is(err, holder.ErrNotLasting):
+	case errors.Is(err, holder.ErrUnknownOutcome):
 		return codeNotLasting
-	case errors.Is(err, holder.ErrNoJob):
+	case errors.Is(err, holder.ErrJobNotFound):
 		return codeNoJob
 	default:
 		return peer.CodeInternal
@@ -217,5 +217,5 @@
 	if strings.HasPrefix(string(id), string(h.hall.ID)+"-") {
 		return nil
 	}
-	return fmt.Errorf("%w: the table is silent, so that only jobs named %s-... can be added: %w", holder.ErrNotLasting, h.hall.ID, err)
+	return fmt.Errorf("%w: the table is silent, so that only jobs named %s-... can be added: %w", holder.ErrUnknownOutcome, h.hall.ID, err)
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -35,7 +35,7 @@
 func (h *Host) takeClaim(_ context.Context, _ peer.Caller, q claim.Claim) (wireVerdict, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v, a := h.ledger.Claim(time.Now(), q)
+	v, a := h.ledger.Acquire(time.Now(), q)
 	return wireVerdict{
 		Verdict: v,
 		Answer:  a,
--- a/entry/host.go
+++ b/entry/host.go
@@ -308,7 +308,7 @@
 	}
 	h.event(timeline.KindOperator, "planned stop began")
 	h.log.Info("planned stop began")
-	h.holder.Leave()
+	h.holder.SetLeaving()
 	if !h.config.Break.Drain {
 		h.finishWork(ctx)
 	}
@@ -368,7 +368,7 @@
 // Check verifies what must hold at all times over the hall's state. It fails
 // with [holder.ErrNotHolder] at a host that does not hold the hall's lease.
 func (h *Host) Check() error {
-	return h.holder.Check()
+	return h.holder.CheckInvariants()
 }
 
 // ConfigVersion returns the version of the configuration in force.
--- a/entry/operate.go
+++ b/entry/operate.go
@@ -235,7 +235,7 @@
 
 func (h *Host) getJob(w http.ResponseWriter, q *http.Request) {
 	id := spoolsill.JobID(chi.URLParam(q, "id"))
-	found, missing := eachHall[holder.Detail](h, q, opJob, id)
+	found, missing := eachHall[holder.JobStatus](h, q, opJob, id)
 	for hall, d := range found {
 		writeJSON(w, http.StatusOK, api.JobDetail{
 			Hall:  hall,
@@ -262,7 +262,7 @@
 func isNoJob(m api.Missing) bool {
 	return m.Text == (&peer.RemoteError{
 		Code: codeNoJob,
-		Text: holder.ErrNoJob.Error(),
+		Text: holder.ErrJobNotFound.Error(),
 	}).Error()
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -147,7 +147,7 @@
 
 // Copies implements holder.Peers.
 func (p *holderPeers) Copies(ctx context.Context, to spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, whole bool, err error) {
-	_, e, _ := p.holder.Seen()
+	_, e, _ := p.holder.LeaseHolder()
 	r, err := call[wireCopy](ctx, (*Host)(p), to, methodCopies, wireCopies{
 		Epoch: e,
 		Last:  last,
@@ -184,11 +184,11 @@
 	}
 	if q.Leaving {
 		return wireYes{
-			Yes: h.holder.HandOver(q.Epoch, entries),
+			Yes: h.holder.AcceptHandOver(q.Epoch, entries),
 		}, nil
 	}
 	return wireYes{
-		Yes: h.holder.Copy(q.Epoch, q.Stored, entries),
+		Yes: h.holder.KeepCopies(q.Epoch, q.Stored, entries),
 	}, nil
 }
 
--- a/holder/call.go
+++ b/holder/call.go
@@ -23,14 +23,14 @@
 	After   place.Totals     `json:"after"   msgpack:"a"`
 }
 
-// A Detail is a job with its tasks.
-type Detail struct {
+// JobStatus is the state of a job and its tasks.
+type JobStatus struct {
 	Job   place.JobView    `json:"job"   msgpack:"j"`
 	Tasks []place.TaskView `json:"tasks" msgpack:"t"`
 }
 
-// ErrNoJob is returned for a job that is not known in the hall.
-var ErrNoJob = errors.New("holder: no such job in this hall")
+// ErrJobNotFound is returned for a job that is not known in the hall.
+var ErrJobNotFound = errors.New("holder: no such job in this hall")
 
 // Plan returns the changes that an intent would make, without making them. It
 // returns [intent.ErrIntent], a [*place.StaleError] or [ErrNotHolder] on
@@ -74,8 +74,8 @@
 
 // Confirm applies a plan exactly as [Holder.Plan] returned it, and returns once
 // it is durable. It returns a [*place.StaleError], [ErrNotHolder] or
-// [ErrNotLasting] on failure. Confirming a plan is idempotent, so it may be
-// retried after [ErrNotLasting].
+// [ErrUnknownOutcome] on failure. Confirming a plan is idempotent, so it may be
+// retried after [ErrUnknownOutcome].
 func (h *Holder) Confirm(ctx context.Context, id spoolsill.PlanID) error {
 	t, err := h.current()
 	if err != nil {
@@ -92,9 +92,9 @@
 	case <-w:
 		return nil
 	case <-ctx.Done():
-		return ErrNotLasting
+		return ErrUnknownOutcome
 	case <-t.ctx.Done():
-		return ErrNotLasting
+		return ErrUnknownOutcome
 	}
 }
 
@@ -161,14 +161,14 @@
 	})
 }
 
-// Job returns a job with its tasks, or [ErrNoJob].
-func (h *Holder) Job(id spoolsill.JobID) (Detail, error) {
-	return query(h, func(s *place.State) (Detail, error) {
+// Job returns a job with its tasks, or [ErrJobNotFound].
+func (h *Holder) Job(id spoolsill.JobID) (JobStatus, error) {
+	return query(h, func(s *place.State) (JobStatus, error) {
 		j, tasks, ok := s.Job(id)
 		if !ok {
-			return Detail{}, ErrNoJob
+			return JobStatus{}, ErrJobNotFound
 		}
-		return Detail{
+		return JobStatus{
 			Job:   j,
 			Tasks: tasks,
 		}, nil
@@ -182,8 +182,8 @@
 	})
 }
 
-// Check verifies the invariants of the hall's state.
-func (h *Holder) Check() error {
+// CheckInvariants verifies the invariants of the hall's state.
+func (h *Holder) CheckInvariants() error {
 	_, err := query(h, func(s *place.State) (struct{}, error) {
 		return struct{}{}, s.Check()
 	})
--- a/holder/config.go
+++ b/holder/config.go
@@ -22,18 +22,18 @@
 // can answer.
 var ErrNotHolder = errors.New("holder: this host does not hold the hall's lease")
 
-// ErrNotLasting is returned when a decision was made but did not become
+// ErrUnknownOutcome is returned when a decision was made but did not become
 // durable in time. It may still take effect.
-var ErrNotLasting = errors.New("holder: not known whether it is in force")
+var ErrUnknownOutcome = errors.New("holder: not known whether it is in force")
 
 // Defaults of [Config].
 const (
 	DefaultTaskLease     = 15 * time.Second
 	DefaultTaskMargin    = 2 * time.Second
-	DefaultPoll          = time.Second
+	DefaultRenewInterval = time.Second
 	DefaultGroup         = 10 * time.Millisecond
 	DefaultSnapshotEvery = 256
-	DefaultStarts        = 64
+	DefaultMaxRequests   = 64
 )
 
 // Table is the part of the platform's table that a [Holder] uses.
@@ -120,25 +120,25 @@
 	// is how much longer the holder waits before it considers the lease expired.
 	TaskLease  time.Duration
 	TaskMargin time.Duration
-	// Poll is the interval between renewals of a worker's leases.
-	Poll time.Duration
+	// RenewInterval is the interval between renewals of a worker's leases.
+	RenewInterval time.Duration
 	// Group is the interval at which decisions are made and written together.
 	Group time.Duration
 	// SnapshotEvery is the number of entries between snapshots.
 	SnapshotEvery int
-	// Starts is the maximum number of concurrent requests to workers, not
+	// MaxRequests is the maximum number of concurrent requests to workers, not
 	// counting the periodic renewals.
-	Starts int
-	Break  Breaks
+	MaxRequests int
+	Break       Breaks
 }
 
 func (c Config) withDefaults() Config {
 	zero.Default(&c.TaskLease, DefaultTaskLease)
 	zero.Default(&c.TaskMargin, DefaultTaskMargin)
-	zero.Default(&c.Poll, DefaultPoll)
+	zero.Default(&c.RenewInterval, DefaultRenewInterval)
 	zero.Default(&c.Group, DefaultGroup)
 	zero.Default(&c.SnapshotEvery, DefaultSnapshotEvery)
-	zero.Default(&c.Starts, DefaultStarts)
+	zero.Default(&c.MaxRequests, DefaultMaxRequests)
 	c.Lease.Join = joinTimeout
 	c.Lease.Host = c.Host
 	c.Lease.Incarnation = c.Incarnation
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -68,7 +68,7 @@
 
 // renewDelay returns the delay before the next renewal.
 func (d *driver) renewDelay() time.Duration {
-	interval := d.t.h.config.Poll
+	interval := d.t.h.config.RenewInterval
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	if d.t.ready && d.failures == 0 && !d.unknownTasks && len(d.forgetAfter) == 0 && len(d.t.state.Holds(d.id)) == 0 {
@@ -94,7 +94,7 @@
 // run sends renewals until the tenure ends. The first delay is random, so that
 // the renewals of a hall's workers are spread over time.
 func (d *driver) run() {
-	next := time.Now().Add(rand.N(d.t.h.config.Poll))
+	next := time.Now().Add(rand.N(d.t.h.config.RenewInterval))
 	for {
 		t := time.NewTimer(time.Until(next))
 		select {
@@ -450,7 +450,7 @@
 	}
 	t.mu.Unlock()
 	done := make(chan struct{}, len(list))
-	gate := make(chan struct{}, t.h.config.Starts)
+	gate := make(chan struct{}, t.h.config.MaxRequests)
 	for _, d := range list {
 		go func() {
 			gate <- struct{}{}
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -80,9 +80,9 @@
 	return ok
 }
 
-// Placing reports whether this host holds the lease and has completed the
+// Ready reports whether this host holds the lease and has completed the
 // takeover from the previous holder, so that it answers calls.
-func (h *Holder) Placing() bool {
+func (h *Holder) Ready() bool {
 	t, err := h.current()
 	if err != nil {
 		return false
@@ -92,9 +92,9 @@
 	return t.ready
 }
 
-// Seen returns the last known holder of the hall's lease and its epoch. It
-// reports false if no holder is known.
-func (h *Holder) Seen() (spoolsill.HostID, spoolsill.Epoch, bool) {
+// LeaseHolder returns the last known holder of the hall's lease and its epoch.
+// It reports false if no holder is known.
+func (h *Holder) LeaseHolder() (spoolsill.HostID, spoolsill.Epoch, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if e, ok := h.keeper.Holds(h.reading()); ok {
@@ -211,9 +211,9 @@
 	return h.keeper.Promise(h.reading(), e)
 }
 
-// Copy keeps copies of entries for the holder of epoch e, and drops the copies
-// up to stored. It reports whether this host keeps the entries.
-func (h *Holder) Copy(e spoolsill.Epoch, stored spoolsill.Sequence, entries []recordlog.Entry) bool {
+// KeepCopies keeps copies of entries for the holder of epoch e, and drops the
+// copies up to stored. It reports whether this host keeps the entries.
+func (h *Holder) KeepCopies(e spoolsill.Epoch, stored spoolsill.Sequence, entries []recordlog.Entry) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.copies.Add(e, entries) {
@@ -245,9 +245,9 @@
 	return h.copies.After(last.Epoch, last.Sequence), h.copiesComplete
 }
 
-// Forgot records that another host of the hall has restarted and thereby lost
-// the copies that it kept.
-func (h *Holder) Forgot() {
+// PeerRestarted records that another host of the hall has restarted and thereby
+// lost the copies that it kept.
+func (h *Holder) PeerRestarted() {
 	h.mu.Lock()
 	t := h.tenure
 	h.mu.Unlock()
--- a/holder/join.go
+++ b/holder/join.go
@@ -32,7 +32,7 @@
 				continue
 			}
 			answered++
-			h.Copy(lastEpoch(list), 0, list)
+			h.KeepCopies(lastEpoch(list), 0, list)
 			if whole {
 				h.markJoined()
 			}
--- a/holder/leave.go
+++ b/holder/leave.go
@@ -9,10 +9,10 @@
 	"github.com/spoolsill/spoolsill/recordlog"
 )
 
-// Leave marks the host as about to stop. The host continues to work, but no
+// SetLeaving marks the host as about to stop. The host continues to work, but no
 // longer accepts entries from other hosts that are stopping: if two stopping
 // hosts handed their entries to each other, both copies would be lost.
-func (h *Holder) Leave() {
+func (h *Holder) SetLeaving() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leaving = true
@@ -108,9 +108,9 @@
 	return false
 }
 
-// HandOver keeps copies of the entries of a host that is stopping. It reports
-// false, and keeps none, if this host is stopping too.
-func (h *Holder) HandOver(e spoolsill.Epoch, entries []recordlog.Entry) bool {
+// AcceptHandOver keeps copies of the entries of a host that is stopping. It
+// reports whether it does. It keeps none if this host is stopping too.
+func (h *Holder) AcceptHandOver(e spoolsill.Epoch, entries []recordlog.Entry) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return !h.leaving && h.copies.Add(e, entries)
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -66,7 +66,7 @@
 		epoch:   e,
 		done:    make(chan struct{}),
 		wakeup:  make(chan struct{}, 1),
-		slots:   make(chan struct{}, h.config.Starts),
+		slots:   make(chan struct{}, h.config.MaxRequests),
 		book:    intent.NewBook(h.config.Intent),
 		drivers: map[spoolsill.WorkerID]*driver{},
 	}
