--- a/holder/commit.go
+++ b/holder/commit.go
@@ -28,8 +28,9 @@
 // errLeaseLost is returned when another host has taken over the lease.
 var errLeaseLost = errors.New("holder: another host has taken over the lease")
 
-// advanceJournal acts on durable records, then writes pending entries to the
-// table, or copies them to the other hosts while the table is unavailable.
+// advanceJournal acts on durable records and writes pending entries to the
+// table. While the table is unavailable and the host holds the lease, it also
+// copies them to the other hosts.
 func (t *tenure) advanceJournal() {
 	silent := t.h.config.Table.Silent()
 	held := t.holdsLease()
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -441,7 +441,8 @@
 }
 
 // reconcile renews the leases on all workers and applies their reports to the
-// state, before the first decision of the tenure.
+// state, before the first decision of the tenure. It marks the workers that do
+// not respond as unresponsive.
 func (t *tenure) reconcile() {
 	t.mu.Lock()
 	var list []*driver
