--- a/holder/call.go
+++ b/holder/call.go
@@ -185,7 +185,7 @@
 // CheckInvariants verifies the invariants of the hall's state.
 func (h *Holder) CheckInvariants() error {
 	_, err := query(h, func(s *place.State) (struct{}, error) {
-		return struct{}{}, s.Check()
+		return struct{}{}, s.CheckInvariants()
 	})
 	return err
 }
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -71,7 +71,7 @@
 	interval := d.t.h.config.RenewInterval
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	if d.t.ready && d.failures == 0 && !d.unknownTasks && len(d.forgetAfter) == 0 && len(d.t.state.Holds(d.id)) == 0 {
+	if d.t.ready && d.failures == 0 && !d.unknownTasks && len(d.forgetAfter) == 0 && len(d.t.state.Allocations(d.id)) == 0 {
 		interval *= idleRenewFactor
 	}
 	return interval - interval/10 + rand.N(interval/5)
@@ -156,7 +156,7 @@
 		Epoch:    d.t.epoch,
 		LeaseEnd: d.t.leaseEnd(now).UnixMilli(),
 	}
-	for _, h := range d.t.state.Holds(d.id) {
+	for _, h := range d.t.state.Allocations(d.id) {
 		if holds || h.Service {
 			q.Tasks = append(q.Tasks, agent.Ref{
 				Task:    h.Task,
@@ -199,7 +199,7 @@
 func (d *driver) recordFailure() {
 	d.failures++
 	if d.failures == unresponsiveAfter {
-		d.t.state.SetSilent(d.id, true)
+		d.t.state.SetUnresponsive(d.id, true)
 		d.t.h.event(timeline.Event{
 			Kind:   timeline.KindMembership,
 			Worker: d.id,
@@ -209,7 +209,7 @@
 	if d.failures < unresponsiveAfter || (!d.leasesExpired() && !d.t.h.config.Break.Lapse) {
 		return
 	}
-	for _, h := range d.t.state.Holds(d.id) {
+	for _, h := range d.t.state.Allocations(d.id) {
 		d.report(agent.Ref{
 			Task:    h.Task,
 			Attempt: h.Attempt,
@@ -246,7 +246,7 @@
 	// The resources that unknown tasks use are not accounted for, so the worker
 	// gets no new tasks while it runs any.
 	d.unknownTasks = unknown > 0
-	d.t.state.SetSilent(d.id, d.unknownTasks)
+	d.t.state.SetUnresponsive(d.id, d.unknownTasks)
 	for _, r := range q.Tasks {
 		if !reported[r] {
 			d.reportMissing(r)
@@ -282,7 +282,7 @@
 	return false
 }
 
-var outcomes = map[agent.State]place.Fate{
+var outcomes = map[agent.State]place.Outcome{
 	agent.Exited:       place.Exited,
 	agent.Failed:       place.Failed,
 	agent.Checkpointed: place.Checkpointed,
@@ -291,13 +291,13 @@
 }
 
 // allocation returns the resources that a task holds on the worker.
-func (d *driver) allocation(r agent.Ref) (place.Hold, bool) {
-	for _, h := range d.t.state.Holds(d.id) {
+func (d *driver) allocation(r agent.Ref) (place.Allocation, bool) {
+	for _, h := range d.t.state.Allocations(d.id) {
 		if h.Task == r.Task && h.Attempt == r.Attempt {
 			return h, true
 		}
 	}
-	return place.Hold{}, false
+	return place.Allocation{}, false
 }
 
 // stopUnknown stops a task that the worker runs but that is not in the state.
@@ -321,7 +321,7 @@
 		return
 	}
 	delete(d.pendingStarts, r)
-	d.report(r, place.Missing)
+	d.report(r, place.NotFound)
 }
 
 // startMayArrive reports whether the worker may still receive and accept the
@@ -353,19 +353,19 @@
 // applyUsage records the resources that a task uses and applies the resulting
 // measure.
 func (d *driver) applyUsage(s agent.Status) {
-	m, records := d.t.state.Use(time.Now(), s.Task, s.Used)
+	m, records := d.t.state.ReportUsage(time.Now(), s.Task, s.Used)
 	d.t.appendRecords(records)
-	if m == place.MeasureThrottle {
+	if m == place.EnforceThrottle {
 		d.t.spawn(func() { d.signal(s.Ref, agent.Throttle) })
 	}
 }
 
 // report records what happened to a task. t.mu must be held.
-func (d *driver) report(r agent.Ref, f place.Fate) {
+func (d *driver) report(r agent.Ref, f place.Outcome) {
 	d.t.appendRecords(d.t.state.Report(time.Now(), place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
-		Fate:    f,
+		Outcome: f,
 	}))
 }
 
@@ -404,7 +404,7 @@
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	h, held := d.allocation(r)
-	spec, known := d.t.state.Spec(r.Task.Job)
+	spec, known := d.t.state.JobSpec(r.Task.Job)
 	if !held || !known || h.State != spoolsill.TaskPlaced {
 		return agent.Start{}, "", false
 	}
@@ -467,7 +467,7 @@
 	defer t.mu.Unlock()
 	for _, d := range list {
 		if !d.responded && d.address != "" {
-			t.state.SetSilent(d.id, true)
+			t.state.SetUnresponsive(d.id, true)
 			d.failures = unresponsiveAfter
 		}
 	}
