--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,22 +1,23 @@
-// Package peer carries calls between the processes of a cell: TCP connections
-// with frames of msgpack, many calls at once on one connection.
+// Package peer implements remote procedure calls between the processes of a cell. Calls
+// are msgpack frames over TCP, with many concurrent calls on one connection.
 //
-// A [Node] listens for calls and makes them. One side registers a method with
-// [Handle], the other one calls it with [Call]; both name the types of request
-// and reply. Every frame carries the sender's stamp of the hybrid logical
-// clock, so that events keep their order over all processes.
+// A [Node] serves calls and makes them. A method is registered with [Handle] and
+// called with [Call]; both specify the request and reply types. Every frame carries
+// the sender's hybrid logical clock timestamp, so that events are causally ordered
+// across processes.
 //
-// What a failed call tells is kept apart, since a caller may act on it:
-// [ErrUnreachable] says that the call was never sent, [ErrLost] that it may
-// have been received, and a [*RemoteError] that the other side answered no.
+// The error of a failed call tells whether the call may have been executed:
+// [ErrUnreachable] means that the call was never sent, [ErrLost] that the remote
+// side may have received it, and a [*RemoteError] that the remote side rejected it.
 //
-// A call tells how long its caller waits. The context of its handler ends then,
-// and a reply that is not on its way by then is dropped: what nobody waits for
-// takes neither memory nor the line. A caller's deadline bounds the call whatever
-// the other side does. A connection ends when the other side takes nothing of a
-// message for [DefaultWriteLimit], answers nothing for a second of calls, or brings
-// nothing for a minute.
+// A call carries the caller's remaining timeout. The handler's context is cancelled
+// when the timeout expires, and a reply whose transmission has not started by then
+// is discarded, so that abandoned calls use neither memory nor bandwidth. The
+// caller's deadline bounds the call regardless of what the remote side does. A
+// connection is closed when the remote side accepts no bytes of a message for
+// [DefaultWriteLimit], when it sends nothing for a second while calls time out, or
+// when the accepting side receives nothing for a minute.
 //
-// A frame that is too long, or that is no message, ends its connection and is
-// reported; nothing else is affected.
+// A frame that is too long or can't be decoded closes its connection and is
+// reported; other connections are not affected.
 package peer
--- a/peer/compact_test.go
+++ b/peer/encoding_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/peer"
 )
 
-// A renewal is what hosts ask each other most, with figures as they are.
+// A renewal is the most frequent call between hosts, with typical values.
 type renewal struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
@@ -23,7 +23,7 @@
 	Within   time.Duration
 }
 
-func usualRenewal() renewal {
+func typicalRenewal() renewal {
 	return renewal{
 		Worker:   "i-c61488dfcf",
 		Address:  "10.3.64.55:8302",
@@ -35,14 +35,14 @@
 	}
 }
 
-// Frames between hosts are mostly small integers, which take no more bytes than they
-// need: this call takes 89 bytes, and 130 with integers as long as their types.
-func TestFramesAreShort(t *testing.T) {
+// Guards against integers encoded at the size of their type. Frames between hosts consist
+// mostly of small integers: this call takes 89 bytes, and 130 with full-size integers.
+func TestIntegersAreEncodedCompactly(t *testing.T) {
 	a, b, _, _ := pair(t)
 	peer.Handle(b, "renew", func(_ context.Context, _ peer.Caller, q renewal) (renewal, error) { return q, nil })
-	r, err := peer.Call[renewal](t.Context(), a, "b", "renew", usualRenewal())
+	r, err := peer.Call[renewal](t.Context(), a, "b", "renew", typicalRenewal())
 	qt.Assert(t, err, qt.IsNil)
-	qt.Check(t, r, qt.Equals, usualRenewal())
+	qt.Check(t, r, qt.Equals, typicalRenewal())
 	sent, _ := a.Traffic()
 	qt.Check(t, sent <= 95, qt.IsTrue, qt.Commentf("%d bytes", sent))
 }
--- a/peer/error.go
+++ b/peer/error.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// ErrUnreachable is returned when a call was certainly not received.
+// ErrUnreachable is returned when the remote side has certainly not received the call.
 var ErrUnreachable = errors.New("peer: unreachable")
 
-// ErrLost is returned when a call was sent and its reply did not come: it may
-// have taken effect.
+// ErrLost is returned when a call was sent, at least in part, and no valid reply
+// arrived. The call may have taken effect.
 var ErrLost = errors.New("peer: reply lost")
 
-// Code tells the refusals of a remote side apart.
+// Code classifies a [RemoteError].
 type Code string
 
-// The codes that this package gives itself. Methods may have their own.
+// The codes that this package itself returns. Handlers may define their own.
 const (
 	CodeInternal Code = "internal"
 	CodeMethod   Code = "no-such-method"
@@ -20,8 +20,8 @@
 	CodeInput    Code = "bad-input"
 )
 
-// A RemoteError is a refusal by the other side. A handler returns one to
-// choose the code.
+// A RemoteError is an error returned by the remote side. A handler returns one to
+// set the code; any other error is sent with [CodeInternal].
 type RemoteError struct {
 	Code Code
 	Text string
@@ -32,7 +32,7 @@
 	return "peer: remote: " + string(e.Code) + ": " + e.Text
 }
 
-// IsCode reports whether err is a refusal with code c.
+// IsCode reports whether err is a [*RemoteError] with code c.
 func IsCode(err error, c Code) bool {
 	var r *RemoteError
 	return errors.As(err, &r) && r.Code == c
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -14,12 +14,12 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// MaxFrame is the length in bytes of the longest frame that is accepted.
+// MaxFrame is the maximum length of a frame in bytes, excluding its length prefix.
 const MaxFrame = 8 << 20
 
 const headerLength = 4
 
-// ErrFrame is returned for a frame that is too long or no message.
+// ErrFrame is returned for a frame that is too long or can't be decoded.
 var ErrFrame = errors.New("peer: bad frame")
 
 type messageKind uint8
@@ -37,21 +37,20 @@
 	From        spoolsill.HostID      `msgpack:"f,omitempty"`
 	Incarnation spoolsill.Incarnation `msgpack:"n,omitempty"`
 	Stamp       timeline.Stamp        `msgpack:"s"`
-	// Wait is how much longer the caller waits for the reply; 0 means that no
-	// limit is known.
+	// Wait is the caller's remaining timeout for the reply; 0 means no timeout.
 	Wait time.Duration      `msgpack:"w,omitempty"`
 	Body msgpack.RawMessage `msgpack:"b,omitempty"`
 	Code Code               `msgpack:"c,omitempty"`
 	Text string             `msgpack:"t,omitempty"`
 
-	// length is that of the frame that was read, in bytes.
+	// length is the length in bytes of the received frame, including its prefix.
 	length int
 }
 
-// encodeMessage returns the frame of a message.
+// encodeMessage returns m as a frame with its length prefix.
 func encodeMessage(m *message) ([]byte, error) {
-	const besides = 128 // what most messages need besides their body, in bytes
-	b := bytes.NewBuffer(make([]byte, headerLength, headerLength+besides+len(m.Body)))
+	const overhead = 128 // bytes; enough for most messages, without the body
+	b := bytes.NewBuffer(make([]byte, headerLength, headerLength+overhead+len(m.Body)))
 	e := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(e)
 	e.Reset(b)
@@ -91,14 +90,14 @@
 	return &m, nil
 }
 
-// readBody reads n bytes. It allocates as the bytes come, so that a header
-// alone can't claim memory.
+// readBody reads n bytes. It grows the buffer as data arrives, so that a length
+// prefix alone can't make it allocate the whole frame.
 func readBody(r io.Reader, n int) ([]byte, error) {
-	const step = 64 << 10
-	body := make([]byte, 0, min(n, step))
+	const chunk = 64 << 10
+	body := make([]byte, 0, min(n, chunk))
 	for len(body) < n {
 		l := len(body)
-		body = append(body, make([]byte, min(n-l, step))...)
+		body = append(body, make([]byte, min(n-l, chunk))...)
 		if _, err := io.ReadFull(r, body[l:]); err != nil {
 			return nil, io.ErrUnexpectedEOF
 		}
@@ -106,9 +105,9 @@
 	return body, nil
 }
 
-// encodeBody returns the body of a message. Integers take as many bytes as they need,
-// not as many as their types: frames between hosts are small and many, and half of one
-// would be zeros.
+// encodeBody encodes the body of a message. Integers use the shortest msgpack encoding
+// rather than the size of their type: most frames are small, and about half of their
+// bytes would be zeros.
 func encodeBody(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := msgpack.GetEncoder()
--- a/peer/link.go
+++ b/peer/link.go
@@ -11,30 +11,30 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A link makes the calls to one host over one connection, which is opened
-// when it is needed.
+// A link makes the calls to one host over a single connection, which is dialed on
+// demand.
 type link struct {
 	node    *Node
 	host    spoolsill.HostID
 	address string
 
-	dialing gate // held while a connection is opened
-	mu      sync.Mutex
-	conn    *linkConn
-	used    time.Time // when conn was asked for last
-	waiting map[uint64]pending
+	dialMu   ctxMutex // held while dialing
+	mu       sync.Mutex
+	conn     *linkConn
+	lastUsed time.Time // last use of conn
+	pending  map[uint64]pendingCall
 }
 
-// A pending call waits for its reply.
-type pending struct {
+// A pendingCall is a call in flight. reply is closed when the connection is lost.
+type pendingCall struct {
 	method string
 	reply  chan *message
 }
 
-// A linkConn is a connection of a link.
+// A linkConn is a connection of a link, with the detection of a silent remote side.
 type linkConn struct {
 	*connWriter
-	silence silence
+	silence silenceDetector
 }
 
 func (l *link) call(ctx context.Context, method string, body []byte) (*message, error) {
@@ -42,27 +42,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, l.host, err)
 	}
-	begun := time.Now()
-	short := waitsBriefly(ctx)
-	id := l.node.ids.Add(1)
-	reply := l.expect(w, id, method)
+	started := time.Now()
+	shortTimeout := hasShortTimeout(ctx)
+	id := l.node.lastID.Add(1)
+	reply := l.register(w, id, method)
 	if reply == nil {
 		return nil, fmt.Errorf("%w: %s: connection closed", ErrUnreachable, l.host)
 	}
-	defer l.forget(id)
+	defer l.unregister(id)
 	err = w.send(ctx, &message{
 		Kind:   messageCall,
 		ID:     id,
 		Method: method,
 		Body:   body,
-	}, func(err error) { l.rest(w, err) })
+	}, func(err error) { l.writeFinished(w, err) })
 	switch {
 	case errors.Is(err, errNotWritten):
-		if short {
-			l.dropSilent(w, begun)
+		if shortTimeout {
+			l.dropIfSilent(w, started)
 		}
 		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, l.host, err)
-	case errors.Is(err, errUnderWay):
+	case errors.Is(err, errWritePending):
 		return nil, fmt.Errorf("%w: %s: %w: %w", ErrLost, l.host, err, context.DeadlineExceeded)
 	case err != nil:
 		l.drop(w)
@@ -76,40 +76,41 @@
 		}
 		return m, nil
 	case <-ctx.Done():
-		if short {
-			l.dropSilent(w, written)
+		if shortTimeout {
+			l.dropIfSilent(w, written)
 		}
 		return nil, fmt.Errorf("%w: %s: %w", ErrLost, l.host, ctx.Err())
 	}
 }
 
-// dropSilent gives a connection up on which calls have been waited for in vain for
-// long, the latest since some time.
-func (l *link) dropSilent(w *linkConn, since time.Time) {
-	if !w.silence.inVain(since, time.Now()) {
+// dropIfSilent records that a call whose transmission began at since timed out, and
+// drops the connection if it has been silent for too long.
+func (l *link) dropIfSilent(w *linkConn, since time.Time) {
+	if !w.silence.callTimedOut(since, time.Now()) {
 		return
 	}
 	l.node.report(w.conn, errSilent)
 	l.drop(w)
 }
 
-// rest takes in how the writing of a call has ended whose caller has given up.
-func (l *link) rest(w *linkConn, err error) {
+// writeFinished handles the result of a write that continued after its caller's deadline: an
+// error drops the connection.
+func (l *link) writeFinished(w *linkConn, err error) {
 	if err != nil {
 		l.node.report(w.conn, err)
 		l.drop(w)
 	}
 }
 
-// open returns the connection, and opens it first when there is none.
+// open returns the current connection, dialing one if necessary.
 func (l *link) open(ctx context.Context) (*linkConn, error) {
 	if w := l.current(); w != nil {
 		return w, nil
 	}
-	if err := l.dialing.enter(ctx); err != nil {
+	if err := l.dialMu.lock(ctx); err != nil {
 		return nil, err
 	}
-	defer l.dialing.leave()
+	defer l.dialMu.unlock()
 	if w := l.current(); w != nil {
 		return w, nil
 	}
@@ -124,51 +125,52 @@
 	}
 	l.mu.Lock()
 	l.conn = w
-	l.waiting = map[uint64]pending{}
+	l.pending = map[uint64]pendingCall{}
 	l.mu.Unlock()
 	go l.read(w)
 	return w, nil
 }
 
-// current returns the connection if there is one that the other side surely keeps.
+// current returns the connection, or nil if there is none. It closes a connection that
+// has been idle for so long that the remote side may be closing it.
 func (l *link) current() *linkConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if l.conn != nil && len(l.waiting) == 0 && now.Sub(l.used) >= linkIdle {
+	if l.conn != nil && len(l.pending) == 0 && now.Sub(l.lastUsed) >= linkIdleTimeout {
 		_ = l.conn.conn.Close()
 		l.conn = nil
 	}
-	l.used = now
+	l.lastUsed = now
 	return l.conn
 }
 
-// expect returns the channel for the reply to a call, or nil when w is no
-// longer the connection.
-func (l *link) expect(w *linkConn, id uint64, method string) chan *message {
+// register registers a call and returns the channel for its reply, or nil if w is no
+// longer the current connection.
+func (l *link) register(w *linkConn, id uint64, method string) chan *message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != w {
 		return nil
 	}
 	c := make(chan *message, 1)
-	l.waiting[id] = pending{
+	l.pending[id] = pendingCall{
 		method: method,
 		reply:  c,
 	}
 	return c
 }
 
-func (l *link) forget(id uint64) {
+func (l *link) unregister(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, id)
+	delete(l.pending, id)
 }
 
 func (l *link) read(w *linkConn) {
 	r := bufio.NewReader(&countingReader{
 		node: l.node,
-		from: &listeningReader{
+		from: &silenceReader{
 			from:    w.conn,
 			silence: &w.silence,
 		},
@@ -191,16 +193,16 @@
 	if l.conn != w {
 		return
 	}
-	p, ok := l.waiting[m.ID]
+	p, ok := l.pending[m.ID]
 	l.node.config.Observe(p.method, 0, m.length)
 	if !ok {
 		return
 	}
-	delete(l.waiting, m.ID)
+	delete(l.pending, m.ID)
 	p.reply <- m
 }
 
-// drop closes w and tells all who wait on it.
+// drop closes w and fails the calls in flight on it.
 func (l *link) drop(w *linkConn) {
 	_ = w.conn.Close()
 	l.mu.Lock()
@@ -209,10 +211,10 @@
 		return
 	}
 	l.conn = nil
-	for _, p := range l.waiting {
+	for _, p := range l.pending {
 		close(p.reply)
 	}
-	l.waiting = nil
+	l.pending = nil
 }
 
 func (l *link) close() {
--- a/peer/memory_test.go
+++ b/peer/network_test.go
@@ -13,43 +13,43 @@
 	"github.com/spoolsill/spoolsill/peer"
 )
 
-// slowLink is the rate of the slow line, in bytes a second: 10 Mbit/s.
-const slowLink = 1_250_000
+// slowLinkRate is the rate of a slow link in bytes per second: 10 Mbit/s.
+const slowLinkRate = 1_250_000
 
-// readMost is the most that is read at once, in bytes.
-const readMost = 8 << 10
+// maxRead is the maximum size of a read in bytes.
+const maxRead = 8 << 10
 
-// A line carries connections in memory from one node to another.
-type line struct {
+// A network is an in-memory network between a calling and a serving node, with faults.
+type network struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
-	// rate at which the calling side takes bytes, each second; 0 means any.
+	// rate limits the calling side's reads in bytes per second; 0 means no limit.
 	rate int
-	// deaf has the answering side take nothing.
-	deaf atomic.Bool
-	mu   sync.Mutex
-	near []*nearEnd
+	// stalled makes new connections ones that are never accepted or read.
+	stalled atomic.Bool
+	mu      sync.Mutex
+	near    []*callerConn
 }
 
-func newLine(rate int) *line {
-	return &line{
+func newNetwork(rate int) *network {
+	return &network{
 		accepted: make(chan net.Conn),
 		closed:   make(chan struct{}),
 		rate:     rate,
 	}
 }
 
-func (l *line) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (l *network) dial(ctx context.Context, _ string) (net.Conn, error) {
 	near, far := net.Pipe()
-	e := &nearEnd{
+	e := &callerConn{
 		Conn: near,
 		rate: l.rate,
 	}
 	l.mu.Lock()
 	l.near = append(l.near, e)
 	l.mu.Unlock()
-	if l.deaf.Load() {
+	if l.stalled.Load() {
 		return e, nil
 	}
 	select {
@@ -62,8 +62,8 @@
 	}
 }
 
-// silence has all connections of now say nothing more, for good.
-func (l *line) silence() {
+// silence makes all current connections deliver nothing more to the calling side.
+func (l *network) silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.near {
@@ -71,15 +71,15 @@
 	}
 }
 
-// dials returns how many connections were opened.
-func (l *line) dials() int {
+// dials returns the number of connections opened.
+func (l *network) dials() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.near)
 }
 
 // Accept implements [net.Listener].
-func (l *line) Accept() (net.Conn, error) {
+func (l *network) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accepted:
 		return c, nil
@@ -89,28 +89,28 @@
 }
 
 // Close implements [net.Listener].
-func (l *line) Close() error {
+func (l *network) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements [net.Listener].
-func (l *line) Addr() net.Addr {
+func (l *network) Addr() net.Addr {
 	return &net.TCPAddr{}
 }
 
-// A nearEnd is the calling side's end of a connection.
-type nearEnd struct {
+// A callerConn is the calling side's end of a connection.
+type callerConn struct {
 	net.Conn
 	rate   int
 	silent atomic.Bool
 }
 
-// Read implements [net.Conn]. What comes on a silent connection is lost, as on
-// one whose other end is gone behind something that still takes its bytes.
-func (e *nearEnd) Read(b []byte) (int, error) {
+// Read implements [net.Conn]. A silent connection loses the data it receives, like one
+// whose remote end has disappeared behind a middlebox that still accepts bytes.
+func (e *callerConn) Read(b []byte) (int, error) {
 	for {
-		n, err := e.Conn.Read(b[:min(len(b), readMost)])
+		n, err := e.Conn.Read(b[:min(len(b), maxRead)])
 		if e.rate > 0 {
 			pause.For(context.Background(), time.Duration(n)*time.Second/time.Duration(e.rate))
 		}
@@ -120,8 +120,8 @@
 	}
 }
 
-// overLine returns a node that calls and one that answers as host "b".
-func overLine(t *testing.T, l *line, c peer.Config) (a, b *peer.Node) {
+// nodesOver returns a calling node and a node that serves as host "b", connected by l.
+func nodesOver(t *testing.T, l *network, c peer.Config) (a, b *peer.Node) {
 	c.Host = "b"
 	b = peer.NewNode(c)
 	a = peer.NewNode(peer.Config{
@@ -147,14 +147,14 @@
 	return a, b
 }
 
-// echo answers a question with its number.
+// echo returns the number of the question.
 func echo(_ context.Context, _ peer.Caller, q question) (answer, error) {
 	return answer(q), nil
 }
 
-// callWithin makes a call that is given up after a while.
-func callWithin[R, Q any](t *testing.T, n *peer.Node, limit time.Duration, method string, q Q) (R, error) {
-	ctx, cancel := context.WithTimeout(t.Context(), limit)
+// callWithin makes a call to host "b" with a timeout.
+func callWithin[R, Q any](t *testing.T, n *peer.Node, timeout time.Duration, method string, q Q) (R, error) {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	return peer.Call[R](ctx, n, "b", method, q)
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -21,13 +21,13 @@
 // Defaults of [Config].
 const (
 	DefaultDialTimeout = time.Second
-	// DefaultWriteLimit is for how long the other side may take nothing of what
-	// is written before its connection is given up.
+	// DefaultWriteLimit is how long a write may make no progress before the
+	// connection is closed.
 	DefaultWriteLimit = 5 * time.Second
 	DefaultHandlers   = 512
 )
 
-// A Caller says who made a call.
+// A Caller identifies the process that made a call.
 type Caller struct {
 	Host        spoolsill.HostID
 	Incarnation spoolsill.Incarnation
@@ -37,38 +37,40 @@
 type Config struct {
 	Host        spoolsill.HostID
 	Incarnation spoolsill.Incarnation
-	// Addresses gives the IP and port of each host that can be called.
+	// Addresses maps each host that can be called to its IP and port. [Node.Learn]
+	// adds more.
 	Addresses map[spoolsill.HostID]string
 	Clock     *timeline.Clock
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Handlers bounds the calls of one connection handled at once; 0 means
-	// DefaultHandlers. Further calls are answered CodeBusy.
+	// Handlers limits the calls in progress per connection; 0 means DefaultHandlers.
+	// Calls beyond the limit are rejected with CodeBusy.
 	Handlers int
-	// Report is told of broken connections and bad frames; nil drops them.
+	// Report, if not nil, is called for each connection that fails and each connection
+	// that can't be accepted.
 	Report func(remote string, err error)
-	// Observe is told of the bytes of each message, by the method of its call. It is empty
-	// for replies that nobody waits for any more, and for calls of methods that the node
-	// does not answer. Nil means that nobody is told.
+	// Observe, if not nil, is called with the size in bytes of each message sent and
+	// received, and the method of its call. The method is empty for replies to
+	// abandoned calls and for calls of methods that are not registered.
 	Observe func(method string, sent, received int)
 }
 
-// A Node makes and answers calls. It is safe for concurrent use.
+// A Node makes and serves calls. It is safe for concurrent use.
 type Node struct {
-	config  Config
-	methods sync.Map // string -> handler
-	mu      sync.Mutex
-	links   map[spoolsill.HostID]*link
-	ids     atomic.Uint64
-	sent    atomic.Uint64
-	read    atomic.Uint64
-	// handling counts the calls that are not answered yet.
+	config        Config
+	methods       sync.Map // string -> handler
+	mu            sync.Mutex
+	links         map[spoolsill.HostID]*link
+	lastID        atomic.Uint64
+	bytesSent     atomic.Uint64
+	bytesReceived atomic.Uint64
+	// handling counts the calls received and not answered yet.
 	handling atomic.Int64
 }
 
 type handler func(ctx context.Context, c Caller, body []byte) (any, error)
 
-// NewNode returns a node that answers nothing yet.
+// NewNode returns a node without registered methods.
 func NewNode(c Config) *Node {
 	if c.Clock == nil {
 		c.Clock = &timeline.Clock{}
@@ -95,8 +97,8 @@
 	return n
 }
 
-// Learn takes in the address of a host that can be called from now on. A host
-// that has moved loses the connection to its former address.
+// Learn sets the address of a host. If the address changes, the
+// connection to the previous address is closed.
 func (n *Node) Learn(h spoolsill.HostID, address string) {
 	n.mu.Lock()
 	old := n.links[h]
@@ -108,7 +110,7 @@
 		node:    n,
 		host:    h,
 		address: address,
-		dialing: newGate(),
+		dialMu:  newCtxMutex(),
 	}
 	n.mu.Unlock()
 	if old != nil {
@@ -123,19 +125,19 @@
 	return l, ok
 }
 
-// Traffic returns the bytes that the node sent and received so far.
+// Traffic returns the total bytes sent and received by the node.
 func (n *Node) Traffic() (sent, received uint64) {
-	return n.sent.Load(), n.read.Load()
+	return n.bytesSent.Load(), n.bytesReceived.Load()
 }
 
-// Handling returns how many calls are being handled, or have replies that wait to
-// be sent.
+// Handling returns the number of calls received whose handler is running or whose reply
+// is not sent yet.
 func (n *Node) Handling() int {
 	return int(n.handling.Load())
 }
 
-// Handle registers f for the calls of a method. A method registered again
-// replaces the earlier one.
+// Handle registers f as the handler of a method. It replaces a handler that was
+// registered before.
 func Handle[Q, R any](n *Node, method string, f func(ctx context.Context, c Caller, q Q) (R, error)) {
 	n.methods.Store(method, handler(func(ctx context.Context, c Caller, body []byte) (any, error) {
 		var q Q
@@ -149,8 +151,8 @@
 	}))
 }
 
-// Call asks host to for a method and waits for the reply. See the package
-// comment for the errors.
+// Call calls a method of host to and waits for the reply. The package comment
+// describes the errors.
 func Call[R, Q any](ctx context.Context, n *Node, to spoolsill.HostID, method string, q Q) (R, error) {
 	var r R
 	l, ok := n.link(to)
@@ -177,12 +179,12 @@
 	return r, nil
 }
 
-// acceptPause is after a connection that could not be accepted. That passes, as
-// when there are too many open files, and must not end the process.
+// acceptPause is the delay after a failed Accept. Such errors are mostly temporary, such
+// as too many open files, and must not end the process.
 const acceptPause = 50 * time.Millisecond
 
-// Serve answers calls that come in on l until ctx ends. It closes l, and
-// returns after all its connections are closed.
+// Serve accepts connections on l and serves their calls until ctx is done. It closes l,
+// and returns after all connections are closed.
 func (n *Node) Serve(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -212,15 +214,15 @@
 	}
 }
 
-// closeUnserved closes a connection that was accepted as serving ended, if there is one: its
-// caller would wait for replies.
+// closeUnserved closes c, if not nil, which was accepted during shutdown. A connection
+// left open would make its caller wait for replies.
 func closeUnserved(c net.Conn) {
 	if c != nil {
 		_ = c.Close()
 	}
 }
 
-// Close ends all connections that the node opened.
+// Close closes all outgoing connections.
 func (n *Node) Close() {
 	n.mu.Lock()
 	links := slices.Collect(maps.Values(n.links))
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -24,8 +24,8 @@
 	Number int
 }
 
-// pair returns a node that calls and one that answers as host "b", with
-// what the second reports.
+// pair returns a calling node and a node that serves as host "b" over TCP, with the address
+// and the reported errors of the latter.
 func pair(t *testing.T) (a, b *peer.Node, address string, reports chan error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -57,7 +57,7 @@
 	return a, b, l.Addr().String(), reports
 }
 
-func TestManyCallsAtOnceGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentCallsGetTheirOwnReplies(t *testing.T) {
 	c := qt.New(t)
 	a, b, _, _ := pair(t)
 	peer.Handle(b, "double", func(_ context.Context, from peer.Caller, q question) (answer, error) {
@@ -83,7 +83,7 @@
 	wg.Wait()
 }
 
-func TestErrorsTellWhetherTheCallWasReceived(t *testing.T) {
+func TestErrorsTellWhetherCallMayHaveBeenReceived(t *testing.T) {
 	c := qt.New(t)
 	a, b, _, _ := pair(t)
 	_, err := peer.Call[answer](context.Background(), a, "none", "m", question{})
@@ -115,7 +115,7 @@
 	c.Assert(errors.Is(err, peer.ErrLost), qt.IsTrue)
 }
 
-func TestABadFrameEndsOnlyItsConnection(t *testing.T) {
+func TestBadFrameClosesOnlyItsConnection(t *testing.T) {
 	c := qt.New(t)
 	a, b, address, reports := pair(t)
 	peer.Handle(b, "echo", func(_ context.Context, _ peer.Caller, q question) (answer, error) {
@@ -170,16 +170,16 @@
 	// Output: vake-1 greets vake-2 <nil>
 }
 
-// BenchmarkCall measures a small call between two hosts, both sides and loopback
-// included.
+// BenchmarkCall measures a small call between two nodes over loopback, including both
+// sides.
 func BenchmarkCall(b *testing.B) {
 	benchmarkCall(b, func(ctx context.Context) (context.Context, context.CancelFunc) {
 		return ctx, func() {}
 	})
 }
 
-// BenchmarkCallWithLimit measures the same for a caller that waits for so long only.
-func BenchmarkCallWithLimit(b *testing.B) {
+// BenchmarkCallWithTimeout measures the same call with a timeout.
+func BenchmarkCallWithTimeout(b *testing.B) {
 	benchmarkCall(b, func(ctx context.Context) (context.Context, context.CancelFunc) {
 		return context.WithTimeout(ctx, 300*time.Millisecond)
 	})
--- a/peer/server.go
+++ b/peer/server.go
@@ -42,44 +42,46 @@
 		if m.Kind != messageCall {
 			continue
 		}
-		n.config.Observe(n.known(m.Method), 0, m.length)
+		n.config.Observe(n.registeredMethod(m.Method), 0, m.length)
 		select {
 		case slots <- struct{}{}:
 		default:
-			n.refuse(ctx, w, m)
+			n.rejectCall(ctx, w, m)
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			defer func() { <-slots }()
-			n.answer(ctx, w, m)
+			n.serveCall(ctx, w, m)
 		}()
 	}
 }
 
-// known returns a method if the node answers it, else the empty one: others may name any.
-func (n *Node) known(method string) string {
+// registeredMethod returns method if a handler is registered for it, and "" otherwise, so that
+// remote hosts can't make up arbitrary metric labels.
+func (n *Node) registeredMethod(method string) string {
 	if _, ok := n.methods.Load(method); ok {
 		return method
 	}
 	return ""
 }
 
-// answer handles a call for as long as its caller waits, the wait for other
-// replies to be written included: a line that is too slow for them all would else
-// carry only those that nobody waits for any more, and memory hold the others.
-func (n *Node) answer(ctx context.Context, w *connWriter, m *message) {
+// serveCall handles a call until the caller's timeout expires. The timeout includes the
+// time the reply waits for other replies to be written: otherwise a connection that is
+// too slow for all replies would carry only those to abandoned calls, while the rest
+// pile up in memory.
+func (n *Node) serveCall(ctx context.Context, w *connWriter, m *message) {
 	n.handling.Add(1)
 	defer n.handling.Add(-1)
-	ctx, cancel := within(ctx, m.Wait)
+	ctx, cancel := withCallTimeout(ctx, m.Wait)
 	defer cancel()
-	v, err := n.handle(ctx, m)
+	v, err := n.dispatch(ctx, m)
 	w.reply(ctx, m, v, err)
 }
 
-func (n *Node) refuse(ctx context.Context, w *connWriter, m *message) {
-	ctx, cancel := within(ctx, m.Wait)
+func (n *Node) rejectCall(ctx context.Context, w *connWriter, m *message) {
+	ctx, cancel := withCallTimeout(ctx, m.Wait)
 	defer cancel()
 	w.reply(ctx, m, nil, &RemoteError{
 		Code: CodeBusy,
@@ -87,16 +89,17 @@
 	})
 }
 
-// within returns a context that ends after a caller's wait. It is counted from
-// here, so that no clocks are compared; the call's way is added to it.
-func within(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
+// withCallTimeout returns a context that expires after a caller's remaining timeout. The timeout
+// starts on receipt, so that no clocks of different hosts are compared; it therefore ends
+// later than the caller's own by the transmission time of the call.
+func withCallTimeout(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
 	if wait <= 0 {
 		return ctx, func() {}
 	}
 	return context.WithTimeout(ctx, wait)
 }
 
-func (n *Node) handle(ctx context.Context, m *message) (any, error) {
+func (n *Node) dispatch(ctx context.Context, m *message) (any, error) {
 	f, ok := n.methods.Load(m.Method)
 	if !ok {
 		return nil, &RemoteError{
@@ -111,7 +114,7 @@
 	return f.(handler)(ctx, c, m.Body)
 }
 
-// report tells why a connection ended, unless that was to be.
+// report reports why a connection failed, unless it was closed normally.
 func (n *Node) report(c net.Conn, err error) {
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) {
 		return
@@ -120,37 +123,38 @@
 }
 
 var (
-	// errNotWritten is returned when nothing of a message was written.
-	errNotWritten = errors.New("peer: not written")
-	// errUnderWay is returned when a message is still being written.
-	errUnderWay = errors.New("peer: still being written")
+	// errNotWritten is returned when no byte of a message was written.
+	errNotWritten = errors.New("peer: nothing written")
+	// errWritePending is returned when part of a message was written before the deadline
+	// and the rest is being written in the background.
+	errWritePending = errors.New("peer: write still in progress")
 )
 
-// writePiece is how many bytes are written under one time limit: a line that takes
-// any is left the time that a long message needs.
-const writePiece = 64 << 10
+// writeChunk is the number of bytes written under one deadline. A slow connection that
+// makes progress gets as much time as a long message needs.
+const writeChunk = 64 << 10
 
-// A connWriter writes whole messages to a connection, one at a time.
+// A connWriter writes messages to a connection, one at a time.
 type connWriter struct {
 	node *Node
-	gate gate
+	mu   ctxMutex
 	conn net.Conn
 }
 
 func newConnWriter(n *Node, c net.Conn) *connWriter {
 	return &connWriter{
 		node: n,
-		gate: newGate(),
+		mu:   newCtxMutex(),
 		conn: c,
 	}
 }
 
-// send writes a call. It fails with errNotWritten when nothing was written, and
-// with errUnderWay when the caller's wait ends with a part of it written: the
-// rest follows, as long as the other side takes something, and later is told how
-// that ended.
-func (w *connWriter) send(ctx context.Context, m *message, later func(error)) error {
-	if err := w.gate.enter(ctx); err != nil {
+// send writes a call. It fails with errNotWritten if nothing was written. It fails with
+// errWritePending if ctx's deadline passes after part of the call was written; the rest is
+// then written in the background, as long as the remote side accepts data, and onFinished
+// is called with the result.
+func (w *connWriter) send(ctx context.Context, m *message, onFinished func(error)) error {
+	if err := w.mu.lock(ctx); err != nil {
 		return fmt.Errorf("%w: %w", errNotWritten, err)
 	}
 	end, limited := ctx.Deadline()
@@ -159,41 +163,42 @@
 	}
 	frame, err := w.encode(m)
 	if err != nil {
-		w.gate.leave()
+		w.mu.unlock()
 		return fmt.Errorf("%w: %w", errNotWritten, err)
 	}
 	w.node.config.Observe(m.Method, len(frame), 0)
 	rest, err := w.write(frame, end)
-	gaveUp := limited && errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(end)
-	if gaveUp && len(rest) == len(frame) {
-		w.gate.leave()
+	timedOut := limited && errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(end)
+	if timedOut && len(rest) == len(frame) {
+		w.mu.unlock()
 		return fmt.Errorf("%w: %w", errNotWritten, err)
 	}
-	if gaveUp {
+	if timedOut {
 		go func() {
-			defer w.gate.leave()
+			defer w.mu.unlock()
 			_, err := w.write(rest, time.Time{})
-			later(err)
+			onFinished(err)
 		}()
-		return errUnderWay
+		return errWritePending
 	}
-	w.gate.leave()
+	w.mu.unlock()
 	return err
 }
 
-// reply answers a call, unless ctx ends before its turn comes. Only then the
-// reply is encoded, so that those that wait take no memory.
+// reply sends the reply to a call, unless ctx is done before the connection is free. It
+// encodes the reply only once it holds the lock, so that waiting replies do not use memory
+// for their frames. The connection is closed if the reply can't be sent.
 func (w *connWriter) reply(ctx context.Context, call *message, v any, err error) {
-	if w.gate.enter(ctx) != nil {
+	if w.mu.lock(ctx) != nil {
 		return
 	}
-	defer w.gate.leave()
+	defer w.mu.unlock()
 	frame, failed := w.encode(replyMessage(call.ID, v, err))
 	if failed != nil {
 		frame, failed = w.encode(replyMessage(call.ID, nil, failed))
 	}
 	if failed == nil {
-		w.node.config.Observe(w.node.known(call.Method), len(frame), 0)
+		w.node.config.Observe(w.node.registeredMethod(call.Method), len(frame), 0)
 		_, failed = w.write(frame, time.Time{})
 	}
 	if failed != nil {
@@ -201,14 +206,15 @@
 	}
 }
 
-// encode returns the frame of a message that is written next.
+// encode stamps m and returns its frame, which must be written next.
 func (w *connWriter) encode(m *message) ([]byte, error) {
 	w.node.stamp(m)
 	return encodeMessage(m)
 }
 
-// write writes a frame until end, zero being never, and returns what of it is left
-// when it fails. The gate is held.
+// write writes a frame. It fails when the write makes no progress for
+// DefaultWriteLimit, or at end unless that is zero, and returns the part of the frame that
+// was not written. The caller holds w.mu.
 func (w *connWriter) write(frame []byte, end time.Time) ([]byte, error) {
 	to := countingWriter{
 		node: w.node,
@@ -220,7 +226,7 @@
 			limit = end
 		}
 		_ = w.conn.SetWriteDeadline(limit)
-		n, err := to.Write(frame[:min(len(frame), writePiece)])
+		n, err := to.Write(frame[:min(len(frame), writeChunk)])
 		frame = frame[n:]
 		if err != nil {
 			return frame, err
@@ -263,7 +269,7 @@
 // Read implements io.Reader.
 func (r *countingReader) Read(b []byte) (int, error) {
 	k, err := r.from.Read(b)
-	r.node.read.Add(uint64(k))
+	r.node.bytesReceived.Add(uint64(k))
 	return k, err
 }
 
@@ -275,6 +281,6 @@
 // Write implements io.Writer.
 func (w *countingWriter) Write(b []byte) (int, error) {
 	k, err := w.to.Write(b)
-	w.node.sent.Add(uint64(k))
+	w.node.bytesSent.Add(uint64(k))
 	return k, err
 }
--- a/peer/silence.go
+++ b/peer/silence.go
@@ -8,62 +8,62 @@
 	"time"
 )
 
-// silentMost is how long a connection may bring nothing while calls on it are
-// waited for, before it is given up. One that has gone silent without an end
-// would else be called on for good. Hosts answer in milliseconds; one that is
-// paused, or whose line is full, may need some hundred.
-const silentMost = time.Second
+// silenceTimeout is how long a connection may receive nothing while calls on it time out
+// before it is dropped. Otherwise a connection that died without being closed would be
+// used indefinitely. Hosts answer within milliseconds; a paused host or a congested
+// network may take some hundred milliseconds.
+const silenceTimeout = time.Second
 
-// errSilent is reported of a connection that is given up for its silence.
+// errSilent is reported for a connection that is dropped because of silenceTimeout.
 var errSilent = errors.New("peer: connection is silent")
 
-// waitsBriefly reports whether a call is waited for so briefly that it is one that
-// is answered in milliseconds. Of others, that no answer came says nothing: their
-// handlers may still be at work.
-func waitsBriefly(ctx context.Context) bool {
+// hasShortTimeout reports whether a call's timeout is so short that a healthy host answers
+// it within milliseconds. A timeout of any other call says nothing about the
+// connection, since its handler may still be running.
+func hasShortTimeout(ctx context.Context) bool {
 	end, limited := ctx.Deadline()
-	return limited && time.Until(end) <= silentMost
+	return limited && time.Until(end) <= silenceTimeout
 }
 
-// A silence tells for how long calls on a connection have been waited for in vain,
-// without a byte from the other side. It is safe for concurrent use.
-type silence struct {
-	mu    sync.Mutex
-	heard time.Time // when something came last
-	since time.Time // when the first call in vain was written; void if before heard
+// A silenceDetector tracks how long calls on a connection have timed out without any data from
+// the remote side. It is safe for concurrent use.
+type silenceDetector struct {
+	mu            sync.Mutex
+	lastReceived  time.Time // when data last arrived
+	timeoutsSince time.Time // when the first call that timed out was written; invalid unless after lastReceived
 }
 
-func (s *silence) hear(now time.Time) {
+func (s *silenceDetector) dataReceived(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = now
+	s.lastReceived = now
 }
 
-// inVain takes in a call that was given up, and reports whether the silence has
-// lasted for too long.
-func (s *silence) inVain(written, now time.Time) bool {
+// callTimedOut records that a call written at the given time timed out, and reports whether
+// the connection has been silent for silenceTimeout.
+func (s *silenceDetector) callTimedOut(written, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.heard.Before(written) {
+	if !s.lastReceived.Before(written) {
 		return false
 	}
-	if !s.heard.Before(s.since) || written.Before(s.since) {
-		s.since = written
+	if !s.lastReceived.Before(s.timeoutsSince) || written.Before(s.timeoutsSince) {
+		s.timeoutsSince = written
 	}
-	return now.Sub(s.since) >= silentMost
+	return now.Sub(s.timeoutsSince) >= silenceTimeout
 }
 
-// A listeningReader tells a silence of what comes.
-type listeningReader struct {
+// A silenceReader records in a silence when data arrives.
+type silenceReader struct {
 	from    io.Reader
-	silence *silence
+	silence *silenceDetector
 }
 
 // Read implements io.Reader.
-func (r *listeningReader) Read(b []byte) (int, error) {
+func (r *silenceReader) Read(b []byte) (int, error) {
 	n, err := r.from.Read(b)
 	if n > 0 {
-		r.silence.hear(time.Now())
+		r.silence.dataReceived(time.Now())
 	}
 	return n, err
 }
--- a/peer/bound_test.go
+++ b/peer/timeout_test.go
@@ -21,7 +21,7 @@
 	"github.com/spoolsill/spoolsill/peer"
 )
 
-// A largeReply counts how often it is encoded.
+// A largeReply is a reply that counts how often it is encoded.
 type largeReply struct {
 	body    []byte
 	encoded *atomic.Int64
@@ -33,20 +33,21 @@
 	return e.EncodeBytes(r.body)
 }
 
-// Replies whose callers have given up are neither kept nor sent: over a line that
-// is too slow for them a later call is answered at once, and not behind them.
-func TestAbandonedCallsDoNotFillASlowLine(t *testing.T) {
+// Guards against replies to abandoned calls that stay in memory or are still sent: over a
+// link too slow for them, a later call would wait behind them instead of being answered at
+// once.
+func TestAbandonedCallsDoNotFillASlowLink(t *testing.T) {
 	const (
-		every = 150 * time.Millisecond
-		limit = 300 * time.Millisecond
-		calls = 70
-		reply = 1 << 20 // takes 0.84 s on the line
-		// handledMost is how many calls are waited for at once, and the reply
-		// that is on its way.
-		handledMost = int(limit/every) + 2
+		interval = 150 * time.Millisecond
+		timeout  = 300 * time.Millisecond
+		calls    = 70
+		reply    = 1 << 20 // takes 0.84 s on the link
+		// maxHandling is the number of calls in flight at once, plus the one whose reply is
+		// being sent.
+		maxHandling = int(timeout/interval) + 2
 	)
 	synctest.Test(t, func(t *testing.T) {
-		a, b := overLine(t, newLine(slowLink), peer.Config{})
+		a, b := nodesOver(t, newNetwork(slowLinkRate), peer.Config{})
 		var encoded atomic.Int64
 		large := largeReply{
 			body:    make([]byte, reply),
@@ -60,20 +61,20 @@
 		most := 0
 		for range calls {
 			wg.Go(func() {
-				_, _ = callWithin[[]byte](t, a, limit, "large", question{})
+				_, _ = callWithin[[]byte](t, a, timeout, "large", question{})
 			})
-			pause.For(t.Context(), every)
+			pause.For(t.Context(), interval)
 			most = max(most, b.Handling())
 		}
 		wg.Wait()
-		qt.Check(t, most <= handledMost, qt.IsTrue, qt.Commentf("%d calls in hand, want %d at most", most, handledMost))
-		begun := time.Now()
+		qt.Check(t, most <= maxHandling, qt.IsTrue, qt.Commentf("%d calls being handled, want at most %d", most, maxHandling))
+		start := time.Now()
 		r, err := callWithin[answer](t, a, 2*time.Minute, "echo", question{
 			Number: 3,
 		})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, r.Number, qt.Equals, 3)
-		qt.Check(t, time.Since(begun) < time.Second, qt.IsTrue, qt.Commentf("answered after %s", time.Since(begun)))
+		qt.Check(t, time.Since(start) < time.Second, qt.IsTrue, qt.Commentf("answered after %s", time.Since(start)))
 		sent, _ := b.Traffic()
 		pause.For(t.Context(), 5*time.Second)
 		later, _ := b.Traffic()
@@ -83,72 +84,73 @@
 	})
 }
 
-// The context of a handler ends when its caller has given up, so that calls that
-// nobody waits for do not hold up others.
-func TestHandlerEndsWithItsCaller(t *testing.T) {
+// Guards against abandoned calls that occupy handlers: a handler's context must be done
+// when its caller's timeout expires.
+func TestHandlerContextEndsWithCallerTimeout(t *testing.T) {
 	const (
 		handlers = 4
-		limit    = 100 * time.Millisecond
+		timeout  = 100 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
-		a, b := overLine(t, newLine(0), peer.Config{
+		a, b := nodesOver(t, newNetwork(0), peer.Config{
 			Handlers: handlers,
 		})
 		var lasted atomic.Int64
 		peer.Handle(b, "hang", func(ctx context.Context, _ peer.Caller, _ question) (answer, error) {
-			begun := time.Now()
+			start := time.Now()
 			<-ctx.Done()
-			lasted.Store(int64(time.Since(begun)))
+			lasted.Store(int64(time.Since(start)))
 			return answer{}, ctx.Err()
 		})
 		peer.Handle(b, "echo", echo)
 		var wg sync.WaitGroup
 		for range handlers {
 			wg.Go(func() {
-				_, err := callWithin[answer](t, a, limit, "hang", question{})
+				_, err := callWithin[answer](t, a, timeout, "hang", question{})
 				qt.Check(t, errors.Is(err, peer.ErrLost), qt.IsTrue)
 			})
 		}
 		wg.Wait()
 		pause.For(t.Context(), time.Millisecond)
-		_, err := callWithin[answer](t, a, limit, "echo", question{})
+		_, err := callWithin[answer](t, a, timeout, "echo", question{})
 		qt.Check(t, err, qt.IsNil)
-		qt.Check(t, time.Duration(lasted.Load()), qt.Equals, limit)
+		qt.Check(t, time.Duration(lasted.Load()), qt.Equals, timeout)
 	})
 }
 
-// A call ends when its caller says so, also while the other side takes nothing,
-// and the connection is replaced by one on which it does.
-func TestCallEndsThoughTheOtherSideTakesNothing(t *testing.T) {
-	const limit = 300 * time.Millisecond
+// Guards against calls that outlast their deadline while the remote side does not read,
+// and against a connection that is kept although its writes are stuck.
+func TestCallTimesOutWhenServerDoesNotRead(t *testing.T) {
+	const timeout = 300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine(0)
-		a, b := overLine(t, l, peer.Config{})
+		l := newNetwork(0)
+		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
-		l.deaf.Store(true)
-		begun := time.Now()
-		// Nothing of any of them is written, so none was received for certain.
+		l.stalled.Store(true)
+		start := time.Now()
+		// No byte of these calls is written, so they were certainly not received.
 		for i := range 4 {
-			_, err := callWithin[answer](t, a, limit, "echo", question{})
+			_, err := callWithin[answer](t, a, timeout, "echo", question{})
 			qt.Check(t, errors.Is(err, peer.ErrUnreachable), qt.IsTrue)
-			qt.Check(t, time.Since(begun), qt.Equals, time.Duration(i+1)*limit)
+			qt.Check(t, time.Since(start), qt.Equals, time.Duration(i+1)*timeout)
 		}
-		l.deaf.Store(false)
-		_, err := callWithin[answer](t, a, limit, "echo", question{})
+		l.stalled.Store(false)
+		_, err := callWithin[answer](t, a, timeout, "echo", question{})
 		qt.Check(t, err, qt.IsNil)
 	})
 }
 
-// A side that takes no reply loses the connection, and its handlers end.
-func TestReplyEndsThoughTheCallerTakesNothing(t *testing.T) {
+// Guards against handlers that stay blocked on a caller that does not read its replies:
+// the connection must be closed after the write timeout.
+func TestReplyTimesOutWhenCallerDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine(0)
-		_, b := overLine(t, l, peer.Config{})
+		l := newNetwork(0)
+		_, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
 		c, err := l.dial(t.Context(), "b")
 		qt.Assert(t, err, qt.IsNil)
 		for i := range 3 {
-			_, err = c.Write(frame(t, formerCall{
+			_, err = c.Write(frame(t, legacyCall{
 				Kind:   1,
 				ID:     uint64(i),
 				Method: "echo",
@@ -163,12 +165,12 @@
 	})
 }
 
-// A long reply over a slow line comes through: what bounds its writing is that the
-// line takes something.
-func TestLongReplyOverASlowLine(t *testing.T) {
-	const reply = 7_500_000 // takes 6 s on the line, longer than peer.DefaultWriteLimit
+// Guards against a write timeout that covers a whole message: a long reply over a slow
+// link must arrive as long as the write makes progress.
+func TestLongReplyOverSlowLink(t *testing.T) {
+	const reply = 7_500_000 // takes 6 s on the link, longer than peer.DefaultWriteLimit
 	synctest.Test(t, func(t *testing.T) {
-		a, b := overLine(t, newLine(slowLink), peer.Config{})
+		a, b := nodesOver(t, newNetwork(slowLinkRate), peer.Config{})
 		peer.Handle(b, "large", func(context.Context, peer.Caller, question) ([]byte, error) {
 			return make([]byte, reply), nil
 		})
@@ -178,12 +180,12 @@
 	})
 }
 
-// A reply that is longer than a frame may be is told of to its caller and ends
-// nothing else.
-func TestReplyThatIsTooLongEndsNothingElse(t *testing.T) {
+// Guards against a message above MaxFrame that closes the connection: only its call must
+// fail.
+func TestTooLongMessageKeepsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine(0)
-		a, b := overLine(t, l, peer.Config{})
+		l := newNetwork(0)
+		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "large", func(context.Context, peer.Caller, question) ([]byte, error) {
 			return make([]byte, peer.MaxFrame), nil
 		})
@@ -195,45 +197,45 @@
 	})
 }
 
-// A connection that goes silent without an end is given up after calls have been
-// waited for in vain for a while, and one that is only slow is not.
+// Guards against a connection that died without being closed and is used indefinitely,
+// and against a drop of one whose handlers are merely slow.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	const (
-		every = 150 * time.Millisecond
-		limit = 300 * time.Millisecond
-		// backWithin is peer's limit on silence and the calls around it.
-		backWithin = time.Second + 2*(limit+every)
+		interval = 150 * time.Millisecond
+		timeout  = 300 * time.Millisecond
+		// recoveryTime is peer's silence timeout and the calls before and after it.
+		recoveryTime = time.Second + 2*(timeout+interval)
 	)
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine(0)
-		a, b := overLine(t, l, peer.Config{})
+		l := newNetwork(0)
+		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
 		peer.Handle(b, "slow", func(ctx context.Context, _ peer.Caller, q question) (answer, error) {
-			pause.For(context.WithoutCancel(ctx), 5*limit)
+			pause.For(context.WithoutCancel(ctx), 5*timeout)
 			return answer(q), nil
 		})
 		for range 20 {
-			_, err := callWithin[answer](t, a, limit, "slow", question{})
+			_, err := callWithin[answer](t, a, timeout, "slow", question{})
 			qt.Assert(t, errors.Is(err, peer.ErrLost), qt.IsTrue)
-			_, err = callWithin[answer](t, a, limit, "echo", question{})
+			_, err = callWithin[answer](t, a, timeout, "echo", question{})
 			qt.Assert(t, err, qt.IsNil)
 		}
 		qt.Check(t, l.dials(), qt.Equals, 1)
 		l.silence()
-		begun := time.Now()
-		for time.Since(begun) < time.Minute {
-			if _, err := callWithin[answer](t, a, limit, "echo", question{}); err == nil {
+		start := time.Now()
+		for time.Since(start) < time.Minute {
+			if _, err := callWithin[answer](t, a, timeout, "echo", question{}); err == nil {
 				break
 			}
-			pause.For(t.Context(), every)
+			pause.For(t.Context(), interval)
 		}
-		qt.Check(t, time.Since(begun) < backWithin, qt.IsTrue, qt.Commentf("answered after %s", time.Since(begun)))
+		qt.Check(t, time.Since(start) < recoveryTime, qt.IsTrue, qt.Commentf("answered after %s", time.Since(start)))
 		qt.Check(t, l.dials(), qt.Equals, 2)
 	})
 }
 
-// formerCall is a call as hosts send it that do not tell how long they wait.
-type formerCall struct {
+// legacyCall is a call as sent by hosts of an older version, which has no timeout.
+type legacyCall struct {
 	Kind   uint8              `msgpack:"k"`
 	ID     uint64             `msgpack:"i"`
 	Method string             `msgpack:"m,omitempty"`
@@ -262,12 +264,12 @@
 	qt.Assert(t, msgpack.NewDecoder(bytes.NewReader(body)).Decode(v), qt.IsNil)
 }
 
-// Hosts of the former version do not tell how long they wait: their calls have no
-// limit, and they understand calls that have one.
-func TestHostsOfTheFormerVersion(t *testing.T) {
+// Guards the compatibility with hosts of an older version: their calls carry no timeout
+// and must be handled without one, and they must be able to decode calls that carry one.
+func TestCallsWithoutTimeoutOfOlderHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine(0)
-		_, b := overLine(t, l, peer.Config{})
+		l := newNetwork(0)
+		_, b := nodesOver(t, l, peer.Config{})
 		limited := true
 		peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q question) (answer, error) {
 			_, limited = ctx.Deadline()
@@ -276,7 +278,7 @@
 		})
 		c, err := l.dial(t.Context(), "b")
 		qt.Assert(t, err, qt.IsNil)
-		_, err = c.Write(frame(t, formerCall{
+		_, err = c.Write(frame(t, legacyCall{
 			Kind:   1,
 			ID:     7,
 			Method: "wait",
@@ -286,7 +288,7 @@
 			}),
 		}))
 		qt.Assert(t, err, qt.IsNil)
-		var r formerCall
+		var r legacyCall
 		readFrame(t, c, &r)
 		qt.Check(t, r.ID, qt.Equals, uint64(7))
 		qt.Check(t, r.Kind, qt.Equals, uint8(2))
@@ -302,7 +304,7 @@
 		})
 		defer caller.Close()
 		go func() { _, _ = callWithin[answer](t, caller, time.Second, "wait", question{}) }()
-		var q formerCall
+		var q legacyCall
 		readFrame(t, far, &q)
 		qt.Check(t, q.Method, qt.Equals, "wait")
 		qt.Check(t, q.Kind, qt.Equals, uint8(1))
@@ -310,12 +312,12 @@
 	})
 }
 
-// A connection on which nothing comes is ended by the answering side, also in the
-// middle of a message, unless a call on it is still being handled; one on which
-// something comes is not.
-func TestConnectionThatBringsNothingIsEnded(t *testing.T) {
+// Guards against idle connections that the accepting side keeps indefinitely, also in the
+// middle of a message, and against a close of those that receive data or have a call in
+// progress.
+func TestIdleConnectionIsClosedByServer(t *testing.T) {
 	const idle = time.Minute
-	call := frame(t, formerCall{
+	call := frame(t, legacyCall{
 		Kind:   1,
 		ID:     1,
 		Method: "wait",
@@ -324,10 +326,10 @@
 		}),
 	})
 	for name, c := range map[string]struct {
-		pieces [][]byte
-		every  time.Duration
-		lasts  time.Duration
-		answer bool
+		pieces   [][]byte
+		interval time.Duration
+		lasts    time.Duration
+		answer   bool
 	}{
 		"nothing": {
 			lasts: idle,
@@ -337,52 +339,52 @@
 			lasts:  idle,
 		},
 		"a message in two pieces": {
-			pieces: [][]byte{call[:9], call[9:]},
-			every:  idle - time.Second,
-			lasts:  idle - time.Second,
-			answer: true,
+			pieces:   [][]byte{call[:9], call[9:]},
+			interval: idle - time.Second,
+			lasts:    idle - time.Second,
+			answer:   true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newLine(0)
-				_, b := overLine(t, l, peer.Config{})
+				l := newNetwork(0)
+				_, b := nodesOver(t, l, peer.Config{})
 				peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q question) (answer, error) {
 					pause.For(ctx, 3*idle+time.Second)
 					return answer(q), ctx.Err()
 				})
 				x, err := l.dial(t.Context(), "b")
 				qt.Assert(t, err, qt.IsNil)
-				begun := time.Now()
+				start := time.Now()
 				for i, p := range c.pieces {
 					if i > 0 {
-						pause.For(t.Context(), c.every)
+						pause.For(t.Context(), c.interval)
 					}
 					_, err = x.Write(p)
 					qt.Assert(t, err, qt.IsNil)
 				}
 				if c.answer {
-					var r formerCall
+					var r legacyCall
 					readFrame(t, x, &r)
 					qt.Check(t, r.ID, qt.Equals, uint64(1))
 				}
-				// A caller that waits for nothing does not end it itself.
+				// The client must not be the one that gives up.
 				qt.Assert(t, x.SetReadDeadline(time.Now().Add(time.Hour)), qt.IsNil)
 				_, err = x.Read(make([]byte, 1))
 				qt.Check(t, errors.Is(err, io.EOF), qt.IsTrue, qt.Commentf("%v", err))
-				qt.Check(t, time.Since(begun) >= c.lasts, qt.IsTrue)
-				qt.Check(t, time.Since(begun) < 6*idle, qt.IsTrue)
+				qt.Check(t, time.Since(start) >= c.lasts, qt.IsTrue)
+				qt.Check(t, time.Since(start) < 6*idle, qt.IsTrue)
 			})
 		})
 	}
 }
 
-// A link that has been used for nothing opens a new connection, before the other
-// side would end the former one.
-func TestIdleLinkOpensANewConnection(t *testing.T) {
+// Guards against calls over a connection that the accepting side is about to close as
+// idle: an idle link must dial a new one before that.
+func TestIdleLinkDialsNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine(0)
-		a, b := overLine(t, l, peer.Config{})
+		l := newNetwork(0)
+		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
 		for range 20 {
 			_, err := callWithin[answer](t, a, time.Second, "echo", question{})
@@ -397,7 +399,7 @@
 	})
 }
 
-// A failingListener can't accept for a while, as when too many files are open.
+// A failingListener fails its first calls of Accept, as when too many files are open.
 type failingListener struct {
 	net.Listener
 	fails atomic.Int64
@@ -411,8 +413,8 @@
 	return l.Listener.Accept()
 }
 
-// A connection that can't be accepted ends nothing else.
-func TestServingGoesOnAfterAFailedAccept(t *testing.T) {
+// Guards against a Serve that returns after a temporary error of Accept.
+func TestServeContinuesAfterAcceptError(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -443,7 +445,7 @@
 	qt.Assert(t, <-served, qt.IsNil)
 }
 
-// A lateListener accepts one connection, just after it was closed.
+// A lateListener accepts one connection, just after the listener is closed.
 type lateListener struct {
 	net.Listener
 	conn   net.Conn
@@ -462,47 +464,47 @@
 	return nil
 }
 
-// Guards against a connection that is accepted as serving ends and stays open: its caller
-// went on calling a host that had died.
-func TestConnectionAcceptedAsServingEndsIsClosed(t *testing.T) {
+// Guards against a connection that is accepted during shutdown and stays open: its caller
+// kept calling a host that had terminated.
+func TestConnectionAcceptedDuringShutdownIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ours, theirs := net.Pipe()
-		qt.Assert(t, ours.SetReadDeadline(time.Now().Add(time.Second)), qt.IsNil)
+		local, remote := net.Pipe()
+		qt.Assert(t, local.SetReadDeadline(time.Now().Add(time.Second)), qt.IsNil)
 		b := peer.NewNode(peer.Config{
 			Host: "b",
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		err := b.Serve(ctx, &lateListener{
-			conn:   theirs,
+			conn:   remote,
 			closed: make(chan struct{}),
 		})
 		qt.Assert(t, err, qt.IsNil)
-		_, err = ours.Read(make([]byte, 1))
+		_, err = local.Read(make([]byte, 1))
 		qt.Check(t, errors.Is(err, io.EOF), qt.IsTrue, qt.Commentf("%v", err))
-		_ = ours.Close()
-		_ = theirs.Close()
+		_ = local.Close()
+		_ = remote.Close()
 	})
 }
 
-// Guards against a silent connection that is kept for good since its calls are waited for
-// for as long as its silence may last.
-func TestSilentConnectionIsReplacedByCallsOfASecond(t *testing.T) {
-	const limit = time.Second
+// Guards against a silent connection that is kept indefinitely because the timeout of its
+// calls equals the silence timeout.
+func TestSilentConnectionIsReplacedWithOneSecondTimeouts(t *testing.T) {
+	const timeout = time.Second
 	synctest.Test(t, func(t *testing.T) {
-		l := newLine(0)
-		a, b := overLine(t, l, peer.Config{})
+		l := newNetwork(0)
+		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
-		_, err := callWithin[answer](t, a, limit, "echo", question{})
+		_, err := callWithin[answer](t, a, timeout, "echo", question{})
 		qt.Assert(t, err, qt.IsNil)
 		l.silence()
-		begun := time.Now()
-		for time.Since(begun) < time.Minute {
-			if _, err := callWithin[answer](t, a, limit, "echo", question{}); err == nil {
+		start := time.Now()
+		for time.Since(start) < time.Minute {
+			if _, err := callWithin[answer](t, a, timeout, "echo", question{}); err == nil {
 				break
 			}
 		}
-		qt.Check(t, time.Since(begun) <= 2*limit, qt.IsTrue, qt.Commentf("answered after %s", time.Since(begun)))
+		qt.Check(t, time.Since(start) <= 2*timeout, qt.IsTrue, qt.Commentf("answered after %s", time.Since(start)))
 		qt.Check(t, l.dials(), qt.Equals, 2)
 	})
 }
--- a/peer/unsent_test.go
+++ b/peer/unsent_test.go
@@ -15,18 +15,18 @@
 	"github.com/spoolsill/spoolsill/peer"
 )
 
-// A call of which nothing was written before its caller gave up was certainly not
-// received, and is not sent later.
-func TestCallOfWhichNothingWasWrittenIsNotSentLater(t *testing.T) {
+// Guards against a call that is sent after it failed with ErrUnreachable, which means that
+// it was certainly not received.
+func TestUnsentCallIsNotSentLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ours, theirs := net.Pipe()
-		defer theirs.Close()
+		local, remote := net.Pipe()
+		defer remote.Close()
 		n := peer.NewNode(peer.Config{
 			Host: "a",
 			Addresses: map[spoolsill.HostID]string{
 				"b": "b",
 			},
-			Dial: func(context.Context, string) (net.Conn, error) { return ours, nil },
+			Dial: func(context.Context, string) (net.Conn, error) { return local, nil },
 		})
 		defer n.Close()
 		_, err := callWithin[answer](t, n, 100*time.Millisecond, "echo", question{
@@ -35,7 +35,7 @@
 		qt.Check(t, errors.Is(err, peer.ErrUnreachable), qt.IsTrue, qt.Commentf("%v", err))
 		got := make(chan int, 1)
 		go func() {
-			k, _ := theirs.Read(make([]byte, 1<<10))
+			k, _ := remote.Read(make([]byte, 1<<10))
 			got <- k
 		}()
 		pause.For(t.Context(), time.Second)
