--- a/entry/operate.go
+++ b/entry/operate.go
@@ -75,7 +75,7 @@
 		switch r.Code {
 		case codeStale:
 			return http.StatusConflict, string(r.Code)
-		case codeIntent, peer.CodeInput:
+		case codeIntent, peer.CodeBadInput:
 			return http.StatusBadRequest, string(r.Code)
 		case codeNoJob:
 			return http.StatusNotFound, string(r.Code)
@@ -90,7 +90,7 @@
 		return http.StatusConflict, "stale"
 	case errors.Is(err, peer.ErrUnreachable):
 		return http.StatusServiceUnavailable, "unreachable"
-	case errors.Is(err, peer.ErrLost), errors.Is(err, table.ErrLost):
+	case errors.Is(err, peer.ErrReplyLost), errors.Is(err, table.ErrLost):
 		return http.StatusGatewayTimeout, "unknown"
 	default:
 		return http.StatusServiceUnavailable, "unavailable"
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -258,7 +258,7 @@
 
 func badInput(err error) error {
 	return &peer.RemoteError{
-		Code: peer.CodeInput,
+		Code: peer.CodeBadInput,
 		Text: err.Error(),
 	}
 }
--- a/node/configfaults_test.go
+++ b/node/configfaults_test.go
@@ -148,7 +148,7 @@
 				})(ctx, "tcp", a)
 			},
 		})
-		p.Learn("host", x.hosts[cut].Settings.IP+":7000")
+		p.SetAddress("host", x.hosts[cut].Settings.IP+":7000")
 		_, err := peer.Call[struct{}](x.ctx, p, "host", "greet", greetByFake{
 			Address: "10.1.0.99:7000",
 			Held: heldByFake{
@@ -202,7 +202,7 @@
 		x.serving.Go(func() { _ = p.Serve(ctx, l) })
 		defer p.Close()
 		to := x.leader()
-		p.Learn("leader", x.hosts[to].Settings.IP+":7000")
+		p.SetAddress("leader", x.hosts[to].Settings.IP+":7000")
 		_, err = peer.Call[struct{}](ctx, p, "leader", "greet", greetByFake{
 			Address: address,
 			Held: heldByFake{
@@ -229,7 +229,7 @@
 			Dial: func(ctx context.Context, a string) (net.Conn, error) { return d(ctx, "tcp", a) },
 		})
 		defer p.Close()
-		p.Learn("host", x.hosts[0].Settings.IP+":7000")
+		p.SetAddress("host", x.hosts[0].Settings.IP+":7000")
 		x.configureMany(2, manyRoutes)
 		pause.For(x.ctx, inForce)
 		told := 0
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -112,7 +112,7 @@
 	if !errors.As(err, &refused) {
 		return false
 	}
-	return refused.Code == peer.CodeBusy || refused.Code == peer.CodeMethod || refused.Code == peer.CodeInput
+	return refused.Code == peer.CodeBusy || refused.Code == peer.CodeNoSuchMethod || refused.Code == peer.CodeBadInput
 }
 
 // Renew implements [leader.Workers].
--- a/node/delegated_test.go
+++ b/node/delegated_test.go
@@ -214,10 +214,10 @@
 		})
 	}
 	c := qt.New(t)
-	for _, e := range []error{peer.ErrUnreachable, refusal(peer.CodeBusy), refusal(peer.CodeMethod), refusal(peer.CodeInput)} {
+	for _, e := range []error{peer.ErrUnreachable, refusal(peer.CodeBusy), refusal(peer.CodeNoSuchMethod), refusal(peer.CodeBadInput)} {
 		c.Check(node.NotMade(e), qt.IsTrue, qt.Commentf("%v", e))
 	}
-	for _, e := range []error{refusal(peer.CodeInternal), refusal("of a later release"), peer.ErrLost, context.DeadlineExceeded} {
+	for _, e := range []error{refusal(peer.CodeInternal), refusal("of a later release"), peer.ErrReplyLost, context.DeadlineExceeded} {
 		c.Check(node.NotMade(e), qt.IsFalse, qt.Commentf("%v", e))
 	}
 }
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -25,7 +25,7 @@
 func (n *Node) greetLeader(ctx context.Context, h leader.Head, timeout time.Duration) (greetReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	n.peers.Learn(h.Host, h.Address)
+	n.peers.SetAddress(h.Host, h.Address)
 	sent := n.clock.Now()
 	r, err := peer.Call[greetReply](ctx, n.peers, h.Host, methodGreet, greetRequest{
 		Address: n.peerAddress(),
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -208,7 +208,7 @@
 	})
 	if err != nil {
 		n.log.WithError(err).WithField("job", string(j.ID)).WithField("leader", string(h)).Warn("job could not be handed on")
-		return jobstore.Unknown, errors.Is(err, peer.ErrLost)
+		return jobstore.Unknown, errors.Is(err, peer.ErrReplyLost)
 	}
 	if r.Outcome == jobstore.Accepted {
 		// Kept by the leader's host, which knows of it.
--- a/node/node.go
+++ b/node/node.go
@@ -212,7 +212,7 @@
 		Report: func(remote string, err error) {
 			n.log.WithError(err).WithField("address", remote).Info("connection to a host ended")
 		},
-		Observe: func(method string, sent, received int) {
+		OnMessage: func(method string, sent, received int) {
 			n.traffic.Add(traffic.Peer(method), sent, received)
 		},
 	})
@@ -439,7 +439,7 @@
 	n.metrics.Gauge("spoolsill.peer.sent.bytes", "bytes that this host sent to other hosts", func() int64 { sent, _ := n.peers.Traffic(); return int64(sent) })
 	n.metrics.Gauge("spoolsill.peer.received.bytes", "bytes that this host received from other hosts", func() int64 { _, read := n.peers.Traffic(); return int64(read) })
 	n.metrics.Traffic(n.traffic.Counts)
-	n.metrics.Gauge("spoolsill.peer.handling", "calls of other hosts that are not answered yet", func() int64 { return int64(n.peers.Handling()) })
+	n.metrics.Gauge("spoolsill.peer.handling", "calls of other hosts that are not answered yet", func() int64 { return int64(n.peers.InFlight()) })
 	n.metrics.Gauge("spoolsill.delegates", "hosts that make calls to workers for this one, while it leads", func() int64 { all, _ := n.delegated.hosts(); return int64(all) })
 	n.metrics.Gauge("spoolsill.delegates.resting", "of them, those that left a call unanswered and are passed over", func() int64 { _, resting := n.delegated.hosts(); return int64(resting) })
 	n.metrics.Gauge("spoolsill.tasks.suspect", "tasks under which workers went and that are not cleared, at the leader", func() int64 { tasks, _ := n.suspects(); return tasks })
--- a/node/peers.go
+++ b/node/peers.go
@@ -170,7 +170,7 @@
 }
 
 func (n *Node) greeted(_ context.Context, c peer.Caller, q greetRequest) (greetReply, error) {
-	n.peers.Learn(c.Host, q.Address)
+	n.peers.SetAddress(c.Host, q.Address)
 	now := n.clock.Now()
 	n.hosts.greeted(c.Host, greetedHost{
 		at:       now,
--- a/node/specs.go
+++ b/node/specs.go
@@ -204,7 +204,7 @@
 
 // askSpec has the spec of an order from the host that accepted its job.
 func (n *Node) askSpec(ctx context.Context, q startOfRequest) error {
-	n.peers.Learn(q.Host, q.Address)
+	n.peers.SetAddress(q.Host, q.Address)
 	r, err := peer.Call[specReply](ctx, n.peers, q.Host, methodSpec, specRequest{
 		Spec: q.Spec,
 	})
--- a/node/young.go
+++ b/node/young.go
@@ -108,7 +108,7 @@
 
 func (n *Node) askHostForNews(ctx context.Context, address string) error {
 	h := spoolsill.HostID(address) // its name is not known yet
-	n.peers.Learn(h, address)
+	n.peers.SetAddress(h, address)
 	sent := n.clock.Now()
 	r, err := peer.Call[newsReply](ctx, n.peers, h, methodNews, newsRequest{})
 	if err != nil {
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -7,7 +7,7 @@
 // across processes.
 //
 // The error of a failed call tells whether the call may have been executed:
-// [ErrUnreachable] means that the call was never sent, [ErrLost] that the remote
+// [ErrUnreachable] means that the call was never sent, [ErrReplyLost] that the remote
 // side may have received it, and a [*RemoteError] that the remote side rejected it.
 //
 // A call carries the caller's remaining timeout. The handler's context is cancelled
@@ -15,7 +15,7 @@
 // is discarded, so that abandoned calls use neither memory nor bandwidth. The
 // caller's deadline bounds the call regardless of what the remote side does. A
 // connection is closed when the remote side accepts no bytes of a message for
-// [DefaultWriteLimit], when it sends nothing for a second while calls time out, or
+// [DefaultWriteTimeout], when it sends nothing for a second while calls time out, or
 // when the accepting side receives nothing for a minute.
 //
 // A frame that is too long or can't be decoded closes its connection and is
--- a/peer/error.go
+++ b/peer/error.go
@@ -5,19 +5,19 @@
 // ErrUnreachable is returned when the remote side has certainly not received the call.
 var ErrUnreachable = errors.New("peer: unreachable")
 
-// ErrLost is returned when a call was sent, at least in part, and no valid reply
+// ErrReplyLost is returned when a call was sent, at least in part, and no valid reply
 // arrived. The call may have taken effect.
-var ErrLost = errors.New("peer: reply lost")
+var ErrReplyLost = errors.New("peer: reply lost")
 
 // Code classifies a [RemoteError].
 type Code string
 
 // The codes that this package itself returns. Handlers may define their own.
 const (
-	CodeInternal Code = "internal"
-	CodeMethod   Code = "no-such-method"
-	CodeBusy     Code = "busy"
-	CodeInput    Code = "bad-input"
+	CodeInternal     Code = "internal"
+	CodeNoSuchMethod Code = "no-such-method"
+	CodeBusy         Code = "busy"
+	CodeBadInput     Code = "bad-input"
 )
 
 // A RemoteError is an error returned by the remote side. A handler returns one to
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -19,8 +19,8 @@
 
 const headerLength = 4
 
-// ErrFrame is returned for a frame that is too long or can't be decoded.
-var ErrFrame = errors.New("peer: bad frame")
+// ErrBadFrame is returned for a frame that is too long or can't be decoded.
+var ErrBadFrame = errors.New("peer: bad frame")
 
 type messageKind uint8
 
@@ -60,7 +60,7 @@
 	}
 	n := b.Len() - headerLength
 	if n > MaxFrame {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrFrame, n, MaxFrame)
+		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrBadFrame, n, MaxFrame)
 	}
 	binary.BigEndian.PutUint32(b.Bytes(), uint32(n))
 	return b.Bytes(), nil
@@ -73,7 +73,7 @@
 	}
 	n := binary.BigEndian.Uint32(header[:])
 	if n == 0 || n > MaxFrame {
-		return nil, fmt.Errorf("%w: length %d, want 1 to %d", ErrFrame, n, MaxFrame)
+		return nil, fmt.Errorf("%w: length %d, want 1 to %d", ErrBadFrame, n, MaxFrame)
 	}
 	body, err := readBody(r, int(n))
 	if err != nil {
@@ -81,10 +81,10 @@
 	}
 	var m message
 	if err := msgpack.Unmarshal(body, &m); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrFrame, err)
+		return nil, fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
 	if m.Kind < messageCall || m.Kind > messageError {
-		return nil, fmt.Errorf("%w: kind %d", ErrFrame, m.Kind)
+		return nil, fmt.Errorf("%w: kind %d", ErrBadFrame, m.Kind)
 	}
 	m.length = headerLength + int(n)
 	return &m, nil
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -15,7 +15,7 @@
 	f.Add([]byte{0, 0, 0, 7, 0x82, 0xa1, 'k', 1, 0xa1, 'i', 2})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		err := peer.ReadFrame(bytes.NewReader(b))
-		if err == nil || errors.Is(err, peer.ErrFrame) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+		if err == nil || errors.Is(err, peer.ErrBadFrame) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 			return
 		}
 		t.Fatal(err)
--- a/peer/link.go
+++ b/peer/link.go
@@ -63,23 +63,23 @@
 		}
 		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, l.host, err)
 	case errors.Is(err, errWritePending):
-		return nil, fmt.Errorf("%w: %s: %w: %w", ErrLost, l.host, err, context.DeadlineExceeded)
+		return nil, fmt.Errorf("%w: %s: %w: %w", ErrReplyLost, l.host, err, context.DeadlineExceeded)
 	case err != nil:
 		l.drop(w)
-		return nil, fmt.Errorf("%w: %s: %w", ErrLost, l.host, err)
+		return nil, fmt.Errorf("%w: %s: %w", ErrReplyLost, l.host, err)
 	}
 	written := time.Now()
 	select {
 	case m, ok := <-reply:
 		if !ok {
-			return nil, fmt.Errorf("%w: %s: connection closed", ErrLost, l.host)
+			return nil, fmt.Errorf("%w: %s: connection closed", ErrReplyLost, l.host)
 		}
 		return m, nil
 	case <-ctx.Done():
 		if shortTimeout {
 			l.dropIfSilent(w, written)
 		}
-		return nil, fmt.Errorf("%w: %s: %w", ErrLost, l.host, ctx.Err())
+		return nil, fmt.Errorf("%w: %s: %w", ErrReplyLost, l.host, ctx.Err())
 	}
 }
 
@@ -194,7 +194,7 @@
 		return
 	}
 	p, ok := l.pending[m.ID]
-	l.node.config.Observe(p.method, 0, m.length)
+	l.node.config.OnMessage(p.method, 0, m.length)
 	if !ok {
 		return
 	}
--- a/peer/node.go
+++ b/peer/node.go
@@ -21,10 +21,10 @@
 // Defaults of [Config].
 const (
 	DefaultDialTimeout = time.Second
-	// DefaultWriteLimit is how long a write may make no progress before the
+	// DefaultWriteTimeout is how long a write may make no progress before the
 	// connection is closed.
-	DefaultWriteLimit = 5 * time.Second
-	DefaultHandlers   = 512
+	DefaultWriteTimeout = 5 * time.Second
+	DefaultHandlers     = 512
 )
 
 // A Caller identifies the process that made a call.
@@ -37,7 +37,7 @@
 type Config struct {
 	Host        spoolsill.HostID
 	Incarnation spoolsill.Incarnation
-	// Addresses maps each host that can be called to its IP and port. [Node.Learn]
+	// Addresses maps each host that can be called to its IP and port. [Node.SetAddress]
 	// adds more.
 	Addresses map[spoolsill.HostID]string
 	Clock     *timeline.Clock
@@ -49,10 +49,10 @@
 	// Report, if not nil, is called for each connection that fails and each connection
 	// that can't be accepted.
 	Report func(remote string, err error)
-	// Observe, if not nil, is called with the size in bytes of each message sent and
+	// OnMessage, if not nil, is called with the size in bytes of each message sent and
 	// received, and the method of its call. The method is empty for replies to
 	// abandoned calls and for calls of methods that are not registered.
-	Observe func(method string, sent, received int)
+	OnMessage func(method string, sent, received int)
 }
 
 // A Node makes and serves calls. It is safe for concurrent use.
@@ -84,22 +84,22 @@
 	if c.Report == nil {
 		c.Report = func(string, error) {}
 	}
-	if c.Observe == nil {
-		c.Observe = func(string, int, int) {}
+	if c.OnMessage == nil {
+		c.OnMessage = func(string, int, int) {}
 	}
 	n := &Node{
 		config: c,
 		links:  map[spoolsill.HostID]*link{},
 	}
 	for h, a := range c.Addresses {
-		n.Learn(h, a)
+		n.SetAddress(h, a)
 	}
 	return n
 }
 
-// Learn sets the address of a host. If the address changes, the
+// SetAddress sets the address of a host. If the address changes, the
 // connection to the previous address is closed.
-func (n *Node) Learn(h spoolsill.HostID, address string) {
+func (n *Node) SetAddress(h spoolsill.HostID, address string) {
 	n.mu.Lock()
 	old := n.links[h]
 	if old != nil && old.address == address {
@@ -130,9 +130,9 @@
 	return n.bytesSent.Load(), n.bytesReceived.Load()
 }
 
-// Handling returns the number of calls received whose handler is running or whose reply
+// InFlight returns the number of calls received whose handler is running or whose reply
 // is not sent yet.
-func (n *Node) Handling() int {
+func (n *Node) InFlight() int {
 	return int(n.handling.Load())
 }
 
@@ -143,7 +143,7 @@
 		var q Q
 		if err := msgpack.Unmarshal(body, &q); err != nil {
 			return nil, &RemoteError{
-				Code: CodeInput,
+				Code: CodeBadInput,
 				Text: err.Error(),
 			}
 		}
@@ -174,7 +174,7 @@
 		}
 	}
 	if err := msgpack.Unmarshal(m.Body, &r); err != nil {
-		return r, fmt.Errorf("%w: %w", ErrLost, err)
+		return r, fmt.Errorf("%w: %w", ErrReplyLost, err)
 	}
 	return r, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -91,7 +91,7 @@
 	_, err = peer.Call[answer](context.Background(), a, "nobody", "m", question{})
 	c.Assert(errors.Is(err, peer.ErrUnreachable), qt.IsTrue)
 	_, err = peer.Call[answer](context.Background(), a, "b", "m", question{})
-	c.Assert(peer.IsCode(err, peer.CodeMethod), qt.IsTrue)
+	c.Assert(peer.IsCode(err, peer.CodeNoSuchMethod), qt.IsTrue)
 	peer.Handle(b, "refuse", func(context.Context, peer.Caller, question) (answer, error) {
 		return answer{}, &peer.RemoteError{
 			Code: "stale",
@@ -112,7 +112,7 @@
 		cancel()
 	}()
 	_, err = peer.Call[answer](ctx, a, "b", "hang", question{})
-	c.Assert(errors.Is(err, peer.ErrLost), qt.IsTrue)
+	c.Assert(errors.Is(err, peer.ErrReplyLost), qt.IsTrue)
 }
 
 func TestBadFrameClosesOnlyItsConnection(t *testing.T) {
--- a/peer/server.go
+++ b/peer/server.go
@@ -42,7 +42,7 @@
 		if m.Kind != messageCall {
 			continue
 		}
-		n.config.Observe(n.registeredMethod(m.Method), 0, m.length)
+		n.config.OnMessage(n.registeredMethod(m.Method), 0, m.length)
 		select {
 		case slots <- struct{}{}:
 		default:
@@ -103,7 +103,7 @@
 	f, ok := n.methods.Load(m.Method)
 	if !ok {
 		return nil, &RemoteError{
-			Code: CodeMethod,
+			Code: CodeNoSuchMethod,
 			Text: m.Method,
 		}
 	}
@@ -166,7 +166,7 @@
 		w.mu.unlock()
 		return fmt.Errorf("%w: %w", errNotWritten, err)
 	}
-	w.node.config.Observe(m.Method, len(frame), 0)
+	w.node.config.OnMessage(m.Method, len(frame), 0)
 	rest, err := w.write(frame, end)
 	timedOut := limited && errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(end)
 	if timedOut && len(rest) == len(frame) {
@@ -198,7 +198,7 @@
 		frame, failed = w.encode(replyMessage(call.ID, nil, failed))
 	}
 	if failed == nil {
-		w.node.config.Observe(w.node.registeredMethod(call.Method), len(frame), 0)
+		w.node.config.OnMessage(w.node.registeredMethod(call.Method), len(frame), 0)
 		_, failed = w.write(frame, time.Time{})
 	}
 	if failed != nil {
@@ -213,7 +213,7 @@
 }
 
 // write writes a frame. It fails when the write makes no progress for
-// DefaultWriteLimit, or at end unless that is zero, and returns the part of the frame that
+// DefaultWriteTimeout, or at end unless that is zero, and returns the part of the frame that
 // was not written. The caller holds w.mu.
 func (w *connWriter) write(frame []byte, end time.Time) ([]byte, error) {
 	to := countingWriter{
@@ -221,7 +221,7 @@
 		to:   w.conn,
 	}
 	for len(frame) > 0 {
-		limit := time.Now().Add(DefaultWriteLimit)
+		limit := time.Now().Add(DefaultWriteTimeout)
 		if !end.IsZero() && end.Before(limit) {
 			limit = end
 		}
--- a/peer/timeout_test.go
+++ b/peer/timeout_test.go
@@ -64,7 +64,7 @@
 				_, _ = callWithin[[]byte](t, a, timeout, "large", question{})
 			})
 			pause.For(t.Context(), interval)
-			most = max(most, b.Handling())
+			most = max(most, b.InFlight())
 		}
 		wg.Wait()
 		qt.Check(t, most <= maxHandling, qt.IsTrue, qt.Commentf("%d calls being handled, want at most %d", most, maxHandling))
@@ -80,7 +80,7 @@
 		later, _ := b.Traffic()
 		qt.Check(t, uint64(encoded.Load()), qt.Equals, later/reply)
 		qt.Check(t, later, qt.Equals, sent)
-		qt.Check(t, b.Handling(), qt.Equals, 0)
+		qt.Check(t, b.InFlight(), qt.Equals, 0)
 	})
 }
 
@@ -107,7 +107,7 @@
 		for range handlers {
 			wg.Go(func() {
 				_, err := callWithin[answer](t, a, timeout, "hang", question{})
-				qt.Check(t, errors.Is(err, peer.ErrLost), qt.IsTrue)
+				qt.Check(t, errors.Is(err, peer.ErrReplyLost), qt.IsTrue)
 			})
 		}
 		wg.Wait()
@@ -158,8 +158,8 @@
 			}))
 			qt.Assert(t, err, qt.IsNil)
 		}
-		pause.For(t.Context(), peer.DefaultWriteLimit+time.Millisecond)
-		qt.Check(t, b.Handling(), qt.Equals, 0)
+		pause.For(t.Context(), peer.DefaultWriteTimeout+time.Millisecond)
+		qt.Check(t, b.InFlight(), qt.Equals, 0)
 		_, err = c.Write([]byte{0})
 		qt.Check(t, errors.Is(err, io.ErrClosedPipe), qt.IsTrue)
 	})
@@ -168,7 +168,7 @@
 // Guards against a write timeout that covers a whole message: a long reply over a slow
 // link must arrive as long as the write makes progress.
 func TestLongReplyOverSlowLink(t *testing.T) {
-	const reply = 7_500_000 // takes 6 s on the link, longer than peer.DefaultWriteLimit
+	const reply = 7_500_000 // takes 6 s on the link, longer than peer.DefaultWriteTimeout
 	synctest.Test(t, func(t *testing.T) {
 		a, b := nodesOver(t, newNetwork(slowLinkRate), peer.Config{})
 		peer.Handle(b, "large", func(context.Context, peer.Caller, question) ([]byte, error) {
@@ -216,7 +216,7 @@
 		})
 		for range 20 {
 			_, err := callWithin[answer](t, a, timeout, "slow", question{})
-			qt.Assert(t, errors.Is(err, peer.ErrLost), qt.IsTrue)
+			qt.Assert(t, errors.Is(err, peer.ErrReplyLost), qt.IsTrue)
 			_, err = callWithin[answer](t, a, timeout, "echo", question{})
 			qt.Assert(t, err, qt.IsNil)
 		}
