--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/telemetry"
 )
 
-// BenchmarkNote measures what the metrics of one decision cost.
+// BenchmarkNote measures recording one event of the leader.
 func BenchmarkNote(b *testing.B) {
 	m := telemetry.New()
 	n := sched.Note{
@@ -25,7 +25,7 @@
 	}
 }
 
-// BenchmarkScrape measures one answer to whoever collects the metrics.
+// BenchmarkScrape measures one scrape.
 func BenchmarkScrape(b *testing.B) {
 	m := telemetry.New()
 	for _, outcome := range []string{"200", "404", "502", "504"} {
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry has a host's metrics: counters of outcomes and histograms of
-// latencies, by OpenTelemetry, served in the Prometheus format.
+// Package telemetry holds the metrics of a host: counters of outcomes and histograms of
+// latencies, recorded with OpenTelemetry and served in the Prometheus format.
 package telemetry
 
 import (
@@ -18,26 +18,27 @@
 	"github.com/spoolsill/spoolsill/traffic"
 )
 
-// Metrics are the metrics of one host. They are safe for concurrent use; nil
-// takes nothing in.
+// Metrics are the metrics of one host. They are safe for concurrent use. On a nil
+// *Metrics the methods that record values do nothing.
 type Metrics struct {
-	registry *prometheus.Registry
-	meter    metric.Meter
-	calls    metric.Int64Counter
-	callTime metric.Float64Histogram
-	writes   metric.Float64Histogram
-	advice   metric.Float64Histogram
-	events   metric.Int64Counter
-	started  metric.Float64Histogram
-	jobs     metric.Float64Histogram
-	taken    metric.Float64Histogram
+	registry           *prometheus.Registry
+	meter              metric.Meter
+	clientCalls        metric.Int64Counter
+	callDuration       metric.Float64Histogram
+	storeWriteDuration metric.Float64Histogram
+	adviceDuration     metric.Float64Histogram
+	events             metric.Int64Counter
+	startDuration      metric.Float64Histogram
+	jobDuration        metric.Float64Histogram
+	takeoverDuration   metric.Float64Histogram
 }
 
-// seconds are the buckets' bounds: from a store call to a long job.
-var seconds = []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 60}
+// bucketBounds are the bounds of the histogram buckets in seconds, from a store call to a
+// long job.
+var bucketBounds = []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 20, 60}
 
-// New returns metrics that are all zero. An instrument that can't be made is a
-// broken invariant: names and units are constants.
+// New returns metrics that are all zero. It panics if an instrument can't be created, which
+// is a programming error since names and units are constants.
 func New() *Metrics {
 	r := prometheus.NewRegistry()
 	e, err := otelprom.New(otelprom.WithRegisterer(r), otelprom.WithoutScopeInfo())
@@ -47,14 +48,14 @@
 		registry: r,
 		meter:    m,
 	}
-	x.calls = counter(m, "spoolsill.calls", "clients' calls by kind and outcome")
+	x.clientCalls = counter(m, "spoolsill.calls", "clients' calls by kind and outcome")
 	x.events = counter(m, "spoolsill.events", "decisions and changes of belief of the leader, by kind and reason")
-	x.callTime = histogram(m, "spoolsill.call.duration", "from a client's call to its answer, by kind")
-	x.writes = histogram(m, "spoolsill.store.write.duration", "writes to the store, by outcome")
-	x.advice = histogram(m, "spoolsill.advice.duration", "questions to the advisor, by outcome")
-	x.started = histogram(m, "spoolsill.start.duration", "from the decision to start a task to the worker's answer, by outcome")
-	x.jobs = histogram(m, "spoolsill.job.duration", "from a job's acceptance to its end")
-	x.taken = histogram(m, "spoolsill.takeover.duration", "from becoming the leader to knowing all jobs")
+	x.callDuration = histogram(m, "spoolsill.call.duration", "from a client's call to its answer, by kind")
+	x.storeWriteDuration = histogram(m, "spoolsill.store.write.duration", "writes to the store, by outcome")
+	x.adviceDuration = histogram(m, "spoolsill.advice.duration", "questions to the advisor, by outcome")
+	x.startDuration = histogram(m, "spoolsill.start.duration", "from the decision to start a task to the worker's answer, by outcome")
+	x.jobDuration = histogram(m, "spoolsill.job.duration", "from a job's acceptance to its end")
+	x.takeoverDuration = histogram(m, "spoolsill.takeover.duration", "from becoming the leader to knowing all jobs")
 	return x
 }
 
@@ -68,7 +69,7 @@
 	h, err := m.Float64Histogram(name,
 		metric.WithUnit("s"),
 		metric.WithDescription(text),
-		metric.WithExplicitBucketBoundaries(seconds...),
+		metric.WithExplicitBucketBoundaries(bucketBounds...),
 	)
 	must(err)
 	return h
@@ -80,7 +81,7 @@
 	}
 }
 
-// Gauge has a figure read whenever the metrics are asked for.
+// Gauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) Gauge(name, text string, read func() int64) {
 	_, err := m.meter.Int64ObservableGauge(name,
 		metric.WithDescription(text),
@@ -92,7 +93,8 @@
 	must(err)
 }
 
-// Traffic has the bytes of a host's link read whenever the metrics are asked for.
+// Traffic registers counters of the bytes over the host's network link, which are read at
+// each scrape.
 func (m *Metrics) Traffic(read func() map[traffic.Purpose]traffic.Count) {
 	_, err := m.meter.Int64ObservableCounter("spoolsill.link.bytes",
 		metric.WithUnit("By"),
@@ -109,47 +111,47 @@
 	must(err)
 }
 
-// Handler serves the metrics.
+// Handler returns a handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Call takes in a client's call.
+// Call records a client's call and its duration.
 func (m *Metrics) Call(kind, outcome string, took time.Duration) {
 	if m == nil {
 		return
 	}
 	ctx := context.Background()
 	k := attribute.String("kind", kind)
-	m.calls.Add(ctx, 1, metric.WithAttributes(k, attribute.String("outcome", outcome)))
-	m.callTime.Record(ctx, took.Seconds(), metric.WithAttributes(k))
+	m.clientCalls.Add(ctx, 1, metric.WithAttributes(k, attribute.String("outcome", outcome)))
+	m.callDuration.Record(ctx, took.Seconds(), metric.WithAttributes(k))
 }
 
-// Wrote takes in a write to the store.
+// Wrote records a write to the store.
 func (m *Metrics) Wrote(outcome string, took time.Duration) {
 	if m == nil {
 		return
 	}
-	m.writes.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
+	m.storeWriteDuration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Asked takes in a question to the advisor.
+// Asked records a request to the advisor.
 func (m *Metrics) Asked(outcome string, took time.Duration) {
 	if m == nil {
 		return
 	}
-	m.advice.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
+	m.adviceDuration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// TookOver takes in that a leader knows all jobs.
+// TookOver records how long a new leader took to load all jobs.
 func (m *Metrics) TookOver(took time.Duration) {
 	if m == nil {
 		return
 	}
-	m.taken.Record(context.Background(), took.Seconds())
+	m.takeoverDuration.Record(context.Background(), took.Seconds())
 }
 
-// Note takes in a decision or a change of belief of the leader.
+// Note records an event of the leader: a decision or a change in its view of the cell.
 func (m *Metrics) Note(n sched.Note) {
 	if m == nil {
 		return
@@ -157,9 +159,9 @@
 	ctx := context.Background()
 	switch n.Kind {
 	case sched.NoteStarted, sched.NoteNotStarted:
-		m.started.Record(ctx, n.Age.Seconds(), metric.WithAttributes(attribute.String("outcome", n.Reason)))
+		m.startDuration.Record(ctx, n.Age.Seconds(), metric.WithAttributes(attribute.String("outcome", n.Reason)))
 	case sched.NoteJobEnded:
-		m.jobs.Record(ctx, n.Age.Seconds())
+		m.jobDuration.Record(ctx, n.Age.Seconds())
 	case sched.NoteEnded:
 		m.events.Add(ctx, 1, metric.WithAttributes(attribute.String("kind", string(n.Kind)), attribute.String("reason", n.Reason)))
 	default:
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts the bytes that a host exchanges over its link, by purpose and
-// direction: a link that is full says nothing of what fills it.
+// Package traffic counts the bytes that a host sends and receives over its network link, by
+// purpose and direction, to show what uses the bandwidth of a saturated link.
 package traffic
 
 import (
@@ -9,10 +9,10 @@
 	"sync"
 )
 
-// A Purpose is what bytes are exchanged for.
+// A Purpose classifies traffic.
 type Purpose string
 
-// The purposes of connections. Calls between hosts are counted by method, see [Peer].
+// The purposes of connections. Calls between hosts are counted by method; see [Peer].
 const (
 	Callers Purpose = "callers"
 	Workers Purpose = "workers"
@@ -20,25 +20,26 @@
 	Advisor Purpose = "advisor"
 )
 
-// Peer returns the purpose of the calls between hosts of a method. The empty one is of
-// replies that nobody waits for any more, and of calls that no host answers.
+// Peer returns the purpose of calls between hosts to the given method. The empty method
+// stands for replies to abandoned calls and for calls to unknown methods.
 func Peer(method string) Purpose {
 	return Purpose("peer " + method)
 }
 
-// A Count is how many bytes were sent and received.
+// A Count is the number of bytes sent and received.
 type Count struct {
 	Sent     uint64
 	Received uint64
 }
 
-// An Account keeps a count for each purpose. It is safe for concurrent use.
+// An Account counts bytes by purpose. The zero value is ready to use. It is safe for
+// concurrent use.
 type Account struct {
 	mu     sync.Mutex
 	counts map[Purpose]Count
 }
 
-// Add counts bytes.
+// Add adds to the count of a purpose.
 func (a *Account) Add(p Purpose, sent, received int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -51,17 +52,17 @@
 	a.counts[p] = c
 }
 
-// Counts returns the counts up to now.
+// Counts returns a copy of the counts.
 func (a *Account) Counts() map[Purpose]Count {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.counts)
 }
 
-// A Dialer opens connections.
+// A Dialer opens connections, like the method [net.Dialer.DialContext].
 type Dialer = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer returns a dialer whose connections are counted.
+// Dialer returns a dialer that counts the bytes of the connections opened by d.
 func (a *Account) Dialer(p Purpose, d Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := d(ctx, network, address)
@@ -72,7 +73,7 @@
 	}
 }
 
-// Listener returns a listener whose connections are counted.
+// Listener returns a listener that counts the bytes of the connections accepted by l.
 func (a *Account) Listener(p Purpose, l net.Listener) net.Listener {
 	return &listener{
 		Listener: l,
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/traffic"
 )
 
-// Guards against bytes that are counted for the wrong purpose or direction.
+// Guards against bytes counted for the wrong purpose or direction.
 func TestBytesAreCountedByPurposeAndDirection(t *testing.T) {
 	var a traffic.Account
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
