--- a/node/node.go
+++ b/node/node.go
@@ -96,7 +96,7 @@
 	life      spoolsill.Incarnation
 	health    *storeHealth
 	metrics   *telemetry.Metrics
-	traffic   *traffic.Account
+	traffic   *traffic.Counter
 	port      int // of the metrics
 	jobs      *jobstore.Writer
 
@@ -144,7 +144,7 @@
 	log := c.Log.WithField("host", string(s.Host))
 	life := spoolsill.Incarnation(time.Now().UnixNano()) //nolint:forbidigo // no right, a name
 	h := &storeHealth{}
-	t := &traffic.Account{}
+	t := &traffic.Counter{}
 	dial := c.Dial
 	if dial == nil {
 		dial = platform.Dial
@@ -213,7 +213,7 @@
 			n.log.WithError(err).WithField("address", remote).Info("connection to a host ended")
 		},
 		OnMessage: func(method string, sent, received int) {
-			n.traffic.Add(traffic.Peer(method), sent, received)
+			n.traffic.Add(traffic.PeerPurpose(method), sent, received)
 		},
 	})
 }
@@ -346,7 +346,7 @@
 			Jobs:    n,
 			Log:     n.log,
 			Closing: func() bool { return !n.ready() },
-			Observe: n.metrics.Call,
+			Observe: n.metrics.RecordCall,
 		},
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       readTimeout,
@@ -431,22 +431,22 @@
 	if n.metrics == nil {
 		return
 	}
-	n.metrics.Gauge("spoolsill.leads", "1 while this host leads the cell", func() int64 { return flag(n.leaderHere() != nil) })
-	n.metrics.Gauge("spoolsill.ready", "1 while the balancer may send connections", func() int64 { return flag(n.ready()) })
-	n.metrics.Gauge("spoolsill.config.version", "version of the configuration in force", func() int64 { return int64(n.configs.get().version) })
-	n.metrics.Gauge("spoolsill.config.newest", "newest version of the configuration that this host has heard of", func() int64 { return int64(n.configs.newest()) })
-	n.metrics.Gauge("spoolsill.config.feed.age.milliseconds", "since the store was asked, by this host or the leader, for its latest answer about the configuration; 0 before it", n.configAge)
-	n.metrics.Gauge("spoolsill.peer.sent.bytes", "bytes that this host sent to other hosts", func() int64 { sent, _ := n.peers.Traffic(); return int64(sent) })
-	n.metrics.Gauge("spoolsill.peer.received.bytes", "bytes that this host received from other hosts", func() int64 { _, read := n.peers.Traffic(); return int64(read) })
-	n.metrics.Traffic(n.traffic.Counts)
-	n.metrics.Gauge("spoolsill.peer.handling", "calls of other hosts that are not answered yet", func() int64 { return int64(n.peers.InFlight()) })
-	n.metrics.Gauge("spoolsill.delegates", "hosts that make calls to workers for this one, while it leads", func() int64 { all, _ := n.delegated.hosts(); return int64(all) })
-	n.metrics.Gauge("spoolsill.delegates.resting", "of them, those that left a call unanswered and are passed over", func() int64 { _, resting := n.delegated.hosts(); return int64(resting) })
-	n.metrics.Gauge("spoolsill.tasks.suspect", "tasks under which workers went and that are not cleared, at the leader", func() int64 { tasks, _ := n.suspects(); return tasks })
-	n.metrics.Gauge("spoolsill.workers.crashed", "machines whose workers crashed in the last minute, at the leader", func() int64 { _, crashed := n.suspects(); return crashed })
-	n.metrics.Gauge("spoolsill.workers.unclear", "workers' entries that can't be understood, at the leader", n.unclear)
-	n.metrics.Gauge("spoolsill.suspended.milliseconds", "for how long this machine has been suspended since the host started", func() int64 { return n.clock.Ahead().Milliseconds() })
-	n.metrics.Gauge("spoolsill.store.reachable", "1 while the store answers this host", func() int64 { return flag(n.health.reachable(n.clock.Now())) })
+	n.metrics.RegisterGauge("spoolsill.leads", "1 while this host leads the cell", func() int64 { return flag(n.leaderHere() != nil) })
+	n.metrics.RegisterGauge("spoolsill.ready", "1 while the balancer may send connections", func() int64 { return flag(n.ready()) })
+	n.metrics.RegisterGauge("spoolsill.config.version", "version of the configuration in force", func() int64 { return int64(n.configs.get().version) })
+	n.metrics.RegisterGauge("spoolsill.config.newest", "newest version of the configuration that this host has heard of", func() int64 { return int64(n.configs.newest()) })
+	n.metrics.RegisterGauge("spoolsill.config.feed.age.milliseconds", "since the store was asked, by this host or the leader, for its latest answer about the configuration; 0 before it", n.configAge)
+	n.metrics.RegisterGauge("spoolsill.peer.sent.bytes", "bytes that this host sent to other hosts", func() int64 { sent, _ := n.peers.Traffic(); return int64(sent) })
+	n.metrics.RegisterGauge("spoolsill.peer.received.bytes", "bytes that this host received from other hosts", func() int64 { _, read := n.peers.Traffic(); return int64(read) })
+	n.metrics.RegisterTraffic(n.traffic.Counts)
+	n.metrics.RegisterGauge("spoolsill.peer.handling", "calls of other hosts that are not answered yet", func() int64 { return int64(n.peers.InFlight()) })
+	n.metrics.RegisterGauge("spoolsill.delegates", "hosts that make calls to workers for this one, while it leads", func() int64 { all, _ := n.delegated.hosts(); return int64(all) })
+	n.metrics.RegisterGauge("spoolsill.delegates.resting", "of them, those that left a call unanswered and are passed over", func() int64 { _, resting := n.delegated.hosts(); return int64(resting) })
+	n.metrics.RegisterGauge("spoolsill.tasks.suspect", "tasks under which workers went and that are not cleared, at the leader", func() int64 { tasks, _ := n.suspects(); return tasks })
+	n.metrics.RegisterGauge("spoolsill.workers.crashed", "machines whose workers crashed in the last minute, at the leader", func() int64 { _, crashed := n.suspects(); return crashed })
+	n.metrics.RegisterGauge("spoolsill.workers.unclear", "workers' entries that can't be understood, at the leader", n.unclear)
+	n.metrics.RegisterGauge("spoolsill.suspended.milliseconds", "for how long this machine has been suspended since the host started", func() int64 { return n.clock.Ahead().Milliseconds() })
+	n.metrics.RegisterGauge("spoolsill.store.reachable", "1 while the store answers this host", func() int64 { return flag(n.health.reachable(n.clock.Now())) })
 }
 
 // suspects returns what the leader here knows of crashes; zeros where none is.
--- a/node/storehealth.go
+++ b/node/storehealth.go
@@ -228,7 +228,7 @@
 	}
 	s.health.wrote(begun, errors.Is(err, store.ErrRefused))
 	s.took(err)
-	s.metrics.Wrote(writeOutcome(r, err), s.clock.Since(begun))
+	s.metrics.RecordStoreWrite(writeOutcome(r, err), s.clock.Since(begun))
 	return r, err
 }
 
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -29,8 +29,8 @@
 func BenchmarkScrape(b *testing.B) {
 	m := telemetry.New()
 	for _, outcome := range []string{"200", "404", "502", "504"} {
-		m.Call("post", outcome, time.Millisecond)
-		m.Wrote(outcome, time.Millisecond)
+		m.RecordCall("post", outcome, time.Millisecond)
+		m.RecordStoreWrite(outcome, time.Millisecond)
 		m.Asked(outcome, time.Millisecond)
 	}
 	h := m.Handler()
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Gauge registers a gauge whose value is read at each scrape.
-func (m *Metrics) Gauge(name, text string, read func() int64) {
+// RegisterGauge registers a gauge whose value is read at each scrape.
+func (m *Metrics) RegisterGauge(name, text string, read func() int64) {
 	_, err := m.meter.Int64ObservableGauge(name,
 		metric.WithDescription(text),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
@@ -93,9 +93,9 @@
 	must(err)
 }
 
-// Traffic registers counters of the bytes over the host's network link, which are read at
+// RegisterTraffic registers counters of the bytes over the host's network link, which are read at
 // each scrape.
-func (m *Metrics) Traffic(read func() map[traffic.Purpose]traffic.Count) {
+func (m *Metrics) RegisterTraffic(read func() map[traffic.Purpose]traffic.Count) {
 	_, err := m.meter.Int64ObservableCounter("spoolsill.link.bytes",
 		metric.WithUnit("By"),
 		metric.WithDescription("bytes over this host's link, by purpose and direction"),
@@ -116,8 +116,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Call records a client's call and its duration.
-func (m *Metrics) Call(kind, outcome string, took time.Duration) {
+// RecordCall records a client's call and its duration.
+func (m *Metrics) RecordCall(kind, outcome string, took time.Duration) {
 	if m == nil {
 		return
 	}
@@ -127,8 +127,8 @@
 	m.callDuration.Record(ctx, took.Seconds(), metric.WithAttributes(k))
 }
 
-// Wrote records a write to the store.
-func (m *Metrics) Wrote(outcome string, took time.Duration) {
+// RecordStoreWrite records a write to the store.
+func (m *Metrics) RecordStoreWrite(outcome string, took time.Duration) {
 	if m == nil {
 		return
 	}
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -12,7 +12,7 @@
 // A Purpose classifies traffic.
 type Purpose string
 
-// The purposes of connections. Calls between hosts are counted by method; see [Peer].
+// The purposes of connections. Calls between hosts are counted by method; see [PeerPurpose].
 const (
 	Callers Purpose = "callers"
 	Workers Purpose = "workers"
@@ -20,9 +20,9 @@
 	Advisor Purpose = "advisor"
 )
 
-// Peer returns the purpose of calls between hosts to the given method. The empty method
+// PeerPurpose returns the purpose of calls between hosts to the given method. The empty method
 // stands for replies to abandoned calls and for calls to unknown methods.
-func Peer(method string) Purpose {
+func PeerPurpose(method string) Purpose {
 	return Purpose("peer " + method)
 }
 
@@ -32,59 +32,59 @@
 	Received uint64
 }
 
-// An Account counts bytes by purpose. The zero value is ready to use. It is safe for
+// A Counter counts bytes by purpose. The zero value is ready to use. It is safe for
 // concurrent use.
-type Account struct {
+type Counter struct {
 	mu     sync.Mutex
 	counts map[Purpose]Count
 }
 
 // Add adds to the count of a purpose.
-func (a *Account) Add(p Purpose, sent, received int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.counts == nil {
-		a.counts = map[Purpose]Count{}
+func (c *Counter) Add(p Purpose, sent, received int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.counts == nil {
+		c.counts = map[Purpose]Count{}
 	}
-	c := a.counts[p]
-	c.Sent += uint64(sent)
-	c.Received += uint64(received)
-	a.counts[p] = c
+	n := c.counts[p]
+	n.Sent += uint64(sent)
+	n.Received += uint64(received)
+	c.counts[p] = n
 }
 
 // Counts returns a copy of the counts.
-func (a *Account) Counts() map[Purpose]Count {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return maps.Clone(a.counts)
+func (c *Counter) Counts() map[Purpose]Count {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.counts)
 }
 
 // A Dialer opens connections, like the method [net.Dialer.DialContext].
 type Dialer = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Dialer returns a dialer that counts the bytes of the connections opened by d.
-func (a *Account) Dialer(p Purpose, d Dialer) Dialer {
+func (c *Counter) Dialer(p Purpose, d Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		c, err := d(ctx, network, address)
+		inner, err := d(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return a.conn(p, c), nil
+		return c.conn(p, inner), nil
 	}
 }
 
 // Listener returns a listener that counts the bytes of the connections accepted by l.
-func (a *Account) Listener(p Purpose, l net.Listener) net.Listener {
+func (c *Counter) Listener(p Purpose, l net.Listener) net.Listener {
 	return &listener{
 		Listener: l,
-		account:  a,
+		counter:  c,
 		purpose:  p,
 	}
 }
 
 type listener struct {
 	net.Listener
-	account *Account
+	counter *Counter
 	purpose Purpose
 }
 
@@ -94,33 +94,33 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.account.conn(l.purpose, c), nil
+	return l.counter.conn(l.purpose, c), nil
 }
 
-func (a *Account) conn(p Purpose, c net.Conn) net.Conn {
+func (c *Counter) conn(p Purpose, inner net.Conn) net.Conn {
 	return &conn{
-		Conn:    c,
-		account: a,
+		Conn:    inner,
+		counter: c,
 		purpose: p,
 	}
 }
 
 type conn struct {
 	net.Conn
-	account *Account
+	counter *Counter
 	purpose Purpose
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.account.Add(c.purpose, 0, n)
+	c.counter.Add(c.purpose, 0, n)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.account.Add(c.purpose, n, 0)
+	c.counter.Add(c.purpose, n, 0)
 	return n, err
 }
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -12,10 +12,10 @@
 
 // Guards against bytes counted for the wrong purpose or direction.
 func TestBytesAreCountedByPurposeAndDirection(t *testing.T) {
-	var a traffic.Account
+	var counter traffic.Counter
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	l := a.Listener(traffic.Callers, inner)
+	l := counter.Listener(traffic.Callers, inner)
 	defer l.Close()
 	echoed := make(chan error, 1)
 	go func() {
@@ -27,7 +27,7 @@
 		echoed <- err
 	}()
 	var d net.Dialer
-	dial := a.Dialer(traffic.Store, d.DialContext)
+	dial := counter.Dialer(traffic.Store, d.DialContext)
 	c, err := dial(t.Context(), "tcp", inner.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	defer c.Close()
@@ -37,8 +37,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(b), qt.Equals, "hello")
 	qt.Assert(t, <-echoed, qt.IsNil)
-	a.Add(traffic.Peer("greet"), 3, 4)
-	qt.Check(t, a.Counts(), qt.DeepEquals, map[traffic.Purpose]traffic.Count{
+	counter.Add(traffic.PeerPurpose("greet"), 3, 4)
+	qt.Check(t, counter.Counts(), qt.DeepEquals, map[traffic.Purpose]traffic.Count{
 		traffic.Callers: {
 			Sent:     5,
 			Received: 5,
