--- a/doc.go
+++ b/doc.go
@@ -1,10 +1,10 @@
-// Package spoolsill is the shared vocabulary of the Spoolsill cluster
-// scheduler: ids, units, jobs, tasks, workers, requests and their outcomes.
+// Package spoolsill defines the types shared by all packages of the Spoolsill
+// cluster scheduler: ids, units, jobs, tasks, workers, requests and their outcomes.
 //
-// Every other package of the module speaks in these types. The package holds
-// no I/O, no clock and no goroutine, and it imports nothing of the module.
+// The package performs no I/O, reads no clock, starts no goroutine and imports no
+// other package of the module.
 //
-// The words for machines, zones, customers and back ends (worker, runner,
-// host, hall, caller, team, upstream) are those of the users' brief;
-// docs/GLOSSARY.md maps them to the standard terms of the field.
+// The terms for machines, zones, customers and back ends (worker, runner, host,
+// hall, caller, team, upstream) are defined by the product; docs/GLOSSARY.md maps
+// them to the standard terms of the field.
 package spoolsill
--- a/job.go
+++ b/job.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Kind tells the policies of jobs apart.
+// Kind is the scheduling policy of a job.
 type Kind string
 
 // The kinds of jobs.
 const (
-	Service Kind = "service" // long-running, spread over racks, kept running
-	Batch   Kind = "batch"   // packed, fair between teams
-	Gang    Kind = "gang"    // all tasks start together or none does
+	Service Kind = "service" // long-running, spread over racks, restarted when it ends
+	Batch   Kind = "batch"   // packed, with fair shares between teams
+	Gang    Kind = "gang"    // all tasks start together or not at all
 )
 
-// Class orders unlike work. A smaller one goes first.
+// Class is the priority class of a job or request. Lower values go first.
 type Class int
 
-// The classes of work.
+// The priority classes.
 const (
-	Urgent  Class = iota // starts within seconds, may preempt patient work
+	Urgent  Class = iota // starts within seconds; may preempt Patient work
 	Normal               // the default
-	Patient              // keeps its worth while it waits, may be preempted
+	Patient              // keeps its worth while it waits; may be preempted
 )
 
 var classNames = [...]string{"urgent", "normal", "patient"}
@@ -63,7 +63,7 @@
 	MaxRuntime = 30 * 24 * time.Hour
 )
 
-// A Job is what an operator asks for: some tasks of one shape.
+// A Job is an operator's request to run a number of tasks of the same shape.
 type Job struct {
 	ID    JobID     `msgpack:"i"`
 	Team  TeamID    `msgpack:"t"`
@@ -71,19 +71,19 @@
 	Class Class     `msgpack:"c"`
 	Tasks int       `msgpack:"n"`
 	Shape Resources `msgpack:"s"`
-	// Runtime is the declared run time of a task; 0 says none. It may be far
-	// off. Services run until they are cancelled.
+	// Runtime is the declared run time of a task, which may be far off; 0 means
+	// that none is declared. Services run until they are cancelled.
 	Runtime time.Duration `msgpack:"r"`
-	// Worth orders preemption within a class: the least is lost first.
+	// Worth orders preemption within a class: the lowest is preempted first.
 	Worth int `msgpack:"w"`
-	// Unrepeatable work is never preempted and never started again once it
-	// may have run.
+	// Unrepeatable tasks run at most once: they are never preempted, and never
+	// restarted once they may have run.
 	Unrepeatable bool `msgpack:"u"`
-	// Command is handed to the worker as it is.
+	// Command is passed to the worker unchanged.
 	Command string `msgpack:"x"`
 }
 
-// A FieldError names a field that can't be accepted and what is allowed.
+// A FieldError reports an invalid field and the allowed values.
 type FieldError struct {
 	Field   string
 	Value   string
@@ -97,7 +97,7 @@
 
 var idPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62})$`)
 
-// Validate returns every field of j that can't be accepted.
+// Validate returns an error for each invalid field of j.
 func (j Job) Validate() []*FieldError {
 	var v validator
 	v.check(idPattern.MatchString(string(j.ID)), "id", j.ID, "1 to 63 of a-z, 0-9 and -")
--- a/request.go
+++ b/request.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Outcome is what became of a request. The three are distinct on the wire.
+// Outcome is the result of a request. The outcomes are distinct on the wire.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	Done    Outcome = "done"    // it ran and its whole answer is here
-	NotRun  Outcome = "not-run" // it is certain that it did not run
+	Done    Outcome = "done"    // it ran and its complete response is available
+	NotRun  Outcome = "not-run" // it certainly did not run
 	Unknown Outcome = "unknown" // it may have run
 )
 
-// A Request is what the scheduler has to know of one call of a service.
+// A Request holds what the scheduler needs to know about a request to a service.
 type Request struct {
 	Key      RequestKey
 	Caller   CallerID
 	Service  ServiceID
 	Class    Class
 	Deadline time.Time
-	// Worth is what an answer by Deadline is worth.
+	// Worth is the value of a response by Deadline.
 	Worth int
-	// Fade is how long after Deadline the worth takes to fall to nothing.
-	// Patient work has a Fade; 0 means that a late answer is worth nothing.
+	// Fade is the time after Deadline over which the worth decreases linearly to 0.
+	// Patient work has a Fade; without one, a late response is worth nothing.
 	Fade time.Duration
 	// Unrepeatable requests run at most once.
 	Unrepeatable bool
-	// Issued is when the caller made the key.
+	// Issued is when the caller created Key.
 	Issued time.Time
 }
 
-// WorthAt returns what an answer at time t is worth.
+// WorthAt returns the worth of a response at time t.
 func (r Request) WorthAt(t time.Time) float64 {
 	late := t.Sub(r.Deadline)
 	if late <= 0 {
@@ -42,7 +42,7 @@
 	return float64(r.Worth) * (1 - float64(late)/float64(r.Fade))
 }
 
-// Expires returns the time from which an answer is worth nothing.
+// Expires returns the time from which a response is worth nothing.
 func (r Request) Expires() time.Time {
 	return r.Deadline.Add(r.Fade)
 }
--- a/task.go
+++ b/task.go
@@ -1,24 +1,24 @@
 package spoolsill
 
-// TaskState says where a task is in its life.
+// TaskState is the state of a task in its life cycle.
 type TaskState string
 
 // The states of a task.
 const (
 	TaskQueued        TaskState = "queued"
-	TaskPlaced        TaskState = "placed"        // has a worker, its start is not confirmed yet
-	TaskRunning       TaskState = "running"       // its worker confirmed the start
-	TaskCheckpointing TaskState = "checkpointing" // is being preempted
-	TaskStopping      TaskState = "stopping"      // its stop is asked, not confirmed
+	TaskPlaced        TaskState = "placed"        // assigned to a worker, which has not confirmed the start
+	TaskRunning       TaskState = "running"       // the worker has confirmed the start
+	TaskCheckpointing TaskState = "checkpointing" // being preempted
+	TaskStopping      TaskState = "stopping"      // told to stop, not confirmed
 	TaskDone          TaskState = "done"
 	TaskFailed        TaskState = "failed"
 	TaskCancelled     TaskState = "cancelled"
-	TaskLost          TaskState = "lost"          // unrepeatable, and it may have run
-	TaskNever         TaskState = "can-never-run" // no worker is large enough
+	TaskLost          TaskState = "lost"          // unrepeatable and may have run
+	TaskNever         TaskState = "can-never-run" // no worker is large enough, or the hall can't hold all tasks of its gang at once
 )
 
-// Final reports whether a task in state s never changes again. A task that
-// can never run is judged again when workers change, so it is not final.
+// Final reports whether s is a terminal state. TaskNever is not, since such tasks are
+// evaluated again when the set of workers changes.
 func (s TaskState) Final() bool {
 	switch s {
 	case TaskDone, TaskFailed, TaskCancelled, TaskLost:
@@ -28,7 +28,7 @@
 	}
 }
 
-// Holds reports whether a task in state s holds capacity of a worker.
+// Holds reports whether a task in state s occupies capacity of a worker.
 func (s TaskState) Holds() bool {
 	switch s {
 	case TaskPlaced, TaskRunning, TaskCheckpointing, TaskStopping:
@@ -49,12 +49,12 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// A Runner is an upstream process that answers the requests of one service.
+// A Runner is an upstream process that serves the requests of one service.
 type Runner struct {
 	ID      RunnerID  `json:"id"`
 	Hall    HallID    `json:"hall"`
 	Service ServiceID `json:"service"`
-	// Address is the IP and port that it serves HTTP on.
+	// Address is the IP and port on which it serves HTTP.
 	Address string `json:"address"`
 	Leaving bool   `json:"leaving"`
 }
--- a/unit.go
+++ b/unit.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Millicores counts processor time: 1000 is one processor.
+// Millicores is an amount of processor capacity in thousandths of a core.
 type Millicores int64
 
-// Bytes counts memory or data.
+// Bytes is an amount of memory or data.
 type Bytes int64
 
-// Accelerators counts whole accelerators.
+// Accelerators is a number of accelerators.
 type Accelerators int64
 
-// Sizes in common use.
+// Common units.
 const (
 	Core Millicores = 1000
 	KiB  Bytes      = 1 << 10
@@ -19,15 +19,14 @@
 	GiB  Bytes      = 1 << 30
 )
 
-// Resources is an amount of everything that a worker has and a task needs.
-// The zero value is nothing.
+// Resources is a vector of the resources that a worker provides and a task needs.
 type Resources struct {
 	Processors   Millicores   `json:"processors"   msgpack:"p" toml:"processors"`
 	Memory       Bytes        `json:"memory"       msgpack:"m" toml:"memory"`
 	Accelerators Accelerators `json:"accelerators" msgpack:"a" toml:"accelerators"`
 }
 
-// Add returns r and o together.
+// Add returns r + o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{
 		Processors:   r.Processors + o.Processors,
@@ -36,7 +35,7 @@
 	}
 }
 
-// Sub returns r less o. An entry may become negative.
+// Sub returns r - o. Components of the result may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{
 		Processors:   r.Processors - o.Processors,
@@ -45,7 +44,7 @@
 	}
 }
 
-// Times returns r taken n times.
+// Times returns r multiplied by n.
 func (r Resources) Times(n int) Resources {
 	return Resources{
 		Processors:   r.Processors * Millicores(n),
@@ -54,32 +53,32 @@
 	}
 }
 
-// Fits reports whether r fits into free in every entry.
+// Fits reports whether no component of r exceeds that of free.
 func (r Resources) Fits(free Resources) bool {
 	return r.Processors <= free.Processors &&
 		r.Memory <= free.Memory &&
 		r.Accelerators <= free.Accelerators
 }
 
-// Negative reports whether an entry is below zero.
+// Negative reports whether any component is negative.
 func (r Resources) Negative() bool {
 	return r.Processors < 0 || r.Memory < 0 || r.Accelerators < 0
 }
 
-// IsZero reports whether r is nothing.
+// IsZero reports whether all components are zero.
 func (r Resources) IsZero() bool {
 	return r == Resources{}
 }
 
-// DominantShare returns the largest share that an entry of r has of total,
-// from 0. An entry that total lacks does not count.
+// DominantShare returns the largest ratio of a component of r to that of total, and at
+// least 0. Components that are not positive in total are ignored.
 func (r Resources) DominantShare(total Resources) float64 {
 	s := share(int64(r.Processors), int64(total.Processors))
 	s = max(s, share(int64(r.Memory), int64(total.Memory)))
 	return max(s, share(int64(r.Accelerators), int64(total.Accelerators)))
 }
 
-// String returns the amounts for people, as in "2.5 cores, 4.0 GiB".
+// String returns r in a form like "2.5 cores, 4 GiB".
 func (r Resources) String() string {
 	s := fmt.Sprintf("%.4g cores, %.4g GiB", float64(r.Processors)/float64(Core), float64(r.Memory)/float64(GiB))
 	if r.Accelerators == 0 {
