--- a/id.go
+++ b/id.go
@@ -27,8 +27,8 @@
 	Born   Birth
 }
 
-// MayBe reports whether b may be l's birth. An unknown birth matches any.
-func (l Life) MayBe(b Birth) bool {
+// Matches reports whether b may be l's birth. An unknown birth matches any.
+func (l Life) Matches(b Birth) bool {
 	return l.Born == 0 || b == 0 || l.Born == b
 }
 
--- a/internal/bench/placebench/run.go
+++ b/internal/bench/placebench/run.go
@@ -264,7 +264,7 @@
 	s.running[x.task] = r
 	s.used[x.worker] = s.used[x.worker].Add(a.job.Shape)
 	s.inUse += a.job.Shape.Processors
-	if w, ok := s.capacity(x.worker); !ok || !s.used[x.worker].Fits(w) {
+	if w, ok := s.capacity(x.worker); !ok || !s.used[x.worker].FitsIn(w) {
 		s.report.Violations++
 	}
 	if _, ok := s.first[x.task]; !ok {
--- a/internal/naive/ledger.go
+++ b/internal/naive/ledger.go
@@ -58,7 +58,7 @@
 func (l *Ledger) Used(w spoolsill.WorkerID) spoolsill.Resources {
 	var sum spoolsill.Resources
 	for id, t := range l.tasks {
-		if t.State.Holds() && t.Worker == w {
+		if t.State.HoldsCapacity() && t.Worker == w {
 			sum = sum.Add(l.jobs[id.Job].Shape)
 		}
 	}
@@ -69,7 +69,7 @@
 func (l *Ledger) TeamUsed(team spoolsill.TeamID) spoolsill.Resources {
 	var sum spoolsill.Resources
 	for id, t := range l.tasks {
-		if t.State.Holds() && l.jobs[id.Job].Team == team {
+		if t.State.HoldsCapacity() && l.jobs[id.Job].Team == team {
 			sum = sum.Add(l.jobs[id.Job].Shape)
 		}
 	}
@@ -171,7 +171,7 @@
 func (l *Ledger) place(r place.Record, t *Task) error {
 	w, ok := l.workers[r.Worker]
 	switch {
-	case t.State.Holds():
+	case t.State.HoldsCapacity():
 		return fmt.Errorf("%s: placed on %s and on %s", r.Task, t.Worker, r.Worker)
 	case l.stopped[r.Task.Job]:
 		return fmt.Errorf("%s: placed after its job was cancelled", r.Task)
@@ -187,7 +187,7 @@
 	t.State = spoolsill.TaskPlaced
 	t.Worker = r.Worker
 	t.Attempt = r.Attempt
-	if u := l.Used(r.Worker); !u.Fits(w.Capacity) {
+	if u := l.Used(r.Worker); !u.FitsIn(w.Capacity) {
 		return fmt.Errorf("%s: %s is given %s of %s", r.Task, r.Worker, u, w.Capacity)
 	}
 	return nil
@@ -204,7 +204,7 @@
 		if t.State == spoolsill.TaskQueued {
 			waiting++
 		}
-		if t.State.Holds() {
+		if t.State.HoldsCapacity() {
 			holding++
 		}
 	}
@@ -227,7 +227,7 @@
 			continue
 		}
 		for w, f := range free {
-			if !l.workers[w].Leaving && !t.Avoid[w] && l.jobs[id.Job].Shape.Fits(f) {
+			if !l.workers[w].Leaving && !t.Avoid[w] && l.jobs[id.Job].Shape.FitsIn(f) {
 				out = append(out, id)
 				break
 			}
--- a/internal/naive/scheduler.go
+++ b/internal/naive/scheduler.go
@@ -156,7 +156,7 @@
 func (s *Scheduler) find(shape spoolsill.Resources) *node {
 	var best *node
 	for _, n := range s.workers {
-		if !shape.Fits(n.free) {
+		if !shape.FitsIn(n.free) {
 			continue
 		}
 		if s.order == FirstFit {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -155,7 +155,7 @@
 			sum = sum.Add(t.start.Shape)
 		}
 	}
-	if !sum.Fits(w.config.Worker.Capacity) {
+	if !sum.FitsIn(w.config.Worker.Capacity) {
 		w.config.Truth.Break(Capacity, "worker %s runs %s of %s", w.config.Worker.ID, sum, w.config.Worker.Capacity)
 	}
 }
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -154,7 +154,7 @@
 		}
 		b, r := h.renew(ctx, acked, wait, unanswered)
 		unanswered++
-		if r.Kind == Taken && !h.target.MayBe(b.Born) {
+		if r.Kind == Taken && !h.target.Matches(b.Born) {
 			// Of the next life, or on its way since the one before: the account tells, and
 			// whoever renews the lease of the next one begins anew.
 			h.leader.send(heartbeatTaken{
--- a/place/apply.go
+++ b/place/apply.go
@@ -101,7 +101,7 @@
 	s.dequeue(j)
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.state.Final() || t.state.Holds() {
+		if t.state.Final() || t.state.HoldsCapacity() {
 			continue
 		}
 		s.setState(t, spoolsill.TaskCancelled, r.Time(), CauseCancelled)
@@ -112,7 +112,7 @@
 }
 
 func (s *State) placeTask(t *task, r Record) error {
-	if t.state.Holds() {
+	if t.state.HoldsCapacity() {
 		return refuse(r, "it holds worker %s", t.worker.ID)
 	}
 	if t.job.cancelled {
@@ -125,7 +125,7 @@
 		return refuse(r, "attempt %d, want %d", r.Attempt, t.attempt+1)
 	}
 	w := s.worker(r.Worker)
-	if w.known && !t.job.spec.Shape.Fits(w.free) {
+	if w.known && !t.job.spec.Shape.FitsIn(w.free) {
 		return refuse(r, "worker %s has %s free, it needs %s", w.ID, w.free, t.job.spec.Shape)
 	}
 	s.unpend(t)
@@ -143,7 +143,7 @@
 }
 
 func (s *State) runTask(t *task, r Record) error {
-	if !t.state.Holds() {
+	if !t.state.HoldsCapacity() {
 		return refuse(r, "it is %s", t.state)
 	}
 	if t.state != spoolsill.TaskPlaced {
@@ -155,7 +155,7 @@
 }
 
 func (s *State) leaveWorker(t *task, r Record, state spoolsill.TaskState) error {
-	if !t.state.Holds() {
+	if !t.state.HoldsCapacity() {
 		return refuse(r, "it is %s", t.state)
 	}
 	s.setState(t, state, r.Time(), r.Cause)
@@ -238,7 +238,7 @@
 
 // unpend takes t off its job's list of waiting tasks.
 func (s *State) unpend(t *task) {
-	if t.state.Holds() {
+	if t.state.HoldsCapacity() {
 		return
 	}
 	p := t.job.pending
--- a/place/check.go
+++ b/place/check.go
@@ -42,7 +42,7 @@
 		if !t.state.Final() {
 			live++
 		}
-		if t.state.Holds() != (t.worker != nil) {
+		if t.state.HoldsCapacity() != (t.worker != nil) {
 			return fmt.Errorf("task %s: %s with worker %v", t.id, t.state, t.worker != nil)
 		}
 		if t.worker == nil {
--- a/place/decide.go
+++ b/place/decide.go
@@ -149,7 +149,7 @@
 		need = need.Times(len(j.pending))
 	}
 	left := q.Sub(j.team.used)
-	if need.Fits(left) {
+	if need.FitsIn(left) {
 		return Why{}, true
 	}
 	return Why{
@@ -159,5 +159,5 @@
 }
 
 func (t *team) overQuota() bool {
-	return t.limited && !t.used.Fits(t.quota)
+	return t.limited && !t.used.FitsIn(t.quota)
 }
--- a/place/fit.go
+++ b/place/fit.go
@@ -48,7 +48,7 @@
 	switch {
 	case !w.known:
 		return obstacleGone
-	case !t.job.spec.Shape.Fits(s.room(t, w)):
+	case !t.job.spec.Shape.FitsIn(s.room(t, w)):
 		return obstacleRoom
 	case w.Leaving:
 		return obstacleLeaving
@@ -149,7 +149,7 @@
 // that is empty.
 func (s *State) fitsSomeWorker(j *job) bool {
 	for _, w := range s.order {
-		if w.known && j.spec.Shape.Fits(w.Capacity) {
+		if w.known && j.spec.Shape.FitsIn(w.Capacity) {
 			return s.gangFitsHall(j)
 		}
 	}
--- a/place/gang.go
+++ b/place/gang.go
@@ -159,7 +159,7 @@
 func (s *State) gatherOn(j *job, now time.Time) map[*worker]bool {
 	var list []*worker
 	for _, w := range s.order {
-		if w.known && !w.Leaving && !w.silent && w.health.takes(w, now) && j.spec.Shape.Fits(w.Capacity) {
+		if w.known && !w.Leaving && !w.silent && w.health.takes(w, now) && j.spec.Shape.FitsIn(w.Capacity) {
 			list = append(list, w)
 		}
 	}
@@ -207,7 +207,7 @@
 	free := map[*worker]spoolsill.Resources{}
 	seats := 0
 	for _, w := range s.order {
-		if !w.known || w.Leaving || w.silent || !w.health.takes(w, now) || !j.spec.Shape.Fits(w.Capacity) {
+		if !w.known || w.Leaving || w.silent || !w.health.takes(w, now) || !j.spec.Shape.FitsIn(w.Capacity) {
 			continue
 		}
 		free[w] = s.room(t, w)
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -162,7 +162,7 @@
 	add(c, s, start, job("small", 1, 1))
 	c.Assert(decide(c, s, start, place.TaskPlaced), qt.HasLen, 1)
 	v, tasks, _ := s.Job("huge")
-	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskNever)
+	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskUnschedulable)
 	c.Assert(v.Reason, qt.Matches, `can never run: a task needs 16 cores.*nearest worker, w0.*too few processors.*`)
 	s.SetWorkers([]spoolsill.Worker{{
 		ID: "big",
--- a/place/plan.go
+++ b/place/plan.go
@@ -207,7 +207,7 @@
 		}
 		for i := range s.jobs[r.Task.Job].tasks {
 			t := &s.jobs[r.Task.Job].tasks[i]
-			if t.state.Holds() && t.state != spoolsill.TaskStopping && !shown[t.id] {
+			if t.state.HoldsCapacity() && t.state != spoolsill.TaskStopping && !shown[t.id] {
 				return stale("task %s has started since", t.id)
 			}
 		}
@@ -234,7 +234,7 @@
 		if !ok || !w.known || w.Leaving || w.silent || !w.health.takes(w, now) {
 			return stale("worker %s takes no new work any more", id)
 		}
-		if !n.Fits(w.free.Sub(w.promised)) {
+		if !n.FitsIn(w.free.Sub(w.promised)) {
 			return stale("worker %s has no room for %s any more", id, n)
 		}
 	}
@@ -242,7 +242,7 @@
 		return nil
 	}
 	t := s.team(j.Team)
-	if t.limited && !sum.Fits(t.quota.Sub(t.used)) {
+	if t.limited && !sum.FitsIn(t.quota.Sub(t.used)) {
 		return stale("the quota of team %s has only %s left", j.Team, t.quota.Sub(t.used))
 	}
 	return nil
@@ -302,7 +302,7 @@
 		return out
 	}
 	for i := range j.tasks {
-		if j.tasks[i].state.Holds() {
+		if j.tasks[i].state.HoldsCapacity() {
 			continue
 		}
 		out = append(out, Change{
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -120,7 +120,7 @@
 		r := room{
 			w: w,
 		}
-		for !j.spec.Shape.Fits(free) {
+		for !j.spec.Shape.FitsIn(free) {
 			if len(victims) == 0 {
 				return out
 			}
@@ -235,7 +235,7 @@
 		w.health.takes(w, d.now) &&
 		!t.avoids(w) &&
 		!d.state.reserve.bars(t.job, w, d.now, d.state.learnt) &&
-		t.job.spec.Shape.Fits(w.Capacity)
+		t.job.spec.Shape.FitsIn(w.Capacity)
 }
 
 // roomOn returns the least worthy tasks of w whose end makes room for t.
@@ -251,13 +251,13 @@
 	}
 	free = free.Add(leavingRoom(w))
 	for _, v := range d.victims(t, w, taken) {
-		if t.job.spec.Shape.Fits(free) {
+		if t.job.spec.Shape.FitsIn(free) {
 			break
 		}
 		free = free.Add(v.job.spec.Shape)
 		r.add(v, d.now)
 	}
-	return r, t.job.spec.Shape.Fits(free)
+	return r, t.job.spec.Shape.FitsIn(free)
 }
 
 // victims returns the tasks of w that may be preempted for t, least worth
--- a/place/queue.go
+++ b/place/queue.go
@@ -51,13 +51,13 @@
 	s.dequeue(j)
 	j.never = true
 	s.never = append(s.never, j)
-	s.relabel(j, spoolsill.TaskQueued, spoolsill.TaskNever)
+	s.relabel(j, spoolsill.TaskQueued, spoolsill.TaskUnschedulable)
 }
 
 func (s *State) unmarkNever(j *job) {
 	j.never = false
 	s.never = removeJob(s.never, j)
-	s.relabel(j, spoolsill.TaskNever, spoolsill.TaskQueued)
+	s.relabel(j, spoolsill.TaskUnschedulable, spoolsill.TaskQueued)
 }
 
 func (s *State) relabel(j *job, from, to spoolsill.TaskState) {
--- a/place/report.go
+++ b/place/report.go
@@ -34,7 +34,7 @@
 // worker, gives none.
 func (s *State) Report(now time.Time, p Report) []Record {
 	t := s.task(p.Task)
-	if t == nil || !t.state.Holds() || t.attempt != p.Attempt {
+	if t == nil || !t.state.HoldsCapacity() || t.attempt != p.Attempt {
 		return nil
 	}
 	r := s.settle(t, p.Fate, now)
@@ -199,7 +199,7 @@
 	var out []Record
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if !t.state.Holds() || t.state == spoolsill.TaskStopping {
+		if !t.state.HoldsCapacity() || t.state == spoolsill.TaskStopping {
 			continue
 		}
 		r := s.record(TaskStopping, t, now, CauseCancelled)
@@ -255,7 +255,7 @@
 // repeated is only throttled.
 func (s *State) Use(now time.Time, id spoolsill.TaskID, used spoolsill.Resources) (Measure, []Record) {
 	t := s.task(id)
-	if t == nil || !t.state.Holds() {
+	if t == nil || !t.state.HoldsCapacity() {
 		return MeasureNone, nil
 	}
 	limit := t.job.spec.Shape
--- a/place/snapshot.go
+++ b/place/snapshot.go
@@ -67,7 +67,7 @@
 		r.Kind = TaskEnded
 		r.State = t.state
 		return []Record{t.tries(r), r}[t.skipTries():]
-	case t.state.Holds():
+	case t.state.HoldsCapacity():
 		r.Worker = t.worker.ID
 		return t.held(r)
 	case t.attempt > 0:
--- a/place/view.go
+++ b/place/view.go
@@ -196,7 +196,7 @@
 
 func (t *task) reason() string {
 	switch t.state {
-	case spoolsill.TaskNever:
+	case spoolsill.TaskUnschedulable:
 		return t.job.why.text(t.job.spec)
 	case spoolsill.TaskQueued:
 		r := t.job.why.text(t.job.spec)
--- a/place/why.go
+++ b/place/why.go
@@ -79,7 +79,7 @@
 		Have:       best.Capacity,
 		Considered: int32(len(s.order)),
 	}
-	if j.spec.Shape.Fits(best.Capacity) {
+	if j.spec.Shape.FitsIn(best.Capacity) {
 		y.Code = WhyGangSize
 	}
 	return y
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -186,7 +186,7 @@
 func (d *decider) candidates(g *stage, q *Queue) []*worker {
 	r := d.ready[q.Service]
 	need := g.step.room()
-	if r == nil || !need.Fits(r.most) {
+	if r == nil || !need.FitsIn(r.most) {
 		return nil
 	}
 	from := r.workers
@@ -195,7 +195,7 @@
 	}
 	var ws []*worker
 	for _, w := range from {
-		if !w.ready || !need.Fits(w.free()) || w.Service != q.Service {
+		if !w.ready || !need.FitsIn(w.free()) || w.Service != q.Service {
 			continue
 		}
 		if !g.allows(w) {
@@ -264,7 +264,7 @@
 	least := math.Inf(1)
 	for _, w := range ws {
 		free := w.free()
-		if !need.Fits(free) {
+		if !need.FitsIn(free) {
 			continue
 		}
 		if m := g.step.MaxPerWorker; m > 0 && g.at(w) >= m {
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -47,7 +47,7 @@
 
 // of reports whether it was a life that went.
 func (l Loss) of(x spoolsill.Life) bool {
-	return l.Worker == x.Worker && x.MayBe(l.Born)
+	return l.Worker == x.Worker && x.Matches(l.Born)
 }
 
 // crash reports whether the worker surely crashed under a run.
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -33,7 +33,7 @@
 // an id of its own.
 func (s *State) account(l spoolsill.Life) *worker {
 	w := s.workers[l.Worker]
-	if w == nil || !w.life().MayBe(l.Born) {
+	if w == nil || !w.life().Matches(l.Born) {
 		return nil
 	}
 	return w
@@ -155,7 +155,7 @@
 // former reports whether a run was ordered for a former life of its worker, and is not
 // known to be there now.
 func (r *run) former() bool {
-	return !r.worker.life().MayBe(r.born)
+	return !r.worker.life().Matches(r.born)
 }
 
 // loseAbsent takes in that a worker's answer proves that it has not got some runs. Those of
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -58,13 +58,13 @@
 	})
 	var out []*run
 	for _, r := range may {
-		if need.Fits(free) {
+		if need.FitsIn(free) {
 			break
 		}
 		free = free.Add(r.need)
 		out = append(out, r)
 	}
-	if !need.Fits(free) {
+	if !need.FitsIn(free) {
 		return nil
 	}
 	return out
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -52,7 +52,7 @@
 // large reports whether a task of g takes much of a worker, and fits it.
 func (d *decider) large(g *stage, w *worker) bool {
 	need := g.step.room()
-	return g.allows(w) && need.Fits(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
+	return g.allows(w) && need.FitsIn(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
 }
 
 // soonest returns the workers that may run g, those first where room for a task
@@ -78,14 +78,14 @@
 func (d *decider) freeAt(g *stage, w *worker) time.Time {
 	need := g.step.room()
 	free := w.free()
-	if need.Fits(free) {
+	if need.FitsIn(free) {
 		return d.now
 	}
 	rs := sortedRuns(w)
 	slices.SortStableFunc(rs, func(a, b *run) int { return cmp.Compare(d.left(a), d.left(b)) })
 	for _, r := range rs {
 		free = free.Add(r.need)
-		if need.Fits(free) {
+		if need.FitsIn(free) {
 			return d.now.Add(d.left(r))
 		}
 	}
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -128,7 +128,7 @@
 	default:
 		s.reject(r, a.Outcome)
 	}
-	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.life().MayBe(a.Born) {
+	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.life().Matches(a.Born) {
 		w.unwell = now.Add(unwellFor)
 		w.health.reject(now)
 	}
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -61,7 +61,7 @@
 	if x.ready {
 		w.Ready++
 	}
-	if x.ready && g.step.room().Fits(x.free()) {
+	if x.ready && g.step.room().FitsIn(x.free()) {
 		w.Fitting++
 	}
 	if kept {
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -298,7 +298,7 @@
 	if w == nil {
 		return
 	}
-	if until.After(w.renewed) && w.life().MayBe(l.Born) {
+	if until.After(w.renewed) && w.life().Matches(l.Born) {
 		w.renewed = until
 	}
 	if until.After(w.leased) {
--- a/task.go
+++ b/task.go
@@ -14,10 +14,10 @@
 	TaskFailed        TaskState = "failed"
 	TaskCancelled     TaskState = "cancelled"
 	TaskLost          TaskState = "lost"          // unrepeatable and may have run
-	TaskNever         TaskState = "can-never-run" // no worker is large enough, or the hall can't hold all tasks of its gang at once
+	TaskUnschedulable TaskState = "can-never-run" // no worker is large enough, or the hall can't hold all tasks of its gang at once
 )
 
-// Final reports whether s is a terminal state. TaskNever is not, since such tasks are
+// Final reports whether s is a terminal state. TaskUnschedulable is not, since such tasks are
 // evaluated again when the set of workers changes.
 func (s TaskState) Final() bool {
 	switch s {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Holds reports whether a task in state s occupies capacity of a worker.
-func (s TaskState) Holds() bool {
+// HoldsCapacity reports whether a task in state s occupies capacity of a worker.
+func (s TaskState) HoldsCapacity() bool {
 	switch s {
 	case TaskPlaced, TaskRunning, TaskCheckpointing, TaskStopping:
 		return true
--- a/unit.go
+++ b/unit.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Fits reports whether no component of r exceeds that of free.
-func (r Resources) Fits(free Resources) bool {
+// FitsIn reports whether no component of r exceeds that of free.
+func (r Resources) FitsIn(free Resources) bool {
 	return r.Processors <= free.Processors &&
 		r.Memory <= free.Memory &&
 		r.Accelerators <= free.Accelerators
