--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock tells a time that goes on while the machine is suspended. The steady
-// clock of [time.Now] stands still meanwhile: a right that ended, a lease, a leadership
-// or a belief, would look as fresh after an hour's suspension as before it.
+// Package clock provides a clock that advances while the machine is suspended. The
+// monotonic clock of [time.Now] stops during a suspension, so that a lease, a leadership
+// or cached state that expired meanwhile would still look valid afterwards.
 //
-// Only differences of its times mean anything; the time of day is that of [time.Now].
+// Only differences between its times are meaningful; use [time.Now] for the time of day.
 package clock
 
 import (
@@ -10,83 +10,85 @@
 	"time"
 )
 
-// noticeable is by how much the time of day and the steady clock must have moved apart
-// for the kernel to be asked whether the machine was suspended: less than any right is
-// worth, and more than the time of day is slewed by within seconds. It keeps two system
-// calls out of each look at the time.
-const noticeable = 10 * time.Millisecond
+// minSkewChange is the minimum change of the offset between the wall clock and the monotonic
+// clock at which the kernel is queried for a suspension. It is less than the duration of any
+// lease, and more than the wall clock is slewed by within seconds. It saves two system
+// calls on each reading of the clock.
+const minSkewChange = 10 * time.Millisecond
 
-// A Clock tells a time that goes on while the machine is suspended. The zero value and
-// nil are the system's clock. It is safe for concurrent use.
+// A Clock is a clock that advances while the machine is suspended. The zero value and nil
+// are the system clock. It is safe for concurrent use.
 type Clock struct {
-	// Suspended returns for how long the machine has been suspended since some moment
-	// in the past; nil means the system's answer.
+	// Suspended returns the total time the machine has been suspended since a fixed point
+	// in the past; nil means that the kernel is queried.
 	Suspended func() time.Duration
 }
 
-// Now returns the time. Its wall clock reading is ahead of the time of day by
-// [Clock.Ahead].
+// Now returns the current time of c. Both of its readings are ahead of those of [time.Now]
+// by [Clock.Ahead].
 func (c *Clock) Now() time.Time {
 	now := time.Now()
-	return now.Add(c.ahead(now))
+	return now.Add(c.suspendedAt(now))
 }
 
-// Since returns the time since t, which Now returned.
+// Since returns the time elapsed since t, which must have been returned by c.Now.
 func (c *Clock) Since(t time.Time) time.Duration {
 	return c.Now().Sub(t)
 }
 
-// Ahead returns for how long the machine has been suspended since the process began.
+// Ahead returns the total time the machine has been suspended since the process started,
+// or the result of c.Suspended if that is set.
 func (c *Clock) Ahead() time.Duration {
-	return c.ahead(time.Now())
+	return c.suspendedAt(time.Now())
 }
 
-func (c *Clock) ahead(now time.Time) time.Duration {
+func (c *Clock) suspendedAt(now time.Time) time.Duration {
 	if c == nil || c.Suspended == nil {
-		return system.at(now.Sub(began), now.Round(0).Sub(began.Round(0)))
+		return systemSuspensions.totalAt(now.Sub(processStart), now.Round(0).Sub(processStart.Round(0)))
 	}
 	return c.Suspended()
 }
 
-// Now returns the time by the system's clock; see [Clock].
+// Now returns the current time of the system clock; see [Clock].
 func Now() time.Time {
 	return (*Clock)(nil).Now()
 }
 
-// began is when the process did.
-var began = time.Now()
+// processStart is the time at which the process started.
+var processStart = time.Now()
 
-// system follows the kernel's clocks from then on.
-var system = newSuspensions(kernelSuspended)
+// systemSuspensions tracks the suspensions of this machine.
+var systemSuspensions = newSuspensionTracker(kernelSuspended)
 
-// suspensions follows for how long the machine has been suspended.
-type suspensions struct {
-	read  func() time.Duration
-	first time.Duration // what read told first
+// suspensionTracker tracks the total time the machine has been suspended.
+type suspensionTracker struct {
+	read    func() time.Duration
+	initial time.Duration // result of the first read
 
 	mu    sync.Mutex
-	skew  time.Duration // of the time of day from the steady clock, when read last told
+	skew  time.Duration // wall clock minus monotonic clock at the last read
 	total time.Duration
 }
 
-func newSuspensions(read func() time.Duration) *suspensions {
-	return &suspensions{
-		read:  read,
-		first: read(),
+func newSuspensionTracker(read func() time.Duration) *suspensionTracker {
+	return &suspensionTracker{
+		read:    read,
+		initial: read(),
 	}
 }
 
-// at returns for how long the machine has been suspended since the first call of read,
-// after what the steady clock and the time of day tell since then. The time of day
-// counts a suspension: unless it has moved away from the steady clock, there was none.
-func (s *suspensions) at(steady, wall time.Duration) time.Duration {
-	skew := wall - steady
+// totalAt returns the total time the machine has been suspended since the first call of read,
+// given the time elapsed since then on the monotonic and on the wall clock. The wall clock
+// advances during a suspension: if the offset between the clocks has not changed, there
+// was none, and read is not called.
+func (s *suspensionTracker) totalAt(monotonic, wall time.Duration) time.Duration {
+	skew := wall - monotonic
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if (skew - s.skew).Abs() < noticeable {
+	if (skew - s.skew).Abs() < minSkewChange {
 		return s.total
 	}
 	s.skew = skew
-	s.total = max(s.total, s.read()-s.first)
+	s.total = max(s.total, s.read()-s.initial)
 	return s.total
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,28 +9,28 @@
 	"github.com/spoolsill/spoolsill/internal/clock"
 )
 
-// A kernel tells for how long it was suspended, and counts how often it is asked.
+// A kernel is a fake source of the suspended time that counts its calls.
 type kernel struct {
 	suspended time.Duration
-	asked     int
+	reads     int
 }
 
 func (k *kernel) read() time.Duration {
-	k.asked++
+	k.reads++
 	return k.suspended
 }
 
-// What was suspended before the process began does not count, what comes later does,
-// several times in a row too, and the kernel is asked only when there is something to ask.
+// Guards against counting suspensions from before the process started, missing one of
+// several in a row, and querying the kernel while the clocks advance together.
 func TestSuspensionsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	k := &kernel{
 		suspended: 7 * time.Hour,
 	}
 	at := clock.Suspensions(k.read)
-	var steady, wall time.Duration
+	var monotonic, wall time.Duration
 	run := func(d time.Duration) {
-		steady += d
+		monotonic += d
 		wall += d
 	}
 	suspend := func(d time.Duration) {
@@ -39,21 +39,22 @@
 	}
 	for range 100 {
 		run(time.Second)
-		c.Assert(at(steady, wall), qt.Equals, time.Duration(0))
+		c.Assert(at(monotonic, wall), qt.Equals, time.Duration(0))
 	}
-	c.Assert(k.asked, qt.Equals, 1)
+	c.Assert(k.reads, qt.Equals, 1)
 	suspend(5 * time.Second)
-	c.Assert(at(steady, wall), qt.Equals, 5*time.Second)
+	c.Assert(at(monotonic, wall), qt.Equals, 5*time.Second)
 	suspend(200 * time.Millisecond)
 	run(time.Millisecond)
-	c.Assert(at(steady, wall), qt.Equals, 5200*time.Millisecond)
+	c.Assert(at(monotonic, wall), qt.Equals, 5200*time.Millisecond)
 	run(time.Hour)
-	c.Assert(at(steady, wall), qt.Equals, 5200*time.Millisecond)
-	c.Assert(k.asked, qt.Equals, 3)
+	c.Assert(at(monotonic, wall), qt.Equals, 5200*time.Millisecond)
+	c.Assert(k.reads, qt.Equals, 3)
 }
 
-// The time of day may jump, either way, and back: that is no suspension, and hides none.
-func TestStepOfTheTimeOfDayIsNoSuspension(t *testing.T) {
+// Guards against steps of the wall clock, forward or back, that are taken for a suspension
+// or hide one.
+func TestWallClockStepIsNoSuspension(t *testing.T) {
 	c := qt.New(t)
 	k := &kernel{}
 	at := clock.Suspensions(k.read)
@@ -64,9 +65,9 @@
 	c.Assert(at(4*time.Second, 7*time.Second), qt.Equals, 3*time.Second)
 }
 
-// Differences of the clock's times have what was suspended in between, and its wall
-// reading less what it is ahead is the time of day.
-func TestClockCountsASuspension(t *testing.T) {
+// Guards against differences of times that lack a suspension between them, and against a
+// wall clock reading that is not ahead of the time of day by exactly the suspended time.
+func TestClockIncludesSuspension(t *testing.T) {
 	c := qt.New(t)
 	var suspended time.Duration
 	x := &clock.Clock{
@@ -79,8 +80,9 @@
 	c.Assert(x.Now().Round(0).Add(-x.Ahead()).After(before.Round(0)), qt.IsTrue)
 }
 
-// The system's clock answers, whatever the machine's kernel offers.
-func TestSystemClockGoesOn(t *testing.T) {
+// Guards against a system clock that goes back or panics on a nil Clock, whatever the
+// kernel supports.
+func TestSystemClockAdvances(t *testing.T) {
 	c := qt.New(t)
 	before := clock.Now()
 	var nilClock *clock.Clock
--- a/internal/clock/export_test.go
+++ b/internal/clock/export_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Suspensions follows a kernel's clocks, for tests.
-func Suspensions(read func() time.Duration) func(steady, wall time.Duration) time.Duration {
-	return newSuspensions(read).at
+// Suspensions returns the method that tracks suspensions as reported by read.
+func Suspensions(read func() time.Duration) func(monotonic, wall time.Duration) time.Duration {
+	return newSuspensionTracker(read).totalAt
 }
--- a/internal/clock/kernel_linux.go
+++ b/internal/clock/kernel_linux.go
@@ -6,19 +6,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// kernelSuspended returns for how long the machine has been suspended since it was
-// started: the clock that counts such time is ahead of the one that does not. It
-// returns 0 where either is not to be had.
+// kernelSuspended returns the total time the machine has been suspended since boot, which
+// is the difference between CLOCK_BOOTTIME, which includes such time, and CLOCK_MONOTONIC.
+// It returns 0 if either clock is not available.
 func kernelSuspended() time.Duration {
-	steady, ok := read(unix.CLOCK_MONOTONIC)
-	counting, counts := read(unix.CLOCK_BOOTTIME)
-	if !ok || !counts {
+	monotonic, ok := readClock(unix.CLOCK_MONOTONIC)
+	bootTime, hasBootTime := readClock(unix.CLOCK_BOOTTIME)
+	if !ok || !hasBootTime {
 		return 0
 	}
-	return max(counting-steady, 0)
+	return max(bootTime-monotonic, 0)
 }
 
-func read(id int32) (time.Duration, bool) {
+func readClock(id int32) (time.Duration, bool) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		return 0, false
--- a/internal/clock/kernel_other.go
+++ b/internal/clock/kernel_other.go
@@ -4,8 +4,7 @@
 
 import "time"
 
-// kernelSuspended returns 0: elsewhere it is not known for how long the machine has
-// been suspended.
+// kernelSuspended returns 0, since suspensions are only measured on Linux.
 func kernelSuspended() time.Duration {
 	return 0
 }
