--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -25,7 +25,7 @@
 }
 
 // Now returns the current time of c. Both of its readings are ahead of those of [time.Now]
-// by [Clock.Ahead].
+// by [Clock.SuspendedTime].
 func (c *Clock) Now() time.Time {
 	now := time.Now()
 	return now.Add(c.suspendedAt(now))
@@ -36,9 +36,9 @@
 	return c.Now().Sub(t)
 }
 
-// Ahead returns the total time the machine has been suspended since the process started,
+// SuspendedTime returns the total time the machine has been suspended since the process started,
 // or the result of c.Suspended if that is set.
-func (c *Clock) Ahead() time.Duration {
+func (c *Clock) SuspendedTime() time.Duration {
 	return c.suspendedAt(time.Now())
 }
 
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -76,8 +76,8 @@
 	before := x.Now()
 	suspended = 5 * time.Second
 	c.Assert(x.Since(before) >= 5*time.Second, qt.IsTrue)
-	c.Assert(x.Ahead(), qt.Equals, 5*time.Second)
-	c.Assert(x.Now().Round(0).Add(-x.Ahead()).After(before.Round(0)), qt.IsTrue)
+	c.Assert(x.SuspendedTime(), qt.Equals, 5*time.Second)
+	c.Assert(x.Now().Round(0).Add(-x.SuspendedTime()).After(before.Round(0)), qt.IsTrue)
 }
 
 // Guards against a system clock that goes back or panics on a nil Clock, whatever the
@@ -87,5 +87,5 @@
 	before := clock.Now()
 	var nilClock *clock.Clock
 	c.Assert(nilClock.Since(before) >= 0, qt.IsTrue)
-	c.Assert(nilClock.Ahead() >= 0, qt.IsTrue)
+	c.Assert(nilClock.SuspendedTime() >= 0, qt.IsTrue)
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -331,7 +331,7 @@
 	l.mu.Unlock()
 	l.lastWrite = now
 	l.config.Sched.TakenOver = now
-	l.config.Sched.Ahead = l.config.Clock.Ahead()
+	l.config.Sched.Ahead = l.config.Clock.SuspendedTime()
 	l.config.Sched.StartLease = startLease
 	l.config.Sched.InheritedLease = inheritedLease(l.config.Sched.Lease)
 	l.state = sched.New(l.config.Sched)
--- a/leader/suspend.go
+++ b/leader/suspend.go
@@ -17,7 +17,7 @@
 // suspended reports whether the machine was suspended under this leadership. It is
 // safe for concurrent use, and asked before anything is sent or told.
 func (l *Leader) suspended() bool {
-	return l.config.Clock.Ahead()-l.config.Sched.Ahead > suspendedMost
+	return l.config.Clock.SuspendedTime()-l.config.Sched.Ahead > suspendedMost
 }
 
 // unsent is the reply to an order that the leader did not send since it was suspended.
--- a/node/node.go
+++ b/node/node.go
@@ -445,7 +445,7 @@
 	n.metrics.RegisterGauge("spoolsill.tasks.suspect", "tasks under which workers went and that are not cleared, at the leader", func() int64 { tasks, _ := n.suspects(); return tasks })
 	n.metrics.RegisterGauge("spoolsill.workers.crashed", "machines whose workers crashed in the last minute, at the leader", func() int64 { _, crashed := n.suspects(); return crashed })
 	n.metrics.RegisterGauge("spoolsill.workers.unclear", "workers' entries that can't be understood, at the leader", n.unclear)
-	n.metrics.RegisterGauge("spoolsill.suspended.milliseconds", "for how long this machine has been suspended since the host started", func() int64 { return n.clock.Ahead().Milliseconds() })
+	n.metrics.RegisterGauge("spoolsill.suspended.milliseconds", "for how long this machine has been suspended since the host started", func() int64 { return n.clock.SuspendedTime().Milliseconds() })
 	n.metrics.RegisterGauge("spoolsill.store.reachable", "1 while the store answers this host", func() int64 { return flag(n.health.reachable(n.clock.Now())) })
 }
 
--- a/node/suspend.go
+++ b/node/suspend.go
@@ -17,10 +17,10 @@
 
 // watchSuspensions tells when the machine was suspended.
 func (n *Node) watchSuspensions(ctx context.Context) {
-	told := n.clock.Ahead()
+	told := n.clock.SuspendedTime()
 	for ctx.Err() == nil {
 		pause.For(ctx, suspensionEvery)
-		d := n.clock.Ahead() - told
+		d := n.clock.SuspendedTime() - told
 		if d < suspensionLeast {
 			continue
 		}
