--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,24 +1,23 @@
-// Package lease decides which entry host of a hall holds the hall's lease, and
-// with it the right to place tasks there.
+// Package lease implements the leader lease of a hall. The entry host that holds the
+// lease may place tasks in the hall.
 //
-// The lease is one row of the platform's table. A [Keeper] on each host of the
-// hall says when to read or write that row, and whether its host holds the
-// lease now. No clocks are compared between hosts: a holder counts from before
-// it asked for the lease, another host from when it first saw the row in the
-// state that it has now, and takes over only when the row has not changed for
-// longer than the lease lasts.
+// The lease is a row of the platform's table. On each host of the hall, a [Keeper] is the
+// state machine that determines when to read or write the row, and whether its host
+// currently holds the lease. Clocks are never compared between hosts: the holder measures
+// the lease from before it sent the write that acquired or renewed it, and another host
+// from when it first read the row in its current state. Another host takes over only when
+// the row has not changed for longer than the duration of the lease.
 //
-// While the table does not answer, nobody can take the lease over through it,
-// but the holder can't know whether it answers others. So the holder goes on
-// past the end of its lease only while every host that may succeed it has
-// promised, for a bounded time, not to. Promises are kept in memory: a host
-// that has restarted waits out the longest promise that it may have given
-// before.
+// While the table is unreachable for the holder, it may still be reachable for other hosts.
+// The holder therefore uses the lease past its expiry only while every host that may
+// succeed it has promised, for a limited time, not to take over. Promises are kept in
+// memory: a restarted host waits for the longest promise that it may have made before
+// the restart.
 //
-// What can never happen, while clocks run at about the same speed: two hosts
-// that hold the lease of one hall at once. Decisions written under an older
-// epoch are refused by the table besides (see package recordlog).
+// Two hosts never hold the lease of a hall at the same time, provided that their clocks
+// run at about the same rate. In addition, the table rejects decisions written under an
+// older epoch (see package recordlog).
 //
-// The package has no clock, I/O, lock or goroutine. A Keeper is not safe for
-// concurrent use.
+// The package reads no clock, performs no I/O, and uses no locks or goroutines. A Keeper
+// is not safe for concurrent use.
 package lease
--- a/lease/join_test.go
+++ b/lease/join_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/lease"
 )
 
-// at returns a reading of both clocks after a time.
+// at returns the reading of both clocks d after the start.
 func at(d time.Duration) lease.Reading {
 	return lease.Reading{
 		Wall: time.UnixMicro(0).Add(d),
@@ -18,8 +18,8 @@
 	}
 }
 
-// starting returns a keeper that has just read the row.
-func starting(version uint64, r lease.Row) *lease.Keeper {
+// startedKeeper returns a keeper that has just started and read the row.
+func startedKeeper(version uint64, r lease.Row) *lease.Keeper {
 	k := lease.NewKeeper(lease.Config{
 		Host:  "vake-1",
 		Hosts: []spoolsill.HostID{"vake-1", "vake-2"},
@@ -30,7 +30,7 @@
 	return k
 }
 
-var given = lease.Row{
+var releasedRow = lease.Row{
 	Holder: "vake-2",
 	Epoch:  3,
 	Roster: []spoolsill.HostID{
@@ -40,23 +40,23 @@
 	Released: true,
 }
 
-func TestALeaseThatWasGivenBackWaitsForWhoHasHeardTheOthers(t *testing.T) {
+func TestReleasedLeaseIsAcquiredAfterJoined(t *testing.T) {
 	c := qt.New(t)
-	k := starting(7, given)
+	k := startedKeeper(7, releasedRow)
 	c.Assert(k.Next(at(time.Millisecond)).Kind, qt.Equals, lease.None)
 	k.Joined()
 	c.Assert(k.Next(at(2*time.Millisecond)).Kind, qt.Equals, lease.Write)
 }
 
-func TestAHostThatHearsNobodyTakesTheLeaseInTheEnd(t *testing.T) {
+func TestReleasedLeaseIsAcquiredAfterJoinTimeout(t *testing.T) {
 	c := qt.New(t)
-	k := starting(7, given)
+	k := startedKeeper(7, releasedRow)
 	c.Assert(k.Next(at(9999*time.Millisecond)).Kind, qt.Not(qt.Equals), lease.Write)
-	k.ReadDone(at(9999*time.Millisecond), true, 7, given)
+	k.ReadDone(at(9999*time.Millisecond), true, 7, releasedRow)
 	c.Assert(k.Next(at(10*time.Second)).Kind, qt.Equals, lease.Write)
 }
 
-func TestTheFirstLeaseOfAHallWaitsForNobody(t *testing.T) {
-	k := starting(0, lease.Row{})
+func TestFirstLeaseOfHallDoesNotWaitForJoin(t *testing.T) {
+	k := startedKeeper(0, lease.Row{})
 	qt.Assert(t, k.Next(at(time.Millisecond)).Kind, qt.Equals, lease.Write)
 }
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -23,24 +23,27 @@
 	Incarnation spoolsill.Incarnation
 	// Hosts are the entry hosts of the hall, this one included.
 	Hosts []spoolsill.HostID
-	// Duration is how long the lease lasts from before it was asked for.
+	// Duration is the duration of the lease, measured from before it is requested.
 	Duration time.Duration
-	// Renew is the time between two renewals, Poll the one between two looks
-	// at another's lease.
+	// Renew is the interval between renewals, and Poll the interval between reads of
+	// a lease held by another host.
 	Renew time.Duration
 	Poll  time.Duration
-	// Margin is what others wait beyond Duration.
+	// Margin is how long a host waits beyond the end of another host's lease or of a
+	// promise.
 	Margin time.Duration
-	// Promise is how long a promise lasts.
+	// Promise is the duration of a promise.
 	Promise time.Duration
-	// Extension bounds how long promises carry a lease without the table. A
-	// host that is not on the roster waits longer than that.
+	// Extension limits how long after the last renewal promises can extend a lease
+	// while the table is unreachable. A host that is not on the roster waits longer
+	// than that before it takes over.
 	Extension time.Duration
-	// Join is how long after the start the lease is not taken from another
-	// before [Keeper.Joined]; 0 does not wait.
+	// Join is how long after its start the host waits for [Keeper.Joined] before it
+	// takes over an existing lease; 0 means that it does not wait.
 	Join time.Duration
-	// NoPromises takes the lease for held without promises when the table is
-	// silent. It breaks the promises of the project; tests use it to show so.
+	// NoPromises extends the lease without promises while the table is unreachable.
+	// This is unsafe: it allows two holders, which tests use to show that promises
+	// are needed.
 	NoPromises bool
 }
 
@@ -54,81 +57,83 @@
 	return c
 }
 
-// A Reading is one look at two clocks. Mono is the time since the process
-// started, on a clock that never jumps but may stand still while the machine
-// sleeps; Wall is the time of day, which jumps but does not stand still.
+// A Reading is a reading of two clocks. Mono is the time since the process started on the
+// monotonic clock, which is never stepped but may stop while the machine is suspended.
+// Wall is the time of day, which may be stepped but does not stop.
 type Reading struct {
 	Wall time.Time
 	Mono time.Duration
 }
 
-// Since returns the time from o to r, the longer one of the two clocks.
+// Since returns the time elapsed from o to r on the clock on which it is longer. What this
+// host holds is measured with it, so that it expires early rather than late.
 func (r Reading) Since(o Reading) time.Duration {
 	return max(r.Mono-o.Mono, r.Wall.Sub(o.Wall))
 }
 
-// surely returns the time from o to r that has passed for certain: the
-// clock that never jumps decides.
-func (r Reading) surely(o Reading) time.Duration {
+// monotonicSince returns the time elapsed from o to r on the monotonic clock, which is a lower
+// bound. What other hosts hold is measured with it, so that it is not taken over early.
+func (r Reading) monotonicSince(o Reading) time.Duration {
 	return r.Mono - o.Mono
 }
 
-// ActionKind tells actions apart.
+// ActionKind is the kind of an [Action].
 type ActionKind int
 
 // The kinds of actions.
 const (
 	None  ActionKind = iota
-	Read             // read the row
-	Write            // write Row if the row's version is Version
-	Ask              // ask the other hosts of the roster for a promise
+	Read             // read the lease row
+	Write            // write Row if the version of the lease row is Version
+	Ask              // request promises from the other hosts of the roster
 )
 
-// An Action is what the caller of [Keeper.Next] has to do.
+// An Action is an operation that the caller of [Keeper.Next] has to perform.
 type Action struct {
 	Kind    ActionKind
 	Row     Row
 	Version uint64
-	// Takeover says that the write changes the holder: the epoch row is
-	// written with it.
+	// Takeover reports that the write changes the holder, so that the epoch row must
+	// be written in the same transaction.
 	Takeover bool
 }
 
-// A Keeper keeps the lease of a hall for one host.
+// A Keeper is the state machine of a hall's lease on one host.
 type Keeper struct {
 	config  Config
 	started Reading
 
-	row     Row // as last seen or written
-	version uint64
-	known   bool    // the row was read since the start or since a lost write
-	since   Reading // when the row was first seen in this state
-	looked  Reading // when the last read or write was begun
-	busy    bool    // a read or write is under way
-	wrote   *attempt
-	beat    uint64 // of the last write
-
-	held     bool
-	epoch    spoolsill.Epoch
-	from     Reading // held from before this was asked
-	table    Reading // the last renewal that the table confirmed
-	asked    Reading // the last asking for promises
-	everAsk  bool
-	promises map[spoolsill.HostID]Reading // from before they were asked for
-	promised Reading                      // when this host gave its last promise
-	bound    bool                         // promised is set
-	release  bool
-	joined   bool
-}
-
-// An attempt is a write whose outcome is not known yet.
-type attempt struct {
+	row            Row // as last read or written
+	version        uint64
+	known          bool          // row was read since the start and since the last conflicting write
+	unchangedSince Reading       // when row was first read or written in its current version
+	lastAccess     Reading       // start of the last read or write; zero if the next is due at once
+	busy           bool          // a read or write is in progress
+	pendingWrite   *writeAttempt // write in progress or of unknown outcome
+	lastBeat       uint64        // of the last write
+
+	held          bool
+	epoch         spoolsill.Epoch
+	heldSince     Reading                      // start of the write by which the lease was acquired or last renewed
+	lastConfirmed Reading                      // start of the last write that the table confirmed
+	lastAsked     Reading                      // last request for promises
+	hasAsked      bool                         // lastAsked is set
+	promises      map[spoolsill.HostID]Reading // start of the request for the last promise of each host
+	lastPromise   Reading                      // when this host made its last promise
+	hasPromised   bool                         // lastPromise is set
+	releasing     bool                         // the lease is to be released
+	joined        bool                         // Joined was called
+}
+
+// A writeAttempt is a write whose outcome is not yet known.
+type writeAttempt struct {
 	row      Row
-	asked    Reading
+	start    Reading
 	takeover bool
 }
 
-// NewKeeper returns a keeper that knows nothing yet.
+// NewKeeper returns a keeper that has not read the lease row. now is the start of the
+// host.
 func NewKeeper(c Config, now Reading) *Keeper {
 	return &Keeper{
 		config:   c.withDefaults(),
@@ -137,31 +142,32 @@
 	}
 }
 
-// Holds reports whether the host holds the lease at now, and its epoch. It is
-// asked again right before each act.
+// Holds reports whether the host holds the lease at now, and its epoch. It must be called
+// immediately before each action that needs the lease.
 func (k *Keeper) Holds(now Reading) (spoolsill.Epoch, bool) {
-	if !k.held || k.release {
+	if !k.held || k.releasing {
 		return 0, false
 	}
-	if now.Since(k.from) < k.config.Duration {
+	if now.Since(k.heldSince) < k.config.Duration {
 		return k.epoch, true
 	}
-	return k.epoch, k.carried(now)
+	return k.epoch, k.extendedByPromises(now)
 }
 
-// Tenure returns the epoch that the host holds or held last, and whether no
-// other host is known to have taken the lease over since. Unlike [Holds] it
-// does not say that the host may act.
+// Tenure returns the epoch that the host holds or held last, and whether no other host is
+// known to have taken over the lease since. Unlike [Keeper.Holds], it does not imply that
+// the lease is still valid.
 func (k *Keeper) Tenure() (spoolsill.Epoch, bool) {
 	return k.epoch, k.held
 }
 
-// Epoch returns the epoch that the host last held, or saw.
+// Epoch returns the epoch of the lease row as last read or written.
 func (k *Keeper) Epoch() spoolsill.Epoch {
 	return k.row.Epoch
 }
 
-// Holder returns the host that was last seen to hold the lease.
+// Holder returns the holder according to the lease row as last read or written. It
+// returns false if the row is not known or the lease was released.
 func (k *Keeper) Holder() (spoolsill.HostID, bool) {
 	if !k.known || k.row.Released {
 		return "", false
@@ -169,12 +175,12 @@
 	return k.row.Holder, true
 }
 
-// carried reports whether promises carry the lease past its end.
-func (k *Keeper) carried(now Reading) bool {
+// extendedByPromises reports whether promises extend the lease past its expiry.
+func (k *Keeper) extendedByPromises(now Reading) bool {
 	if k.config.NoPromises {
 		return true
 	}
-	if now.Since(k.table) >= k.config.Extension {
+	if now.Since(k.lastConfirmed) >= k.config.Extension {
 		return false
 	}
 	for _, h := range k.row.Roster {
@@ -189,12 +195,12 @@
 	return true
 }
 
-// Next returns what to do at now. After a Read or Write it returns neither
+// Next returns the action to perform at now. After a Read or Write it returns neither again
 // until ReadDone or WriteDone is called.
 func (k *Keeper) Next(now Reading) Action {
-	if k.dueToAsk(now) {
-		k.asked = now
-		k.everAsk = true
+	if k.promisesDue(now) {
+		k.lastAsked = now
+		k.hasAsked = true
 		return Action{
 			Kind: Ask,
 			Row:  k.row,
@@ -203,41 +209,41 @@
 	if k.busy {
 		return Action{}
 	}
-	a := k.next(now)
+	a := k.nextAccess(now)
 	if a.Kind == None {
 		return a
 	}
 	k.busy = true
-	k.looked = now
+	k.lastAccess = now
 	if a.Kind == Write {
-		k.wrote = &attempt{
+		k.pendingWrite = &writeAttempt{
 			row:      a.Row,
-			asked:    now,
+			start:    now,
 			takeover: a.Takeover,
 		}
 	}
 	return a
 }
 
-func (k *Keeper) next(now Reading) Action {
+func (k *Keeper) nextAccess(now Reading) Action {
 	switch {
-	case k.wrote != nil, !k.known:
+	case k.pendingWrite != nil, !k.known:
 		return k.readWhenDue(now)
-	case k.held && k.release:
+	case k.held && k.releasing:
 		return k.write(k.releasedRow(), false)
-	case k.held && now.surely(k.looked) >= k.config.Renew:
+	case k.held && now.monotonicSince(k.lastAccess) >= k.config.Renew:
 		return k.write(k.renewedRow(), false)
 	case k.held:
 		return Action{}
-	case k.mayTake(now):
-		return k.write(k.takenRow(), true)
+	case k.mayAcquire(now):
+		return k.write(k.acquiredRow(), true)
 	default:
 		return k.readWhenDue(now)
 	}
 }
 
 func (k *Keeper) readWhenDue(now Reading) Action {
-	if k.looked != (Reading{}) && now.surely(k.looked) < k.config.Poll {
+	if k.lastAccess != (Reading{}) && now.monotonicSince(k.lastAccess) < k.config.Poll {
 		return Action{}
 	}
 	return Action{
@@ -254,40 +260,40 @@
 	}
 }
 
-// mayTake reports whether the lease is free for this host.
-func (k *Keeper) mayTake(now Reading) bool {
-	if k.release {
+// mayAcquire reports whether this host may acquire the lease.
+func (k *Keeper) mayAcquire(now Reading) bool {
+	if k.releasing {
 		return false
 	}
 	if k.version == 0 {
 		return true
 	}
-	if !k.joined && now.surely(k.started) < k.config.Join {
+	if !k.joined && now.monotonicSince(k.started) < k.config.Join {
 		return false
 	}
-	if k.bound && now.surely(k.promised) < k.config.Promise+k.config.Margin {
+	if k.hasPromised && now.monotonicSince(k.lastPromise) < k.config.Promise+k.config.Margin {
 		return false
 	}
 	if k.row.Released {
 		return true
 	}
-	quiet := now.surely(k.since)
-	if !k.row.lists(k.config.Host) {
-		return quiet >= k.config.Extension+k.config.Promise+k.config.Margin
+	unchanged := now.monotonicSince(k.unchangedSince)
+	if !k.row.onRoster(k.config.Host) {
+		return unchanged >= k.config.Extension+k.config.Promise+k.config.Margin
 	}
-	return quiet >= k.config.Duration+k.config.Margin &&
-		now.surely(k.started) >= k.config.Promise+k.config.Margin
+	return unchanged >= k.config.Duration+k.config.Margin &&
+		now.monotonicSince(k.started) >= k.config.Promise+k.config.Margin
 }
 
-// nextBeat returns a number that no row had before and no other write of this
-// keeper carries, also one that was lost and may arrive yet: a row with it is
-// this very write, asked for at a known time.
+// nextBeat returns a number that is higher than that of the row and of all other writes of
+// this keeper, including those of unknown outcome that may still be applied. A row with
+// this number therefore identifies the write, whose start time is known.
 func (k *Keeper) nextBeat() uint64 {
-	k.beat = max(k.beat, k.row.Beat) + 1
-	return k.beat
+	k.lastBeat = max(k.lastBeat, k.row.Beat) + 1
+	return k.lastBeat
 }
 
-func (k *Keeper) takenRow() Row {
+func (k *Keeper) acquiredRow() Row {
 	return Row{
 		Holder:      k.config.Host,
 		Incarnation: k.config.Incarnation,
@@ -310,141 +316,143 @@
 	return r
 }
 
-// ReadDone takes in the row as read. ok is false when the read failed;
-// version 0 says that there is no row.
+// ReadDone reports the result of a Read. ok is false if the read failed; version 0 means
+// that the row does not exist.
 func (k *Keeper) ReadDone(now Reading, ok bool, version uint64, r Row) {
 	k.busy = false
 	if !ok {
 		return
 	}
-	k.settleWrite(version, r)
-	k.see(now, version, r)
+	k.resolveWrite(version, r)
+	k.observeRow(now, version, r)
 }
 
-// see takes in the row in the state that the table has it.
-func (k *Keeper) see(now Reading, version uint64, r Row) {
+// observeRow records the state of the row in the table.
+func (k *Keeper) observeRow(now Reading, version uint64, r Row) {
 	if !k.known || version != k.version {
-		k.since = now
+		k.unchangedSince = now
 	}
 	k.known = true
 	k.version = version
 	k.row = r
-	if k.held && !k.mine(r) {
+	if k.held && !k.isOwn(r) {
 		k.held = false
 	}
 }
 
-func (k *Keeper) mine(r Row) bool {
+func (k *Keeper) isOwn(r Row) bool {
 	return r.Holder == k.config.Host && r.Incarnation == k.config.Incarnation && r.Epoch == k.epoch && !r.Released
 }
 
-// settleWrite decides from the row as read whether a write whose answer was
-// lost took effect.
-func (k *Keeper) settleWrite(version uint64, r Row) {
-	w := k.wrote
-	k.wrote = nil
+// resolveWrite determines from the row as read whether a write of unknown outcome was
+// applied.
+func (k *Keeper) resolveWrite(version uint64, r Row) {
+	w := k.pendingWrite
+	k.pendingWrite = nil
 	if w == nil || version == 0 {
 		return
 	}
 	same := r.Holder == w.row.Holder && r.Incarnation == w.row.Incarnation && r.Epoch == w.row.Epoch && r.Beat == w.row.Beat
 	if same {
-		k.took(*w)
+		k.writeApplied(*w)
 	}
 }
 
-// took records that a write took effect.
-func (k *Keeper) took(w attempt) {
+// writeApplied records that a write was applied.
+func (k *Keeper) writeApplied(w writeAttempt) {
 	k.held = !w.row.Released
 	k.epoch = w.row.Epoch
-	k.from = w.asked
-	k.table = w.asked
+	k.heldSince = w.start
+	k.lastConfirmed = w.start
 	if w.row.Released {
-		k.release = true
+		k.releasing = true
 	}
 	if w.takeover {
 		k.promises = map[spoolsill.HostID]Reading{}
 	}
 }
 
-// Written says what became of a write.
+// Written is the outcome of a write.
 type Written int
 
 // The outcomes of a write.
 const (
 	Applied  Written = iota
-	Conflict         // the row has another version: it was not written
-	NotTaken         // the table did not take it: it was not written
-	Lost             // it may have been written
+	Conflict         // not applied: the row has another version
+	NotTaken         // not applied: the table was unavailable
+	Lost             // unknown: it may have been or may yet be applied
 )
 
-// WriteDone takes in what became of the write.
+// WriteDone reports the outcome of a Write.
 func (k *Keeper) WriteDone(now Reading, w Written) {
 	k.busy = false
-	a := k.wrote
+	a := k.pendingWrite
 	if a == nil {
 		return
 	}
 	switch w {
 	case Applied:
-		k.wrote = nil
-		k.took(*a)
-		k.see(now, k.version+1, a.row)
+		k.pendingWrite = nil
+		k.writeApplied(*a)
+		k.observeRow(now, k.version+1, a.row)
 	case Conflict:
-		// The row is another's, or a write of ours that was thought lost.
+		// Another host has written the row, or an earlier write of this host of unknown
+		// outcome was applied.
 		k.known = false
-		k.looked = Reading{}
+		k.lastAccess = Reading{}
 	case NotTaken:
-		k.wrote = nil
+		k.pendingWrite = nil
 	case Lost:
-		k.looked = Reading{}
+		k.lastAccess = Reading{}
 	}
 }
 
-// dueToAsk reports whether the lease nears its end without a renewal. A lease
-// that has lapsed is not asked for: another host may have held it since and
-// have forgotten about it.
-func (k *Keeper) dueToAsk(now Reading) bool {
-	if _, ok := k.Holds(now); !ok || now.Since(k.from) < k.config.Duration/2 {
+// promisesDue reports whether promises are to be requested because the lease approaches its
+// expiry without a renewal. None are requested for an expired lease: another host may have
+// held it since, and have lost that knowledge in a restart.
+func (k *Keeper) promisesDue(now Reading) bool {
+	if _, ok := k.Holds(now); !ok || now.Since(k.heldSince) < k.config.Duration/2 {
 		return false
 	}
-	return !k.everAsk || now.surely(k.asked) >= k.config.Promise/4
+	return !k.hasAsked || now.monotonicSince(k.lastAsked) >= k.config.Promise/4
 }
 
-// Promise answers the holder of an epoch that asks this host not to take the
-// lease over. It refuses when it may have taken it over already.
+// Promise handles the request of the holder of epoch not to take over the lease, and
+// reports whether the promise is made. It is not made if this host may already have taken
+// over or knows of a later epoch.
 func (k *Keeper) Promise(now Reading, epoch spoolsill.Epoch) bool {
-	if k.held || k.wrote != nil || (k.known && epoch < k.row.Epoch) {
+	if k.held || k.pendingWrite != nil || (k.known && epoch < k.row.Epoch) {
 		return false
 	}
-	k.promised = now
-	k.bound = true
+	k.lastPromise = now
+	k.hasPromised = true
 	return true
 }
 
-// Promised takes in the promise of a host, asked for at asked.
+// Promised records the promise of a host, requested at asked.
 func (k *Keeper) Promised(asked Reading, from spoolsill.HostID) {
 	k.promises[from] = asked
 }
 
-// Joined says that the host knows what the hall's other hosts keep for the
-// former holder: it may take the lease over as soon as that is free.
+// Joined reports that the host has received the copies that the hall's other hosts keep for
+// the previous holder, so that it need not wait for [Config.Join].
 func (k *Keeper) Joined() {
 	k.joined = true
 }
 
-// Release gives the lease back as soon as the table takes it. The host holds
-// the lease no longer from now on and does not ask for it again.
+// Release makes the keeper release the lease as soon as the table is reachable. From now on
+// the host does not hold the lease and does not acquire it again.
 func (k *Keeper) Release() {
-	k.release = true
+	k.releasing = true
 }
 
-// Abandon gives up the epoch that the host holds, without a word to the
-// table. The host may take the lease again, under a new epoch.
+// Abandon gives up the held epoch without a write to the table. The host may acquire the
+// lease again under a new epoch.
 func (k *Keeper) Abandon() {
 	k.held = false
 }
 
-// Released reports whether nothing is left to give back.
+// Released reports whether there is no lease left to release.
 func (k *Keeper) Released() bool {
 	return !k.held
 }
--- a/lease/rapid_test.go
+++ b/lease/rapid_test.go
@@ -14,58 +14,58 @@
 	"github.com/spoolsill/spoolsill/lease"
 )
 
-// A world drives the keepers of a hall's hosts against one row, with answers
-// that get lost, writes that arrive late, hosts that are paused, restarted or
-// cut off, and clocks that jump.
-type world struct {
-	now     time.Duration
-	hosts   []*host
-	row     lease.Row
-	version uint64
-	late    []lateWrite
-	lives   spoolsill.Incarnation
-	config  lease.Config
-	took    int
+// A simulation runs the keepers of a hall's hosts and the lease row, with lost responses,
+// delayed writes, hosts that are paused, restarted or disconnected, and clocks that are
+// stepped.
+type simulation struct {
+	now          time.Duration
+	hosts        []*host
+	row          lease.Row
+	version      uint64
+	late         []lateWrite
+	incarnations spoolsill.Incarnation
+	config       lease.Config
+	takeovers    int
 }
 
 type host struct {
-	id      spoolsill.HostID
-	keeper  *lease.Keeper
-	jump    time.Duration // of the wall clock
-	paused  bool
-	table   bool          // the table answers it
-	acting  bool          // was told that it holds the lease, and acts for it
-	stopped time.Duration // how long the monotonic clock stood still
+	id         spoolsill.HostID
+	keeper     *lease.Keeper
+	wallOffset time.Duration // offset of the wall clock
+	paused     bool
+	tableUp    bool // the table is reachable
+	acting     bool
+	suspended  time.Duration // total time for which the monotonic clock was stopped
 }
 
-// A lateWrite reaches the table after its sender has given it up.
+// A lateWrite reaches the table after its sender has timed out.
 type lateWrite struct {
 	row     lease.Row
 	version uint64
 }
 
-func newWorld(n int, c lease.Config) *world {
-	w := &world{
+func newSimulation(n int, c lease.Config) *simulation {
+	w := &simulation{
 		now:    time.Hour,
 		config: c,
 	}
 	for i := range n {
 		w.hosts = append(w.hosts, &host{
-			id:    spoolsill.HostID(fmt.Sprintf("h%d", i)),
-			table: true,
+			id:      spoolsill.HostID(fmt.Sprintf("h%d", i)),
+			tableUp: true,
 		})
 	}
 	for _, h := range w.hosts {
-		w.begin(h)
+		w.start(h)
 	}
 	return w
 }
 
-func (w *world) begin(h *host) {
-	w.lives++
+func (w *simulation) start(h *host) {
+	w.incarnations++
 	c := w.config
 	c.Host = h.id
-	c.Incarnation = w.lives
+	c.Incarnation = w.incarnations
 	for _, x := range w.hosts {
 		c.Hosts = append(c.Hosts, x.id)
 	}
@@ -73,19 +73,19 @@
 	h.acting = false
 }
 
-func (w *world) reading(h *host) lease.Reading {
+func (w *simulation) reading(h *host) lease.Reading {
 	return lease.Reading{
-		Wall: time.UnixMicro(0).Add(w.now + h.jump),
-		Mono: w.now - h.stopped,
+		Wall: time.UnixMicro(0).Add(w.now + h.wallOffset),
+		Mono: w.now - h.suspended,
 	}
 }
 
-func (w *world) pick(t *rapid.T) *host {
+func (w *simulation) pick(t *rapid.T) *host {
 	return rapid.SampledFrom(w.hosts).Draw(t, "host")
 }
 
-// step has one host do what its keeper says.
-func (w *world) step(t *rapid.T) {
+// step has one host perform the next action of its keeper.
+func (w *simulation) step(t *rapid.T) {
 	h := w.pick(t)
 	if h.paused {
 		return
@@ -94,7 +94,7 @@
 	a := h.keeper.Next(now)
 	switch a.Kind {
 	case lease.Read:
-		h.keeper.ReadDone(now, h.table, w.version, w.row)
+		h.keeper.ReadDone(now, h.tableUp, w.version, w.row)
 	case lease.Write:
 		w.write(t, h, a)
 	case lease.Ask:
@@ -102,20 +102,20 @@
 	}
 }
 
-func (w *world) write(t *rapid.T, h *host, a lease.Action) {
+func (w *simulation) write(t *rapid.T, h *host, a lease.Action) {
 	now := w.reading(h)
-	if !h.table {
+	if !h.tableUp {
 		h.keeper.WriteDone(now, lease.NotTaken)
 		return
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "write") {
-	case 0: // the answer is lost
+	case 0: // the response is lost
 		w.apply(lateWrite{
 			row:     a.Row,
 			version: a.Version,
 		})
 		h.keeper.WriteDone(now, lease.Lost)
-	case 1: // it arrives late
+	case 1: // the write is delayed
 		w.late = append(w.late, lateWrite{
 			row:     a.Row,
 			version: a.Version,
@@ -133,20 +133,20 @@
 	}
 }
 
-func (w *world) apply(x lateWrite) bool {
+func (w *simulation) apply(x lateWrite) bool {
 	if x.version != w.version {
 		return false
 	}
 	if x.row.Epoch != w.row.Epoch {
-		w.took++
+		w.takeovers++
 	}
 	w.row = x.row
 	w.version++
 	return true
 }
 
-// arrive lets a late write reach the table.
-func (w *world) arrive(*rapid.T) {
+// deliverLate delivers the oldest delayed write to the table.
+func (w *simulation) deliverLate(*rapid.T) {
 	if len(w.late) == 0 {
 		return
 	}
@@ -154,7 +154,7 @@
 	w.late = w.late[1:]
 }
 
-func (w *world) ask(t *rapid.T, h *host, a lease.Action, asked lease.Reading) {
+func (w *simulation) ask(t *rapid.T, h *host, a lease.Action, asked lease.Reading) {
 	for _, x := range w.hosts {
 		if x == h || x.paused || !slices.Contains(a.Row.Roster, x.id) || rapid.IntRange(0, 4).Draw(t, "ask lost") == 0 {
 			continue
@@ -165,50 +165,51 @@
 	}
 }
 
-// pass lets time pass. Hosts that are not paused look at whether they may act.
-func (w *world) pass(t *rapid.T) {
+// advance advances the time.
+func (w *simulation) advance(t *rapid.T) {
 	w.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
 }
 
-// wait lets much time pass, for all hosts alike.
-func (w *world) wait(t *rapid.T) {
+// wait advances the time by 8 s, with a step of one host every 200 ms.
+func (w *simulation) wait(t *rapid.T) {
 	for range 40 {
 		w.now += 200 * time.Millisecond
 		w.step(t)
 	}
 }
 
-func (w *world) togglePause(t *rapid.T) {
+func (w *simulation) togglePause(t *rapid.T) {
 	h := w.pick(t)
 	h.paused = !h.paused
 }
 
-// sleep stops a host's monotonic clock for a while, as a machine that sleeps.
-func (w *world) sleep(t *rapid.T) {
+// suspend advances the time while the monotonic clock of a host is stopped, as during the
+// suspension of its machine.
+func (w *simulation) suspend(t *rapid.T) {
 	h := w.pick(t)
 	d := time.Duration(rapid.IntRange(1, 20_000).Draw(t, "slept")) * time.Millisecond
 	w.now += d
-	h.stopped += d
+	h.suspended += d
 }
 
-func (w *world) toggleTable(t *rapid.T) {
+func (w *simulation) toggleTable(t *rapid.T) {
 	h := w.pick(t)
-	h.table = !h.table
+	h.tableUp = !h.tableUp
 }
 
-func (w *world) restart(t *rapid.T) {
-	w.begin(w.pick(t))
+func (w *simulation) restart(t *rapid.T) {
+	w.start(w.pick(t))
 }
 
-// jump moves a wall clock. Forward jumps only cost availability; a host whose
-// clocks both fail at once, jumping back while it sleeps, is beyond what is
-// promised.
-func (w *world) jump(t *rapid.T) {
-	w.pick(t).jump += time.Duration(rapid.IntRange(0, 30_000).Draw(t, "jump")) * time.Millisecond
+// stepWallClock steps a wall clock forward, which only costs availability. Steps back are
+// left out: a host whose wall clock is stepped back during a suspension, so that both of its
+// clocks fail at once, is outside the guarantee.
+func (w *simulation) stepWallClock(t *rapid.T) {
+	w.pick(t).wallOffset += time.Duration(rapid.IntRange(0, 30_000).Draw(t, "jump")) * time.Millisecond
 }
 
-// check verifies that at most one host that runs holds the lease.
-func (w *world) check(t *rapid.T) {
+// check verifies that at most one of the hosts that are not paused holds the lease.
+func (w *simulation) check(t *rapid.T) {
 	var holders []spoolsill.HostID
 	for _, h := range w.hosts {
 		if h.paused {
@@ -225,20 +226,20 @@
 
 func oneHolder(c lease.Config) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(1, 3).Draw(t, "hosts"), c)
+		w := newSimulation(rapid.IntRange(1, 3).Draw(t, "hosts"), c)
 		t.Repeat(map[string]func(*rapid.T){
 			"":       w.check,
 			"step":   w.step,
 			"step2":  w.step,
 			"step3":  w.step,
-			"arrive": w.arrive,
-			"pass":   w.pass,
+			"arrive": w.deliverLate,
+			"pass":   w.advance,
 			"wait":   w.wait,
 			"pause":  w.togglePause,
-			"sleep":  w.sleep,
+			"sleep":  w.suspend,
 			"table":  w.toggleTable,
 			"life":   w.restart,
-			"jump":   w.jump,
+			"jump":   w.stepWallClock,
 		})
 	}
 }
@@ -247,16 +248,16 @@
 	rapid.Check(t, oneHolder(lease.Config{}))
 }
 
-// TestAtMostOneHolderNeedsPromises has a holder go on past the end of its
-// lease without asking anybody.
-func TestAtMostOneHolderNeedsPromises(t *testing.T) {
+// Guards against a model that can't find two holders: without promises, a holder that
+// extends its lease on its own must make the property fail.
+func TestTwoHoldersWithoutPromises(t *testing.T) {
 	qt.Assert(t, seed.Fails(t, oneHolder(lease.Config{
 		NoPromises: true,
 	})), qt.IsTrue)
 }
 
-// run has all hosts step for a while without faults.
-func (w *world) run(d time.Duration) {
+// run runs all hosts that are not paused for d, without new faults.
+func (w *simulation) run(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := w.now + d; w.now < end; w.now += step {
 		for _, h := range w.hosts {
@@ -267,7 +268,7 @@
 			a := h.keeper.Next(now)
 			switch a.Kind {
 			case lease.Read:
-				h.keeper.ReadDone(now, h.table, w.version, w.row)
+				h.keeper.ReadDone(now, h.tableUp, w.version, w.row)
 			case lease.Write:
 				w.writeNow(h, a)
 			case lease.Ask:
@@ -277,10 +278,10 @@
 	}
 }
 
-func (w *world) writeNow(h *host, a lease.Action) {
+func (w *simulation) writeNow(h *host, a lease.Action) {
 	now := w.reading(h)
 	switch {
-	case !h.table:
+	case !h.tableUp:
 		h.keeper.WriteDone(now, lease.NotTaken)
 	case w.apply(lateWrite{
 		row:     a.Row,
@@ -292,7 +293,7 @@
 	}
 }
 
-func (w *world) askAll(h *host, a lease.Action, now lease.Reading) {
+func (w *simulation) askAll(h *host, a lease.Action, now lease.Reading) {
 	for _, x := range w.hosts {
 		if x != h && !x.paused && x.keeper.Promise(w.reading(x), a.Row.Epoch) {
 			h.keeper.Promised(now, x.id)
@@ -300,7 +301,7 @@
 	}
 }
 
-func (w *world) holder() *host {
+func (w *simulation) holder() *host {
 	for _, h := range w.hosts {
 		if _, ok := h.keeper.Holds(w.reading(h)); ok && !h.paused {
 			return h
@@ -309,29 +310,29 @@
 	return nil
 }
 
-func (w *world) setTable(up bool) {
+func (w *simulation) setTable(up bool) {
 	for _, h := range w.hosts {
-		h.table = up
+		h.tableUp = up
 	}
 }
 
-func TestFirstHolderAtOnce(t *testing.T) {
-	w := newWorld(2, lease.Config{})
+func TestFirstLeaseIsAcquiredImmediately(t *testing.T) {
+	w := newSimulation(2, lease.Config{})
 	w.run(2 * time.Second)
 	qt.Assert(t, w.holder(), qt.IsNotNil)
 }
 
 func TestDeadHolderIsReplacedWithinTenSeconds(t *testing.T) {
-	w := newWorld(2, lease.Config{})
+	w := newSimulation(2, lease.Config{})
 	w.run(20 * time.Second)
 	w.holder().paused = true
 	w.run(10 * time.Second)
 	qt.Assert(t, w.holder(), qt.IsNotNil)
 }
 
-func TestHallWithAllHostsKeepsItsHolderThroughAnOutage(t *testing.T) {
+func TestHolderKeepsLeaseDuringTableOutage(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(3, lease.Config{})
+	w := newSimulation(3, lease.Config{})
 	w.run(20 * time.Second)
 	h := w.holder()
 	w.setTable(false)
@@ -344,9 +345,9 @@
 	c.Assert(w.holder(), qt.Equals, h)
 }
 
-func TestOutageAndADeadHostStopPlacement(t *testing.T) {
+func TestTableOutageWithDeadHostEndsLease(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(2, lease.Config{})
+	w := newSimulation(2, lease.Config{})
 	w.run(20 * time.Second)
 	h := w.holder()
 	for _, x := range w.hosts {
@@ -360,12 +361,12 @@
 	c.Assert(w.holder(), qt.Equals, h)
 }
 
-// TestALapsedLeaseIsNotRevivedByPromises has the holder sleep while another
-// host holds the lease, which then restarts and knows of nothing, with the
-// table silent for both.
-func TestALapsedLeaseIsNotRevivedByPromises(t *testing.T) {
+// Guards against an expired lease that is extended by promises: the holder is paused while
+// another host takes over, then that host restarts without memory of it while the table is
+// unreachable for both.
+func TestExpiredLeaseIsNotExtendedByPromises(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(2, lease.Config{})
+	w := newSimulation(2, lease.Config{})
 	w.run(20 * time.Second)
 	old := w.holder()
 	old.paused = true
@@ -373,15 +374,15 @@
 	next := w.holder()
 	c.Assert(next, qt.IsNotNil)
 	w.setTable(false)
-	w.begin(next)
+	w.start(next)
 	old.paused = false
 	w.run(10 * time.Second)
 	c.Assert(w.holder(), qt.IsNil)
 }
 
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAcquiredWithinSeconds(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(2, lease.Config{})
+	w := newSimulation(2, lease.Config{})
 	w.run(20 * time.Second)
 	h := w.holder()
 	h.keeper.Release()
@@ -391,11 +392,11 @@
 	c.Assert(w.holder(), qt.Not(qt.Equals), h)
 }
 
-func TestHallWhoseHostsAllRestartHasAHolderAgain(t *testing.T) {
-	w := newWorld(2, lease.Config{})
+func TestLeaseIsAcquiredAfterAllHostsRestart(t *testing.T) {
+	w := newSimulation(2, lease.Config{})
 	w.run(20 * time.Second)
 	for _, h := range w.hosts {
-		w.begin(h)
+		w.start(h)
 	}
 	w.run(10 * time.Second)
 	qt.Assert(t, w.holder(), qt.IsNotNil)
--- a/lease/row.go
+++ b/lease/row.go
@@ -9,7 +9,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrRow is returned for a lease row that can't be read.
+// ErrRow is returned for a lease row that can't be decoded.
 var ErrRow = errors.New("lease: bad row")
 
 // A Row is the state of a hall's lease.
@@ -17,15 +17,16 @@
 	Holder      spoolsill.HostID      `msgpack:"h"`
 	Incarnation spoolsill.Incarnation `msgpack:"i"`
 	Epoch       spoolsill.Epoch       `msgpack:"e"`
-	// Beat grows with each write and tells the writes of one holder apart.
+	// Beat increases with each write and distinguishes the writes of one holder.
 	Beat uint64 `msgpack:"b"`
-	// Roster lists the hosts that may take the lease over.
+	// Roster lists the hosts that may hold the lease: the holder and those that may
+	// succeed it.
 	Roster []spoolsill.HostID `msgpack:"r"`
-	// Released says that the holder gave the lease back.
+	// Released reports that the holder has released the lease.
 	Released bool `msgpack:"x"`
 }
 
-// Encode returns r as it is kept in the table.
+// Encode returns r in the encoding of the table.
 func (r Row) Encode() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
@@ -34,7 +35,7 @@
 	return b
 }
 
-// Decode reads what [Row.Encode] wrote. It fails with [ErrRow].
+// Decode decodes the result of [Row.Encode]. Its error wraps [ErrRow].
 func Decode(b []byte) (Row, error) {
 	var r Row
 	if err := msgpack.Unmarshal(b, &r); err != nil {
@@ -48,13 +49,13 @@
 	return "lease/" + string(h)
 }
 
-// EpochKey returns the key of the row that changes only when the lease of a
-// hall changes hands. Writes of the holder are conditional on its version.
+// EpochKey returns the key of the row that is written only when the lease of a hall
+// is acquired. The holder's writes are conditional on the version of this row.
 func EpochKey(h spoolsill.HallID) string {
 	return "epoch/" + string(h)
 }
 
-func (r Row) lists(h spoolsill.HostID) bool {
+func (r Row) onRoster(h spoolsill.HostID) bool {
 	for _, x := range r.Roster {
 		if x == h {
 			return true
