--- a/holder/driver.go
+++ b/holder/driver.go
@@ -26,17 +26,17 @@
 	address string
 	// granted is the latest time at which a lease was, or may have been,
 	// granted on the worker, by any holder.
-	granted lease.Reading
+	granted lease.ClockReading
 	// starting has the starts whose outcome is not known, with the end of the
 	// lease that they carried.
-	starting map[agent.Ref]lease.Reading
+	starting map[agent.Ref]lease.ClockReading
 	// started has when starts were answered, until a renewal that was sent
 	// later has told of the task: an earlier one may have been answered before
 	// the start and be heard of after it.
-	started map[agent.Ref]lease.Reading
+	started map[agent.Ref]lease.ClockReading
 	// born is when this tenure began to look after the worker. A start that a
 	// former holder sent may arrive for the length of a lease after it.
-	born   lease.Reading
+	born   lease.ClockReading
 	forget map[agent.Ref]spoolsill.Sequence
 	fails  int
 	asked  bool
@@ -51,8 +51,8 @@
 		id:       id,
 		granted:  now,
 		born:     now,
-		starting: map[agent.Ref]lease.Reading{},
-		started:  map[agent.Ref]lease.Reading{},
+		starting: map[agent.Ref]lease.ClockReading{},
+		started:  map[agent.Ref]lease.ClockReading{},
 		forget:   map[agent.Ref]spoolsill.Sequence{},
 		soon:     make(chan struct{}, 1),
 	}
@@ -219,8 +219,8 @@
 
 // forgetStarted drops the starts that were answered before a renewal was sent: its
 // report tells of them. The lock is held.
-func (d *driver) forgetStarted(sent lease.Reading) {
-	maps.DeleteFunc(d.started, func(_ agent.Ref, at lease.Reading) bool { return at.Mono < sent.Mono })
+func (d *driver) forgetStarted(sent lease.ClockReading) {
+	maps.DeleteFunc(d.started, func(_ agent.Ref, at lease.ClockReading) bool { return at.Mono < sent.Mono })
 }
 
 // take takes in the report of the worker. The lock is held.
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -46,9 +46,9 @@
 }
 
 // reading looks at both clocks.
-func (h *Holder) reading() lease.Reading {
+func (h *Holder) reading() lease.ClockReading {
 	now := time.Now()
-	return lease.Reading{
+	return lease.ClockReading{
 		Wall: now.Round(0),
 		Mono: now.Sub(h.started),
 	}
@@ -109,11 +109,11 @@
 	a := h.keeper.Next(h.reading())
 	h.mu.Unlock()
 	switch a.Kind {
-	case lease.Read:
+	case lease.ReadRow:
 		h.spawn(func() { h.read(ctx) })
-	case lease.Write:
+	case lease.WriteRow:
 		h.spawn(func() { h.write(ctx, a) })
-	case lease.Ask:
+	case lease.RequestPromises:
 		h.ask(ctx, a.Row)
 	}
 	h.follow(ctx)
@@ -167,16 +167,16 @@
 	h.keeper.WriteDone(h.reading(), written(r, err))
 }
 
-func written(r table.Result, err error) lease.Written {
+func written(r table.Result, err error) lease.WriteOutcome {
 	switch {
 	case errors.Is(err, table.ErrDown):
-		return lease.NotTaken
+		return lease.WriteRejected
 	case err != nil:
-		return lease.Lost
+		return lease.WriteUnknown
 	case r.Applied:
-		return lease.Applied
+		return lease.WriteApplied
 	default:
-		return lease.Conflict
+		return lease.WriteConflict
 	}
 }
 
@@ -195,7 +195,7 @@
 			}
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.keeper.Promised(asked, x)
+			h.keeper.RecordPromise(asked, x)
 		})
 	}
 }
--- a/holder/join.go
+++ b/holder/join.go
@@ -55,7 +55,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.whole = true
-	h.keeper.Joined()
+	h.keeper.MarkJoined()
 }
 
 func (h *Holder) hasJoined() bool {
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -340,7 +340,7 @@
 }
 
 // leaseEnd returns the end of a task lease granted now.
-func (t *tenure) leaseEnd(now lease.Reading) time.Time {
+func (t *tenure) leaseEnd(now lease.ClockReading) time.Time {
 	return now.Wall.Add(t.h.config.TaskLease)
 }
 
--- a/lease/join_test.go
+++ b/lease/join_test.go
@@ -11,8 +11,8 @@
 )
 
 // at returns the reading of both clocks d after the start.
-func at(d time.Duration) lease.Reading {
-	return lease.Reading{
+func at(d time.Duration) lease.ClockReading {
+	return lease.ClockReading{
 		Wall: time.UnixMicro(0).Add(d),
 		Mono: d,
 	}
@@ -43,20 +43,20 @@
 func TestReleasedLeaseIsAcquiredAfterJoined(t *testing.T) {
 	c := qt.New(t)
 	k := startedKeeper(7, releasedRow)
-	c.Assert(k.Next(at(time.Millisecond)).Kind, qt.Equals, lease.None)
-	k.Joined()
-	c.Assert(k.Next(at(2*time.Millisecond)).Kind, qt.Equals, lease.Write)
+	c.Assert(k.Next(at(time.Millisecond)).Kind, qt.Equals, lease.NoAction)
+	k.MarkJoined()
+	c.Assert(k.Next(at(2*time.Millisecond)).Kind, qt.Equals, lease.WriteRow)
 }
 
 func TestReleasedLeaseIsAcquiredAfterJoinTimeout(t *testing.T) {
 	c := qt.New(t)
 	k := startedKeeper(7, releasedRow)
-	c.Assert(k.Next(at(9999*time.Millisecond)).Kind, qt.Not(qt.Equals), lease.Write)
+	c.Assert(k.Next(at(9999*time.Millisecond)).Kind, qt.Not(qt.Equals), lease.WriteRow)
 	k.ReadDone(at(9999*time.Millisecond), true, 7, releasedRow)
-	c.Assert(k.Next(at(10*time.Second)).Kind, qt.Equals, lease.Write)
+	c.Assert(k.Next(at(10*time.Second)).Kind, qt.Equals, lease.WriteRow)
 }
 
 func TestFirstLeaseOfHallDoesNotWaitForJoin(t *testing.T) {
 	k := startedKeeper(0, lease.Row{})
-	qt.Assert(t, k.Next(at(time.Millisecond)).Kind, qt.Equals, lease.Write)
+	qt.Assert(t, k.Next(at(time.Millisecond)).Kind, qt.Equals, lease.WriteRow)
 }
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -38,7 +38,7 @@
 	// while the table is unreachable. A host that is not on the roster waits longer
 	// than that before it takes over.
 	Extension time.Duration
-	// Join is how long after its start the host waits for [Keeper.Joined] before it
+	// Join is how long after its start the host waits for [Keeper.MarkJoined] before it
 	// takes over an existing lease; 0 means that it does not wait.
 	Join time.Duration
 	// NoPromises extends the lease without promises while the table is unreachable.
@@ -57,23 +57,23 @@
 	return c
 }
 
-// A Reading is a reading of two clocks. Mono is the time since the process started on the
+// A ClockReading is a reading of two clocks. Mono is the time since the process started on the
 // monotonic clock, which is never stepped but may stop while the machine is suspended.
 // Wall is the time of day, which may be stepped but does not stop.
-type Reading struct {
+type ClockReading struct {
 	Wall time.Time
 	Mono time.Duration
 }
 
 // Since returns the time elapsed from o to r on the clock on which it is longer. What this
 // host holds is measured with it, so that it expires early rather than late.
-func (r Reading) Since(o Reading) time.Duration {
+func (r ClockReading) Since(o ClockReading) time.Duration {
 	return max(r.Mono-o.Mono, r.Wall.Sub(o.Wall))
 }
 
 // monotonicSince returns the time elapsed from o to r on the monotonic clock, which is a lower
 // bound. What other hosts hold is measured with it, so that it is not taken over early.
-func (r Reading) monotonicSince(o Reading) time.Duration {
+func (r ClockReading) monotonicSince(o ClockReading) time.Duration {
 	return r.Mono - o.Mono
 }
 
@@ -82,10 +82,10 @@
 
 // The kinds of actions.
 const (
-	None  ActionKind = iota
-	Read             // read the lease row
-	Write            // write Row if the version of the lease row is Version
-	Ask              // request promises from the other hosts of the roster
+	NoAction        ActionKind = iota
+	ReadRow                    // read the lease row
+	WriteRow                   // write Row if the version of the lease row is Version
+	RequestPromises            // request promises from the other hosts of the roster
 )
 
 // An Action is an operation that the caller of [Keeper.Next] has to perform.
@@ -101,50 +101,50 @@
 // A Keeper is the state machine of a hall's lease on one host.
 type Keeper struct {
 	config  Config
-	started Reading
+	started ClockReading
 
 	row            Row // as last read or written
 	version        uint64
 	known          bool          // row was read since the start and since the last conflicting write
-	unchangedSince Reading       // when row was first read or written in its current version
-	lastAccess     Reading       // start of the last read or write; zero if the next is due at once
+	unchangedSince ClockReading  // when row was first read or written in its current version
+	lastAccess     ClockReading  // start of the last read or write; zero if the next is due at once
 	busy           bool          // a read or write is in progress
 	pendingWrite   *writeAttempt // write in progress or of unknown outcome
-	lastBeat       uint64        // of the last write
+	lastWriteID    uint64        // of the last write
 
 	held          bool
 	epoch         spoolsill.Epoch
-	heldSince     Reading                      // start of the write by which the lease was acquired or last renewed
-	lastConfirmed Reading                      // start of the last write that the table confirmed
-	lastAsked     Reading                      // last request for promises
-	hasAsked      bool                         // lastAsked is set
-	promises      map[spoolsill.HostID]Reading // start of the request for the last promise of each host
-	lastPromise   Reading                      // when this host made its last promise
-	hasPromised   bool                         // lastPromise is set
-	releasing     bool                         // the lease is to be released
-	joined        bool                         // Joined was called
+	heldSince     ClockReading                      // start of the write by which the lease was acquired or last renewed
+	lastConfirmed ClockReading                      // start of the last write that the table confirmed
+	lastAsked     ClockReading                      // last request for promises
+	hasAsked      bool                              // lastAsked is set
+	promises      map[spoolsill.HostID]ClockReading // start of the request for the last promise of each host
+	lastPromise   ClockReading                      // when this host made its last promise
+	hasPromised   bool                              // lastPromise is set
+	releasing     bool                              // the lease is to be released
+	joined        bool                              // MarkJoined was called
 }
 
 // A writeAttempt is a write whose outcome is not yet known.
 type writeAttempt struct {
 	row      Row
-	start    Reading
+	start    ClockReading
 	takeover bool
 }
 
 // NewKeeper returns a keeper that has not read the lease row. now is the start of the
 // host.
-func NewKeeper(c Config, now Reading) *Keeper {
+func NewKeeper(c Config, now ClockReading) *Keeper {
 	return &Keeper{
 		config:   c.withDefaults(),
 		started:  now,
-		promises: map[spoolsill.HostID]Reading{},
+		promises: map[spoolsill.HostID]ClockReading{},
 	}
 }
 
 // Holds reports whether the host holds the lease at now, and its epoch. It must be called
 // immediately before each action that needs the lease.
-func (k *Keeper) Holds(now Reading) (spoolsill.Epoch, bool) {
+func (k *Keeper) Holds(now ClockReading) (spoolsill.Epoch, bool) {
 	if !k.held || k.releasing {
 		return 0, false
 	}
@@ -176,7 +176,7 @@
 }
 
 // extendedByPromises reports whether promises extend the lease past its expiry.
-func (k *Keeper) extendedByPromises(now Reading) bool {
+func (k *Keeper) extendedByPromises(now ClockReading) bool {
 	if k.config.NoPromises {
 		return true
 	}
@@ -195,14 +195,14 @@
 	return true
 }
 
-// Next returns the action to perform at now. After a Read or Write it returns neither again
+// Next returns the action to perform at now. After a ReadRow or WriteRow it returns neither
 // until ReadDone or WriteDone is called.
-func (k *Keeper) Next(now Reading) Action {
+func (k *Keeper) Next(now ClockReading) Action {
 	if k.promisesDue(now) {
 		k.lastAsked = now
 		k.hasAsked = true
 		return Action{
-			Kind: Ask,
+			Kind: RequestPromises,
 			Row:  k.row,
 		}
 	}
@@ -210,12 +210,12 @@
 		return Action{}
 	}
 	a := k.nextAccess(now)
-	if a.Kind == None {
+	if a.Kind == NoAction {
 		return a
 	}
 	k.busy = true
 	k.lastAccess = now
-	if a.Kind == Write {
+	if a.Kind == WriteRow {
 		k.pendingWrite = &writeAttempt{
 			row:      a.Row,
 			start:    now,
@@ -225,7 +225,7 @@
 	return a
 }
 
-func (k *Keeper) nextAccess(now Reading) Action {
+func (k *Keeper) nextAccess(now ClockReading) Action {
 	switch {
 	case k.pendingWrite != nil, !k.known:
 		return k.readWhenDue(now)
@@ -242,18 +242,18 @@
 	}
 }
 
-func (k *Keeper) readWhenDue(now Reading) Action {
-	if k.lastAccess != (Reading{}) && now.monotonicSince(k.lastAccess) < k.config.Poll {
+func (k *Keeper) readWhenDue(now ClockReading) Action {
+	if k.lastAccess != (ClockReading{}) && now.monotonicSince(k.lastAccess) < k.config.Poll {
 		return Action{}
 	}
 	return Action{
-		Kind: Read,
+		Kind: ReadRow,
 	}
 }
 
 func (k *Keeper) write(r Row, takeover bool) Action {
 	return Action{
-		Kind:     Write,
+		Kind:     WriteRow,
 		Row:      r,
 		Version:  k.version,
 		Takeover: takeover,
@@ -261,7 +261,7 @@
 }
 
 // mayAcquire reports whether this host may acquire the lease.
-func (k *Keeper) mayAcquire(now Reading) bool {
+func (k *Keeper) mayAcquire(now ClockReading) bool {
 	if k.releasing {
 		return false
 	}
@@ -285,12 +285,12 @@
 		now.monotonicSince(k.started) >= k.config.Promise+k.config.Margin
 }
 
-// nextBeat returns a number that is higher than that of the row and of all other writes of
+// nextWriteID returns a number that is higher than that of the row and of all other writes of
 // this keeper, including those of unknown outcome that may still be applied. A row with
 // this number therefore identifies the write, whose start time is known.
-func (k *Keeper) nextBeat() uint64 {
-	k.lastBeat = max(k.lastBeat, k.row.Beat) + 1
-	return k.lastBeat
+func (k *Keeper) nextWriteID() uint64 {
+	k.lastWriteID = max(k.lastWriteID, k.row.WriteID) + 1
+	return k.lastWriteID
 }
 
 func (k *Keeper) acquiredRow() Row {
@@ -298,14 +298,14 @@
 		Holder:      k.config.Host,
 		Incarnation: k.config.Incarnation,
 		Epoch:       k.row.Epoch + 1,
-		Beat:        k.nextBeat(),
+		WriteID:     k.nextWriteID(),
 		Roster:      k.config.Hosts,
 	}
 }
 
 func (k *Keeper) renewedRow() Row {
 	r := k.row
-	r.Beat = k.nextBeat()
+	r.WriteID = k.nextWriteID()
 	r.Roster = k.config.Hosts
 	return r
 }
@@ -316,9 +316,9 @@
 	return r
 }
 
-// ReadDone reports the result of a Read. ok is false if the read failed; version 0 means
+// ReadDone reports the result of a ReadRow action. ok is false if the read failed; version 0 means
 // that the row does not exist.
-func (k *Keeper) ReadDone(now Reading, ok bool, version uint64, r Row) {
+func (k *Keeper) ReadDone(now ClockReading, ok bool, version uint64, r Row) {
 	k.busy = false
 	if !ok {
 		return
@@ -328,7 +328,7 @@
 }
 
 // observeRow records the state of the row in the table.
-func (k *Keeper) observeRow(now Reading, version uint64, r Row) {
+func (k *Keeper) observeRow(now ClockReading, version uint64, r Row) {
 	if !k.known || version != k.version {
 		k.unchangedSince = now
 	}
@@ -352,7 +352,7 @@
 	if w == nil || version == 0 {
 		return
 	}
-	same := r.Holder == w.row.Holder && r.Incarnation == w.row.Incarnation && r.Epoch == w.row.Epoch && r.Beat == w.row.Beat
+	same := r.Holder == w.row.Holder && r.Incarnation == w.row.Incarnation && r.Epoch == w.row.Epoch && r.WriteID == w.row.WriteID
 	if same {
 		k.writeApplied(*w)
 	}
@@ -368,49 +368,49 @@
 		k.releasing = true
 	}
 	if w.takeover {
-		k.promises = map[spoolsill.HostID]Reading{}
+		k.promises = map[spoolsill.HostID]ClockReading{}
 	}
 }
 
-// Written is the outcome of a write.
-type Written int
+// WriteOutcome is the outcome of a write.
+type WriteOutcome int
 
 // The outcomes of a write.
 const (
-	Applied  Written = iota
-	Conflict         // not applied: the row has another version
-	NotTaken         // not applied: the table was unavailable
-	Lost             // unknown: it may have been or may yet be applied
+	WriteApplied  WriteOutcome = iota
+	WriteConflict              // not applied: the row has another version
+	WriteRejected              // not applied: the table was unavailable
+	WriteUnknown               // unknown: it may have been or may yet be applied
 )
 
-// WriteDone reports the outcome of a Write.
-func (k *Keeper) WriteDone(now Reading, w Written) {
+// WriteDone reports the outcome of a WriteRow action.
+func (k *Keeper) WriteDone(now ClockReading, w WriteOutcome) {
 	k.busy = false
 	a := k.pendingWrite
 	if a == nil {
 		return
 	}
 	switch w {
-	case Applied:
+	case WriteApplied:
 		k.pendingWrite = nil
 		k.writeApplied(*a)
 		k.observeRow(now, k.version+1, a.row)
-	case Conflict:
+	case WriteConflict:
 		// Another host has written the row, or an earlier write of this host of unknown
 		// outcome was applied.
 		k.known = false
-		k.lastAccess = Reading{}
-	case NotTaken:
+		k.lastAccess = ClockReading{}
+	case WriteRejected:
 		k.pendingWrite = nil
-	case Lost:
-		k.lastAccess = Reading{}
+	case WriteUnknown:
+		k.lastAccess = ClockReading{}
 	}
 }
 
 // promisesDue reports whether promises are to be requested because the lease approaches its
 // expiry without a renewal. None are requested for an expired lease: another host may have
 // held it since, and have lost that knowledge in a restart.
-func (k *Keeper) promisesDue(now Reading) bool {
+func (k *Keeper) promisesDue(now ClockReading) bool {
 	if _, ok := k.Holds(now); !ok || now.Since(k.heldSince) < k.config.Duration/2 {
 		return false
 	}
@@ -420,7 +420,7 @@
 // Promise handles the request of the holder of epoch not to take over the lease, and
 // reports whether the promise is made. It is not made if this host may already have taken
 // over or knows of a later epoch.
-func (k *Keeper) Promise(now Reading, epoch spoolsill.Epoch) bool {
+func (k *Keeper) Promise(now ClockReading, epoch spoolsill.Epoch) bool {
 	if k.held || k.pendingWrite != nil || (k.known && epoch < k.row.Epoch) {
 		return false
 	}
@@ -429,14 +429,14 @@
 	return true
 }
 
-// Promised records the promise of a host, requested at asked.
-func (k *Keeper) Promised(asked Reading, from spoolsill.HostID) {
+// RecordPromise records the promise of a host, requested at asked.
+func (k *Keeper) RecordPromise(asked ClockReading, from spoolsill.HostID) {
 	k.promises[from] = asked
 }
 
-// Joined reports that the host has received the copies that the hall's other hosts keep for
+// MarkJoined records that the host has received the copies that the hall's other hosts keep for
 // the previous holder, so that it need not wait for [Config.Join].
-func (k *Keeper) Joined() {
+func (k *Keeper) MarkJoined() {
 	k.joined = true
 }
 
--- a/lease/rapid_test.go
+++ b/lease/rapid_test.go
@@ -73,8 +73,8 @@
 	h.acting = false
 }
 
-func (w *simulation) reading(h *host) lease.Reading {
-	return lease.Reading{
+func (w *simulation) reading(h *host) lease.ClockReading {
+	return lease.ClockReading{
 		Wall: time.UnixMicro(0).Add(w.now + h.wallOffset),
 		Mono: w.now - h.suspended,
 	}
@@ -93,11 +93,11 @@
 	now := w.reading(h)
 	a := h.keeper.Next(now)
 	switch a.Kind {
-	case lease.Read:
+	case lease.ReadRow:
 		h.keeper.ReadDone(now, h.tableUp, w.version, w.row)
-	case lease.Write:
+	case lease.WriteRow:
 		w.write(t, h, a)
-	case lease.Ask:
+	case lease.RequestPromises:
 		w.ask(t, h, a, now)
 	}
 }
@@ -105,7 +105,7 @@
 func (w *simulation) write(t *rapid.T, h *host, a lease.Action) {
 	now := w.reading(h)
 	if !h.tableUp {
-		h.keeper.WriteDone(now, lease.NotTaken)
+		h.keeper.WriteDone(now, lease.WriteRejected)
 		return
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "write") {
@@ -114,22 +114,22 @@
 			row:     a.Row,
 			version: a.Version,
 		})
-		h.keeper.WriteDone(now, lease.Lost)
+		h.keeper.WriteDone(now, lease.WriteUnknown)
 	case 1: // the write is delayed
 		w.late = append(w.late, lateWrite{
 			row:     a.Row,
 			version: a.Version,
 		})
-		h.keeper.WriteDone(now, lease.Lost)
+		h.keeper.WriteDone(now, lease.WriteUnknown)
 	default:
 		if !w.apply(lateWrite{
 			row:     a.Row,
 			version: a.Version,
 		}) {
-			h.keeper.WriteDone(now, lease.Conflict)
+			h.keeper.WriteDone(now, lease.WriteConflict)
 			return
 		}
-		h.keeper.WriteDone(now, lease.Applied)
+		h.keeper.WriteDone(now, lease.WriteApplied)
 	}
 }
 
@@ -154,13 +154,13 @@
 	w.late = w.late[1:]
 }
 
-func (w *simulation) ask(t *rapid.T, h *host, a lease.Action, asked lease.Reading) {
+func (w *simulation) ask(t *rapid.T, h *host, a lease.Action, asked lease.ClockReading) {
 	for _, x := range w.hosts {
 		if x == h || x.paused || !slices.Contains(a.Row.Roster, x.id) || rapid.IntRange(0, 4).Draw(t, "ask lost") == 0 {
 			continue
 		}
 		if x.keeper.Promise(w.reading(x), a.Row.Epoch) {
-			h.keeper.Promised(asked, x.id)
+			h.keeper.RecordPromise(asked, x.id)
 		}
 	}
 }
@@ -267,11 +267,11 @@
 			now := w.reading(h)
 			a := h.keeper.Next(now)
 			switch a.Kind {
-			case lease.Read:
+			case lease.ReadRow:
 				h.keeper.ReadDone(now, h.tableUp, w.version, w.row)
-			case lease.Write:
+			case lease.WriteRow:
 				w.writeNow(h, a)
-			case lease.Ask:
+			case lease.RequestPromises:
 				w.askAll(h, a, now)
 			}
 		}
@@ -282,21 +282,21 @@
 	now := w.reading(h)
 	switch {
 	case !h.tableUp:
-		h.keeper.WriteDone(now, lease.NotTaken)
+		h.keeper.WriteDone(now, lease.WriteRejected)
 	case w.apply(lateWrite{
 		row:     a.Row,
 		version: a.Version,
 	}):
-		h.keeper.WriteDone(now, lease.Applied)
+		h.keeper.WriteDone(now, lease.WriteApplied)
 	default:
-		h.keeper.WriteDone(now, lease.Conflict)
+		h.keeper.WriteDone(now, lease.WriteConflict)
 	}
 }
 
-func (w *simulation) askAll(h *host, a lease.Action, now lease.Reading) {
+func (w *simulation) askAll(h *host, a lease.Action, now lease.ClockReading) {
 	for _, x := range w.hosts {
 		if x != h && !x.paused && x.keeper.Promise(w.reading(x), a.Row.Epoch) {
-			h.keeper.Promised(now, x.id)
+			h.keeper.RecordPromise(now, x.id)
 		}
 	}
 }
--- a/lease/row.go
+++ b/lease/row.go
@@ -9,16 +9,16 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrRow is returned for a lease row that can't be decoded.
-var ErrRow = errors.New("lease: bad row")
+// ErrBadRow is returned for a lease row that can't be decoded.
+var ErrBadRow = errors.New("lease: bad row")
 
 // A Row is the state of a hall's lease.
 type Row struct {
 	Holder      spoolsill.HostID      `msgpack:"h"`
 	Incarnation spoolsill.Incarnation `msgpack:"i"`
 	Epoch       spoolsill.Epoch       `msgpack:"e"`
-	// Beat increases with each write and distinguishes the writes of one holder.
-	Beat uint64 `msgpack:"b"`
+	// WriteID increases with each write and distinguishes the writes of one holder.
+	WriteID uint64 `msgpack:"b"`
 	// Roster lists the hosts that may hold the lease: the holder and those that may
 	// succeed it.
 	Roster []spoolsill.HostID `msgpack:"r"`
@@ -35,11 +35,11 @@
 	return b
 }
 
-// Decode decodes the result of [Row.Encode]. Its error wraps [ErrRow].
+// Decode decodes the result of [Row.Encode]. Its error wraps [ErrBadRow].
 func Decode(b []byte) (Row, error) {
 	var r Row
 	if err := msgpack.Unmarshal(b, &r); err != nil {
-		return Row{}, fmt.Errorf("%w: %w", ErrRow, err)
+		return Row{}, fmt.Errorf("%w: %w", ErrBadRow, err)
 	}
 	return r, nil
 }
