--- a/peer/silence.go
+++ b/peer/silence.go
@@ -53,7 +53,7 @@
 	return now.Sub(s.timeoutsSince) >= silenceTimeout
 }
 
-// A silenceReader records in a silence when data arrives.
+// A silenceReader records in a silenceDetector when data arrives.
 type silenceReader struct {
 	from    io.Reader
 	silence *silenceDetector
