--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -131,7 +131,7 @@
 // taken answers a claim of a key that is known. A request that certainly did
 // not run gives its key free for the next one.
 func (l *Ledger) taken(c Claim, e *entry) (Verdict, Answer) {
-	if e.answer.Outcome == spoolsill.NotRun {
+	if e.answer.Outcome == spoolsill.OutcomeNotRun {
 		e.owner = c.Owner
 		e.answer = Answer{}
 		return e.grant(), Answer{}
--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -112,7 +112,7 @@
 		j = h.askTable(t, c)
 	}
 	if j != claim.Dispatch {
-		h.settle(t, c, spoolsill.NotRun)
+		h.settle(t, c, spoolsill.OutcomeNotRun)
 		return
 	}
 	switch rapid.IntRange(0, 3).Draw(t, "dispatch") {
@@ -120,13 +120,13 @@
 		if c.row {
 			delete(h.table, c.claim.Key)
 		}
-		h.settle(t, c, spoolsill.NotRun)
+		h.settle(t, c, spoolsill.OutcomeNotRun)
 		return
 	case 1: // dispatched by a host that then dies
 		h.run(t, c)
 	default:
 		h.run(t, c)
-		h.settle(t, c, spoolsill.Done)
+		h.settle(t, c, spoolsill.OutcomeDone)
 	}
 }
 
@@ -224,12 +224,12 @@
 	v, _ := l.Take(now, first)
 	c.Assert(v, qt.Equals, claim.Granted)
 	a := claim.Answer{
-		Outcome: spoolsill.Done,
+		Outcome: spoolsill.OutcomeDone,
 		Body:    []byte("answer"),
 	}
 	l.Settle("k", first.Owner, a)
 	l.Settle("k", first.Owner, claim.Answer{
-		Outcome: spoolsill.NotRun,
+		Outcome: spoolsill.OutcomeNotRun,
 	})
 	second := first
 	second.Owner.Nonce = 2
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -195,7 +195,7 @@
 // that its caller may ask again.
 func (h *Host) giveUp(ctx context.Context, c claimed) {
 	h.tell(ctx, c, claim.Answer{
-		Outcome: spoolsill.NotRun,
+		Outcome: spoolsill.OutcomeNotRun,
 	})
 	if !c.row {
 		return
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -24,7 +24,7 @@
 // that has free slots and agrees may take it.
 func (h *Host) route(ctx context.Context, s *service, c router.Call) router.Reply {
 	p := s.router.Do(ctx, c)
-	if p.Outcome != spoolsill.NotRun || !overflows(p.Cause) {
+	if p.Outcome != spoolsill.OutcomeNotRun || !overflows(p.Cause) {
 		return p
 	}
 	if time.Until(c.Request.Expires()) < leastTimeLeft {
@@ -111,7 +111,7 @@
 	}
 	if err != nil {
 		return router.Reply{
-			Outcome: spoolsill.Unknown,
+			Outcome: spoolsill.OutcomeUnknown,
 			Cause:   route.CauseFailed,
 		}
 	}
@@ -133,7 +133,7 @@
 	s, ok := h.services[q.Request.Service]
 	if !ok || h.stopping.Load() {
 		return wireRelayed{
-			Outcome: spoolsill.NotRun,
+			Outcome: spoolsill.OutcomeNotRun,
 			Cause:   route.CauseStopping,
 		}, nil
 	}
--- a/entry/request.go
+++ b/entry/request.go
@@ -73,7 +73,7 @@
 	h.metrics.refused(status)
 	h.fault("request refused: " + text)
 	writeFailure(w, status, wireFailure{
-		Outcome: spoolsill.NotRun,
+		Outcome: spoolsill.OutcomeNotRun,
 		Cause:   route.CauseBadInput,
 		Text:    text,
 	})
@@ -135,7 +135,7 @@
 		return unknown(route.CauseClaimed)
 	}
 	p := h.route(ctx, s, c)
-	if p.Outcome == spoolsill.NotRun {
+	if p.Outcome == spoolsill.OutcomeNotRun {
 		h.giveUp(ctx, k)
 	} else {
 		go h.tell(ctx, k, claim.Answer{
@@ -152,13 +152,13 @@
 
 // replay answers with what became of the first request with a key.
 func replay(a claim.Answer) reply {
-	if a.Outcome != spoolsill.Done || a.Body == nil {
+	if a.Outcome != spoolsill.OutcomeDone || a.Body == nil {
 		return unknown(route.CauseClaimed)
 	}
 	return reply{
 		replayed: true,
 		Reply: router.Reply{
-			Outcome: spoolsill.Done,
+			Outcome: spoolsill.OutcomeDone,
 			Answer: upstream.Answer{
 				Status: a.Status,
 				Type:   a.Type,
@@ -171,7 +171,7 @@
 func notRun(c route.Cause, retry time.Duration) reply {
 	return reply{
 		Reply: router.Reply{
-			Outcome:    spoolsill.NotRun,
+			Outcome:    spoolsill.OutcomeNotRun,
 			Cause:      c,
 			RetryAfter: retry,
 		},
@@ -181,7 +181,7 @@
 func unknown(c route.Cause) reply {
 	return reply{
 		Reply: router.Reply{
-			Outcome:    spoolsill.Unknown,
+			Outcome:    spoolsill.OutcomeUnknown,
 			Cause:      c,
 			RetryAfter: time.Second,
 		},
@@ -212,7 +212,7 @@
 }
 
 func writeReply(w http.ResponseWriter, p reply) {
-	if p.Outcome != spoolsill.Done {
+	if p.Outcome != spoolsill.OutcomeDone {
 		status, ok := causeStatus[p.Cause]
 		if !ok {
 			status = http.StatusServiceUnavailable
@@ -226,7 +226,7 @@
 		return
 	}
 	head := w.Header()
-	head.Set(HeaderOutcome, string(spoolsill.Done))
+	head.Set(HeaderOutcome, string(spoolsill.OutcomeDone))
 	head.Set("Content-Type", p.Answer.Type)
 	head.Set("Content-Length", strconv.Itoa(len(p.Answer.Body)))
 	if p.Runner != "" {
--- a/internal/bench/placebench/input.go
+++ b/internal/bench/placebench/input.go
@@ -64,8 +64,8 @@
 	{
 		name:   "urgent",
 		weight: 0.20,
-		kind:   spoolsill.Batch,
-		class:  spoolsill.Urgent,
+		kind:   spoolsill.KindBatch,
+		class:  spoolsill.ClassUrgent,
 		tasks:  [2]int{1, 2},
 		cores:  [2]int{1, 4},
 		mean:   4 * time.Second,
@@ -74,8 +74,8 @@
 	{
 		name:   "service",
 		weight: 0.02,
-		kind:   spoolsill.Service,
-		class:  spoolsill.Normal,
+		kind:   spoolsill.KindService,
+		class:  spoolsill.ClassNormal,
 		tasks:  [2]int{2, 6},
 		cores:  [2]int{1, 4},
 		mean:   10 * time.Minute,
@@ -84,8 +84,8 @@
 	{
 		name:   "gang",
 		weight: 0.04,
-		kind:   spoolsill.Gang,
-		class:  spoolsill.Normal,
+		kind:   spoolsill.KindGang,
+		class:  spoolsill.ClassNormal,
 		tasks:  [2]int{4, 16},
 		cores:  [2]int{4, 16},
 		mean:   20 * time.Second,
@@ -94,8 +94,8 @@
 	{
 		name:   "batch",
 		weight: 0.74,
-		kind:   spoolsill.Batch,
-		class:  spoolsill.Patient,
+		kind:   spoolsill.KindBatch,
+		class:  spoolsill.ClassPatient,
 		tasks:  [2]int{1, 12},
 		cores:  [2]int{1, 12},
 		mean:   15 * time.Second,
@@ -143,7 +143,7 @@
 	}
 	typical := time.Duration(float64(k.mean) * math.Exp(k.sigma*r.NormFloat64()-k.sigma*k.sigma/2))
 	// Declarations are wrong by up to ten times, both ways.
-	if k.kind != spoolsill.Service {
+	if k.kind != spoolsill.KindService {
 		j.Runtime = max(time.Duration(float64(typical)*math.Pow(10, 2*r.Float64()-1)), 10*time.Millisecond)
 	}
 	var runs []time.Duration
@@ -190,7 +190,7 @@
 func (in *input) addRunningServices(r *rand.Rand, gap time.Duration) int {
 	n := 0
 	for _, k := range mix {
-		if k.kind != spoolsill.Service {
+		if k.kind != spoolsill.KindService {
 			continue
 		}
 		for range int(k.weight * float64(k.mean) / float64(gap)) {
@@ -214,7 +214,7 @@
 	wave := c.Duration / 2
 	for i := range in.arrivals {
 		a := &in.arrivals[i]
-		if a.job.Class == spoolsill.Patient && a.at < wave && a.at > wave-c.Duration/20 && i%2 == 0 {
+		if a.job.Class == spoolsill.ClassPatient && a.at < wave && a.at > wave-c.Duration/20 && i%2 == 0 {
 			a.cancel = wave - a.at
 		}
 	}
--- a/internal/bench/placebench/run.go
+++ b/internal/bench/placebench/run.go
@@ -344,7 +344,7 @@
 	i := r.start.task.Index
 	share := float64(a.job.Worth) / float64(a.job.Tasks)
 	late := s.loop.Now() - a.at - a.runtime[i]
-	if a.job.Class == spoolsill.Patient || late <= inTime {
+	if a.job.Class == spoolsill.ClassPatient || late <= inTime {
 		s.worthInTime += share
 	}
 }
--- a/internal/bench/routebench/run.go
+++ b/internal/bench/routebench/run.go
@@ -390,7 +390,7 @@
 				Ticket: route.Ticket(i + 1),
 				Request: spoolsill.Request{
 					Caller:   spoolsill.CallerID(fmt.Sprintf("c%d", q.caller)),
-					Class:    spoolsill.Normal,
+					Class:    spoolsill.ClassNormal,
 					Deadline: now.Add(q.within),
 					Worth:    q.worth,
 				},
@@ -407,7 +407,7 @@
 		case route.Dispatch:
 			o.dispatch(a, hosts)
 		case route.Settle:
-			if a.Outcome == spoolsill.NotRun {
+			if a.Outcome == spoolsill.OutcomeNotRun {
 				s.report.NotRun++
 			} else {
 				s.report.Unknown++
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -68,9 +68,9 @@
 		return err
 	}
 	switch r.Outcome {
-	case spoolsill.Done:
+	case spoolsill.OutcomeDone:
 		return nil
-	case spoolsill.NotRun:
+	case spoolsill.OutcomeNotRun:
 		return exitWith(ExitNotRun, "request %s did not run", c.Key)
 	default:
 		return exitWith(ExitUnknown, "request %s may have run; ask again with --key %s --issued %d", c.Key, c.Key, c.Issued)
@@ -106,7 +106,7 @@
 		var op *net.OpError
 		if !errors.As(err, &op) || op.Op != "dial" {
 			return callResult{
-				Outcome: spoolsill.Unknown,
+				Outcome: spoolsill.OutcomeUnknown,
 				Key:     c.Key,
 				Cause:   err.Error(),
 			}, nil
@@ -149,7 +149,7 @@
 		Body:     string(b),
 	}
 	if err != nil || x.Outcome == "" {
-		x.Outcome = spoolsill.Unknown
+		x.Outcome = spoolsill.OutcomeUnknown
 		x.Cause = "the answer did not come whole"
 	}
 	return x
@@ -164,7 +164,7 @@
 		fmt.Fprint(w, ", the answer of the first request with this key")
 	}
 	fmt.Fprintln(w)
-	if r.Outcome != spoolsill.Done {
+	if r.Outcome != spoolsill.OutcomeDone {
 		var f struct {
 			Text string `json:"text"`
 		}
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -148,12 +148,12 @@
 		worth:  int(r>>24%100) + 1,
 		caller: fmt.Sprintf("team-%d", r>>32%40),
 	}
-	last := spoolsill.NotRun
+	last := spoolsill.OutcomeNotRun
 	maybe := false
 	for range maxAttempts {
 		last = c.attempt(ctx, x)
-		maybe = maybe || last == spoolsill.Unknown
-		if last == spoolsill.Done || ctx.Err() != nil {
+		maybe = maybe || last == spoolsill.OutcomeUnknown
+		if last == spoolsill.OutcomeDone || ctx.Err() != nil {
 			break
 		}
 		pause.For(ctx, 60*time.Millisecond)
@@ -169,7 +169,7 @@
 		c.truth.Break(standin.AtMostOnce, "unrepeatable request %s ran %d times", x.key, runs)
 	}
 	switch {
-	case last == spoolsill.Done:
+	case last == spoolsill.OutcomeDone:
 		c.Done.Add(1)
 		if runs == 0 {
 			c.truth.Break(standin.WholeAnswer, "request %s is done and never ran", x.key)
@@ -198,12 +198,12 @@
 func (c *Callers) attempt(ctx context.Context, x request) spoolsill.Outcome {
 	to, ok := c.balancer.pick()
 	if !ok {
-		return spoolsill.NotRun
+		return spoolsill.OutcomeNotRun
 	}
 	c.Sent.Add(1)
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/call/"+string(c.fleet.config.Service.ID)+"/mark", bytes.NewReader(x.body))
 	if err != nil {
-		return spoolsill.NotRun
+		return spoolsill.OutcomeNotRun
 	}
 	q.Header.Set(entry.HeaderKey, string(x.key))
 	q.Header.Set(entry.HeaderCaller, x.caller)
@@ -230,12 +230,12 @@
 func (c *Callers) broken(ctx context.Context, to string, x request, err error) spoolsill.Outcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return spoolsill.NotRun
+		return spoolsill.OutcomeNotRun
 	}
 	if ctx.Err() == nil && c.stoppedAsPlanned(to) {
 		c.truth.Break(standin.PlannedStop, "request %s was cut off by a planned stop: %s", x.key, err)
 	}
-	return spoolsill.Unknown
+	return spoolsill.OutcomeUnknown
 }
 
 func (c *Callers) stoppedAsPlanned(address string) bool {
@@ -251,14 +251,14 @@
 func (c *Callers) check(x request, r *http.Response, b []byte) spoolsill.Outcome {
 	o := spoolsill.Outcome(r.Header.Get(entry.HeaderOutcome))
 	switch o {
-	case spoolsill.Done:
+	case spoolsill.OutcomeDone:
 		if want := standin.Answer(x.key, x.body); string(b) != want {
 			c.truth.Break(standin.WholeAnswer, "request %s got %q, want %q", x.key, b, want)
 		}
-	case spoolsill.NotRun, spoolsill.Unknown:
+	case spoolsill.OutcomeNotRun, spoolsill.OutcomeUnknown:
 	default:
 		c.truth.Break(standin.WholeAnswer, "request %s got an answer without outcome: status %d", x.key, r.StatusCode)
-		return spoolsill.Unknown
+		return spoolsill.OutcomeUnknown
 	}
 	return o
 }
--- a/internal/naive/ledger.go
+++ b/internal/naive/ledger.go
@@ -84,7 +84,7 @@
 		if err := l.apply(r); err != nil {
 			return err
 		}
-		if r.Kind == place.TaskPlaced && l.jobs[r.Task.Job].Kind == spoolsill.Gang {
+		if r.Kind == place.TaskPlaced && l.jobs[r.Task.Job].Kind == spoolsill.KindGang {
 			gangs[r.Task.Job] = true
 		}
 	}
@@ -145,7 +145,7 @@
 		t.State = spoolsill.TaskRunning
 		t.Ran = true
 	case place.TaskCheckpointing:
-		if j.Unrepeatable || j.Kind == spoolsill.Gang && r.Cause == place.CausePreempted {
+		if j.Unrepeatable || j.Kind == spoolsill.KindGang && r.Cause == place.CausePreempted {
 			return fmt.Errorf("%s: must not be preempted", r.Task)
 		}
 		t.State = spoolsill.TaskCheckpointing
@@ -223,7 +223,7 @@
 	}
 	var out []spoolsill.TaskID
 	for id, t := range l.tasks {
-		if t.State != spoolsill.TaskQueued || t.Ready > now || l.stopped[id.Job] || l.jobs[id.Job].Kind == spoolsill.Gang {
+		if t.State != spoolsill.TaskQueued || t.Ready > now || l.stopped[id.Job] || l.jobs[id.Job].Kind == spoolsill.KindGang {
 			continue
 		}
 		for w, f := range free {
--- a/internal/naive/scheduler.go
+++ b/internal/naive/scheduler.go
@@ -141,7 +141,7 @@
 			Worker:  n.id,
 		})
 	}
-	if w.job.Kind == spoolsill.Gang && len(out) < len(w.tasks) {
+	if w.job.Kind == spoolsill.KindGang && len(out) < len(w.tasks) {
 		for _, x := range out {
 			s.running[x.Task].free = s.running[x.Task].free.Add(w.job.Shape)
 			delete(s.running, x.Task)
--- a/job.go
+++ b/job.go
@@ -11,9 +11,9 @@
 
 // The kinds of jobs.
 const (
-	Service Kind = "service" // long-running, spread over racks, restarted when it ends
-	Batch   Kind = "batch"   // packed, with fair shares between teams
-	Gang    Kind = "gang"    // all tasks start together or not at all
+	KindService Kind = "service" // long-running, spread over racks, kept running
+	KindBatch   Kind = "batch"   // packed, with fair shares between teams
+	KindGang    Kind = "gang"    // all tasks start together or not at all
 )
 
 // Class is the priority class of a job or request. Lower values go first.
@@ -21,9 +21,9 @@
 
 // The priority classes.
 const (
-	Urgent  Class = iota // starts within seconds; may preempt Patient work
-	Normal               // the default
-	Patient              // keeps its worth while it waits; may be preempted
+	ClassUrgent  Class = iota // starts within seconds; may preempt ClassPatient
+	ClassNormal               // the default
+	ClassPatient              // keeps its worth while it waits; may be preempted
 )
 
 var classNames = [...]string{"urgent", "normal", "patient"}
@@ -41,10 +41,10 @@
 	return []byte(c.String()), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The empty text is Normal.
+// UnmarshalText implements encoding.TextUnmarshaler. The empty text is ClassNormal.
 func (c *Class) UnmarshalText(b []byte) error {
 	if len(b) == 0 {
-		*c = Normal
+		*c = ClassNormal
 		return nil
 	}
 	for i, n := range classNames {
@@ -102,15 +102,15 @@
 	var v validator
 	v.check(idPattern.MatchString(string(j.ID)), "id", j.ID, "1 to 63 of a-z, 0-9 and -")
 	v.check(idPattern.MatchString(string(j.Team)), "team", j.Team, "1 to 63 of a-z, 0-9 and -")
-	v.check(j.Kind == Service || j.Kind == Batch || j.Kind == Gang, "kind", j.Kind, "service, batch or gang")
-	v.check(j.Class >= Urgent && j.Class <= Patient, "class", j.Class, "urgent, normal or patient")
+	v.check(j.Kind == KindService || j.Kind == KindBatch || j.Kind == KindGang, "kind", j.Kind, "service, batch or gang")
+	v.check(j.Class >= ClassUrgent && j.Class <= ClassPatient, "class", j.Class, "urgent, normal or patient")
 	v.check(j.Tasks >= 1 && j.Tasks <= MaxTasks, "tasks", j.Tasks, fmt.Sprintf("1 to %d", MaxTasks))
 	v.check(j.Shape.Processors >= 1, "processors", int64(j.Shape.Processors), "at least 1 millicore")
 	v.check(j.Shape.Memory >= 1, "memory", int64(j.Shape.Memory), "at least 1 byte")
 	v.check(j.Shape.Accelerators >= 0, "accelerators", int64(j.Shape.Accelerators), "0 or more")
 	v.check(j.Runtime >= 0 && j.Runtime <= MaxRuntime, "runtime", j.Runtime, "0s to 720h")
 	v.check(j.Worth >= 0 && j.Worth <= MaxWorth, "worth", j.Worth, fmt.Sprintf("0 to %d", MaxWorth))
-	v.check(!j.Unrepeatable || j.Kind != Service, "unrepeatable", j.Unrepeatable, "false for a service: it is kept running")
+	v.check(!j.Unrepeatable || j.Kind != KindService, "unrepeatable", j.Unrepeatable, "false for a service: it is kept running")
 	return v.errs
 }
 
--- a/place/apply.go
+++ b/place/apply.go
@@ -69,7 +69,7 @@
 		tasks:   make([]task, r.Job.Tasks),
 		pending: make([]int, r.Job.Tasks),
 	}
-	if j.spec.Kind == spoolsill.Service {
+	if j.spec.Kind == spoolsill.KindService {
 		j.spread = newSpread()
 	}
 	for i := range j.tasks {
--- a/place/decide.go
+++ b/place/decide.go
@@ -19,7 +19,7 @@
 		state: s,
 		now:   now,
 	}
-	for c := spoolsill.Urgent; c <= spoolsill.Patient; c++ {
+	for c := spoolsill.ClassUrgent; c <= spoolsill.ClassPatient; c++ {
 		d.class(c)
 	}
 	s.trimTeams()
@@ -62,7 +62,7 @@
 		j.why = y
 		return false
 	}
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		return d.startGang(j)
 	}
 	if d.startPromised(j) {
@@ -141,11 +141,11 @@
 // room; recall takes it back.
 func (s *State) quotaAllows(j *job) (Why, bool) {
 	q := j.team.quota
-	if !j.team.limited || j.spec.Class == spoolsill.Patient {
+	if !j.team.limited || j.spec.Class == spoolsill.ClassPatient {
 		return Why{}, true
 	}
 	need := j.spec.Shape
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		need = need.Times(len(j.pending))
 	}
 	left := q.Sub(j.team.used)
--- a/place/fit.go
+++ b/place/fit.go
@@ -73,7 +73,7 @@
 	}
 	f := w.free.Sub(w.promised)
 	for _, x := range s.promised {
-		if x.target == w && (x == t || t.job.spec.Kind == spoolsill.Gang && x.job == t.job) {
+		if x.target == w && (x == t || t.job.spec.Kind == spoolsill.KindGang && x.job == t.job) {
 			f = f.Add(x.job.spec.Shape)
 		}
 	}
@@ -159,7 +159,7 @@
 // gangFitsHall reports whether the hall would hold all tasks of a gang at
 // once while it is empty. Other kinds need not.
 func (s *State) gangFitsHall(j *job) bool {
-	if j.spec.Kind != spoolsill.Gang {
+	if j.spec.Kind != spoolsill.KindGang {
 		return true
 	}
 	n := 0
--- a/place/fixture_test.go
+++ b/place/fixture_test.go
@@ -35,8 +35,8 @@
 	return spoolsill.Job{
 		ID:    spoolsill.JobID(id),
 		Team:  "team",
-		Kind:  spoolsill.Batch,
-		Class: spoolsill.Normal,
+		Kind:  spoolsill.KindBatch,
+		Class: spoolsill.ClassNormal,
 		Tasks: tasks,
 		Shape: spoolsill.Resources{
 			Processors: spoolsill.Millicores(cores) * spoolsill.Core,
--- a/place/gang.go
+++ b/place/gang.go
@@ -105,14 +105,14 @@
 
 // bars reports whether a reservation keeps a task of j off w.
 func (r *reserve) bars(j *job, w *worker, now time.Time, l learnt) bool {
-	if r.job == nil || r.job == j || j.spec.Class == spoolsill.Urgent {
+	if r.job == nil || r.job == j || j.spec.Class == spoolsill.ClassUrgent {
 		return false
 	}
 	seat := r.job.spec.Shape
 	if !r.workers[w] && times(seat, w.free.Sub(j.spec.Shape)) == times(seat, w.free) {
 		return false
 	}
-	return j.spec.Kind == spoolsill.Service || now.Add(l.runtime(&j.spec, mostly)).After(r.at)
+	return j.spec.Kind == spoolsill.KindService || now.Add(l.runtime(&j.spec, mostly)).After(r.at)
 }
 
 func (s *State) dropReserve(j *job) {
@@ -234,7 +234,7 @@
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.job.spec.Kind == spoolsill.Service {
+			if t.job.spec.Kind == spoolsill.KindService {
 				continue
 			}
 			end := t.since.Add(s.learnt.runtime(&t.job.spec, half))
--- a/place/gang_test.go
+++ b/place/gang_test.go
@@ -17,7 +17,7 @@
 	add(c, s, start, job("first", 1, 4))
 	decide(c, s, start, place.TaskPlaced)
 	g := job("gang", 2, 8)
-	g.Kind = spoolsill.Gang
+	g.Kind = spoolsill.KindGang
 	add(c, s, start, g)
 	c.Assert(decide(c, s, start, place.TaskPlaced), qt.HasLen, 0)
 	v, _, _ := s.Job("gang")
@@ -38,7 +38,7 @@
 			running := decide(c, s, start, place.TaskPlaced)
 			run(s, start, running)
 			g := job("gang", 2, 8)
-			g.Kind = spoolsill.Gang
+			g.Kind = spoolsill.KindGang
 			add(c, s, start, g)
 			started := false
 			now := start
@@ -67,11 +67,11 @@
 	c := qt.New(t)
 	s := newHall(place.Config{}, 2)
 	p := job("patient", 4, 4)
-	p.Class = spoolsill.Patient
+	p.Class = spoolsill.ClassPatient
 	add(c, s, start, p)
 	run(s, start, decide(c, s, start, place.TaskPlaced))
 	g := job("gang", 2, 8)
-	g.Kind = spoolsill.Gang
+	g.Kind = spoolsill.KindGang
 	add(c, s, start, g)
 	c.Assert(decide(c, s, start, place.TaskCheckpointing), qt.HasLen, 0)
 	now := start.Add(place.DefaultGangPatience)
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -16,7 +16,7 @@
 	c := qt.New(t)
 	s := newHall(place.Config{}, 6)
 	j := job("web", 3, 1)
-	j.Kind = spoolsill.Service
+	j.Kind = spoolsill.KindService
 	add(c, s, start, j)
 	racks := map[byte]bool{}
 	for _, r := range decide(c, s, start, place.TaskPlaced) {
@@ -39,13 +39,13 @@
 	s := newHall(place.Config{}, 2)
 	for i, worth := range []int{5, 1} {
 		j := job(fmt.Sprintf("patient%d", i), 1, 8)
-		j.Class = spoolsill.Patient
+		j.Class = spoolsill.ClassPatient
 		j.Worth = worth
 		add(c, s, start, j)
 	}
 	run(s, start, decide(c, s, start, place.TaskPlaced))
 	u := job("urgent", 1, 4)
-	u.Class = spoolsill.Urgent
+	u.Class = spoolsill.ClassUrgent
 	add(c, s, start, u)
 	out := decide(c, s, start, place.TaskCheckpointing)
 	c.Assert(out, qt.HasLen, 1)
@@ -59,12 +59,12 @@
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
 	j := job("patient", 1, 8)
-	j.Class = spoolsill.Patient
+	j.Class = spoolsill.ClassPatient
 	j.Unrepeatable = true
 	add(c, s, start, j)
 	run(s, start, decide(c, s, start, place.TaskPlaced))
 	u := job("urgent", 1, 4)
-	u.Class = spoolsill.Urgent
+	u.Class = spoolsill.ClassUrgent
 	add(c, s, start, u)
 	c.Assert(decide(c, s, start, place.TaskCheckpointing), qt.HasLen, 0)
 }
@@ -74,11 +74,11 @@
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
 	j := job("patient", 1, 8)
-	j.Class = spoolsill.Patient
+	j.Class = spoolsill.ClassPatient
 	add(c, s, start, j)
 	run(s, start, decide(c, s, start, place.TaskPlaced))
 	u := job("urgent", 1, 8)
-	u.Class = spoolsill.Urgent
+	u.Class = spoolsill.ClassUrgent
 	add(c, s, start, u)
 	out := decide(c, s, start, place.TaskCheckpointing)
 	add(c, s, start, job("thief", 1, 8))
@@ -120,7 +120,7 @@
 		Limited: true,
 	}})
 	p := job("patient", 4, 4)
-	p.Class = spoolsill.Patient
+	p.Class = spoolsill.ClassPatient
 	add(c, s, start, p)
 	lent := decide(c, s, start, place.TaskPlaced)
 	c.Assert(lent, qt.HasLen, 4)
@@ -136,13 +136,13 @@
 	s := newHall(place.Config{}, 1)
 	for i := range 20 {
 		j := job(fmt.Sprintf("flood%d", i), 2, 2)
-		j.Class = spoolsill.Urgent
+		j.Class = spoolsill.ClassUrgent
 		add(c, s, start, j)
 	}
 	run(s, start, decide(c, s, start, place.TaskPlaced))
 	o := job("other", 1, 2)
 	o.Team = "other"
-	o.Class = spoolsill.Urgent
+	o.Class = spoolsill.ClassUrgent
 	add(c, s, start.Add(time.Millisecond), o)
 	_, tasks, _ := s.Job("flood0")
 	s.Report(start, place.Report{
@@ -193,7 +193,7 @@
 	add(c, s, now, job("first", 1, 8))
 	run(s, now, decide(c, s, now, place.TaskPlaced))
 	g := job("gang", 2, 8)
-	g.Kind = spoolsill.Gang
+	g.Kind = spoolsill.KindGang
 	add(c, s, now, g)
 	decide(c, s, now, place.TaskPlaced)
 	now = now.Add(2 * time.Second)
--- a/place/plan.go
+++ b/place/plan.go
@@ -238,7 +238,7 @@
 			return stale("worker %s has no room for %s any more", id, n)
 		}
 	}
-	if j == nil || sum.IsZero() || j.Class == spoolsill.Patient {
+	if j == nil || sum.IsZero() || j.Class == spoolsill.ClassPatient {
 		return nil
 	}
 	t := s.team(j.Team)
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -34,7 +34,7 @@
 func (d *decider) makeRoom(tasks []*task) {
 	s := d.state
 	j := tasks[0].job
-	if s.config.NoPreemption || j.spec.Class == spoolsill.Patient {
+	if s.config.NoPreemption || j.spec.Class == spoolsill.ClassPatient {
 		return
 	}
 	var rooms []room
@@ -72,7 +72,7 @@
 // after it has waited for a while. Room that is gathered piece by piece comes
 // slowly when the hall is full, and holds up others meanwhile.
 func (d *decider) roomForGang(j *job) {
-	if d.state.config.NoPreemption || (j.spec.Class != spoolsill.Urgent && !d.patienceOver(j)) {
+	if d.state.config.NoPreemption || (j.spec.Class != spoolsill.ClassUrgent && !d.patienceOver(j)) {
 		return
 	}
 	if j.promised() || d.now.Sub(j.roomSought) < roomEvery {
@@ -168,7 +168,7 @@
 
 func (d *decider) patienceOver(j *job) bool {
 	p := d.state.config.GangPatience
-	return p > 0 && j.spec.Kind == spoolsill.Gang && j.spec.Class == spoolsill.Normal && d.now.Sub(j.added) >= p
+	return p > 0 && j.spec.Kind == spoolsill.KindGang && j.spec.Class == spoolsill.ClassNormal && d.now.Sub(j.added) >= p
 }
 
 func (d *decider) promise(t *task, w *worker) {
@@ -286,8 +286,8 @@
 // can't be repeated and the tasks of a gang never are.
 func (d *decider) preemptible(j *job, v *task) bool {
 	p := &v.job.spec
-	if v.state != spoolsill.TaskRunning || p.Class != spoolsill.Patient || p.Unrepeatable || p.Kind == spoolsill.Gang {
+	if v.state != spoolsill.TaskRunning || p.Class != spoolsill.ClassPatient || p.Unrepeatable || p.Kind == spoolsill.KindGang {
 		return false
 	}
-	return j.spec.Class == spoolsill.Urgent || d.patienceOver(j) || v.job.team.overQuota()
+	return j.spec.Class == spoolsill.ClassUrgent || d.patienceOver(j) || v.job.team.overQuota()
 }
--- a/place/queue.go
+++ b/place/queue.go
@@ -91,7 +91,7 @@
 	q.round = 0
 	j.team.queued++
 	s.listTeam(j.team)
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		s.gangs = append(s.gangs, j)
 	}
 }
@@ -109,7 +109,7 @@
 	q.jobs = removeJob(q.jobs, j)
 	q.round = 0
 	j.team.queued--
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		s.gangs = removeJob(s.gangs, j)
 		s.dropReserve(j)
 	}
@@ -250,7 +250,7 @@
 // jobs; of other work it returns the oldest.
 func (q *queue) largest(s *State, now time.Time) *job {
 	best := q.jobs[q.skip]
-	if best.spec.Class != spoolsill.Patient || now.Sub(best.added) > oldestFirst {
+	if best.spec.Class != spoolsill.ClassPatient || now.Sub(best.added) > oldestFirst {
 		return best
 	}
 	size := best.spec.Shape.DominantShare(s.total)
--- a/place/rapid_test.go
+++ b/place/rapid_test.go
@@ -63,12 +63,12 @@
 // submit adds a job.
 func (m *machine) submit(t *rapid.T) {
 	m.jobs++
-	kind := rapid.SampledFrom([]spoolsill.Kind{spoolsill.Service, spoolsill.Batch, spoolsill.Gang}).Draw(t, "kind")
+	kind := rapid.SampledFrom([]spoolsill.Kind{spoolsill.KindService, spoolsill.KindBatch, spoolsill.KindGang}).Draw(t, "kind")
 	j := spoolsill.Job{
 		ID:    spoolsill.JobID(fmt.Sprintf("j%d", m.jobs)),
 		Team:  spoolsill.TeamID(fmt.Sprintf("t%d", rapid.IntRange(0, 2).Draw(t, "team"))),
 		Kind:  kind,
-		Class: rapid.SampledFrom([]spoolsill.Class{spoolsill.Urgent, spoolsill.Normal, spoolsill.Patient}).Draw(t, "class"),
+		Class: rapid.SampledFrom([]spoolsill.Class{spoolsill.ClassUrgent, spoolsill.ClassNormal, spoolsill.ClassPatient}).Draw(t, "class"),
 		Tasks: rapid.IntRange(1, 4).Draw(t, "tasks"),
 		Shape: spoolsill.Resources{
 			Processors:   spoolsill.Millicores(rapid.IntRange(1, 14).Draw(t, "cores")) * spoolsill.Core,
@@ -77,7 +77,7 @@
 		},
 		Runtime:      time.Duration(rapid.IntRange(0, 50).Draw(t, "runtime")) * time.Second,
 		Worth:        rapid.IntRange(0, 5).Draw(t, "worth"),
-		Unrepeatable: kind != spoolsill.Service && rapid.Bool().Draw(t, "unrepeatable"),
+		Unrepeatable: kind != spoolsill.KindService && rapid.Bool().Draw(t, "unrepeatable"),
 	}
 	r := place.Record{
 		Kind: place.JobAdded,
--- a/place/report.go
+++ b/place/report.go
@@ -43,7 +43,7 @@
 	}
 	mustApply(s, r)
 	records := []Record{r}
-	if t.job.spec.Kind == spoolsill.Gang && r.Kind == TaskRequeued {
+	if t.job.spec.Kind == spoolsill.KindGang && r.Kind == TaskRequeued {
 		records = append(records, s.stopPartners(t, now)...)
 	}
 	return records
@@ -105,7 +105,7 @@
 	switch {
 	case t.job.cancelled:
 		return s.ended(t, now, spoolsill.TaskCancelled, CauseExited)
-	case t.job.spec.Kind == spoolsill.Service:
+	case t.job.spec.Kind == spoolsill.KindService:
 		return s.requeued(t, now, s.backoff(t), CauseExited)
 	default:
 		return s.ended(t, now, spoolsill.TaskDone, CauseExited)
@@ -119,7 +119,7 @@
 		return s.ended(t, now, spoolsill.TaskCancelled, c)
 	case spec.Unrepeatable && c == CauseFailed:
 		return s.ended(t, now, spoolsill.TaskFailed, c)
-	case spec.Kind == spoolsill.Service || t.fails+1 < s.config.Tries:
+	case spec.Kind == spoolsill.KindService || t.fails+1 < s.config.Tries:
 		return s.requeued(t, now, s.backoff(t), c)
 	default:
 		return s.ended(t, now, spoolsill.TaskFailed, CauseBudget)
--- a/place/state.go
+++ b/place/state.go
@@ -145,7 +145,7 @@
 	limited bool
 	quota   spoolsill.Resources
 	used    spoolsill.Resources
-	queues  [spoolsill.Patient + 1]queue
+	queues  [spoolsill.ClassPatient + 1]queue
 	queued  int
 	listed  bool
 }
--- a/place/view.go
+++ b/place/view.go
@@ -117,7 +117,7 @@
 			State:   t.state,
 			Shape:   t.job.spec.Shape,
 			Since:   t.since,
-			Service: t.job.spec.Kind == spoolsill.Service,
+			Service: t.job.spec.Kind == spoolsill.KindService,
 		})
 	}
 	return out
--- a/request.go
+++ b/request.go
@@ -7,9 +7,9 @@
 
 // The outcomes of a request.
 const (
-	Done    Outcome = "done"    // it ran and its complete response is available
-	NotRun  Outcome = "not-run" // it certainly did not run
-	Unknown Outcome = "unknown" // it may have run
+	OutcomeDone    Outcome = "done"    // it ran and its complete response is available
+	OutcomeNotRun  Outcome = "not-run" // it certainly did not run
+	OutcomeUnknown Outcome = "unknown" // it may have run
 )
 
 // A Request holds what the scheduler needs to know about a request to a service.
--- a/route/dispatch.go
+++ b/route/dispatch.go
@@ -25,11 +25,11 @@
 	s.items[x.ticket] = x
 	switch {
 	case s.stop:
-		s.settle(x, spoolsill.NotRun, CauseStopping)
+		s.settle(x, spoolsill.OutcomeNotRun, CauseStopping)
 	case !now.Before(x.request.Expires()):
-		s.settle(x, spoolsill.NotRun, CauseDeadline)
+		s.settle(x, spoolsill.OutcomeNotRun, CauseDeadline)
 	case len(s.order) == 0:
-		s.settle(x, spoolsill.NotRun, CauseNoRunner)
+		s.settle(x, spoolsill.OutcomeNotRun, CauseNoRunner)
 	default:
 		s.enqueue(x, now)
 	}
@@ -69,7 +69,7 @@
 	limit := min(s.config.Queue, s.load.limit(s.Running()))
 	for s.Waiting() > limit {
 		s.load.shed = now
-		s.settle(s.heaps[byWorth].first(), spoolsill.NotRun, CauseOverload)
+		s.settle(s.heaps[byWorth].first(), spoolsill.OutcomeNotRun, CauseOverload)
 	}
 }
 
@@ -110,7 +110,7 @@
 		if x == nil || now.Before(x.request.Expires()) {
 			return
 		}
-		s.settle(x, spoolsill.NotRun, CauseDeadline)
+		s.settle(x, spoolsill.OutcomeNotRun, CauseDeadline)
 	}
 }
 
@@ -229,13 +229,13 @@
 	}
 	switch res {
 	case Refused:
-		s.settle(x, spoolsill.NotRun, CauseRefused)
+		s.settle(x, spoolsill.OutcomeNotRun, CauseRefused)
 	case Unsent:
-		s.settle(x, spoolsill.NotRun, CauseDeadline)
+		s.settle(x, spoolsill.OutcomeNotRun, CauseDeadline)
 	case TimedOut:
-		s.settle(x, spoolsill.Unknown, CauseTimeout)
+		s.settle(x, spoolsill.OutcomeUnknown, CauseTimeout)
 	default:
-		s.settle(x, spoolsill.Unknown, CauseFailed)
+		s.settle(x, spoolsill.OutcomeUnknown, CauseFailed)
 	}
 }
 
@@ -282,7 +282,7 @@
 	if !ok || !x.waits {
 		return nil
 	}
-	s.settle(x, spoolsill.NotRun, CauseCancelled)
+	s.settle(x, spoolsill.OutcomeNotRun, CauseCancelled)
 	s.dispatch(now)
 	return s.take()
 }
@@ -291,7 +291,7 @@
 func (s *State) End() []Action {
 	s.stop = true
 	for x := s.heaps[byTurn].first(); x != nil; x = s.heaps[byTurn].first() {
-		s.settle(x, spoolsill.NotRun, CauseStopping)
+		s.settle(x, spoolsill.OutcomeNotRun, CauseStopping)
 	}
 	return s.take()
 }
--- a/route/rapid_test.go
+++ b/route/rapid_test.go
@@ -163,7 +163,7 @@
 	}
 	h.settled[k] = true
 	r := h.asks[id][a.Ticket]
-	if a.Outcome == spoolsill.NotRun && h.runs[r.Key] > 0 {
+	if a.Outcome == spoolsill.OutcomeNotRun && h.runs[r.Key] > 0 {
 		t.Fatalf("%s: %s is called not run and may have run", id, r.Key)
 	}
 }
@@ -174,7 +174,7 @@
 	r := spoolsill.Request{
 		Key:          spoolsill.RequestKey(fmt.Sprintf("k%d", h.tickets)),
 		Caller:       spoolsill.CallerID(fmt.Sprintf("c%d", rapid.IntRange(0, 2).Draw(t, "caller"))),
-		Class:        rapid.SampledFrom([]spoolsill.Class{spoolsill.Urgent, spoolsill.Normal, spoolsill.Patient}).Draw(t, "class"),
+		Class:        rapid.SampledFrom([]spoolsill.Class{spoolsill.ClassUrgent, spoolsill.ClassNormal, spoolsill.ClassPatient}).Draw(t, "class"),
 		Worth:        rapid.IntRange(0, 9).Draw(t, "worth"),
 		Deadline:     h.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "deadline")) * time.Millisecond),
 		Unrepeatable: rapid.Bool().Draw(t, "unrepeatable"),
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -74,6 +74,6 @@
 	}
 	c.Assert(shed, qt.HasLen, 2)
 	c.Assert([]route.Ticket{shed[0].Ticket, shed[1].Ticket}, qt.DeepEquals, []route.Ticket{4, 2})
-	c.Assert(shed[0].Outcome, qt.Equals, spoolsill.NotRun)
+	c.Assert(shed[0].Outcome, qt.Equals, spoolsill.OutcomeNotRun)
 	c.Assert(shed[0].RetryAfter > 0, qt.IsTrue)
 }
--- a/route/state.go
+++ b/route/state.go
@@ -180,8 +180,8 @@
 // settle gives a request its outcome. One that was dispatched before and may
 // have run is never called not run, whatever becomes of it later.
 func (s *State) settle(x *item, o spoolsill.Outcome, c Cause) {
-	if x.mayHave && o == spoolsill.NotRun {
-		o = spoolsill.Unknown
+	if x.mayHave && o == spoolsill.OutcomeNotRun {
+		o = spoolsill.OutcomeUnknown
 	}
 	if x.waits {
 		s.pull(x)
--- a/router/router.go
+++ b/router/router.go
@@ -226,7 +226,7 @@
 		waited := time.Since(arrived)
 		if p, ok := r.send(t, a, c); ok {
 			return Reply{
-				Outcome: spoolsill.Done,
+				Outcome: spoolsill.OutcomeDone,
 				Runner:  a.Runner,
 				Answer:  p,
 				Waited:  waited,
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -157,7 +157,7 @@
 	if int64(len(b)) > c.config.Answer {
 		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrBroken, c.config.Answer)
 	}
-	if r.Header.Get(HeaderOutcome) == string(spoolsill.NotRun) {
+	if r.Header.Get(HeaderOutcome) == string(spoolsill.OutcomeNotRun) {
 		return Answer{}, fmt.Errorf("%w: by the runner: status %d", ErrRefused, r.StatusCode)
 	}
 	return Answer{
