--- a/peer/link.go
+++ b/peer/link.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// dropIfSilent records that a call whose transmission began at since timed out, and
-// drops the connection if it has been silent for too long.
+// dropIfSilent records that a call sent at since timed out, and drops the connection if
+// it has been silent for silenceTimeout.
 func (l *link) dropIfSilent(w *linkConn, since time.Time) {
 	if !w.silence.callTimedOut(since, time.Now()) {
 		return
