--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -135,7 +135,7 @@
 // claimTaken handles a claim of a key that is already claimed. If the previous
 // request did not run, the key passes to the new owner.
 func (l *Ledger) claimTaken(c Claim, e *entry) (Verdict, Result) {
-	if e.result.Outcome == spoolsill.NotRun {
+	if e.result.Outcome == spoolsill.OutcomeNotRun {
 		e.owner = c.Owner
 		e.result = Result{}
 		return e.verdict(), Result{}
--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -114,7 +114,7 @@
 		j = h.askTable(t, c)
 	}
 	if j != claim.Dispatch {
-		h.recordResult(t, c, spoolsill.NotRun)
+		h.recordResult(t, c, spoolsill.OutcomeNotRun)
 		return
 	}
 	switch rapid.IntRange(0, 3).Draw(t, "dispatch") {
@@ -122,13 +122,13 @@
 		if c.hasRow {
 			delete(h.table, c.claim.Key)
 		}
-		h.recordResult(t, c, spoolsill.NotRun)
+		h.recordResult(t, c, spoolsill.OutcomeNotRun)
 		return
 	case 1: // the host crashes after the dispatch
 		h.run(t, c)
 	default:
 		h.run(t, c)
-		h.recordResult(t, c, spoolsill.Done)
+		h.recordResult(t, c, spoolsill.OutcomeDone)
 	}
 }
 
@@ -226,12 +226,12 @@
 	v, _ := l.Acquire(now, first)
 	c.Assert(v, qt.Equals, claim.Granted)
 	a := claim.Result{
-		Outcome: spoolsill.Done,
+		Outcome: spoolsill.OutcomeDone,
 		Body:    []byte("answer"),
 	}
 	l.RecordResult("k", first.Owner, a)
 	l.RecordResult("k", first.Owner, claim.Result{
-		Outcome: spoolsill.NotRun,
+		Outcome: spoolsill.OutcomeNotRun,
 	})
 	second := first
 	second.Owner.Nonce = 2
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -26,19 +26,19 @@
 	address string
 	// grantedAt is the latest time at which any holder may have granted a lease
 	// on the worker.
-	grantedAt lease.Reading
+	grantedAt lease.ClockReading
 	// pendingStarts are the start requests whose outcome is unknown, with the
 	// time at which their lease was granted.
-	pendingStarts map[agent.Ref]lease.Reading
+	pendingStarts map[agent.Ref]lease.ClockReading
 	// ackedStarts are the acknowledged start requests, with the time of the
 	// acknowledgment. The worker may have processed a renewal that was sent
 	// before that time ahead of the start, so a report that lacks the task does
 	// not mean that it is not running. An entry is removed when a renewal that
 	// was sent later is answered.
-	ackedStarts map[agent.Ref]lease.Reading
+	ackedStarts map[agent.Ref]lease.ClockReading
 	// createdAt is when this tenure began to manage the worker. Start requests
 	// of a previous holder may be accepted for the duration of a lease after it.
-	createdAt lease.Reading
+	createdAt lease.ClockReading
 	// forgetAfter are the ended tasks that the worker still reports. The worker
 	// may forget a task once the entry with that sequence number is durable.
 	forgetAfter  map[agent.Ref]spoolsill.Sequence
@@ -55,8 +55,8 @@
 		id:            id,
 		grantedAt:     now,
 		createdAt:     now,
-		pendingStarts: map[agent.Ref]lease.Reading{},
-		ackedStarts:   map[agent.Ref]lease.Reading{},
+		pendingStarts: map[agent.Ref]lease.ClockReading{},
+		ackedStarts:   map[agent.Ref]lease.ClockReading{},
 		forgetAfter:   map[agent.Ref]spoolsill.Sequence{},
 		renewSoon:     make(chan struct{}, 1),
 	}
@@ -229,8 +229,8 @@
 
 // pruneAckedStarts removes the starts that were acknowledged before a renewal
 // was sent, since the report of that renewal covers them. t.mu must be held.
-func (d *driver) pruneAckedStarts(sent lease.Reading) {
-	maps.DeleteFunc(d.ackedStarts, func(_ agent.Ref, at lease.Reading) bool { return at.Mono < sent.Mono })
+func (d *driver) pruneAckedStarts(sent lease.ClockReading) {
+	maps.DeleteFunc(d.ackedStarts, func(_ agent.Ref, at lease.ClockReading) bool { return at.Mono < sent.Mono })
 }
 
 // applyReport processes the worker's response to renewal q. t.mu must be held.
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -46,9 +46,9 @@
 }
 
 // reading reads the wall clock and the monotonic clock.
-func (h *Holder) reading() lease.Reading {
+func (h *Holder) reading() lease.ClockReading {
 	now := time.Now()
-	return lease.Reading{
+	return lease.ClockReading{
 		Wall: now.Round(0),
 		Mono: now.Sub(h.started),
 	}
@@ -111,11 +111,11 @@
 	a := h.keeper.Next(h.reading())
 	h.mu.Unlock()
 	switch a.Kind {
-	case lease.Read:
+	case lease.ReadRow:
 		h.spawn(func() { h.readLease(ctx) })
-	case lease.Write:
+	case lease.WriteRow:
 		h.spawn(func() { h.writeLease(ctx, a) })
-	case lease.Ask:
+	case lease.RequestPromises:
 		h.requestPromises(ctx, a.Row)
 	}
 	h.updateTenure(ctx)
@@ -169,16 +169,16 @@
 	h.keeper.WriteDone(h.reading(), writeOutcome(r, err))
 }
 
-func writeOutcome(r table.Result, err error) lease.Written {
+func writeOutcome(r table.Result, err error) lease.WriteOutcome {
 	switch {
 	case errors.Is(err, table.ErrDown):
-		return lease.NotTaken
+		return lease.WriteRejected
 	case err != nil:
-		return lease.Lost
+		return lease.WriteUnknown
 	case r.Applied:
-		return lease.Applied
+		return lease.WriteApplied
 	default:
-		return lease.Conflict
+		return lease.WriteConflict
 	}
 }
 
@@ -198,7 +198,7 @@
 			}
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.keeper.Promised(asked, x)
+			h.keeper.RecordPromise(asked, x)
 		})
 	}
 }
--- a/holder/join.go
+++ b/holder/join.go
@@ -57,7 +57,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copiesComplete = true
-	h.keeper.Joined()
+	h.keeper.MarkJoined()
 }
 
 func (h *Holder) hasJoined() bool {
--- a/job.go
+++ b/job.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Kind tells the policies of jobs apart.
+// Kind is the scheduling policy of a job.
 type Kind string
 
 // The kinds of jobs.
 const (
-	Service Kind = "service" // long-running, spread over racks, kept running
-	Batch   Kind = "batch"   // packed, fair between teams
-	Gang    Kind = "gang"    // all tasks start together or none does
+	KindService Kind = "service" // long-running, spread over racks, kept running
+	KindBatch   Kind = "batch"   // packed, with fair shares between teams
+	KindGang    Kind = "gang"    // all tasks start together or not at all
 )
 
-// Class orders unlike work. A smaller one goes first.
+// Class is the priority class of a job or request. Lower values go first.
 type Class int
 
-// The classes of work.
+// The priority classes.
 const (
-	Urgent  Class = iota // starts within seconds, may preempt patient work
-	Normal               // the default
-	Patient              // keeps its worth while it waits, may be preempted
+	ClassUrgent  Class = iota // starts within seconds; may preempt ClassPatient
+	ClassNormal               // the default
+	ClassPatient              // keeps its worth while it waits; may be preempted
 )
 
 var classNames = [...]string{"urgent", "normal", "patient"}
@@ -41,10 +41,10 @@
 	return []byte(c.String()), nil
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The empty text is Normal.
+// UnmarshalText implements encoding.TextUnmarshaler. The empty text is ClassNormal.
 func (c *Class) UnmarshalText(b []byte) error {
 	if len(b) == 0 {
-		*c = Normal
+		*c = ClassNormal
 		return nil
 	}
 	for i, n := range classNames {
@@ -63,7 +63,7 @@
 	MaxRuntime = 30 * 24 * time.Hour
 )
 
-// A Job is what an operator asks for: some tasks of one shape.
+// A Job is an operator's request to run a number of tasks of the same shape.
 type Job struct {
 	ID    JobID     `msgpack:"i"`
 	Team  TeamID    `msgpack:"t"`
@@ -71,19 +71,19 @@
 	Class Class     `msgpack:"c"`
 	Tasks int       `msgpack:"n"`
 	Shape Resources `msgpack:"s"`
-	// Runtime is the declared run time of a task; 0 says none. It may be far
-	// off. Services run until they are cancelled.
+	// Runtime is the declared run time of a task, which may be far off; 0 means
+	// that none is declared. Services run until they are cancelled.
 	Runtime time.Duration `msgpack:"r"`
-	// Worth orders preemption within a class: the least is lost first.
+	// Worth orders preemption within a class: the lowest is preempted first.
 	Worth int `msgpack:"w"`
-	// Unrepeatable work is never preempted and never started again once it
-	// may have run.
+	// Unrepeatable tasks run at most once: they are never preempted, and never
+	// restarted once they may have run.
 	Unrepeatable bool `msgpack:"u"`
-	// Command is handed to the worker as it is.
+	// Command is passed to the worker unchanged.
 	Command string `msgpack:"x"`
 }
 
-// A FieldError names a field that can't be accepted and what is allowed.
+// A FieldError reports an invalid field and the allowed values.
 type FieldError struct {
 	Field   string
 	Value   string
@@ -97,20 +97,20 @@
 
 var idPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,62})$`)
 
-// Validate returns every field of j that can't be accepted.
+// Validate returns an error for each invalid field of j.
 func (j Job) Validate() []*FieldError {
 	var v validator
 	v.check(idPattern.MatchString(string(j.ID)), "id", j.ID, "1 to 63 of a-z, 0-9 and -")
 	v.check(idPattern.MatchString(string(j.Team)), "team", j.Team, "1 to 63 of a-z, 0-9 and -")
-	v.check(j.Kind == Service || j.Kind == Batch || j.Kind == Gang, "kind", j.Kind, "service, batch or gang")
-	v.check(j.Class >= Urgent && j.Class <= Patient, "class", j.Class, "urgent, normal or patient")
+	v.check(j.Kind == KindService || j.Kind == KindBatch || j.Kind == KindGang, "kind", j.Kind, "service, batch or gang")
+	v.check(j.Class >= ClassUrgent && j.Class <= ClassPatient, "class", j.Class, "urgent, normal or patient")
 	v.check(j.Tasks >= 1 && j.Tasks <= MaxTasks, "tasks", j.Tasks, fmt.Sprintf("1 to %d", MaxTasks))
 	v.check(j.Shape.Processors >= 1, "processors", int64(j.Shape.Processors), "at least 1 millicore")
 	v.check(j.Shape.Memory >= 1, "memory", int64(j.Shape.Memory), "at least 1 byte")
 	v.check(j.Shape.Accelerators >= 0, "accelerators", int64(j.Shape.Accelerators), "0 or more")
 	v.check(j.Runtime >= 0 && j.Runtime <= MaxRuntime, "runtime", j.Runtime, "0s to 720h")
 	v.check(j.Worth >= 0 && j.Worth <= MaxWorth, "worth", j.Worth, fmt.Sprintf("0 to %d", MaxWorth))
-	v.check(!j.Unrepeatable || j.Kind != Service, "unrepeatable", j.Unrepeatable, "false for a service: it is kept running")
+	v.check(!j.Unrepeatable || j.Kind != KindService, "unrepeatable", j.Unrepeatable, "false for a service: it is kept running")
 	return v.errs
 }
 
--- a/leader/suspend.go
+++ b/leader/suspend.go
@@ -17,7 +17,7 @@
 // suspended reports whether the machine was suspended during this leadership. It is checked
 // before anything is sent or reported. It is safe for concurrent use.
 func (l *Leader) suspended() bool {
-	return l.config.Clock.Ahead()-l.config.Sched.Ahead > maxSuspended
+	return l.config.Clock.SuspendedTime()-l.config.Sched.Ahead > maxSuspended
 }
 
 // unsentReply is the reply to an order that was not sent because the machine was suspended.
--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -109,7 +109,7 @@
 
 func (n *Node) queryPeer(ctx context.Context, address string) error {
 	h := spoolsill.HostID(address) // the host's id is not known yet
-	n.peers.Learn(h, address)
+	n.peers.SetAddress(h, address)
 	sent := n.clock.Now()
 	r, err := peer.Call[peerInfoReply](ctx, n.peers, h, methodPeerInfo, peerInfoRequest{})
 	if err != nil {
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -114,7 +114,7 @@
 	if !errors.As(err, &refused) {
 		return false
 	}
-	return refused.Code == peer.CodeBusy || refused.Code == peer.CodeMethod || refused.Code == peer.CodeInput
+	return refused.Code == peer.CodeBusy || refused.Code == peer.CodeNoSuchMethod || refused.Code == peer.CodeBadInput
 }
 
 // Renew implements [leader.Workers].
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -26,7 +26,7 @@
 func (n *Node) sendHeartbeat(ctx context.Context, h leader.Head, timeout time.Duration) (heartbeatReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	n.peers.Learn(h.Host, h.Address)
+	n.peers.SetAddress(h.Host, h.Address)
 	sent := n.clock.Now()
 	r, err := peer.Call[heartbeatReply](ctx, n.peers, h.Host, methodHeartbeat, heartbeatRequest{
 		Address: n.peerAddress(),
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -212,7 +212,7 @@
 	})
 	if err != nil {
 		n.log.WithError(err).WithField("job", string(j.ID)).WithField("leader", string(h)).Warn("could not forward job to leader")
-		return jobstore.Unknown, errors.Is(err, peer.ErrLost)
+		return jobstore.Unknown, errors.Is(err, peer.ErrReplyLost)
 	}
 	if r.Outcome == jobstore.Accepted {
 		// The leader's host stored the job, so it needs no notification.
--- a/node/peers.go
+++ b/node/peers.go
@@ -173,7 +173,7 @@
 }
 
 func (n *Node) handleHeartbeat(_ context.Context, c peer.Caller, q heartbeatRequest) (heartbeatReply, error) {
-	n.peers.Learn(c.Host, q.Address)
+	n.peers.SetAddress(c.Host, q.Address)
 	now := n.clock.Now()
 	n.hosts.record(c.Host, hostInfo{
 		lastHeartbeat: now,
--- a/node/specs.go
+++ b/node/specs.go
@@ -205,7 +205,7 @@
 
 // requestSpec requests the spec of an order from the host that accepted the job.
 func (n *Node) requestSpec(ctx context.Context, q startOfRequest) error {
-	n.peers.Learn(q.Host, q.Address)
+	n.peers.SetAddress(q.Host, q.Address)
 	r, err := peer.Call[specReply](ctx, n.peers, q.Host, methodSpec, specRequest{
 		Spec: q.Spec,
 	})
--- a/node/storehealth.go
+++ b/node/storehealth.go
@@ -231,7 +231,7 @@
 	}
 	s.health.recordRefusal(begun, errors.Is(err, store.ErrRefused))
 	s.observe(err)
-	s.metrics.Wrote(writeOutcome(r, err), s.clock.Since(begun))
+	s.metrics.RecordStoreWrite(writeOutcome(r, err), s.clock.Since(begun))
 	return r, err
 }
 
--- a/node/suspend.go
+++ b/node/suspend.go
@@ -18,10 +18,10 @@
 
 // logSuspensions logs suspensions of the machine until ctx is done.
 func (n *Node) logSuspensions(ctx context.Context) {
-	logged := n.clock.Ahead()
+	logged := n.clock.SuspendedTime()
 	for ctx.Err() == nil {
 		pause.For(ctx, suspensionCheckInterval)
-		d := n.clock.Ahead() - logged
+		d := n.clock.SuspendedTime() - logged
 		if d < minSuspension {
 			continue
 		}
--- a/place/apply.go
+++ b/place/apply.go
@@ -69,7 +69,7 @@
 		tasks:      make([]task, r.Job.Tasks),
 		pending:    make([]int, r.Job.Tasks),
 	}
-	if j.spec.Kind == spoolsill.Service {
+	if j.spec.Kind == spoolsill.KindService {
 		j.spread = newSpread()
 	}
 	for i := range j.tasks {
@@ -101,7 +101,7 @@
 	s.dequeue(j)
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if t.state.Final() || t.state.Holds() {
+		if t.state.Final() || t.state.HoldsCapacity() {
 			continue
 		}
 		s.setState(t, spoolsill.TaskCancelled, r.Time(), CauseCancelled)
@@ -112,7 +112,7 @@
 }
 
 func (s *State) placeTask(t *task, r Record) error {
-	if t.state.Holds() {
+	if t.state.HoldsCapacity() {
 		return invalid(r, "it holds worker %s", t.worker.ID)
 	}
 	if t.job.cancelled {
@@ -125,7 +125,7 @@
 		return invalid(r, "attempt %d, want %d", r.Attempt, t.attempt+1)
 	}
 	w := s.worker(r.Worker)
-	if w.listed && !t.job.spec.Shape.Fits(w.free) {
+	if w.listed && !t.job.spec.Shape.FitsIn(w.free) {
 		return invalid(r, "worker %s has %s free, it needs %s", w.ID, w.free, t.job.spec.Shape)
 	}
 	s.removeWaiting(t)
@@ -143,7 +143,7 @@
 }
 
 func (s *State) runTask(t *task, r Record) error {
-	if !t.state.Holds() {
+	if !t.state.HoldsCapacity() {
 		return invalid(r, "it is %s", t.state)
 	}
 	if t.state != spoolsill.TaskPlaced {
@@ -155,7 +155,7 @@
 }
 
 func (s *State) setLeavingState(t *task, r Record, state spoolsill.TaskState) error {
-	if !t.state.Holds() {
+	if !t.state.HoldsCapacity() {
 		return invalid(r, "it is %s", t.state)
 	}
 	s.setState(t, state, r.Time(), r.Cause)
@@ -239,7 +239,7 @@
 // removeWaiting removes t from the pending tasks of its job, or from the tasks
 // that are backing off.
 func (s *State) removeWaiting(t *task) {
-	if t.state.Holds() {
+	if t.state.HoldsCapacity() {
 		return
 	}
 	p := t.job.pending
--- a/place/decide.go
+++ b/place/decide.go
@@ -19,7 +19,7 @@
 		state: s,
 		now:   now,
 	}
-	for c := spoolsill.Urgent; c <= spoolsill.Patient; c++ {
+	for c := spoolsill.ClassUrgent; c <= spoolsill.ClassPatient; c++ {
 		d.startClass(c)
 	}
 	s.pruneTeams()
@@ -62,7 +62,7 @@
 		j.reason = quotaReason
 		return false
 	}
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		return d.startGang(j)
 	}
 	if d.startNominated(j) {
@@ -143,15 +143,15 @@
 // reclaimed.
 func (s *State) quotaAllows(j *job) (Reason, bool) {
 	q := j.team.quota
-	if !j.team.limited || j.spec.Class == spoolsill.Patient {
+	if !j.team.limited || j.spec.Class == spoolsill.ClassPatient {
 		return Reason{}, true
 	}
 	need := j.spec.Shape
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		need = need.Times(len(j.pending))
 	}
 	left := q.Sub(j.team.used)
-	if need.Fits(left) {
+	if need.FitsIn(left) {
 		return Reason{}, true
 	}
 	return Reason{
@@ -161,5 +161,5 @@
 }
 
 func (t *team) overQuota() bool {
-	return t.limited && !t.used.Fits(t.quota)
+	return t.limited && !t.used.FitsIn(t.quota)
 }
--- a/place/fit.go
+++ b/place/fit.go
@@ -48,7 +48,7 @@
 	switch {
 	case !w.listed:
 		return exclusionUnlisted
-	case !t.job.spec.Shape.Fits(s.availableFor(t, w)):
+	case !t.job.spec.Shape.FitsIn(s.availableFor(t, w)):
 		return exclusionCapacity
 	case w.Leaving:
 		return exclusionLeaving
@@ -73,7 +73,7 @@
 	}
 	f := w.free.Sub(w.nominated)
 	for _, x := range s.nominated {
-		if x.nominatedWorker == w && (x == t || t.job.spec.Kind == spoolsill.Gang && x.job == t.job) {
+		if x.nominatedWorker == w && (x == t || t.job.spec.Kind == spoolsill.KindGang && x.job == t.job) {
 			f = f.Add(x.job.spec.Shape)
 		}
 	}
@@ -151,7 +151,7 @@
 // empty and, for a gang, whether all its tasks fit into the empty hall.
 func (s *State) fitsSomeWorker(j *job) bool {
 	for _, w := range s.workerList {
-		if w.listed && j.spec.Shape.Fits(w.Capacity) {
+		if w.listed && j.spec.Shape.FitsIn(w.Capacity) {
 			return s.gangFitsHall(j)
 		}
 	}
@@ -161,7 +161,7 @@
 // gangFitsHall reports whether all tasks of a gang fit into the empty hall at
 // once. It is true for jobs of other kinds, whose tasks may run one by one.
 func (s *State) gangFitsHall(j *job) bool {
-	if j.spec.Kind != spoolsill.Gang {
+	if j.spec.Kind != spoolsill.KindGang {
 		return true
 	}
 	n := 0
--- a/place/gang.go
+++ b/place/gang.go
@@ -109,14 +109,14 @@
 // blocks reports whether the reservation prevents placing a task of j on w. It
 // never blocks jobs of class Urgent.
 func (r *reservation) blocks(j *job, w *worker, now time.Time, l runtimeStats) bool {
-	if r.job == nil || r.job == j || j.spec.Class == spoolsill.Urgent {
+	if r.job == nil || r.job == j || j.spec.Class == spoolsill.ClassUrgent {
 		return false
 	}
 	shape := r.job.spec.Shape
 	if !r.workers[w] && copiesThatFit(shape, w.free.Sub(j.spec.Shape)) == copiesThatFit(shape, w.free) {
 		return false
 	}
-	return j.spec.Kind == spoolsill.Service || now.Add(l.runtimeQuantile(&j.spec, highPerMille)).After(r.expectedStart)
+	return j.spec.Kind == spoolsill.KindService || now.Add(l.runtimeQuantile(&j.spec, highPerMille)).After(r.expectedStart)
 }
 
 func (s *State) dropReservation(j *job) {
@@ -163,7 +163,7 @@
 func (s *State) chooseReserved(j *job, now time.Time) map[*worker]bool {
 	var list []*worker
 	for _, w := range s.workerList {
-		if w.listed && !w.Leaving && !w.unresponsive && w.health.available(w, now) && j.spec.Shape.Fits(w.Capacity) {
+		if w.listed && !w.Leaving && !w.unresponsive && w.health.available(w, now) && j.spec.Shape.FitsIn(w.Capacity) {
 			list = append(list, w)
 		}
 	}
@@ -211,7 +211,7 @@
 	free := map[*worker]spoolsill.Resources{}
 	copies := 0
 	for _, w := range s.workerList {
-		if !w.listed || w.Leaving || w.unresponsive || !w.health.available(w, now) || !j.spec.Shape.Fits(w.Capacity) {
+		if !w.listed || w.Leaving || w.unresponsive || !w.health.available(w, now) || !j.spec.Shape.FitsIn(w.Capacity) {
 			continue
 		}
 		free[w] = s.availableFor(t, w)
@@ -240,7 +240,7 @@
 			continue
 		}
 		for _, t := range w.tasks {
-			if t.job.spec.Kind == spoolsill.Service {
+			if t.job.spec.Kind == spoolsill.KindService {
 				continue
 			}
 			end := t.stateSince.Add(s.runtimes.runtimeQuantile(&t.job.spec, medianPerMille))
--- a/place/plan.go
+++ b/place/plan.go
@@ -211,7 +211,7 @@
 		}
 		for i := range s.jobs[r.Task.Job].tasks {
 			t := &s.jobs[r.Task.Job].tasks[i]
-			if t.state.Holds() && t.state != spoolsill.TaskStopping && !shown[t.id] {
+			if t.state.HoldsCapacity() && t.state != spoolsill.TaskStopping && !shown[t.id] {
 				return newStaleError("task %s has started since", t.id)
 			}
 		}
@@ -238,15 +238,15 @@
 		if !ok || !w.listed || w.Leaving || w.unresponsive || !w.health.available(w, now) {
 			return newStaleError("worker %s takes no new work any more", id)
 		}
-		if !n.Fits(w.free.Sub(w.nominated)) {
+		if !n.FitsIn(w.free.Sub(w.nominated)) {
 			return newStaleError("worker %s has no room for %s any more", id, n)
 		}
 	}
-	if j == nil || sum.IsZero() || j.Class == spoolsill.Patient {
+	if j == nil || sum.IsZero() || j.Class == spoolsill.ClassPatient {
 		return nil
 	}
 	t := s.team(j.Team)
-	if t.limited && !sum.Fits(t.quota.Sub(t.used)) {
+	if t.limited && !sum.FitsIn(t.quota.Sub(t.used)) {
 		return newStaleError("the quota of team %s has only %s left", j.Team, t.quota.Sub(t.used))
 	}
 	return nil
@@ -306,7 +306,7 @@
 		return out
 	}
 	for i := range j.tasks {
-		if j.tasks[i].state.Holds() {
+		if j.tasks[i].state.HoldsCapacity() {
 			continue
 		}
 		out = append(out, Change{
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -36,7 +36,7 @@
 func (d *decider) preemptFor(tasks []*task) {
 	s := d.state
 	j := tasks[0].job
-	if s.config.NoPreemption || j.spec.Class == spoolsill.Patient {
+	if s.config.NoPreemption || j.spec.Class == spoolsill.ClassPatient {
 		return
 	}
 	var preemptions []preemption
@@ -75,7 +75,7 @@
 // gang immediately, for others after Config.GangPatience. The reservation alone
 // gathers capacity slowly in a full hall, and delays other jobs meanwhile.
 func (d *decider) preemptForGang(j *job) {
-	if d.state.config.NoPreemption || (j.spec.Class != spoolsill.Urgent && !d.gangPatienceOver(j)) {
+	if d.state.config.NoPreemption || (j.spec.Class != spoolsill.ClassUrgent && !d.gangPatienceOver(j)) {
 		return
 	}
 	if j.hasNomination() || d.now.Sub(j.preemptionTriedAt) < gangPreemptionInterval {
@@ -123,7 +123,7 @@
 		r := preemption{
 			onWorker: w,
 		}
-		for !j.spec.Shape.Fits(free) {
+		for !j.spec.Shape.FitsIn(free) {
 			if len(victims) == 0 {
 				return out
 			}
@@ -172,7 +172,7 @@
 
 func (d *decider) gangPatienceOver(j *job) bool {
 	p := d.state.config.GangPatience
-	return p > 0 && j.spec.Kind == spoolsill.Gang && j.spec.Class == spoolsill.Normal && d.now.Sub(j.added) >= p
+	return p > 0 && j.spec.Kind == spoolsill.KindGang && j.spec.Class == spoolsill.ClassNormal && d.now.Sub(j.added) >= p
 }
 
 func (d *decider) nominate(t *task, w *worker) {
@@ -239,7 +239,7 @@
 		w.health.available(w, d.now) &&
 		!t.avoids(w) &&
 		!d.state.reservation.blocks(t.job, w, d.now, d.state.runtimes) &&
-		t.job.spec.Shape.Fits(w.Capacity)
+		t.job.spec.Shape.FitsIn(w.Capacity)
 }
 
 // preemptionOn returns the preemption on w that makes t fit, and whether there
@@ -256,13 +256,13 @@
 	}
 	free = free.Add(releasingCapacity(w))
 	for _, v := range d.victims(t, w, taken) {
-		if t.job.spec.Shape.Fits(free) {
+		if t.job.spec.Shape.FitsIn(free) {
 			break
 		}
 		free = free.Add(v.job.spec.Shape)
 		r.add(v, d.now)
 	}
-	return r, t.job.spec.Shape.Fits(free)
+	return r, t.job.spec.Shape.FitsIn(free)
 }
 
 // victims returns the tasks of w that may be preempted for t, except those in
@@ -291,8 +291,8 @@
 // Unrepeatable tasks and tasks of gangs are never preempted.
 func (d *decider) preemptible(j *job, v *task) bool {
 	p := &v.job.spec
-	if v.state != spoolsill.TaskRunning || p.Class != spoolsill.Patient || p.Unrepeatable || p.Kind == spoolsill.Gang {
+	if v.state != spoolsill.TaskRunning || p.Class != spoolsill.ClassPatient || p.Unrepeatable || p.Kind == spoolsill.KindGang {
 		return false
 	}
-	return j.spec.Class == spoolsill.Urgent || d.gangPatienceOver(j) || v.job.team.overQuota()
+	return j.spec.Class == spoolsill.ClassUrgent || d.gangPatienceOver(j) || v.job.team.overQuota()
 }
--- a/place/queue.go
+++ b/place/queue.go
@@ -52,13 +52,13 @@
 	s.dequeue(j)
 	j.unschedulable = true
 	s.unschedulable = append(s.unschedulable, j)
-	s.replaceState(j, spoolsill.TaskQueued, spoolsill.TaskNever)
+	s.replaceState(j, spoolsill.TaskQueued, spoolsill.TaskUnschedulable)
 }
 
 func (s *State) markSchedulable(j *job) {
 	j.unschedulable = false
 	s.unschedulable = removeJob(s.unschedulable, j)
-	s.replaceState(j, spoolsill.TaskNever, spoolsill.TaskQueued)
+	s.replaceState(j, spoolsill.TaskUnschedulable, spoolsill.TaskQueued)
 }
 
 func (s *State) replaceState(j *job, from, to spoolsill.TaskState) {
@@ -93,7 +93,7 @@
 	q.round = 0
 	j.team.waitingJobs++
 	s.activateTeam(j.team)
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		s.waitingGangs = append(s.waitingGangs, j)
 	}
 }
@@ -111,7 +111,7 @@
 	q.jobs = removeJob(q.jobs, j)
 	q.round = 0
 	j.team.waitingJobs--
-	if j.spec.Kind == spoolsill.Gang {
+	if j.spec.Kind == spoolsill.KindGang {
 		s.waitingGangs = removeJob(s.waitingGangs, j)
 		s.dropReservation(j)
 	}
@@ -255,7 +255,7 @@
 // class Patient. For other classes it returns the oldest.
 func (q *queue) largestJob(s *State, now time.Time) *job {
 	best := q.jobs[q.skip]
-	if best.spec.Class != spoolsill.Patient || now.Sub(best.added) > maxReorderAge {
+	if best.spec.Class != spoolsill.ClassPatient || now.Sub(best.added) > maxReorderAge {
 		return best
 	}
 	size := best.spec.Shape.DominantShare(s.total)
--- a/place/reason.go
+++ b/place/reason.go
@@ -80,7 +80,7 @@
 		Have:       best.Capacity,
 		Considered: int32(len(s.workerList)),
 	}
-	if j.spec.Shape.Fits(best.Capacity) {
+	if j.spec.Shape.FitsIn(best.Capacity) {
 		reason.Code = ReasonGangTooLarge
 	}
 	return reason
--- a/place/report.go
+++ b/place/report.go
@@ -35,7 +35,7 @@
 // no capacity.
 func (s *State) Report(now time.Time, p Report) []Record {
 	t := s.task(p.Task)
-	if t == nil || !t.state.Holds() || t.attempt != p.Attempt {
+	if t == nil || !t.state.HoldsCapacity() || t.attempt != p.Attempt {
 		return nil
 	}
 	r := s.outcomeRecord(t, p.Outcome, now)
@@ -44,7 +44,7 @@
 	}
 	mustApply(s, r)
 	records := []Record{r}
-	if t.job.spec.Kind == spoolsill.Gang && r.Kind == TaskRequeued {
+	if t.job.spec.Kind == spoolsill.KindGang && r.Kind == TaskRequeued {
 		records = append(records, s.stopGangMembers(t, now)...)
 	}
 	return records
@@ -106,7 +106,7 @@
 	switch {
 	case t.job.cancelled:
 		return s.endedRecord(t, now, spoolsill.TaskCancelled, CauseExited)
-	case t.job.spec.Kind == spoolsill.Service:
+	case t.job.spec.Kind == spoolsill.KindService:
 		return s.requeuedRecord(t, now, s.backoff(t), CauseExited)
 	default:
 		return s.endedRecord(t, now, spoolsill.TaskDone, CauseExited)
@@ -120,7 +120,7 @@
 		return s.endedRecord(t, now, spoolsill.TaskCancelled, c)
 	case spec.Unrepeatable && c == CauseFailed:
 		return s.endedRecord(t, now, spoolsill.TaskFailed, c)
-	case spec.Kind == spoolsill.Service || t.failures+1 < s.config.MaxAttempts:
+	case spec.Kind == spoolsill.KindService || t.failures+1 < s.config.MaxAttempts:
 		return s.requeuedRecord(t, now, s.backoff(t), c)
 	default:
 		return s.endedRecord(t, now, spoolsill.TaskFailed, CauseNoAttemptsLeft)
@@ -201,7 +201,7 @@
 	var out []Record
 	for i := range j.tasks {
 		t := &j.tasks[i]
-		if !t.state.Holds() || t.state == spoolsill.TaskStopping {
+		if !t.state.HoldsCapacity() || t.state == spoolsill.TaskStopping {
 			continue
 		}
 		r := s.taskRecord(TaskStopping, t, now, CauseCancelled)
@@ -256,7 +256,7 @@
 // with records, already applied. Unrepeatable tasks are only throttled.
 func (s *State) ReportUsage(now time.Time, id spoolsill.TaskID, used spoolsill.Resources) (Enforcement, []Record) {
 	t := s.task(id)
-	if t == nil || !t.state.Holds() {
+	if t == nil || !t.state.HoldsCapacity() {
 		return EnforceNone, nil
 	}
 	limit := t.job.spec.Shape
--- a/place/snapshot.go
+++ b/place/snapshot.go
@@ -68,7 +68,7 @@
 		r.Kind = TaskEnded
 		r.State = t.state
 		return []Record{t.attemptsRecord(r), r}[t.firstRecord():]
-	case t.state.Holds():
+	case t.state.HoldsCapacity():
 		r.Worker = t.worker.ID
 		return t.allocationRecords(r)
 	case t.attempt > 0:
--- a/place/view.go
+++ b/place/view.go
@@ -117,7 +117,7 @@
 			State:   t.state,
 			Shape:   t.job.spec.Shape,
 			Since:   t.stateSince,
-			Service: t.job.spec.Kind == spoolsill.Service,
+			Service: t.job.spec.Kind == spoolsill.KindService,
 		})
 	}
 	return out
@@ -196,7 +196,7 @@
 
 func (t *task) explain() string {
 	switch t.state {
-	case spoolsill.TaskNever:
+	case spoolsill.TaskUnschedulable:
 		return t.job.reason.text(t.job.spec)
 	case spoolsill.TaskQueued:
 		r := t.job.reason.text(t.job.spec)
--- a/route/dispatch.go
+++ b/route/dispatch.go
@@ -25,11 +25,11 @@
 	s.items[x.ticket] = x
 	switch {
 	case s.draining:
-		s.fail(x, spoolsill.NotRun, CauseStopping)
+		s.fail(x, spoolsill.OutcomeNotRun, CauseStopping)
 	case !now.Before(x.request.Expires()):
-		s.fail(x, spoolsill.NotRun, CauseDeadline)
+		s.fail(x, spoolsill.OutcomeNotRun, CauseDeadline)
 	case len(s.runnerList) == 0:
-		s.fail(x, spoolsill.NotRun, CauseNoRunner)
+		s.fail(x, spoolsill.OutcomeNotRun, CauseNoRunner)
 	default:
 		s.admit(x, now)
 	}
@@ -70,7 +70,7 @@
 	limit := min(s.config.MaxQueued, s.load.queueLimit(s.Running()))
 	for s.Waiting() > limit {
 		s.load.lastShed = now
-		s.fail(s.heaps[byLeastWorth].first(), spoolsill.NotRun, CauseOverload)
+		s.fail(s.heaps[byLeastWorth].first(), spoolsill.OutcomeNotRun, CauseOverload)
 	}
 }
 
@@ -112,7 +112,7 @@
 		if x == nil || now.Before(x.request.Expires()) {
 			return
 		}
-		s.fail(x, spoolsill.NotRun, CauseDeadline)
+		s.fail(x, spoolsill.OutcomeNotRun, CauseDeadline)
 	}
 }
 
@@ -234,13 +234,13 @@
 	}
 	switch res {
 	case Refused:
-		s.fail(x, spoolsill.NotRun, CauseRefused)
+		s.fail(x, spoolsill.OutcomeNotRun, CauseRefused)
 	case NotSent:
-		s.fail(x, spoolsill.NotRun, CauseDeadline)
+		s.fail(x, spoolsill.OutcomeNotRun, CauseDeadline)
 	case TimedOut:
-		s.fail(x, spoolsill.Unknown, CauseTimeout)
+		s.fail(x, spoolsill.OutcomeUnknown, CauseTimeout)
 	default:
-		s.fail(x, spoolsill.Unknown, CauseFailed)
+		s.fail(x, spoolsill.OutcomeUnknown, CauseFailed)
 	}
 }
 
@@ -286,7 +286,7 @@
 	if !ok || !x.queued {
 		return nil
 	}
-	s.fail(x, spoolsill.NotRun, CauseCancelled)
+	s.fail(x, spoolsill.OutcomeNotRun, CauseCancelled)
 	s.dispatch(now)
 	return s.takeActions()
 }
@@ -295,7 +295,7 @@
 func (s *State) Abort() []Action {
 	s.draining = true
 	for x := s.heaps[byFairness].first(); x != nil; x = s.heaps[byFairness].first() {
-		s.fail(x, spoolsill.NotRun, CauseStopping)
+		s.fail(x, spoolsill.OutcomeNotRun, CauseStopping)
 	}
 	return s.takeActions()
 }
--- a/route/state.go
+++ b/route/state.go
@@ -180,8 +180,8 @@
 // fail ends a request with an outcome. If an earlier dispatch of it may have
 // run, NotRun becomes Unknown.
 func (s *State) fail(x *item, o spoolsill.Outcome, c Cause) {
-	if x.mayHaveRun && o == spoolsill.NotRun {
-		o = spoolsill.Unknown
+	if x.mayHaveRun && o == spoolsill.OutcomeNotRun {
+		o = spoolsill.OutcomeUnknown
 	}
 	if x.queued {
 		s.dequeue(x)
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -188,7 +188,7 @@
 func (d *decider) candidates(g *stage, q *Queue) []*worker {
 	r := d.ready[q.Service]
 	need := g.step.demand()
-	if r == nil || !need.Fits(r.maxFree) {
+	if r == nil || !need.FitsIn(r.maxFree) {
 		return nil
 	}
 	from := r.workers
@@ -197,7 +197,7 @@
 	}
 	var ws []*worker
 	for _, w := range from {
-		if !w.ready || !need.Fits(w.free()) || w.Service != q.Service {
+		if !w.ready || !need.FitsIn(w.free()) || w.Service != q.Service {
 			continue
 		}
 		if !g.labelMatches(w) {
@@ -266,7 +266,7 @@
 	lowest := math.Inf(1)
 	for _, w := range ws {
 		free := w.free()
-		if !need.Fits(free) {
+		if !need.FitsIn(free) {
 			continue
 		}
 		if m := g.step.MaxPerWorker; m > 0 && g.runsAt(w) >= m {
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -48,7 +48,7 @@
 
 // matches reports whether the loss is of the life x.
 func (l Loss) matches(x spoolsill.Life) bool {
-	return l.Worker == x.Worker && x.MayBe(l.Born)
+	return l.Worker == x.Worker && x.Matches(l.Born)
 }
 
 // isCrash reports whether the worker is known to have crashed with the run.
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -33,7 +33,7 @@
 // its own id.
 func (s *State) workerOf(l spoolsill.Life) *worker {
 	w := s.workers[l.Worker]
-	if w == nil || !w.life().MayBe(l.Born) {
+	if w == nil || !w.life().Matches(l.Born) {
 		return nil
 	}
 	return w
@@ -157,7 +157,7 @@
 // forFormerLife reports whether a run was ordered for a former life of its worker and
 // has not been reported by the latest one.
 func (r *run) forFormerLife() bool {
-	return !r.worker.life().MayBe(r.born)
+	return !r.worker.life().Matches(r.born)
 }
 
 // dropAbsent drops runs that a worker's answer proves to be absent. Runs of a former
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -58,13 +58,13 @@
 	})
 	var chosen []*run
 	for _, r := range candidates {
-		if need.Fits(free) {
+		if need.FitsIn(free) {
 			break
 		}
 		free = free.Add(r.need)
 		chosen = append(chosen, r)
 	}
-	if !need.Fits(free) {
+	if !need.FitsIn(free) {
 		return nil
 	}
 	return chosen
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -54,7 +54,7 @@
 // of it.
 func (d *decider) isLarge(g *stage, w *worker) bool {
 	need := g.step.demand()
-	return g.labelMatches(w) && need.Fits(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
+	return g.labelMatches(w) && need.FitsIn(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
 }
 
 // byRoomAt returns the workers that can be reserved for large tasks of g, sorted by when
@@ -80,14 +80,14 @@
 func (d *decider) roomAt(g *stage, w *worker) time.Time {
 	need := g.step.demand()
 	free := w.free()
-	if need.Fits(free) {
+	if need.FitsIn(free) {
 		return d.now
 	}
 	rs := sortedRuns(w)
 	slices.SortStableFunc(rs, func(a, b *run) int { return cmp.Compare(d.remaining(a), d.remaining(b)) })
 	for _, r := range rs {
 		free = free.Add(r.need)
-		if need.Fits(free) {
+		if need.FitsIn(free) {
 			return d.now.Add(d.remaining(r))
 		}
 	}
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -61,7 +61,7 @@
 	if x.ready {
 		w.Ready++
 	}
-	if x.ready && g.step.demand().Fits(x.free()) {
+	if x.ready && g.step.demand().FitsIn(x.free()) {
 		w.Fitting++
 	}
 	if reserved {
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -301,7 +301,7 @@
 	if w == nil {
 		return
 	}
-	if until.After(w.renewedUntil) && w.life().MayBe(l.Born) {
+	if until.After(w.renewedUntil) && w.life().Matches(l.Born) {
 		w.renewedUntil = until
 	}
 	if until.After(w.leaseUntil) {
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -1,5 +1,5 @@
-// Package traffic counts the bytes that a host exchanges over its link, by purpose and
-// direction: a link that is full says nothing of what fills it.
+// Package traffic counts the bytes that a host sends and receives over its network link, by
+// purpose and direction, to show what uses the bandwidth of a saturated link.
 package traffic
 
 import (
@@ -9,10 +9,10 @@
 	"sync"
 )
 
-// A Purpose is what bytes are exchanged for.
+// A Purpose classifies traffic.
 type Purpose string
 
-// The purposes of connections. Calls between hosts are counted by method, see [Peer].
+// The purposes of connections. Calls between hosts are counted by method; see [PeerPurpose].
 const (
 	Callers Purpose = "callers"
 	Workers Purpose = "workers"
@@ -20,70 +20,71 @@
 	Advisor Purpose = "advisor"
 )
 
-// Peer returns the purpose of the calls between hosts of a method. The empty one is of
-// replies that nobody waits for any more, and of calls that no host answers.
-func Peer(method string) Purpose {
+// PeerPurpose returns the purpose of calls between hosts to the given method. The empty method
+// stands for replies to abandoned calls and for calls to unknown methods.
+func PeerPurpose(method string) Purpose {
 	return Purpose("peer " + method)
 }
 
-// A Count is how many bytes were sent and received.
+// A Count is the number of bytes sent and received.
 type Count struct {
 	Sent     uint64
 	Received uint64
 }
 
-// An Account keeps a count for each purpose. It is safe for concurrent use.
-type Account struct {
+// A Counter counts bytes by purpose. The zero value is ready to use. It is safe for
+// concurrent use.
+type Counter struct {
 	mu     sync.Mutex
 	counts map[Purpose]Count
 }
 
-// Add counts bytes.
-func (a *Account) Add(p Purpose, sent, received int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.counts == nil {
-		a.counts = map[Purpose]Count{}
+// Add adds to the count of a purpose.
+func (c *Counter) Add(p Purpose, sent, received int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.counts == nil {
+		c.counts = map[Purpose]Count{}
 	}
-	c := a.counts[p]
-	c.Sent += uint64(sent)
-	c.Received += uint64(received)
-	a.counts[p] = c
+	n := c.counts[p]
+	n.Sent += uint64(sent)
+	n.Received += uint64(received)
+	c.counts[p] = n
 }
 
-// Counts returns the counts up to now.
-func (a *Account) Counts() map[Purpose]Count {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return maps.Clone(a.counts)
+// Counts returns a copy of the counts.
+func (c *Counter) Counts() map[Purpose]Count {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.counts)
 }
 
-// A Dialer opens connections.
+// A Dialer opens connections, like the method [net.Dialer.DialContext].
 type Dialer = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer returns a dialer whose connections are counted.
-func (a *Account) Dialer(p Purpose, d Dialer) Dialer {
+// Dialer returns a dialer that counts the bytes of the connections opened by d.
+func (c *Counter) Dialer(p Purpose, d Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		c, err := d(ctx, network, address)
+		inner, err := d(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return a.conn(p, c), nil
+		return c.conn(p, inner), nil
 	}
 }
 
-// Listener returns a listener whose connections are counted.
-func (a *Account) Listener(p Purpose, l net.Listener) net.Listener {
+// Listener returns a listener that counts the bytes of the connections accepted by l.
+func (c *Counter) Listener(p Purpose, l net.Listener) net.Listener {
 	return &listener{
 		Listener: l,
-		account:  a,
+		counter:  c,
 		purpose:  p,
 	}
 }
 
 type listener struct {
 	net.Listener
-	account *Account
+	counter *Counter
 	purpose Purpose
 }
 
@@ -93,33 +94,33 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.account.conn(l.purpose, c), nil
+	return l.counter.conn(l.purpose, c), nil
 }
 
-func (a *Account) conn(p Purpose, c net.Conn) net.Conn {
+func (c *Counter) conn(p Purpose, inner net.Conn) net.Conn {
 	return &conn{
-		Conn:    c,
-		account: a,
+		Conn:    inner,
+		counter: c,
 		purpose: p,
 	}
 }
 
 type conn struct {
 	net.Conn
-	account *Account
+	counter *Counter
 	purpose Purpose
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.account.Add(c.purpose, 0, n)
+	c.counter.Add(c.purpose, 0, n)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.account.Add(c.purpose, n, 0)
+	c.counter.Add(c.purpose, n, 0)
 	return n, err
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -161,7 +161,7 @@
 	if int64(len(b)) > c.config.MaxAnswerBytes {
 		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrUnknownOutcome, c.config.MaxAnswerBytes)
 	}
-	if r.Header.Get(HeaderOutcome) == string(spoolsill.NotRun) {
+	if r.Header.Get(HeaderOutcome) == string(spoolsill.OutcomeNotRun) {
 		return Answer{}, fmt.Errorf("%w: refused by the runner: status %d", ErrNotRun, r.StatusCode)
 	}
 	return Answer{
