--- a/logchart/doc.go
+++ b/logchart/doc.go
@@ -1,4 +1,4 @@
-// Package logchart draws a span of time from saved logs of many processes: what
-// came and what was refused, what was started, how full the cell was, and how many
-// hosts reached the store, with a line where the leadership changed.
+// Package logchart draws charts over time from the saved logs of many processes: jobs
+// accepted and requests refused, tasks started and ended, the load of the cell, and the
+// number of hosts that could not reach the store. Vertical lines mark changes of leader.
 package logchart
--- a/logchart/draw.go
+++ b/logchart/draw.go
@@ -11,14 +11,14 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a picture, and of the space between its panels.
+// The size of the image, and the space between its panels.
 const (
-	width  = 25 * vg.Centimeter
-	height = 30 * vg.Centimeter
-	gap    = 4 * vg.Millimeter
+	width    = 25 * vg.Centimeter
+	height   = 30 * vg.Centimeter
+	panelGap = 4 * vg.Millimeter
 )
 
-// A curve is a named series in a panel.
+// A curve is a named line in a panel.
 type curve struct {
 	name   string
 	points []Point
@@ -32,7 +32,7 @@
 	grey  = color.RGBA{R: 150, G: 150, B: 150, A: 255}
 )
 
-// A panel is a picture's part with its own scale.
+// A panel is a chart with a scale of its own.
 type panel struct {
 	title  string
 	curves []curve
@@ -42,28 +42,28 @@
 	return []panel{
 		{
 			title:  "calls a second",
-			curves: []curve{line("accepted", s.Accepted, blue), line("refused", s.Refused, red)},
+			curves: []curve{newCurve("accepted", s.Accepted, blue), newCurve("refused", s.Refused, red)},
 		},
 		{
 			title:  "tasks a second",
-			curves: []curve{line("started", s.Started, blue), line("ended", s.Ended, green)},
+			curves: []curve{newCurve("started", s.Started, blue), newCurve("ended", s.Ended, green)},
 		},
 		{
 			title:  "stages that wait",
-			curves: []curve{line("all", s.Waiting, blue), line("too late", s.Late, red)},
+			curves: []curve{newCurve("all", s.Waiting, blue), newCurve("too late", s.Late, red)},
 		},
 		{
 			title:  "cores in use",
-			curves: []curve{line("used", s.Used, blue)},
+			curves: []curve{newCurve("used", s.Used, blue)},
 		},
 		{
 			title:  "hosts without the store",
-			curves: []curve{line("hosts", s.Away, red)},
+			curves: []curve{newCurve("hosts", s.Away, red)},
 		},
 	}
 }
 
-func line(name string, points []Point, c color.Color) curve {
+func newCurve(name string, points []Point, c color.Color) curve {
 	return curve{
 		name:   name,
 		points: points,
@@ -71,7 +71,7 @@
 	}
 }
 
-// WriteSVG draws a series as panels one below the other.
+// WriteSVG draws s as an SVG image with one panel below the other.
 func (s *Series) WriteSVG(w io.Writer) error {
 	panels := s.panels()
 	plots := make([][]*plot.Plot, 0, len(panels))
@@ -86,7 +86,7 @@
 	t := draw.Tiles{
 		Rows: len(plots),
 		Cols: 1,
-		PadY: gap,
+		PadY: panelGap,
 	}
 	for i, row := range plot.Align(plots, t, draw.New(c)) {
 		plots[i][0].Draw(row[0])
@@ -100,13 +100,13 @@
 	p.Y.Label.Text = x.title
 	p.X.Label.Text = "seconds"
 	p.Legend.Top = true
-	most := 1.0
+	maxValue := 1.0
 	for _, c := range x.curves {
 		xys := make(plotter.XYs, len(c.points))
 		for i, at := range c.points {
 			xys[i].X = at.Second
 			xys[i].Y = at.Value
-			most = max(most, at.Value)
+			maxValue = max(maxValue, at.Value)
 		}
 		if len(xys) == 0 {
 			continue
@@ -120,7 +120,7 @@
 		p.Legend.Add(c.name, l)
 	}
 	for _, at := range s.Leads {
-		l, err := plotter.NewLine(plotter.XYs{{X: at}, {X: at, Y: most}})
+		l, err := plotter.NewLine(plotter.XYs{{X: at}, {X: at, Y: maxValue}})
 		if err != nil {
 			return nil, err
 		}
--- a/logchart/logchart_test.go
+++ b/logchart/logchart_test.go
@@ -40,7 +40,7 @@
 	c.Assert(s.Leads, qt.DeepEquals, []float64{1.5})
 }
 
-func TestPictureHasAPanelForEachQuestion(t *testing.T) {
+func TestWriteSVGDrawsAllPanels(t *testing.T) {
 	c := qt.New(t)
 	s := series(c)
 	var b bytes.Buffer
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestNoLinesNoPicture(t *testing.T) {
+func TestWriteSVGWithoutLines(t *testing.T) {
 	c := qt.New(t)
 	s := logchart.Of(nil)
 	var b bytes.Buffer
--- a/logchart/series.go
+++ b/logchart/series.go
@@ -8,39 +8,40 @@
 	"github.com/spoolsill/spoolsill/logstory"
 )
 
-// Point is a value at a time, in seconds since the first line.
+// A Point is a value at a time, in seconds since the first log line.
 type Point struct {
 	Second float64
 	Value  float64
 }
 
-// Series is what the lines of a log add up to.
+// A Series holds the curves computed from log lines.
 type Series struct {
-	// Accepted, Refused, Started and Ended count lines, a point a second.
+	// Accepted, Refused, Started and Ended count log lines, with one point per second.
 	Accepted []Point
 	Refused  []Point
 	Started  []Point
 	Ended    []Point
-	// Waiting and Late count the stages that wait, and Used the cores in use,
-	// as the leader told.
+	// Waiting counts the waiting stages, Late those of them that are late, and Used
+	// the cores in use, as reported by the leader.
 	Waiting []Point
 	Late    []Point
 	Used    []Point
-	// Away counts the hosts that do not reach the store.
+	// Away counts the hosts that cannot reach the store.
 	Away []Point
-	// Leads are the seconds at which a host took the leadership over.
+	// Leads holds the times at which a host became leader, in seconds since the first
+	// log line.
 	Leads []float64
 }
 
-// counted are the messages that are counted, and where.
-var counted = map[string]func(*Series) *[]Point{
+// lineCounters maps the messages that are counted to their curves.
+var lineCounters = map[string]func(*Series) *[]Point{
 	"job accepted":    func(s *Series) *[]Point { return &s.Accepted },
 	"request refused": func(s *Series) *[]Point { return &s.Refused },
 	"task started":    func(s *Series) *[]Point { return &s.Started },
 	"task ended":      func(s *Series) *[]Point { return &s.Ended },
 }
 
-// Of returns the series of some lines, in any order.
+// Of computes the series of lines, which may be in any order.
 func Of(lines []logstory.Line) Series {
 	var s Series
 	if len(lines) == 0 {
@@ -52,10 +53,10 @@
 	since := func(t time.Time) float64 { return t.Sub(begin).Seconds() }
 	last := int(since(lines[len(lines)-1].Time))
 	counts := map[string][]int{}
-	for m := range counted {
+	for m := range lineCounters {
 		counts[m] = make([]int, last+1)
 	}
-	away := map[string]bool{}
+	storeUnreachable := map[string]bool{}
 	for _, l := range lines {
 		at := since(l.Time)
 		if c := counts[l.Message]; c != nil {
@@ -69,12 +70,12 @@
 		case "this host leads":
 			s.Leads = append(s.Leads, at)
 		case "store not reachable", "store reachable", "host started":
-			away[l.Host] = l.Message == "store not reachable"
-			s.Away = append(s.Away, point(at, countTrue(away)))
+			storeUnreachable[l.Host] = l.Message == "store not reachable"
+			s.Away = append(s.Away, point(at, countTrue(storeUnreachable)))
 		}
 	}
 	for m, c := range counts {
-		p := counted[m](&s)
+		p := lineCounters[m](&s)
 		for second, n := range c {
 			*p = append(*p, point(float64(second), float64(n)))
 		}
--- a/logloss/doc.go
+++ b/logloss/doc.go
@@ -1,4 +1,4 @@
-// Package logloss tells from saved logs what became of the jobs of each queue:
-// how many were in time, late or not served at all, and why the others were not.
-// It is for finding what binds, where package logstory is for one job.
+// Package logloss counts from saved logs how the jobs of each queue ended: how many
+// met their objective, how many were late or not served at all, and for what reason.
+// It serves to find the bottleneck of a cell; package logstory is for a single job.
 package logloss
--- a/logloss/logloss.go
+++ b/logloss/logloss.go
@@ -9,23 +9,25 @@
 	"github.com/spoolsill/spoolsill/logstory"
 )
 
-// A Fate is what became of a job.
+// A Fate is how a job ended.
 type Fate string
 
-// The fates of jobs.
+// The ways in which a job ends.
 const (
 	InTime    Fate = "in time"
 	Late      Fate = "late"
-	Unfit     Fate = "failed"    // as often as its queue allows
+	Unfit     Fate = "failed"    // a task failed as often as the queue allows
 	Cancelled Fate = "cancelled" // by its client
 	Open      Fate = "not ended"
 	Refused   Fate = "never accepted"
 )
 
-// A Reason is why a job was not in time.
+// A Reason is why a job missed its objective.
 type Reason string
 
-// The reasons, the surest first.
+// The reasons. Where several apply, a lost worker or a failed run comes first, then an
+// unreachable store or a change of leader while the job was open, then the dominant
+// wait. RanLong is left when none of them applies.
 const (
 	WorkerLost    Reason = "a worker with its work was lost"
 	RunFailed     Reason = "a run failed"
@@ -37,39 +39,42 @@
 	RanLong       Reason = "ran"
 )
 
-// A Cause counts the jobs of a queue that were not in time for one reason.
+// A Cause counts the jobs of a queue that missed their objective with one outcome and
+// for one reason.
 type Cause struct {
 	Fate   Fate
 	Reason Reason
 	Jobs   int
 }
 
-// A Queue tells what became of the jobs of one queue.
+// A Queue summarizes the jobs of one queue.
 type Queue struct {
 	Name   string
 	Jobs   int
 	InTime int
-	// Causes has the others, the most frequent first.
+	// Causes counts the jobs that were not in time, the most frequent cause first.
 	Causes []Cause
 }
 
-// notable is from what share of a late job's objective on a wait explains it.
-const notable = 0.2
+// minWaitShare is the share of a job's objective that a wait must exceed to be reported
+// as the reason.
+const minWaitShare = 0.2
 
-// A job is what the logs say of one.
+// A job holds what the logs say about one job.
 type job struct {
-	queue    string
-	from, to time.Time
-	ended    bool
-	state    string
-
-	took, objective     time.Duration
-	advice, room, quota time.Duration
-	failed, lost        int
+	queue               string
+	firstSeen, lastSeen time.Time
+	ended               bool
+	state               string
+
+	age, objective                      time.Duration
+	adviceWait, capacityWait, quotaWait time.Duration
+	failedRuns, lostRuns                int
 }
 
-// Of returns the queues of saved logs, in the order of their names. Jobs that no
-// host accepted are told under the path prefix that clients called.
+// Of summarizes the jobs of saved logs by queue, sorted by name. Jobs that no host
+// accepted are counted under the path prefix that their clients called, since their
+// queue is not known. Of sorts lines by time.
 func Of(lines []logstory.Line) []Queue {
 	slices.SortStableFunc(lines, func(a, b logstory.Line) int { return a.Time.Compare(b.Time) })
 	jobs := map[string]*job{}
@@ -77,11 +82,11 @@
 	for _, l := range lines {
 		switch l.Message {
 		case "job accepted":
-			accepted(jobs, l)
+			recordAccepted(jobs, l)
 		case "request refused":
-			refused(jobs, l)
+			recordRefused(jobs, l)
 		case "job ended":
-			ended(jobs, l)
+			recordEnded(jobs, l)
 		case "this host leads":
 			leaders = append(leaders, l.Time)
 		case "store not reachable":
@@ -110,21 +115,22 @@
 	return out
 }
 
-func accepted(jobs map[string]*job, l logstory.Line) {
+func recordAccepted(jobs map[string]*job, l logstory.Line) {
 	id := l.Text("job")
 	j := jobs[id]
 	if j == nil {
 		j = &job{
-			from: l.Time,
+			firstSeen: l.Time,
 		}
 		jobs[id] = j
 	}
 	j.queue = l.Text("queue")
-	j.to = l.Time
+	j.lastSeen = l.Time
 }
 
-// refused takes in a hand-in that was refused; it may come again.
-func refused(jobs map[string]*job, l logstory.Line) {
+// recordRefused records a refused submission. The client may retry it, so a job that
+// is known already keeps what was recorded of it.
+func recordRefused(jobs map[string]*job, l logstory.Line) {
 	path := l.Text("path")
 	i := strings.LastIndexByte(path, '/')
 	if l.Text("method") != "POST" || i < 0 {
@@ -133,33 +139,33 @@
 	j := jobs[path[i+1:]]
 	if j == nil {
 		j = &job{
-			queue: path[:i+1],
-			from:  l.Time,
-			state: string(Refused),
+			queue:     path[:i+1],
+			firstSeen: l.Time,
+			state:     string(Refused),
 		}
 		jobs[path[i+1:]] = j
 	}
-	j.to = l.Time
+	j.lastSeen = l.Time
 }
 
-func ended(jobs map[string]*job, l logstory.Line) {
+func recordEnded(jobs map[string]*job, l logstory.Line) {
 	j := jobs[l.Text("job")]
 	if j == nil || j.ended {
 		return
 	}
 	j.ended = true
-	j.to = l.Time
+	j.lastSeen = l.Time
 	j.state, _, _ = strings.Cut(l.Text("reason"), ":")
-	j.took = l.Millis("age_ms")
+	j.age = l.Millis("age_ms")
 	j.objective = l.Millis("objective_ms")
-	j.advice = l.Millis("waited_advice_ms")
-	j.room = l.Millis("waited_room_ms")
-	j.quota = l.Millis("waited_quota_ms")
-	j.failed = int(l.Number("runs_failed"))
-	j.lost = int(l.Number("runs_lost"))
+	j.adviceWait = l.Millis("waited_advice_ms")
+	j.capacityWait = l.Millis("waited_room_ms")
+	j.quotaWait = l.Millis("waited_quota_ms")
+	j.failedRuns = int(l.Number("runs_failed"))
+	j.lostRuns = int(l.Number("runs_lost"))
 }
 
-func (j *job) fate() Fate {
+func (j *job) outcome() Fate {
 	switch {
 	case !j.ended && j.state == string(Refused):
 		return Refused
@@ -169,33 +175,34 @@
 		return Cancelled
 	case j.state == "failed":
 		return Unfit
-	case j.took > j.objective:
+	case j.age > j.objective:
 		return Late
 	default:
 		return InTime
 	}
 }
 
-// reason returns why j was not in time: what is sure goes before what is long.
+// reason returns why j was not in time. Recorded failures take precedence over long
+// waits, which may have another cause.
 func (j *job) reason(leaders, outages []time.Time) Reason {
 	during := func(times []time.Time) bool {
-		return slices.ContainsFunc(times, func(t time.Time) bool { return !t.Before(j.from) && !t.After(j.to) })
+		return slices.ContainsFunc(times, func(t time.Time) bool { return !t.Before(j.firstSeen) && !t.After(j.lastSeen) })
 	}
-	long := time.Duration(notable * float64(j.objective))
+	long := time.Duration(minWaitShare * float64(j.objective))
 	switch {
-	case j.lost > 0:
+	case j.lostRuns > 0:
 		return WorkerLost
-	case j.failed > 0:
+	case j.failedRuns > 0:
 		return RunFailed
 	case during(outages):
 		return StoreAway
 	case during(leaders):
 		return LeaderChanged
-	case j.quota > long && j.quota >= j.room+j.advice:
+	case j.quotaWait > long && j.quotaWait >= j.capacityWait+j.adviceWait:
 		return WaitedQuota
-	case j.advice > long && j.advice >= j.room:
+	case j.adviceWait > long && j.adviceWait >= j.capacityWait:
 		return WaitedAdvice
-	case j.room > long:
+	case j.capacityWait > long:
 		return WaitedRoom
 	default:
 		return RanLong
@@ -204,7 +211,7 @@
 
 func (q *Queue) add(j *job, leaders, outages []time.Time) {
 	q.Jobs++
-	f := j.fate()
+	f := j.outcome()
 	if f == InTime {
 		q.InTime++
 		return
--- a/logloss/logloss_test.go
+++ b/logloss/logloss_test.go
@@ -11,7 +11,8 @@
 	"github.com/spoolsill/spoolsill/logstory"
 )
 
-// a log of six jobs of queue "q", one that nobody accepted, and a new leader.
+// log holds six jobs of queue "q", a job that no host accepted, a change of leader and
+// an outage of the store.
 const log = `
 {"time":"2026-05-12T01:00:00Z","msg":"job accepted","job":"in-time","queue":"q"}
 {"time":"2026-05-12T01:00:00Z","msg":"job accepted","job":"room","queue":"q"}
@@ -30,7 +31,7 @@
 {"time":"2026-05-12T01:03:00Z","msg":"request refused","method":"GET","path":"/orders/asked","status":502}
 `
 
-func TestLossesAreCountedByReason(t *testing.T) {
+func TestCausesAreCountedByReason(t *testing.T) {
 	lines, _, err := logstory.Read(strings.NewReader(log))
 	qt.Assert(t, err, qt.IsNil)
 	queues := logloss.Of(lines)
--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -1,7 +1,7 @@
-// Package logstory tells the story of one request, job, task, worker or host from
-// saved logs of many processes: every line that names it, in the order of time,
-// with the changes of leader, store and configuration around it. The story of a
-// request is that of its job.
+// Package logstory extracts the history of one request, job, task, worker or host
+// from the saved logs of many processes: every line that mentions it, sorted by
+// time, together with the changes of leader, store and configuration around it. The
+// story of a request is that of its job.
 package logstory
 
 import (
@@ -15,25 +15,26 @@
 	"time"
 )
 
-// A Line is one line of a log.
+// A Line is a parsed log line.
 type Line struct {
 	Time    time.Time
 	Host    string
 	Message string
-	// Fields has the others, as they were written.
+	// Fields holds the remaining fields, as decoded from JSON.
 	Fields map[string]any
 }
 
-// longest is the longest line that is read, in bytes.
-const longest = 1 << 20
+// maxLineBytes is the length of the longest line that [Read] accepts.
+const maxLineBytes = 1 << 20
 
-// Read reads the lines of a log. What comes before the JSON of a line, as a
-// collector's stamp, is skipped; lines that are no JSON are counted.
+// Read parses the lines of a log. It ignores text before the JSON object of a line,
+// such as a log collector's timestamp, and returns the number of lines that it skipped
+// because they do not parse.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, longest)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		l, ok := parse(s.Text())
+		l, ok := parseLine(s.Text())
 		if !ok {
 			skipped++
 			continue
@@ -43,7 +44,7 @@
 	return lines, skipped, s.Err()
 }
 
-func parse(s string) (Line, bool) {
+func parseLine(s string) (Line, bool) {
 	i := strings.IndexByte(s, '{')
 	if i < 0 {
 		return Line{}, false
@@ -52,14 +53,14 @@
 	if err := json.Unmarshal([]byte(s[i:]), &f); err != nil {
 		return Line{}, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, text(f, "time"))
+	at, err := time.Parse(time.RFC3339Nano, stringField(f, "time"))
 	if err != nil {
 		return Line{}, false
 	}
 	l := Line{
 		Time:    at,
-		Host:    text(f, "host"),
-		Message: text(f, "msg"),
+		Host:    stringField(f, "host"),
+		Message: stringField(f, "msg"),
 		Fields:  f,
 	}
 	for _, k := range []string{"time", "host", "msg"} {
@@ -68,77 +69,76 @@
 	return l, true
 }
 
-func text(f map[string]any, key string) string {
+func stringField(f map[string]any, key string) string {
 	s, _ := f[key].(string)
 	return s
 }
 
-// Text returns a field that is a text; empty when there is none.
+// Text returns the value of a string field, or "" if there is no such field.
 func (l *Line) Text(key string) string {
-	return text(l.Fields, key)
+	return stringField(l.Fields, key)
 }
 
-// Number returns a field that is a number; 0 when there is none.
+// Number returns the value of a numeric field, or 0 if there is no such field.
 func (l *Line) Number(key string) float64 {
 	x, _ := l.Fields[key].(float64)
 	return x
 }
 
-// Millis returns a field that counts milliseconds.
+// Millis returns the value of a field in milliseconds as a duration.
 func (l *Line) Millis(key string) time.Duration {
 	return time.Duration(l.Number(key) * float64(time.Millisecond))
 }
 
-// around are the messages that explain others: who led, and what could be
-// reached.
-var around = []string{
+// contextMessages are the messages that [Story] adds as context: which host led, and
+// which services could be reached.
+var contextMessages = []string{
 	"host started", "host stops as planned", "host stopped", "this host leads", "this host no longer leads",
 	"jobs loaded", "leader changed", "leader's health changed", "store reachable", "store not reachable",
 	"feed lost", "feed regained", "configuration feed lost", "configuration feed regained",
 	"configuration in force", "log lines left out",
 }
 
-// margin is how long before the first and after the last line of a story the
-// lines around it are told.
-const margin = 2 * time.Second
+// contextMargin is how far before the first and after the last line of a story
+// context lines are included.
+const contextMargin = 2 * time.Second
 
-// Story returns the lines that name id, or the job of the request that id is,
-// and those that explain them, in the order of time. It is empty when no line
-// names id.
+// Story returns the lines that mention id, or the job of request id, and the context
+// lines around them, sorted by time. It returns nil if no line mentions id.
 func Story(lines []Line, id string) []Line {
-	ids := append(jobsOf(lines, id), id)
-	var own []Line
+	ids := append(jobsOfRequest(lines, id), id)
+	var selected []Line
 	for _, l := range lines {
-		if l.namesAny(ids) {
-			own = append(own, l)
+		if l.mentionsAny(ids) {
+			selected = append(selected, l)
 		}
 	}
-	if len(own) == 0 {
+	if len(selected) == 0 {
 		return nil
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(own, byTime)
-	from := own[0].Time.Add(-margin)
-	to := own[len(own)-1].Time.Add(margin)
+	slices.SortStableFunc(selected, byTime)
+	from := selected[0].Time.Add(-contextMargin)
+	to := selected[len(selected)-1].Time.Add(contextMargin)
 	for _, l := range lines {
-		if !l.namesAny(ids) && slices.Contains(around, l.Message) && !l.Time.Before(from) && !l.Time.After(to) {
-			own = append(own, l)
+		if !l.mentionsAny(ids) && slices.Contains(contextMessages, l.Message) && !l.Time.Before(from) && !l.Time.After(to) {
+			selected = append(selected, l)
 		}
 	}
-	slices.SortStableFunc(own, byTime)
-	return own
+	slices.SortStableFunc(selected, byTime)
+	return selected
 }
 
-// jobsOf returns the jobs that a request was about, if id is one's. A line that
-// refuses it has the job at the end of its path.
-func jobsOf(lines []Line, id string) []string {
+// jobsOfRequest returns the jobs that the lines of request id belong to. The line of a
+// refused request has no job field; its path ends in the job.
+func jobsOfRequest(lines []Line, id string) []string {
 	var jobs []string
 	for _, l := range lines {
-		if text(l.Fields, "request") != id {
+		if stringField(l.Fields, "request") != id {
 			continue
 		}
-		path := text(l.Fields, "path")
-		job := cmp.Or(text(l.Fields, "job"), path[strings.LastIndexByte(path, '/')+1:])
+		path := stringField(l.Fields, "path")
+		job := cmp.Or(stringField(l.Fields, "job"), path[strings.LastIndexByte(path, '/')+1:])
 		if job != "" && !slices.Contains(jobs, job) {
 			jobs = append(jobs, job)
 		}
@@ -146,14 +146,13 @@
 	return jobs
 }
 
-func (l *Line) namesAny(ids []string) bool {
-	return slices.ContainsFunc(ids, l.names)
+func (l *Line) mentionsAny(ids []string) bool {
+	return slices.ContainsFunc(ids, l.mentions)
 }
 
-// names reports whether a line is about id: a field is it, or begins with it
-// and a dot, as a task's does with its job's, or ends in it after a slash, as a
-// path does.
-func (l *Line) names(id string) bool {
+// mentions reports whether l comes from host id or has a field that equals id, starts
+// with id and a dot (a task of job id), or ends in a slash and id (a path).
+func (l *Line) mentions(id string) bool {
 	if l.Host == id {
 		return true
 	}
@@ -166,8 +165,8 @@
 	return false
 }
 
-// Write writes a story, a line for each of its lines, with times counted from
-// the first.
+// Write writes a story as text, one row per line, with times relative to the first
+// line.
 func Write(w io.Writer, story []Line) error {
 	for _, l := range story {
 		keys := make([]string, 0, len(l.Fields))
--- a/logstory/logstory_test.go
+++ b/logstory/logstory_test.go
@@ -20,7 +20,7 @@
 not a line of ours
 `
 
-func TestStoryTellsWhatNamesAJobAndWhatExplainsIt(t *testing.T) {
+func TestStoryHasLinesOfJobAndContext(t *testing.T) {
 	c := qt.New(t)
 	lines, skipped, err := logstory.Read(strings.NewReader(log))
 	c.Assert(err, qt.IsNil)
@@ -33,9 +33,9 @@
 	c.Assert(logstory.Story(lines, "none"), qt.HasLen, 0)
 }
 
-// A client names its request, not the job: the story is that of the job, with all
-// its tries.
-func TestStoryOfARequestIsThatOfItsJob(t *testing.T) {
+// A client knows the id of its request, not the job: the story of a request covers
+// its job, including the other attempts to submit it.
+func TestStoryOfRequestCoversItsJob(t *testing.T) {
 	c := qt.New(t)
 	const log = `
 {"host":"h1","msg":"request refused","path":"/q/a1","request":"r1","status":502,"time":"2026-01-01T00:00:01.9Z"}
