--- a/logchart/series.go
+++ b/logchart/series.go
@@ -21,8 +21,8 @@
 	Refused  []Point
 	Started  []Point
 	Ended    []Point
-	// Waiting counts the waiting stages, Late those of them that are late, and Used
-	// the cores in use, as reported by the leader.
+	// Waiting counts the waiting stages, Late those of them that can no longer meet
+	// their objective, and Used the cores in use, as reported by the leader.
 	Waiting []Point
 	Late    []Point
 	Used    []Point
--- a/oplog/bench_test.go
+++ b/oplog/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolsill/spoolsill/oplog"
 )
 
-// BenchmarkLine measures a line like those of a run's life, as the leader writes
-// some four for each task.
+// BenchmarkLine measures logging a line about a run, of which the leader writes about
+// four for each task.
 func BenchmarkLine(b *testing.B) {
 	l := oplog.New(io.Discard)
 	ctx, cancel := context.WithCancel(b.Context())
@@ -20,7 +20,7 @@
 	defer l.Wait()
 	defer cancel()
 	e := l.WithField("host", "front-1")
-	// Each kind of line has a rate of its own: with many of them all are written.
+	// The rate limit applies per message: with many messages no line is dropped.
 	var kinds [2000]string
 	for i := range kinds {
 		kinds[i] = fmt.Sprintf("task placed %d", i)
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -1,11 +1,11 @@
-// Package oplog makes the operators' log: JSON lines that never hold up the
-// program that writes them.
+// Package oplog writes the operators' log: JSON lines that never block the program that
+// logs them.
 //
-// Lines go through a bounded queue to a goroutine that writes them; when a slow
-// reader has filled the queue, lines are left out. Each kind of line (its
-// message) may come only so often, so that the volume stays bounded under load;
-// warnings and errors have a limit of their own and are left out last. What was
-// left out is counted, told in the log once a second, and served as a metric.
+// Lines pass through a bounded queue to a goroutine that writes them. When a slow reader
+// has let the queue fill up, lines are dropped. Each message has a rate limit, so that
+// the volume stays bounded under load; warnings and errors have a limit of their own.
+// Dropped lines are counted; their number is logged at most once a second and served as
+// a metric.
 package oplog
 
 import (
@@ -23,45 +23,47 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader: some 2 MB.
-	queueLines = 8192
-	// linesPerSecond and linesBurst bound the lines of one kind below
-	// warnings. A leader of today starts some 250 tasks a second at the
-	// peak; three times that is let through.
+	// maxQueuedLines is the capacity of the queue for a slow reader, about 2 MB.
+	maxQueuedLines = 8192
+	// linesPerSecond and linesBurst limit the lines with the same message that are
+	// less severe than warnings. A leader starts about 250 tasks a second at peak;
+	// the limit admits three times that.
 	linesPerSecond = 800
 	linesBurst     = 1600
-	// warningsPerSecond and warningsBurst bound the others of one kind.
+	// warningsPerSecond and warningsBurst limit warnings and errors with the same
+	// message.
 	warningsPerSecond = 200
 	warningsBurst     = 400
-	// writeEvery is how long lines gather for one write, writeMost how many bytes it
-	// has at most: what a pipe takes whole, so that readers of pieces see whole lines.
-	// A leader of 1,600 starts a second writes 2,500 lines, some sixteen at once.
-	writeEvery = 10 * time.Millisecond
-	writeMost  = 4 << 10
-	// reportEvery is how often lines that were left out are told of.
-	reportEvery = time.Second
+	// writeInterval is how long lines are collected for one write. maxWriteBytes limits
+	// a write to what a pipe takes atomically (PIPE_BUF), so that a reader that reads
+	// in chunks sees whole lines; a longer line is written by itself. A leader with
+	// 1,600 starts a second writes 2,500 lines a second, about sixteen per write.
+	writeInterval = 10 * time.Millisecond
+	maxWriteBytes = 4 << 10
+	// reportInterval is how often the number of dropped lines is logged.
+	reportInterval = time.Second
 )
 
-// A Log is a logger with a bounded queue.
+// A Log is a logger that writes through a bounded queue.
 type Log struct {
 	*logrus.Logger
 
 	out     io.Writer
 	queue   chan []byte
-	left    atomic.Int64
+	dropped atomic.Int64
 	mu      sync.Mutex
 	limits  map[string]*rate.Limiter
-	written chan struct{}
+	done    chan struct{}
 }
 
-// New returns a log that writes to out. Run must be called.
+// New returns a log that writes to out. Nothing is written until [Log.Run] is called.
 func New(out io.Writer) *Log {
 	l := &Log{
-		Logger:  logrus.New(),
-		out:     out,
-		queue:   make(chan []byte, queueLines),
-		limits:  map[string]*rate.Limiter{},
-		written: make(chan struct{}),
+		Logger: logrus.New(),
+		out:    out,
+		queue:  make(chan []byte, maxQueuedLines),
+		limits: map[string]*rate.Limiter{},
+		done:   make(chan struct{}),
 	}
 	l.SetOutput(writer{
 		log: l,
@@ -75,26 +77,26 @@
 	return l
 }
 
-// LeftOut returns how many lines were left out so far.
+// LeftOut returns the number of lines dropped so far.
 func (l *Log) LeftOut() int64 {
-	return l.left.Load()
+	return l.dropped.Load()
 }
 
-// Run writes the lines until ctx ends, and then those that wait.
+// Run writes lines until ctx ends, then writes those still queued and returns.
 func (l *Log) Run(ctx context.Context) {
-	defer close(l.written)
-	t := time.NewTicker(reportEvery)
+	defer close(l.done)
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
-	var told int64
+	var reported int64
 	for {
 		select {
 		case b := <-l.queue:
 			l.writeAll(b)
-			pause.For(ctx, writeEvery)
+			pause.For(ctx, writeInterval)
 		case <-t.C:
-			if n := l.LeftOut(); n > told {
-				l.WithField("lines", n-told).Warn("log lines left out")
-				told = n
+			if n := l.LeftOut(); n > reported {
+				l.WithField("lines", n-reported).Warn("log lines left out")
+				reported = n
 			}
 		case <-ctx.Done():
 			l.writeAll(nil)
@@ -103,18 +105,17 @@
 	}
 }
 
-// Wait returns when Run has written the last line.
+// Wait blocks until Run has returned.
 func (l *Log) Wait() {
-	<-l.written
+	<-l.done
 }
 
-// writeAll writes a line and those that wait behind it, as many at once as a write
-// may have.
+// writeAll writes b and all queued lines, joined into writes of at most maxWriteBytes.
 func (l *Log) writeAll(b []byte) {
 	for {
 		select {
 		case next := <-l.queue:
-			if len(b) > 0 && len(b)+len(next) > writeMost {
+			if len(b) > 0 && len(b)+len(next) > maxWriteBytes {
 				l.write(b)
 				b = nil
 			}
@@ -128,15 +129,16 @@
 	}
 }
 
-// write drops lines that can't be written: there is nowhere to say so.
+// write writes b. Lines that cannot be written are counted as dropped, since there is
+// no other place to report the error.
 func (l *Log) write(b []byte) {
 	if _, err := l.out.Write(b); err != nil {
-		l.left.Add(int64(bytes.Count(b, []byte("\n"))))
+		l.dropped.Add(int64(bytes.Count(b, []byte("\n"))))
 	}
 }
 
-// allows reports whether one more line of a kind may be written.
-func (l *Log) allows(kind string, level logrus.Level) bool {
+// allow reports whether the rate limit admits one more line with message kind.
+func (l *Log) allow(kind string, level logrus.Level) bool {
 	perSecond, burst := linesPerSecond, linesBurst
 	if level <= logrus.WarnLevel {
 		perSecond, burst = warningsPerSecond, warningsBurst
@@ -151,7 +153,8 @@
 	return m.Allow()
 }
 
-// A formatter leaves out what is over its limit: logrus writes nothing then.
+// A formatter drops lines over their rate limit by returning no bytes, for which [writer]
+// queues nothing.
 type formatter struct {
 	log  *Log
 	json logrus.JSONFormatter
@@ -159,14 +162,14 @@
 
 // Format implements [logrus.Formatter].
 func (f formatter) Format(e *logrus.Entry) ([]byte, error) {
-	if !f.log.allows(e.Message, e.Level) {
-		f.log.left.Add(1)
+	if !f.log.allow(e.Message, e.Level) {
+		f.log.dropped.Add(1)
 		return nil, nil
 	}
 	return f.json.Format(e)
 }
 
-// A writer puts lines into the queue and never waits.
+// A writer queues lines without blocking. It drops them when the queue is full.
 type writer struct {
 	log *Log
 }
@@ -180,7 +183,7 @@
 	select {
 	case w.log.queue <- line:
 	default:
-		w.log.left.Add(1)
+		w.log.dropped.Add(1)
 	}
 	return len(b), nil
 }
--- a/oplog/oplog_test.go
+++ b/oplog/oplog_test.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// A reader that stalls must not hold the program up.
-func TestStalledReaderBlocksNothing(t *testing.T) {
+// A stalled reader must not block the logging program.
+func TestStalledReaderDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		w := &stalled{
@@ -64,9 +64,9 @@
 	return len(b), nil
 }
 
-// One kind of line that floods the log is cut down and counted; errors and
-// other kinds go on.
-func TestFloodOfOneKindIsBounded(t *testing.T) {
+// A message that floods the log is rate limited and the dropped lines are counted;
+// errors with another message are still written.
+func TestFloodOfOneMessageIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		var out bytes.Buffer
@@ -87,19 +87,19 @@
 	})
 }
 
-// A countingWriter counts writes and lines, and knows the longest write.
+// A countingWriter counts writes and lines, and records the length of the longest write.
 type countingWriter struct {
-	writes, lines, most int
+	writes, lines, maxBytes int
 }
 
 func (w *countingWriter) Write(b []byte) (int, error) {
 	w.writes++
-	w.most = max(w.most, len(b))
+	w.maxBytes = max(w.maxBytes, len(b))
 	w.lines += bytes.Count(b, []byte("\n"))
 	return len(b), nil
 }
 
-// Lines that come in quick succession share writes, and the first does not wait.
+// Lines in quick succession share writes, and the first line is written without delay.
 func TestLinesShareWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -121,6 +121,6 @@
 		l.Wait()
 		c.Check(out.lines, qt.Equals, 801)
 		c.Check(out.writes <= 85, qt.IsTrue, qt.Commentf("%d writes", out.writes))
-		c.Check(out.most <= 4096, qt.IsTrue, qt.Commentf("%d bytes", out.most))
+		c.Check(out.maxBytes <= 4096, qt.IsTrue, qt.Commentf("%d bytes", out.maxBytes))
 	})
 }
--- a/recordlog/copies.go
+++ b/recordlog/copies.go
@@ -6,19 +6,19 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// MaxCopies bounds the entries that a host keeps for another.
+// MaxCopies is the largest number of copied entries that a host keeps.
 const MaxCopies = 100_000
 
-// Copies keeps the entries that the holder of the hall has handed over while
-// the table was silent. It is not safe for concurrent use.
+// Copies holds entries that the hall's holder copied to this host while the table did
+// not respond. It is not safe for concurrent use.
 type Copies struct {
 	epoch   spoolsill.Epoch
 	entries map[spoolsill.Sequence]Entry
 }
 
-// Add keeps entries of an epoch. It reports false, and keeps none, when a
-// later epoch is known or there are too many. Entries of earlier epochs are
-// dropped.
+// Add stores entries copied in an epoch, and drops entries of earlier epochs. If a
+// later epoch is known, or there would be more than [MaxCopies] entries, it stores
+// nothing and returns false.
 func (c *Copies) Add(epoch spoolsill.Epoch, entries []Entry) bool {
 	if epoch < c.epoch || len(c.entries)+len(entries) > MaxCopies {
 		return false
@@ -38,16 +38,15 @@
 	return true
 }
 
-// Fence refuses all further copies of epochs before one.
+// Fence makes [Copies.Add] reject entries of epochs before epoch from now on.
 func (c *Copies) Fence(epoch spoolsill.Epoch) {
 	if epoch > c.epoch {
 		c.epoch = epoch
 	}
 }
 
-// Drop forgets the entries that are not needed any more once the table has the
-// one that m marks: those up to it, and all of earlier epochs, which its writer
-// has taken over.
+// Drop removes the entries that are not needed any more once the table holds the entry
+// at m: those up to m, and all of earlier epochs, which the writer of m has taken over.
 func (c *Copies) Drop(m Mark) {
 	for s, e := range c.entries {
 		if e.Epoch < m.Epoch || e.Epoch == m.Epoch && s <= m.Sequence {
@@ -56,12 +55,12 @@
 	}
 }
 
-// Len returns the number of entries kept.
+// Len returns the number of entries.
 func (c *Copies) Len() int {
 	return len(c.entries)
 }
 
-// All returns all kept entries, in order.
+// All returns all entries, sorted by sequence number.
 func (c *Copies) All() []Entry {
 	all := make([]Entry, 0, len(c.entries))
 	for _, e := range c.entries {
@@ -73,9 +72,9 @@
 	return all
 }
 
-// After returns the kept entries that follow on sequence s without a gap. epoch
-// is the one under which s was written: what was copied under an earlier one
-// was taken over, or given up, by the holder that wrote s.
+// After returns the entries that follow sequence number s without a gap. Entries of
+// epochs before epoch, in which s was written, are ignored: the holder that wrote s has
+// taken them over or discarded them.
 func (c *Copies) After(epoch spoolsill.Epoch, s spoolsill.Sequence) []Entry {
 	var out []Entry
 	for _, e := range c.All() {
--- a/recordlog/doc.go
+++ b/recordlog/doc.go
@@ -1,19 +1,19 @@
-// Package recordlog makes the decisions of a hall's holder last.
+// Package recordlog implements the journal that makes the decisions of a hall's holder
+// durable.
 //
-// Decisions are grouped into entries. An entry is one row of the platform's
-// table, keyed by its sequence number, written on the condition that the row
-// does not exist yet and that the hall's epoch row has not changed hands. So
-// an entry is written once or not at all, and never by a former holder. When
-// the answer to a write is lost, the same entry is written again: whichever
-// write took effect, the row then holds it.
+// Decisions are grouped into entries. An entry is one row of the platform's table, keyed
+// by its sequence number. It is written on the condition that the row does not exist yet
+// and that the hall's epoch row is unchanged, so an entry is written at most once, and
+// never by a former holder. When the reply to a write is lost, the same entry is written
+// again: whichever write took effect, the row then holds the entry.
 //
-// While the table is silent, an entry counts as lasting when every other host
-// of the hall holds a copy; the copies are written to the table when it
-// answers again. A [Writer] says what to do next; a [Copies] keeps what other
-// hosts have handed over.
+// While the table does not respond, an entry counts as durable once every other host of
+// the hall holds a copy. The entries are written to the table when it responds again. A
+// [Writer] decides what to write and copy next; a [Copies] holds the entries that a host
+// has received from others.
 //
-// Entries carry a format version and a check sum. One that is damaged or of a
-// later format is refused with an error that names it.
+// Entries carry a format version and a checksum. Decoding a damaged entry, or one with a
+// newer format, fails with an error that tells which of the two it is.
 //
-// The package has no clock, I/O, lock or goroutine.
+// The package does no I/O and uses no clock, locks or goroutines.
 package recordlog
--- a/recordlog/entry.go
+++ b/recordlog/entry.go
@@ -12,22 +12,25 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// Format is the format version that this package writes.
+// Format is the format version of the entries that [Encode] writes.
 const Format = 1
 
 // MaxRecords is the largest number of records in one entry.
 const MaxRecords = 2048
 
-// MaxEntry is the length in bytes of the longest entry or snapshot read.
+// MaxEntry is the largest size in bytes of an encoded entry or snapshot that [Decode]
+// accepts.
 const MaxEntry = 64 << 20
 
-// ErrDamaged is returned for an entry whose check sum does not fit.
+// ErrDamaged is returned for an entry that has an invalid length or checksum, or that
+// cannot be decoded.
 var ErrDamaged = errors.New("journal: damaged entry")
 
-// ErrFuture is returned for an entry of a later format.
-var ErrFuture = errors.New("journal: entry of a later format")
+// ErrFuture is returned for an entry with a newer format version than [Format].
+var ErrFuture = errors.New("journal: entry has a newer format")
 
-// An Entry is a group of records.
+// An Entry is a group of records that are written together. A snapshot is stored in the
+// same form.
 type Entry struct {
 	Epoch    spoolsill.Epoch       `msgpack:"e"`
 	Sequence spoolsill.Sequence    `msgpack:"s"`
@@ -36,8 +39,8 @@
 	Records  []place.Record        `msgpack:"r"`
 }
 
-// A Mark says where a journal ends: the last entry, and the epoch under which
-// it was written.
+// A Mark is a position in a journal: the sequence number of an entry, and the epoch in
+// which it was written.
 type Mark struct {
 	Epoch    spoolsill.Epoch    `msgpack:"e"`
 	Sequence spoolsill.Sequence `msgpack:"s"`
@@ -45,7 +48,7 @@
 
 const headerLength = 1 + 8
 
-// Encode returns e with its format version and check sum.
+// Encode encodes e, preceded by the format version and a checksum.
 func Encode(e Entry) ([]byte, error) {
 	body, err := msgpack.Marshal(&e)
 	if err != nil {
@@ -57,7 +60,8 @@
 	return append(out, body...), nil
 }
 
-// Decode reads what [Encode] wrote. It fails with [ErrDamaged] or [ErrFuture].
+// Decode decodes an entry written by [Encode]. Its errors wrap [ErrDamaged] or
+// [ErrFuture].
 func Decode(b []byte) (Entry, error) {
 	if len(b) < headerLength || len(b) > MaxEntry {
 		return Entry{}, fmt.Errorf("%w: %d bytes", ErrDamaged, len(b))
@@ -67,7 +71,7 @@
 	}
 	body := b[headerLength:]
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(b[1:]) {
-		return Entry{}, fmt.Errorf("%w: check sum", ErrDamaged)
+		return Entry{}, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	var e Entry
 	if err := msgpack.Unmarshal(body, &e); err != nil {
@@ -76,7 +80,7 @@
 	return e, nil
 }
 
-// Prefix returns the common start of the keys of a hall's entries.
+// Prefix returns the common prefix of the keys of a hall's entries.
 func Prefix(h spoolsill.HallID) string {
 	return "journal/" + string(h) + "/"
 }
@@ -86,13 +90,14 @@
 	return fmt.Sprintf("%s%016d", Prefix(h), uint64(s))
 }
 
-// SnapshotKey returns the key of the row that names the newest snapshot of a
-// hall.
+// SnapshotKey returns the key of the row that names the object with the newest snapshot
+// of a hall.
 func SnapshotKey(h spoolsill.HallID) string {
 	return "snapshot/" + string(h)
 }
 
-// SnapshotObject returns the name of the object that holds a snapshot.
+// SnapshotObject returns the name of the object that holds the snapshot taken at
+// sequence number s.
 func SnapshotObject(h spoolsill.HallID, s spoolsill.Sequence) string {
 	return fmt.Sprintf("snapshot/%s/%016d", h, uint64(s))
 }
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -41,7 +41,7 @@
 	c.Assert(e, qt.DeepEquals, sample())
 }
 
-func TestDamagedAndFutureEntriesAreRefusedByName(t *testing.T) {
+func TestDecodeRejectsDamagedAndNewerEntries(t *testing.T) {
 	c := qt.New(t)
 	b, err := recordlog.Encode(sample())
 	c.Assert(err, qt.IsNil)
@@ -73,47 +73,48 @@
 	})
 }
 
-// A store drives a writer against a table whose answers get lost and hosts
-// that take copies or don't.
-type store struct {
-	writer  *recordlog.Writer
-	rows    map[spoolsill.Sequence]string
-	copies  recordlog.Copies
-	under   *recordlog.Action
-	copying *recordlog.Action
-	records int
+// A writerModel drives a writer against a model of a table that loses replies and of a
+// host that accepts or rejects copies.
+type writerModel struct {
+	writer        *recordlog.Writer
+	rows          map[spoolsill.Sequence]string
+	copies        recordlog.Copies
+	writeInFlight *recordlog.Action
+	copyInFlight  *recordlog.Action
+	records       int
 }
 
-// write begins a write, or ends the one that is under way.
-func (s *store) write(t *rapid.T) {
-	if s.under == nil {
+// write starts a write, or completes the one in flight.
+func (s *writerModel) write(t *rapid.T) {
+	if s.writeInFlight == nil {
 		if a := s.writer.Next(); a.Kind == recordlog.Write {
-			s.under = &a
+			s.writeInFlight = &a
 		}
 		return
 	}
 	outcome := rapid.IntRange(0, 2).Draw(t, "outcome")
 	if outcome > 0 {
-		s.put(t, s.under.Entries)
+		s.put(t, s.writeInFlight.Entries)
 	}
-	// Outcome 1: it took effect and the answer is lost.
+	// Outcome 0: not applied. Outcome 1: applied, and the reply is lost. Outcome 2:
+	// applied and acknowledged.
 	s.writer.Wrote(outcome == 2)
-	s.under = nil
+	s.writeInFlight = nil
 }
 
-// put writes entries whole, or finds that they stand already.
-func (s *store) put(t *rapid.T, entries []recordlog.Entry) {
-	stand := 0
+// put writes all entries, or finds all of them present and unchanged.
+func (s *writerModel) put(t *rapid.T, entries []recordlog.Entry) {
+	present := 0
 	for _, e := range entries {
 		if old, ok := s.rows[e.Sequence]; ok {
-			stand++
+			present++
 			if old != text(e) {
-				t.Fatalf("entry %d is written as %s over %s", e.Sequence, text(e), old)
+				t.Fatalf("entry %d: %s would overwrite %s", e.Sequence, text(e), old)
 			}
 		}
 	}
-	if stand > 0 && stand < len(entries) {
-		t.Fatalf("a write of %d entries of which %d stand", len(entries), stand)
+	if present > 0 && present < len(entries) {
+		t.Fatalf("write of %d entries, of which %d are already in the table", len(entries), present)
 	}
 	for _, e := range entries {
 		s.rows[e.Sequence] = text(e)
@@ -124,7 +125,7 @@
 	return fmt.Sprint(e.Sequence, e.Records)
 }
 
-func (s *store) add(t *rapid.T) {
+func (s *writerModel) add(t *rapid.T) {
 	var list []place.Record
 	for range rapid.IntRange(1, 3).Draw(t, "records") {
 		s.records++
@@ -137,41 +138,41 @@
 	s.writer.Cut()
 }
 
-func (s *store) copy(t *rapid.T) {
-	if s.copying == nil {
+func (s *writerModel) copy(t *rapid.T) {
+	if s.copyInFlight == nil {
 		if a := s.writer.NextCopy(); a.Kind == recordlog.Copy {
-			s.copying = &a
+			s.copyInFlight = &a
 		}
 		return
 	}
-	e := s.copying.Entries
+	e := s.copyInFlight.Entries
 	ok := rapid.Bool().Draw(t, "copied")
 	if ok {
 		s.copies.Add(1, e)
 	}
 	s.writer.Copied(e[len(e)-1].Sequence, ok)
-	s.copying = nil
+	s.copyInFlight = nil
 }
 
-// check verifies that what counts as lasting stands in the table, or with the
-// other host, without a gap.
-func (s *store) check(t *rapid.T) {
+// check verifies that the entries that count as durable are in the table or, without a
+// gap, copied to the other host.
+func (s *writerModel) check(t *rapid.T) {
 	if int(s.writer.Stored()) > len(s.rows) {
-		t.Fatalf("%d entries count as stored, the table has %d", s.writer.Stored(), len(s.rows))
+		t.Fatalf("%d entries count as stored, but the table has %d", s.writer.Stored(), len(s.rows))
 	}
 	have := s.writer.Stored() + spoolsill.Sequence(len(s.copies.After(0, s.writer.Stored())))
 	if s.writer.Lasting() > have {
-		t.Fatalf("entry %d counts as lasting, only %d are kept", s.writer.Lasting(), have)
+		t.Fatalf("entry %d counts as durable, but only %d entries are kept", s.writer.Lasting(), have)
 	}
 }
 
-func writerKeeps(drop bool) func(*rapid.T) {
+func checkWriter(noPeers bool) func(*rapid.T) {
 	return func(t *rapid.T) {
-		s := &store{
+		s := &writerModel{
 			rows: map[spoolsill.Sequence]string{},
 			writer: recordlog.NewWriter(recordlog.Config{
 				Epoch:  1,
-				Copies: !drop,
+				Copies: !noPeers,
 			}),
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -184,15 +185,16 @@
 	}
 }
 
-func TestWhatCountsAsLastingIsKept(t *testing.T) {
-	rapid.Check(t, writerKeeps(false))
+func TestDurableEntriesAreKept(t *testing.T) {
+	rapid.Check(t, checkWriter(false))
 }
 
-func TestLastingNeedsCopies(t *testing.T) {
-	qt.Assert(t, seed.Fails(t, writerKeeps(true)), qt.IsTrue)
+// The check of the model must fail for a writer that makes no copies.
+func TestModelDetectsMissingCopies(t *testing.T) {
+	qt.Assert(t, seed.Fails(t, checkWriter(true)), qt.IsTrue)
 }
 
-func TestCopiesOfAnEarlierEpochAreRefused(t *testing.T) {
+func TestCopiesOfEarlierEpochAreRejected(t *testing.T) {
 	c := qt.New(t)
 	var x recordlog.Copies
 	c.Assert(x.Add(2, []recordlog.Entry{{
@@ -214,13 +216,12 @@
 	c.Assert(x.After(0, 4), qt.HasLen, 0)
 }
 
-// A copy that a host answered in its former life counts for nothing: the host
-// has forgotten it. The answer used to be taken for that of the call that was
-// made after the restart was heard of, so that entries counted as lasting of
-// which the other host had no copy; a holder that died then took jobs along
-// that were confirmed. The calls have no number: while one is out, no other is
-// made, and a restart voids it.
-func TestCopiesTakenByAFormerLifeDoNotCount(t *testing.T) {
+// A host that restarts loses the copies that it acknowledged before. If the late
+// acknowledgement were taken for the reply to a copy sent after the restart, entries
+// would count as durable of which the other host has no copy, and confirmed jobs would be
+// lost with the holder. Copy calls carry no number, so only one is in flight at a time,
+// and a restart invalidates its reply.
+func TestCopyAcknowledgedBeforeRestartDoesNotCount(t *testing.T) {
 	c := qt.New(t)
 	w := recordlog.NewWriter(recordlog.Config{
 		Epoch:  1,
@@ -233,7 +234,7 @@
 	c.Assert(w.NextCopy().Kind, qt.Equals, recordlog.Copy)
 	w.Forgot()
 	again := w.NextCopy()
-	w.Copied(1, true) // the former life's answer
+	w.Copied(1, true) // the reply from before the restart
 	c.Assert(w.Lasting(), qt.Equals, spoolsill.Sequence(0))
 	if again.Kind == recordlog.Copy {
 		w.Copied(1, false)
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -5,147 +5,150 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// ActionKind tells actions apart.
+// An ActionKind is the kind of an [Action].
 type ActionKind int
 
 // The kinds of actions.
 const (
 	None  ActionKind = iota
 	Write            // write Entries to the table in one transaction
-	Copy             // hand Entries to every other host of the hall
+	Copy             // copy Entries to every other host of the hall
 )
 
 // MaxGroup is the largest number of entries in one table transaction.
 const MaxGroup = 32
 
-// An Action is what the caller of [Writer.Next] has to do.
+// An Action is what the caller of [Writer.Next] or [Writer.NextCopy] has to do.
 type Action struct {
 	Kind    ActionKind
 	Entries []Entry
 }
 
-// A Config describes a [Writer].
+// A Config configures a [Writer].
 type Config struct {
 	Host  spoolsill.HostID
 	Life  spoolsill.Incarnation
 	Epoch spoolsill.Epoch
-	// Last is the sequence number of the newest entry that stands.
+	// Last is the sequence number of the newest entry in the table.
 	Last spoolsill.Sequence
-	// Copies says that there are other hosts in the hall to copy to. Without
-	// any, a silent table is all there is, and entries last in memory only.
+	// Copies reports that the hall has other hosts to copy entries to. If it has none,
+	// entries count as durable in memory alone while the table does not respond.
 	Copies bool
 }
 
-// A Writer makes entries last, in order. It is not safe for concurrent use.
+// A Writer makes entries durable in order. It performs no I/O: it tells its caller what
+// to write and copy, and is told the results. It is not safe for concurrent use.
 type Writer struct {
-	config  Config
-	pending []place.Record     // not yet in an entry
-	open    []Entry            // not in the table yet, in order
-	copied  spoolsill.Sequence // what every other host has a copy of now
-	lasting spoolsill.Sequence // what has come to last; it never goes back
-	last    spoolsill.Sequence // the last entry made
-	stored  spoolsill.Sequence // the last entry in the table
-	writing bool
-	copying bool
-	// void says that a host has restarted since the copying began: what it has
-	// answered may be gone with its former life. No other copying begins before
-	// the answer, which would be taken for the wrong one.
-	void  bool
-	group []Entry // of the write under way, or that may have taken effect
+	config        Config
+	pending       []place.Record     // not yet in an entry
+	unstored      []Entry            // not in the table yet, in order
+	copied        spoolsill.Sequence // the last entry that every other host has a copy of
+	durable       spoolsill.Sequence // the last durable entry; it never decreases
+	lastSealed    spoolsill.Sequence // the last entry created
+	stored        spoolsill.Sequence // the last entry in the table
+	writeInFlight bool
+	copyInFlight  bool
+	// copyInvalid reports that a host has restarted since the copy in flight began, so
+	// that it may have lost what it acknowledged. The next copy waits for the pending
+	// reply, which could otherwise be taken for its own.
+	copyInvalid bool
+	batch       []Entry // of the write in flight, or of one that may have taken effect
 }
 
-// NewWriter returns a writer that goes on after Config.Last.
+// NewWriter returns a writer whose first entry follows c.Last.
 func NewWriter(c Config) *Writer {
 	return &Writer{
-		config: c,
-		last:   c.Last,
-		stored: c.Last,
-		copied: c.Last,
+		config:     c,
+		lastSealed: c.Last,
+		stored:     c.Last,
+		copied:     c.Last,
 	}
 }
 
-// Append takes in records. They last once [Writer.Lasting] reaches the
-// sequence number that [Writer.Cut] gives them.
+// Append adds records for the next entry. They are durable once [Writer.Lasting] reaches
+// the sequence number that the following [Writer.Cut] returns.
 func (w *Writer) Append(records []place.Record) {
 	w.pending = append(w.pending, records...)
 }
 
-// Cut closes the pending records into entries and returns the number of the
+// Cut groups the pending records into entries and returns the sequence number of the
 // last entry.
 func (w *Writer) Cut() spoolsill.Sequence {
 	for len(w.pending) > 0 {
 		n := min(len(w.pending), MaxRecords)
-		w.last++
-		w.open = append(w.open, Entry{
+		w.lastSealed++
+		w.unstored = append(w.unstored, Entry{
 			Epoch:    w.config.Epoch,
-			Sequence: w.last,
+			Sequence: w.lastSealed,
 			Writer:   w.config.Host,
 			Life:     w.config.Life,
 			Records:  w.pending[:n:n],
 		})
 		w.pending = w.pending[n:]
 	}
-	return w.last
+	return w.lastSealed
 }
 
-// Lasting returns the number of the newest entry that lasts: it stands in the
-// table, or every other host of the hall has a copy.
+// Lasting returns the sequence number of the newest durable entry: one that is in the
+// table, or that every other host of the hall has a copy of.
 func (w *Writer) Lasting() spoolsill.Sequence {
-	w.lasting = max(w.lasting, w.stored, w.copied)
-	return w.lasting
+	w.durable = max(w.durable, w.stored, w.copied)
+	return w.durable
 }
 
-// Forgot says that another host of the hall has restarted: it needs copies of
-// all that the table lacks. What has come to last before still does.
+// Forgot tells w that another host of the hall has restarted and lost its copies, so
+// that all entries missing from the table are copied again. Entries that were durable
+// before still count as durable.
 func (w *Writer) Forgot() {
 	w.Lasting()
 	w.copied = w.stored
-	w.void = w.copying
+	w.copyInvalid = w.copyInFlight
 }
 
-// Stored returns the number of the newest entry that stands in the table.
+// Stored returns the sequence number of the newest entry known to be in the table.
 func (w *Writer) Stored() spoolsill.Sequence {
 	return w.stored
 }
 
-// Unstored returns the entries that the table lacks, as far as is known.
+// Unstored returns the entries that are not known to be in the table.
 func (w *Writer) Unstored() []Entry {
-	return append([]Entry(nil), w.open...)
+	return append([]Entry(nil), w.unstored...)
 }
 
-// Open returns how many entries the table lacks.
+// Open returns the number of entries that are not known to be in the table.
 func (w *Writer) Open() int {
-	return len(w.open)
+	return len(w.unstored)
 }
 
-// Next returns the write to make, if there is one.
+// Next returns the next write to the table, if there is one to start. After a failed
+// write it returns the same entries again.
 func (w *Writer) Next() Action {
-	if w.writing || len(w.open) == 0 {
+	if w.writeInFlight || len(w.unstored) == 0 {
 		return Action{}
 	}
-	w.writing = true
-	if len(w.group) == 0 {
-		n := min(len(w.open), MaxGroup)
-		w.group = append([]Entry(nil), w.open[:n]...)
+	w.writeInFlight = true
+	if len(w.batch) == 0 {
+		n := min(len(w.unstored), MaxGroup)
+		w.batch = append([]Entry(nil), w.unstored[:n]...)
 	}
 	return Action{
 		Kind:    Write,
-		Entries: w.group,
+		Entries: w.batch,
 	}
 }
 
-// NextCopy returns the entries to hand to the other hosts, if there are any.
-// It is asked only while the table is silent and the host holds the lease.
+// NextCopy returns the entries to copy to the other hosts, if there are any. It must be
+// called only while the table does not respond and the host holds the lease.
 func (w *Writer) NextCopy() Action {
-	if w.copying || max(w.stored, w.copied) >= w.last {
+	if w.copyInFlight || max(w.stored, w.copied) >= w.lastSealed {
 		return Action{}
 	}
 	if !w.config.Copies {
-		w.copied = w.last
+		w.copied = w.lastSealed
 		return Action{}
 	}
 	var missing []Entry
-	for _, e := range w.open {
+	for _, e := range w.unstored {
 		if e.Sequence > w.copied {
 			missing = append(missing, e)
 		}
@@ -153,33 +156,34 @@
 	if len(missing) == 0 {
 		return Action{}
 	}
-	w.copying = true
+	w.copyInFlight = true
 	return Action{
 		Kind:    Copy,
 		Entries: missing,
 	}
 }
 
-// Wrote takes in whether the write took effect. What did not, or may not
-// have, is written again as it is, so that it takes effect once.
+// Wrote records whether the write of the last [Writer.Next] was applied. Entries that
+// were not applied, or may not have been, are written again unchanged, so that they take
+// effect once.
 func (w *Writer) Wrote(applied bool) {
-	w.writing = false
+	w.writeInFlight = false
 	if !applied {
 		return
 	}
-	w.stored = w.group[len(w.group)-1].Sequence
-	w.group = nil
-	for len(w.open) > 0 && w.open[0].Sequence <= w.stored {
-		w.open = w.open[1:]
+	w.stored = w.batch[len(w.batch)-1].Sequence
+	w.batch = nil
+	for len(w.unstored) > 0 && w.unstored[0].Sequence <= w.stored {
+		w.unstored = w.unstored[1:]
 	}
 }
 
-// Copied takes in whether every other host of the hall has taken copies up to
-// an entry: the answer to the last [Writer.NextCopy].
+// Copied records the result of the last [Writer.NextCopy]: whether every other host of
+// the hall has accepted the copies, of which upTo is the last.
 func (w *Writer) Copied(upTo spoolsill.Sequence, all bool) {
-	valid := w.copying && !w.void
-	w.copying = false
-	w.void = false
+	valid := w.copyInFlight && !w.copyInvalid
+	w.copyInFlight = false
+	w.copyInvalid = false
 	if valid && all && upTo > w.copied {
 		w.copied = upTo
 	}
--- a/timeline/clock.go
+++ b/timeline/clock.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// A Stamp is a time of the hybrid logical clock: wall time in microseconds
-// and a counter that orders events within one microsecond.
+// A Stamp is a reading of a hybrid logical clock: wall time in microseconds and a
+// counter that orders events within one microsecond.
 type Stamp struct {
 	Wall    int64  `json:"wall"    msgpack:"w"`
 	Counter uint32 `json:"counter" msgpack:"c"`
 }
 
-// Compare returns -1, 0 or 1 as s is before, equal to or after o.
+// Compare returns -1 if s is before o, +1 if s is after o, and 0 if they are equal.
 func (s Stamp) Compare(o Stamp) int {
 	switch {
 	case s.Wall < o.Wall:
@@ -34,17 +34,17 @@
 	return time.UnixMicro(s.Wall)
 }
 
-// String returns s as time of day and counter.
+// String formats s as the time of day in UTC and the counter.
 func (s Stamp) String() string {
 	return fmt.Sprintf("%s+%d", s.Time().UTC().Format("15:04:05.000000"), s.Counter)
 }
 
-// MaxDrift bounds how far a received stamp may be ahead of the own wall clock
-// before it is not believed. It keeps one wrong clock from moving all others.
+// MaxDrift is how far a received stamp may be ahead of the local wall clock. Stamps
+// further ahead are rejected, so that one wrong clock cannot advance all others.
 const MaxDrift = time.Minute
 
-// A Clock is a hybrid logical clock. It is safe for concurrent use. The zero
-// value reads time.Now.
+// A Clock is a hybrid logical clock. It is safe for concurrent use. The zero value is
+// ready to use and reads time.Now.
 type Clock struct {
 	// Now reads the wall clock; nil means time.Now.
 	Now func() time.Time
@@ -53,7 +53,7 @@
 	last Stamp
 }
 
-// Tick returns a stamp later than all that c returned or observed.
+// Tick returns a stamp that is later than all stamps that c has returned or observed.
 func (c *Clock) Tick() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +63,9 @@
 	return c.last
 }
 
-// Observe moves c past a stamp received from another process. It reports
-// false, and changes nothing, when s is more than [MaxDrift] ahead.
+// Observe advances c to a stamp received from another process, so that later stamps
+// of c are after s. If s is more than [MaxDrift] ahead of the wall clock, Observe
+// leaves c unchanged and returns false.
 func (c *Clock) Observe(s Stamp) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/timeline/doc.go
+++ b/timeline/doc.go
@@ -1,11 +1,11 @@
-// Package timeline records what the processes of a cell did, in an order that
-// puts causes before effects.
+// Package timeline records the events of a cell's processes in causal order: an event
+// that caused another is ordered before it.
 //
-// Every process has one [Clock], a hybrid logical clock: its stamps follow the
-// wall clock, never go back, and pass every stamp that was received from
-// another process. Every process has one [Ring] of typed events, bounded in
-// number, from which the oldest fall out. An operator's command reads the
-// rings of all hosts and merges them with [Merge].
+// Every process has one [Clock], a hybrid logical clock. Its stamps follow the wall
+// clock, increase monotonically, and are later than every stamp received from another
+// process. Every process also has one [Ring], which holds a bounded number of typed
+// events and discards the oldest. The events of all hosts are collected on request and
+// merged with [Merge].
 //
-// The clock is after Kulkarni et al., "Logical Physical Clocks" (2014).
+// The clock follows Kulkarni et al., "Logical Physical Clocks" (2014).
 package timeline
--- a/timeline/event.go
+++ b/timeline/event.go
@@ -2,7 +2,7 @@
 
 import "github.com/spoolsill/spoolsill"
 
-// Kind sorts events.
+// Kind classifies events.
 type Kind string
 
 // The kinds of events.
@@ -17,7 +17,7 @@
 	KindOperator   Kind = "operator"
 )
 
-// An Event is one thing that a process did or saw. Fields that do not apply
+// An Event records an action or observation of a process. Fields that do not apply
 // are empty.
 type Event struct {
 	At      Stamp                `json:"at"`
@@ -32,14 +32,14 @@
 	Text    string               `json:"text"`
 }
 
-// A Filter selects events. An empty field selects all.
+// A Filter selects events. An empty field matches all events.
 type Filter struct {
 	Job     spoolsill.JobID
 	Task    string
 	Request spoolsill.RequestKey
 	Worker  spoolsill.WorkerID
 	Hall    spoolsill.HallID
-	// After selects only events with a later stamp.
+	// After matches only events with a later stamp.
 	After Stamp
 }
 
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -10,16 +10,16 @@
 // DefaultSize is the number of events that a ring keeps by default.
 const DefaultSize = 8192
 
-// A Config describes a [Ring].
+// A Config configures a [Ring].
 type Config struct {
 	Host  spoolsill.HostID
 	Hall  spoolsill.HallID
 	Clock *Clock
-	// Size is the number of events kept; 0 means DefaultSize.
+	// Size is the number of events kept; 0 or less means [DefaultSize].
 	Size int
 }
 
-// A Ring keeps the newest events of one process. It is safe for concurrent
+// A Ring is a buffer of the newest events of one process. It is safe for concurrent
 // use.
 type Ring struct {
 	config Config
@@ -29,7 +29,7 @@
 	next   int
 }
 
-// NewRing returns an empty ring.
+// NewRing returns an empty ring. If c.Clock is nil, the ring gets a clock of its own.
 func NewRing(c Config) *Ring {
 	if c.Size <= 0 {
 		c.Size = DefaultSize
@@ -42,8 +42,8 @@
 	}
 }
 
-// Add stamps e, names the ring's host and hall in it, and keeps it in place
-// of the oldest event.
+// Add sets the stamp, host and hall of e and stores it. If the ring is full, e replaces
+// the oldest event.
 func (r *Ring) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,8 +58,8 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// Select returns up to limit of the newest events that f selects, oldest
-// first. A limit of 0 or less returns all.
+// Select returns the newest events that match f, at most limit of them, oldest first.
+// A limit of 0 or less means no limit.
 func (r *Ring) Select(f Filter, limit int) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,8 +76,8 @@
 	return out
 }
 
-// Merge returns the events of several rings in the order of their stamps.
-// Events with equal stamps are ordered by host.
+// Merge returns the events of several rings sorted by stamp. Events with equal stamps
+// are sorted by host.
 func Merge(rings ...[]Event) []Event {
 	out := []Event{}
 	for _, r := range rings {
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// TestCausesComeBeforeEffects passes stamps between two clocks of which one
-// is seconds behind and jumps back.
-func TestCausesComeBeforeEffects(t *testing.T) {
+// Stamps that two clocks exchange keep their order although the wall clock of one is
+// seconds behind and steps backwards.
+func TestStampsAreCausallyOrdered(t *testing.T) {
 	c := qt.New(t)
 	ahead, behind := time.UnixMicro(10_000_000), time.UnixMicro(1_000_000)
 	a, b := clockAt(&ahead), clockAt(&behind)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAStampFarAheadIsNotBelieved(t *testing.T) {
+func TestObserveRejectsStampFarAhead(t *testing.T) {
 	c := qt.New(t)
 	now := time.UnixMicro(1_000_000)
 	k := clockAt(&now)
@@ -48,7 +48,7 @@
 	c.Assert(k.Tick().Wall, qt.Equals, now.UnixMicro())
 }
 
-func TestRingKeepsTheNewest(t *testing.T) {
+func TestRingKeepsNewestEvents(t *testing.T) {
 	c := qt.New(t)
 	r := timeline.NewRing(timeline.Config{
 		Host: "h",
