--- a/cmd/spoolsill-host/main.go
+++ b/cmd/spoolsill-host/main.go
@@ -83,7 +83,7 @@
 	defer stop()
 	go reload(ctx, changed, f.Settings, s, log.Logger)
 	m := telemetry.New()
-	m.Gauge("spoolsill.log.left", "log lines left out", log.LeftOut)
+	m.Gauge("spoolsill.log.left", "log lines left out", log.Dropped)
 	err := node.New(node.Config{
 		Settings:          s,
 		Log:               log.Logger,
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -92,8 +92,8 @@
 }
 
 type wireCopies struct {
-	Epoch spoolsill.Epoch `msgpack:"e"`
-	Last  recordlog.Mark  `msgpack:"l"`
+	Epoch spoolsill.Epoch    `msgpack:"e"`
+	Last  recordlog.Position `msgpack:"l"`
 }
 
 // holderPeers reaches the hall's other hosts for package holder.
@@ -146,7 +146,7 @@
 }
 
 // Copies implements holder.Peers.
-func (p *holderPeers) Copies(ctx context.Context, to spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, whole bool, err error) {
+func (p *holderPeers) Copies(ctx context.Context, to spoolsill.HostID, last recordlog.Position) (list []recordlog.Entry, whole bool, err error) {
 	_, e, _ := p.holder.Seen()
 	r, err := call[wireCopy](ctx, (*Host)(p), to, methodCopies, wireCopies{
 		Epoch: e,
--- a/holder/commit.go
+++ b/holder/commit.go
@@ -47,8 +47,8 @@
 	if time.Now().Before(t.retry) {
 		return
 	}
-	a := t.writer.Next()
-	if a.Kind != recordlog.Write {
+	a := t.writer.NextWrite()
+	if a.Kind != recordlog.ActionWrite {
 		return
 	}
 	t.wg.Add(1)
@@ -65,7 +65,7 @@
 		return
 	}
 	a := t.writer.NextCopy()
-	if a.Kind != recordlog.Copy {
+	if a.Kind != recordlog.ActionCopy {
 		t.release()
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writer.Copied(entries[len(entries)-1].Sequence, all)
+	t.writer.CopyDone(entries[len(entries)-1].Sequence, all)
 	t.release()
 }
 
@@ -106,7 +106,7 @@
 	}
 	stored, ok := t.wrote(err)
 	if ok {
-		t.h.stored(recordlog.Mark{
+		t.h.stored(recordlog.Position{
 			Epoch:    t.epoch,
 			Sequence: stored,
 		})
@@ -118,7 +118,7 @@
 func (t *tenure) wrote(err error) (spoolsill.Sequence, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writer.Wrote(err == nil)
+	t.writer.WriteDone(err == nil)
 	if err != nil {
 		t.backOff()
 		return 0, false
@@ -134,7 +134,7 @@
 // dropCopies tells the hall's other hosts which copies the table has now. The
 // lock is held.
 func (t *tenure) dropCopies() {
-	if !t.copied || t.writer.Open() > 0 {
+	if !t.copied || t.writer.UnstoredCount() > 0 {
 		return
 	}
 	t.copied = false
@@ -249,7 +249,7 @@
 	if err != nil {
 		return err
 	}
-	last := recordlog.Mark{
+	last := recordlog.Position{
 		Epoch:    snapshot.Epoch,
 		Sequence: snapshot.Sequence,
 	}
@@ -259,11 +259,11 @@
 		return err
 	}
 	w := recordlog.NewWriter(recordlog.Config{
-		Host:   t.h.config.Host,
-		Life:   t.h.config.Incarnation,
-		Epoch:  t.epoch,
-		Last:   last.Sequence,
-		Copies: len(t.h.config.Hosts) > 1,
+		Host:        t.h.config.Host,
+		Incarnation: t.h.config.Incarnation,
+		Epoch:       t.epoch,
+		Last:        last.Sequence,
+		HasPeers:    len(t.h.config.Hosts) > 1,
 	})
 	if err := t.adopt(s, w, last); err != nil {
 		return err
@@ -315,7 +315,7 @@
 	return e, nil
 }
 
-func (t *tenure) readJournal(s *place.State, last recordlog.Mark) (recordlog.Mark, error) {
+func (t *tenure) readJournal(s *place.State, last recordlog.Position) (recordlog.Position, error) {
 	for {
 		rows, err := t.h.config.Table.List(t.ctx, recordlog.Prefix(t.h.config.Hall), recordlog.Key(t.h.config.Hall, last.Sequence), loadPage)
 		if err != nil {
@@ -332,7 +332,7 @@
 			if err := apply(s, e); err != nil {
 				return last, err
 			}
-			last = recordlog.Mark{
+			last = recordlog.Position{
 				Epoch:    e.Epoch,
 				Sequence: e.Sequence,
 			}
@@ -354,7 +354,7 @@
 
 // adopt takes over the entries that the former holder could only copy to the
 // hosts of the hall, this one or another.
-func (t *tenure) adopt(s *place.State, w *recordlog.Writer, last recordlog.Mark) error {
+func (t *tenure) adopt(s *place.State, w *recordlog.Writer, last recordlog.Position) error {
 	best, _ := t.h.Copies(t.epoch, last)
 	for _, h := range t.h.config.Hosts {
 		if h == t.h.config.Host {
@@ -373,7 +373,7 @@
 		}
 		w.Append(e.Records)
 	}
-	w.Cut()
+	w.Seal()
 	return nil
 }
 
--- a/holder/config.go
+++ b/holder/config.go
@@ -70,7 +70,7 @@
 	// Copies returns the entries that a host keeps and that follow on the last
 	// one in the table, or all for the zero mark. whole says that nothing is
 	// kept elsewhere in the hall that the host does not know.
-	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, whole bool, err error)
+	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Position) (list []recordlog.Entry, whole bool, err error)
 }
 
 // Breaks switches mechanisms off, so that tests can show what each is for.
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -158,7 +158,7 @@
 			})
 		}
 	}
-	lasting := d.t.writer.Lasting()
+	lasting := d.t.writer.Durable()
 	for r, s := range d.forget {
 		if s <= lasting {
 			q.Forget = append(q.Forget, r)
@@ -266,7 +266,7 @@
 		d.report(s.Ref, fates[s.State])
 	}
 	if _, ok := d.forget[s.Ref]; !ok {
-		d.forget[s.Ref] = d.t.writer.Cut()
+		d.forget[s.Ref] = d.t.writer.Seal()
 	}
 	return false
 }
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -215,7 +215,7 @@
 		return false
 	}
 	if stored > 0 {
-		h.copies.Drop(recordlog.Mark{
+		h.copies.Drop(recordlog.Position{
 			Epoch:    e,
 			Sequence: stored,
 		})
@@ -228,12 +228,12 @@
 // here could not write are among them: the host that asks may be the only one
 // that reaches the table, and its own copies may have been lost. whole says
 // that nothing is kept elsewhere in the hall that is not known here.
-func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Mark) (list []recordlog.Entry, whole bool) {
+func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Position) (list []recordlog.Entry, whole bool) {
 	h.keepOpen()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copies.Fence(e)
-	if last == (recordlog.Mark{}) {
+	if last == (recordlog.Position{}) {
 		return h.copies.All(), h.whole
 	}
 	return h.copies.After(last.Epoch, last.Sequence), h.whole
@@ -251,7 +251,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.writer != nil {
-		t.writer.Forgot()
+		t.writer.PeerRestarted()
 	}
 }
 
@@ -303,7 +303,7 @@
 
 // stored drops the own copies of what the table has now: they would be handed
 // on as if only this host had them.
-func (h *Holder) stored(m recordlog.Mark) {
+func (h *Holder) stored(m recordlog.Position) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copies.Drop(m)
--- a/holder/join.go
+++ b/holder/join.go
@@ -26,7 +26,7 @@
 			if x == h.config.Host {
 				continue
 			}
-			list, whole, err := h.config.Peers.Copies(ctx, x, recordlog.Mark{})
+			list, whole, err := h.config.Peers.Copies(ctx, x, recordlog.Position{})
 			if err != nil {
 				continue
 			}
--- a/holder/snapshot.go
+++ b/holder/snapshot.go
@@ -22,15 +22,15 @@
 // one. The lock is held.
 func (t *tenure) maybeSnapshot() {
 	s := t.writer.Stored()
-	if t.snap.busy || t.writer.Open() > 0 || int(s-t.snap.last) < t.h.config.SnapshotEvery {
+	if t.snap.busy || t.writer.UnstoredCount() > 0 || int(s-t.snap.last) < t.h.config.SnapshotEvery {
 		return
 	}
 	e := recordlog.Entry{
-		Epoch:    t.epoch,
-		Sequence: s,
-		Writer:   t.h.config.Host,
-		Life:     t.h.config.Incarnation,
-		Records:  t.state.Snapshot(time.Now()),
+		Epoch:       t.epoch,
+		Sequence:    s,
+		Writer:      t.h.config.Host,
+		Incarnation: t.h.config.Incarnation,
+		Records:     t.state.Snapshot(time.Now()),
 	}
 	t.snap.busy = true
 	t.wg.Add(1)
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -154,7 +154,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.writer.Open() > maxOpen {
+	if t.writer.UnstoredCount() > maxOpen {
 		return true
 	}
 	records, full := t.state.Decide(time.Now())
@@ -166,7 +166,7 @@
 // them. The lock is held. It returns the number under which they last.
 func (t *tenure) record(records []place.Record) spoolsill.Sequence {
 	t.writer.Append(records)
-	s := t.writer.Cut()
+	s := t.writer.Seal()
 	for _, r := range records {
 		t.note(r)
 		switch r.Kind {
@@ -225,7 +225,7 @@
 
 // release does what has come to last. The lock is held.
 func (t *tenure) release() {
-	lasting := t.writer.Lasting()
+	lasting := t.writer.Durable()
 	if t.h.config.Break.Record {
 		lasting = 1 << 62
 	}
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -17,13 +17,13 @@
 	if err != nil {
 		return err
 	}
-	queues := logloss.Of(lines)
+	queues := logloss.Summarize(lines)
 	return s.print(queues, func(w io.Writer) {
 		t := newTable(w, "queue", "jobs", "in time", "others", "what became of them", "why")
 		for _, q := range queues {
 			t.row(q.Name, fmt.Sprint(q.Jobs), fmt.Sprint(q.InTime), "", "", "")
 			for _, x := range q.Causes {
-				t.row("", "", "", fmt.Sprint(x.Jobs), string(x.Fate), string(x.Reason))
+				t.row("", "", "", fmt.Sprint(x.Jobs), string(x.Outcome), string(x.Reason))
 			}
 		}
 		t.flush()
--- a/internal/cli/story.go
+++ b/internal/cli/story.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	s := logchart.Of(all)
+	s := logchart.NewSeries(all)
 	return errors.Join(s.WriteSVG(f), f.Close())
 }
 
--- a/logchart/draw.go
+++ b/logchart/draw.go
@@ -42,19 +42,19 @@
 	return []panel{
 		{
 			title:  "calls a second",
-			curves: []curve{newCurve("accepted", s.Accepted, blue), newCurve("refused", s.Refused, red)},
+			curves: []curve{newCurve("accepted", s.JobsAccepted, blue), newCurve("refused", s.RequestsRefused, red)},
 		},
 		{
 			title:  "tasks a second",
-			curves: []curve{newCurve("started", s.Started, blue), newCurve("ended", s.Ended, green)},
+			curves: []curve{newCurve("started", s.TasksStarted, blue), newCurve("ended", s.TasksEnded, green)},
 		},
 		{
 			title:  "stages that wait",
-			curves: []curve{newCurve("all", s.Waiting, blue), newCurve("too late", s.Late, red)},
+			curves: []curve{newCurve("all", s.StagesWaiting, blue), newCurve("too late", s.StagesLate, red)},
 		},
 		{
 			title:  "cores in use",
-			curves: []curve{newCurve("used", s.Used, blue)},
+			curves: []curve{newCurve("used", s.CoresUsed, blue)},
 		},
 		{
 			title:  "hosts without the store",
@@ -119,7 +119,7 @@
 		p.Add(l)
 		p.Legend.Add(c.name, l)
 	}
-	for _, at := range s.Leads {
+	for _, at := range s.LeaderChanges {
 		l, err := plotter.NewLine(plotter.XYs{{X: at}, {X: at, Y: maxValue}})
 		if err != nil {
 			return nil, err
--- a/logchart/logchart_test.go
+++ b/logchart/logchart_test.go
@@ -25,19 +25,19 @@
 func series(c *qt.C) logchart.Series {
 	lines, _, err := logstory.Read(strings.NewReader(log))
 	c.Assert(err, qt.IsNil)
-	return logchart.Of(lines)
+	return logchart.NewSeries(lines)
 }
 
 func TestSeriesCountsLines(t *testing.T) {
 	c := qt.New(t)
 	s := series(c)
-	c.Assert(s.Accepted, qt.DeepEquals, []logchart.Point{{0, 0}, {1, 0}, {2, 2}, {3, 0}, {4, 0}})
-	c.Assert(s.Refused[3], qt.Equals, logchart.Point{Second: 3, Value: 1})
-	c.Assert(s.Waiting, qt.DeepEquals, []logchart.Point{{3, 7}})
-	c.Assert(s.Late, qt.DeepEquals, []logchart.Point{{3, 2}})
-	c.Assert(s.Used, qt.DeepEquals, []logchart.Point{{3, 40}})
+	c.Assert(s.JobsAccepted, qt.DeepEquals, []logchart.Point{{0, 0}, {1, 0}, {2, 2}, {3, 0}, {4, 0}})
+	c.Assert(s.RequestsRefused[3], qt.Equals, logchart.Point{Second: 3, Value: 1})
+	c.Assert(s.StagesWaiting, qt.DeepEquals, []logchart.Point{{3, 7}})
+	c.Assert(s.StagesLate, qt.DeepEquals, []logchart.Point{{3, 2}})
+	c.Assert(s.CoresUsed, qt.DeepEquals, []logchart.Point{{3, 40}})
 	c.Assert(s.Away, qt.DeepEquals, []logchart.Point{{0, 0}, {2.5, 1}, {4, 0}})
-	c.Assert(s.Leads, qt.DeepEquals, []float64{1.5})
+	c.Assert(s.LeaderChanges, qt.DeepEquals, []float64{1.5})
 }
 
 func TestWriteSVGDrawsAllPanels(t *testing.T) {
@@ -52,7 +52,7 @@
 
 func TestWriteSVGWithoutLines(t *testing.T) {
 	c := qt.New(t)
-	s := logchart.Of(nil)
+	s := logchart.NewSeries(nil)
 	var b bytes.Buffer
 	c.Assert(s.WriteSVG(&b), qt.IsNil)
 }
--- a/logchart/series.go
+++ b/logchart/series.go
@@ -16,33 +16,35 @@
 
 // A Series holds the curves computed from log lines.
 type Series struct {
-	// Accepted, Refused, Started and Ended count log lines, with one point per second.
-	Accepted []Point
-	Refused  []Point
-	Started  []Point
-	Ended    []Point
-	// Waiting counts the waiting stages, Late those of them that can no longer meet
-	// their objective, and Used the cores in use, as reported by the leader.
-	Waiting []Point
-	Late    []Point
-	Used    []Point
+	// JobsAccepted, RequestsRefused, TasksStarted and TasksEnded count log lines, with
+	// one point per second.
+	JobsAccepted    []Point
+	RequestsRefused []Point
+	TasksStarted    []Point
+	TasksEnded      []Point
+	// StagesWaiting counts the waiting stages, StagesLate those of them that can no
+	// longer meet their objective, and CoresUsed the cores in use, as reported by the
+	// leader.
+	StagesWaiting []Point
+	StagesLate    []Point
+	CoresUsed     []Point
 	// Away counts the hosts that cannot reach the store.
 	Away []Point
-	// Leads holds the times at which a host became leader, in seconds since the first
-	// log line.
-	Leads []float64
+	// LeaderChanges holds the times at which a host became leader, in seconds since
+	// the first log line.
+	LeaderChanges []float64
 }
 
 // lineCounters maps the messages that are counted to their curves.
 var lineCounters = map[string]func(*Series) *[]Point{
-	"job accepted":    func(s *Series) *[]Point { return &s.Accepted },
-	"request refused": func(s *Series) *[]Point { return &s.Refused },
-	"task started":    func(s *Series) *[]Point { return &s.Started },
-	"task ended":      func(s *Series) *[]Point { return &s.Ended },
+	"job accepted":    func(s *Series) *[]Point { return &s.JobsAccepted },
+	"request refused": func(s *Series) *[]Point { return &s.RequestsRefused },
+	"task started":    func(s *Series) *[]Point { return &s.TasksStarted },
+	"task ended":      func(s *Series) *[]Point { return &s.TasksEnded },
 }
 
-// Of computes the series of lines, which may be in any order.
-func Of(lines []logstory.Line) Series {
+// NewSeries computes the series of lines, which may be in any order.
+func NewSeries(lines []logstory.Line) Series {
 	var s Series
 	if len(lines) == 0 {
 		return s
@@ -64,11 +66,11 @@
 		}
 		switch l.Message {
 		case "load of the cell":
-			s.Waiting = append(s.Waiting, point(at, number(l, "stages_wait")))
-			s.Late = append(s.Late, point(at, number(l, "stages_late")))
-			s.Used = append(s.Used, point(at, number(l, "cores_used")))
+			s.StagesWaiting = append(s.StagesWaiting, point(at, number(l, "stages_wait")))
+			s.StagesLate = append(s.StagesLate, point(at, number(l, "stages_late")))
+			s.CoresUsed = append(s.CoresUsed, point(at, number(l, "cores_used")))
 		case "this host leads":
-			s.Leads = append(s.Leads, at)
+			s.LeaderChanges = append(s.LeaderChanges, at)
 		case "store not reachable", "store reachable", "host started":
 			storeUnreachable[l.Host] = l.Message == "store not reachable"
 			s.Away = append(s.Away, point(at, countTrue(storeUnreachable)))
--- a/logloss/logloss.go
+++ b/logloss/logloss.go
@@ -9,17 +9,17 @@
 	"github.com/spoolsill/spoolsill/logstory"
 )
 
-// A Fate is how a job ended.
-type Fate string
+// An Outcome is how a job ended.
+type Outcome string
 
 // The ways in which a job ends.
 const (
-	InTime    Fate = "in time"
-	Late      Fate = "late"
-	Unfit     Fate = "failed"    // a task failed as often as the queue allows
-	Cancelled Fate = "cancelled" // by its client
-	Open      Fate = "not ended"
-	Refused   Fate = "never accepted"
+	InTime        Outcome = "in time"
+	Late          Outcome = "late"
+	Failed        Outcome = "failed"    // a task failed as often as the queue allows
+	Cancelled     Outcome = "cancelled" // by its client
+	NotEnded      Outcome = "not ended"
+	NeverAccepted Outcome = "never accepted"
 )
 
 // A Reason is why a job missed its objective.
@@ -29,22 +29,22 @@
 // unreachable store or a change of leader while the job was open, then the dominant
 // wait. RanLong is left when none of them applies.
 const (
-	WorkerLost    Reason = "a worker with its work was lost"
-	RunFailed     Reason = "a run failed"
-	LeaderChanged Reason = "the leader changed"
-	StoreAway     Reason = "the store was away"
-	WaitedQuota   Reason = "waited for its team's quota"
-	WaitedAdvice  Reason = "waited for advice"
-	WaitedRoom    Reason = "waited for room"
-	RanLong       Reason = "ran"
+	WorkerLost        Reason = "a worker with its work was lost"
+	RunFailed         Reason = "a run failed"
+	LeaderChanged     Reason = "the leader changed"
+	StoreUnreachable  Reason = "the store was away"
+	WaitedForQuota    Reason = "waited for its team's quota"
+	WaitedForAdvice   Reason = "waited for advice"
+	WaitedForCapacity Reason = "waited for room"
+	RanLong           Reason = "ran"
 )
 
 // A Cause counts the jobs of a queue that missed their objective with one outcome and
 // for one reason.
 type Cause struct {
-	Fate   Fate
-	Reason Reason
-	Jobs   int
+	Outcome Outcome `json:"Fate"`
+	Reason  Reason
+	Jobs    int
 }
 
 // A Queue summarizes the jobs of one queue.
@@ -72,10 +72,10 @@
 	failedRuns, lostRuns                int
 }
 
-// Of summarizes the jobs of saved logs by queue, sorted by name. Jobs that no host
-// accepted are counted under the path prefix that their clients called, since their
-// queue is not known. Of sorts lines by time.
-func Of(lines []logstory.Line) []Queue {
+// Summarize counts the jobs of saved logs by queue and returns the queues sorted by
+// name. Jobs that no host accepted are counted under the path prefix that their clients
+// called, since their queue is not known. Summarize sorts lines by time in place.
+func Summarize(lines []logstory.Line) []Queue {
 	slices.SortStableFunc(lines, func(a, b logstory.Line) int { return a.Time.Compare(b.Time) })
 	jobs := map[string]*job{}
 	var leaders, outages []time.Time
@@ -107,7 +107,7 @@
 	var out []Queue
 	for _, q := range counts {
 		slices.SortFunc(q.Causes, func(a, b Cause) int {
-			return cmp.Or(-cmp.Compare(a.Jobs, b.Jobs), strings.Compare(string(a.Fate), string(b.Fate)), strings.Compare(string(a.Reason), string(b.Reason)))
+			return cmp.Or(-cmp.Compare(a.Jobs, b.Jobs), strings.Compare(string(a.Outcome), string(b.Outcome)), strings.Compare(string(a.Reason), string(b.Reason)))
 		})
 		out = append(out, *q)
 	}
@@ -141,7 +141,7 @@
 		j = &job{
 			queue:     path[:i+1],
 			firstSeen: l.Time,
-			state:     string(Refused),
+			state:     string(NeverAccepted),
 		}
 		jobs[path[i+1:]] = j
 	}
@@ -165,16 +165,16 @@
 	j.lostRuns = int(l.Number("runs_lost"))
 }
 
-func (j *job) outcome() Fate {
+func (j *job) outcome() Outcome {
 	switch {
-	case !j.ended && j.state == string(Refused):
-		return Refused
+	case !j.ended && j.state == string(NeverAccepted):
+		return NeverAccepted
 	case !j.ended:
-		return Open
+		return NotEnded
 	case j.state == "cancelled":
 		return Cancelled
 	case j.state == "failed":
-		return Unfit
+		return Failed
 	case j.age > j.objective:
 		return Late
 	default:
@@ -195,15 +195,15 @@
 	case j.failedRuns > 0:
 		return RunFailed
 	case during(outages):
-		return StoreAway
+		return StoreUnreachable
 	case during(leaders):
 		return LeaderChanged
 	case j.quotaWait > long && j.quotaWait >= j.capacityWait+j.adviceWait:
-		return WaitedQuota
+		return WaitedForQuota
 	case j.adviceWait > long && j.adviceWait >= j.capacityWait:
-		return WaitedAdvice
+		return WaitedForAdvice
 	case j.capacityWait > long:
-		return WaitedRoom
+		return WaitedForCapacity
 	default:
 		return RanLong
 	}
@@ -217,10 +217,10 @@
 		return
 	}
 	c := Cause{
-		Fate:   f,
-		Reason: j.reason(leaders, outages),
+		Outcome: f,
+		Reason:  j.reason(leaders, outages),
 	}
-	i := slices.IndexFunc(q.Causes, func(o Cause) bool { return o.Fate == c.Fate && o.Reason == c.Reason })
+	i := slices.IndexFunc(q.Causes, func(o Cause) bool { return o.Outcome == c.Outcome && o.Reason == c.Reason })
 	if i < 0 {
 		q.Causes = append(q.Causes, c)
 		i = len(q.Causes) - 1
--- a/logloss/logloss_test.go
+++ b/logloss/logloss_test.go
@@ -34,16 +34,16 @@
 func TestCausesAreCountedByReason(t *testing.T) {
 	lines, _, err := logstory.Read(strings.NewReader(log))
 	qt.Assert(t, err, qt.IsNil)
-	queues := logloss.Of(lines)
+	queues := logloss.Summarize(lines)
 	qt.Assert(t, queues, qt.HasLen, 2)
 	qt.Assert(t, queues[0], qt.DeepEquals, logloss.Queue{
 		Name: "/orders/",
 		Jobs: 1,
 		Causes: []logloss.Cause{
 			{
-				Fate:   logloss.Refused,
-				Reason: logloss.StoreAway,
-				Jobs:   1,
+				Outcome: logloss.NeverAccepted,
+				Reason:  logloss.StoreUnreachable,
+				Jobs:    1,
 			},
 		},
 	})
@@ -52,7 +52,7 @@
 	qt.Assert(t, q.InTime, qt.Equals, 1)
 	var got []string
 	for _, c := range q.Causes {
-		got = append(got, fmt.Sprintf("%s: %s", c.Fate, c.Reason))
+		got = append(got, fmt.Sprintf("%s: %s", c.Outcome, c.Reason))
 	}
 	qt.Assert(t, got, qt.ContentEquals, []string{
 		"late: waited for room",
@@ -63,12 +63,12 @@
 	})
 }
 
-func ExampleOf() {
+func ExampleSummarize() {
 	lines, _, err := logstory.Read(strings.NewReader(log))
 	if err != nil {
 		panic(err)
 	}
-	for _, q := range logloss.Of(lines) {
+	for _, q := range logloss.Summarize(lines) {
 		fmt.Println(q.Name, q.Jobs, q.InTime)
 	}
 	// Output:
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -77,8 +77,8 @@
 	return l
 }
 
-// LeftOut returns the number of lines dropped so far.
-func (l *Log) LeftOut() int64 {
+// Dropped returns the number of lines dropped so far.
+func (l *Log) Dropped() int64 {
 	return l.dropped.Load()
 }
 
@@ -94,7 +94,7 @@
 			l.writeAll(b)
 			pause.For(ctx, writeInterval)
 		case <-t.C:
-			if n := l.LeftOut(); n > reported {
+			if n := l.Dropped(); n > reported {
 				l.WithField("lines", n-reported).Warn("log lines left out")
 				reported = n
 			}
--- a/oplog/oplog_test.go
+++ b/oplog/oplog_test.go
@@ -48,7 +48,7 @@
 			l.WithField("i", i).Info(strings.Repeat("x", i%40))
 		}
 		c.Assert(time.Since(begun), qt.Equals, time.Duration(0))
-		c.Assert(l.LeftOut() > 0, qt.IsTrue)
+		c.Assert(l.Dropped() > 0, qt.IsTrue)
 		close(w.release)
 		cancel()
 		l.Wait()
@@ -83,7 +83,7 @@
 		s := out.String()
 		c.Assert(strings.Count(s, "flood") <= 1600, qt.IsTrue)
 		c.Assert(strings.Count(s, "lease lost"), qt.Equals, 1)
-		c.Assert(strings.Contains(s, `"lines":3400,"msg":"log lines left out"`), qt.IsTrue, qt.Commentf("%d left out", l.LeftOut()))
+		c.Assert(strings.Contains(s, `"lines":3400,"msg":"log lines left out"`), qt.IsTrue, qt.Commentf("%d left out", l.Dropped()))
 	})
 }
 
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -36,7 +36,7 @@
 	Method      string                `msgpack:"m,omitempty"`
 	From        spoolsill.HostID      `msgpack:"f,omitempty"`
 	Incarnation spoolsill.Incarnation `msgpack:"n,omitempty"`
-	Stamp       timeline.Stamp        `msgpack:"s"`
+	Stamp       timeline.Timestamp    `msgpack:"s"`
 	// Wait is how much longer the caller waits for the reply; 0 means that no
 	// limit is known.
 	Wait time.Duration      `msgpack:"w,omitempty"`
--- a/recordlog/copies.go
+++ b/recordlog/copies.go
@@ -46,10 +46,11 @@
 }
 
 // Drop removes the entries that are not needed any more once the table holds the entry
-// at m: those up to m, and all of earlier epochs, which the writer of m has taken over.
-func (c *Copies) Drop(m Mark) {
+// at p: those up to p, and all of earlier epochs, which the writer of that entry has
+// taken over.
+func (c *Copies) Drop(p Position) {
 	for s, e := range c.entries {
-		if e.Epoch < m.Epoch || e.Epoch == m.Epoch && s <= m.Sequence {
+		if e.Epoch < p.Epoch || e.Epoch == p.Epoch && s <= p.Sequence {
 			delete(c.entries, s)
 		}
 	}
--- a/recordlog/entry.go
+++ b/recordlog/entry.go
@@ -18,30 +18,30 @@
 // MaxRecords is the largest number of records in one entry.
 const MaxRecords = 2048
 
-// MaxEntry is the largest size in bytes of an encoded entry or snapshot that [Decode]
+// MaxEntryBytes is the largest size of an encoded entry or snapshot that [Decode]
 // accepts.
-const MaxEntry = 64 << 20
+const MaxEntryBytes = 64 << 20
 
 // ErrDamaged is returned for an entry that has an invalid length or checksum, or that
 // cannot be decoded.
 var ErrDamaged = errors.New("journal: damaged entry")
 
-// ErrFuture is returned for an entry with a newer format version than [Format].
-var ErrFuture = errors.New("journal: entry has a newer format")
+// ErrNewerFormat is returned for an entry with a newer format version than [Format].
+var ErrNewerFormat = errors.New("journal: entry has a newer format")
 
 // An Entry is a group of records that are written together. A snapshot is stored in the
 // same form.
 type Entry struct {
-	Epoch    spoolsill.Epoch       `msgpack:"e"`
-	Sequence spoolsill.Sequence    `msgpack:"s"`
-	Writer   spoolsill.HostID      `msgpack:"w"`
-	Life     spoolsill.Incarnation `msgpack:"l"`
-	Records  []place.Record        `msgpack:"r"`
+	Epoch       spoolsill.Epoch       `msgpack:"e"`
+	Sequence    spoolsill.Sequence    `msgpack:"s"`
+	Writer      spoolsill.HostID      `msgpack:"w"`
+	Incarnation spoolsill.Incarnation `msgpack:"l"`
+	Records     []place.Record        `msgpack:"r"`
 }
 
-// A Mark is a position in a journal: the sequence number of an entry, and the epoch in
+// A Position identifies an entry of a journal by its sequence number and the epoch in
 // which it was written.
-type Mark struct {
+type Position struct {
 	Epoch    spoolsill.Epoch    `msgpack:"e"`
 	Sequence spoolsill.Sequence `msgpack:"s"`
 }
@@ -61,13 +61,13 @@
 }
 
 // Decode decodes an entry written by [Encode]. Its errors wrap [ErrDamaged] or
-// [ErrFuture].
+// [ErrNewerFormat].
 func Decode(b []byte) (Entry, error) {
-	if len(b) < headerLength || len(b) > MaxEntry {
+	if len(b) < headerLength || len(b) > MaxEntryBytes {
 		return Entry{}, fmt.Errorf("%w: %d bytes", ErrDamaged, len(b))
 	}
 	if b[0] > Format {
-		return Entry{}, fmt.Errorf("%w: format %d, this program reads up to %d", ErrFuture, b[0], Format)
+		return Entry{}, fmt.Errorf("%w: format %d, this program reads up to %d", ErrNewerFormat, b[0], Format)
 	}
 	body := b[headerLength:]
 	if xxhash.Sum64(body) != binary.BigEndian.Uint64(b[1:]) {
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -16,10 +16,10 @@
 
 func sample() recordlog.Entry {
 	return recordlog.Entry{
-		Epoch:    3,
-		Sequence: 7,
-		Writer:   "vake-1",
-		Life:     9,
+		Epoch:       3,
+		Sequence:    7,
+		Writer:      "vake-1",
+		Incarnation: 9,
 		Records: []place.Record{{
 			Kind:   place.TaskPlaced,
 			At:     1,
@@ -53,7 +53,7 @@
 	}
 	b[0] = recordlog.Format + 1
 	_, err = recordlog.Decode(b)
-	c.Assert(errors.Is(err, recordlog.ErrFuture), qt.IsTrue)
+	c.Assert(errors.Is(err, recordlog.ErrNewerFormat), qt.IsTrue)
 	c.Assert(err, qt.ErrorMatches, ".*format 2, this program reads up to 1")
 	_, err = recordlog.Decode(nil)
 	c.Assert(errors.Is(err, recordlog.ErrDamaged), qt.IsTrue)
@@ -67,7 +67,7 @@
 	f.Add([]byte{2, 0, 0, 0, 0, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		_, err := recordlog.Decode(b)
-		if err != nil && !errors.Is(err, recordlog.ErrDamaged) && !errors.Is(err, recordlog.ErrFuture) {
+		if err != nil && !errors.Is(err, recordlog.ErrDamaged) && !errors.Is(err, recordlog.ErrNewerFormat) {
 			t.Fatal(err)
 		}
 	})
@@ -87,7 +87,7 @@
 // write starts a write, or completes the one in flight.
 func (s *writerModel) write(t *rapid.T) {
 	if s.writeInFlight == nil {
-		if a := s.writer.Next(); a.Kind == recordlog.Write {
+		if a := s.writer.NextWrite(); a.Kind == recordlog.ActionWrite {
 			s.writeInFlight = &a
 		}
 		return
@@ -98,7 +98,7 @@
 	}
 	// Outcome 0: not applied. Outcome 1: applied, and the reply is lost. Outcome 2:
 	// applied and acknowledged.
-	s.writer.Wrote(outcome == 2)
+	s.writer.WriteDone(outcome == 2)
 	s.writeInFlight = nil
 }
 
@@ -135,12 +135,12 @@
 		})
 	}
 	s.writer.Append(list)
-	s.writer.Cut()
+	s.writer.Seal()
 }
 
 func (s *writerModel) copy(t *rapid.T) {
 	if s.copyInFlight == nil {
-		if a := s.writer.NextCopy(); a.Kind == recordlog.Copy {
+		if a := s.writer.NextCopy(); a.Kind == recordlog.ActionCopy {
 			s.copyInFlight = &a
 		}
 		return
@@ -150,7 +150,7 @@
 	if ok {
 		s.copies.Add(1, e)
 	}
-	s.writer.Copied(e[len(e)-1].Sequence, ok)
+	s.writer.CopyDone(e[len(e)-1].Sequence, ok)
 	s.copyInFlight = nil
 }
 
@@ -161,8 +161,8 @@
 		t.Fatalf("%d entries count as stored, but the table has %d", s.writer.Stored(), len(s.rows))
 	}
 	have := s.writer.Stored() + spoolsill.Sequence(len(s.copies.After(0, s.writer.Stored())))
-	if s.writer.Lasting() > have {
-		t.Fatalf("entry %d counts as durable, but only %d entries are kept", s.writer.Lasting(), have)
+	if s.writer.Durable() > have {
+		t.Fatalf("entry %d counts as durable, but only %d entries are kept", s.writer.Durable(), have)
 	}
 }
 
@@ -171,8 +171,8 @@
 		s := &writerModel{
 			rows: map[spoolsill.Sequence]string{},
 			writer: recordlog.NewWriter(recordlog.Config{
-				Epoch:  1,
-				Copies: !noPeers,
+				Epoch:    1,
+				HasPeers: !noPeers,
 			}),
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -224,22 +224,22 @@
 func TestCopyAcknowledgedBeforeRestartDoesNotCount(t *testing.T) {
 	c := qt.New(t)
 	w := recordlog.NewWriter(recordlog.Config{
-		Epoch:  1,
-		Copies: true,
+		Epoch:    1,
+		HasPeers: true,
 	})
 	w.Append([]place.Record{{
 		Kind: place.PlanApplied,
 	}})
-	w.Cut()
-	c.Assert(w.NextCopy().Kind, qt.Equals, recordlog.Copy)
-	w.Forgot()
+	w.Seal()
+	c.Assert(w.NextCopy().Kind, qt.Equals, recordlog.ActionCopy)
+	w.PeerRestarted()
 	again := w.NextCopy()
-	w.Copied(1, true) // the reply from before the restart
-	c.Assert(w.Lasting(), qt.Equals, spoolsill.Sequence(0))
-	if again.Kind == recordlog.Copy {
-		w.Copied(1, false)
+	w.CopyDone(1, true) // the reply from before the restart
+	c.Assert(w.Durable(), qt.Equals, spoolsill.Sequence(0))
+	if again.Kind == recordlog.ActionCopy {
+		w.CopyDone(1, false)
 	}
-	c.Assert(w.NextCopy().Kind, qt.Equals, recordlog.Copy)
-	w.Copied(1, true)
-	c.Assert(w.Lasting(), qt.Equals, spoolsill.Sequence(1))
+	c.Assert(w.NextCopy().Kind, qt.Equals, recordlog.ActionCopy)
+	w.CopyDone(1, true)
+	c.Assert(w.Durable(), qt.Equals, spoolsill.Sequence(1))
 }
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -10,15 +10,15 @@
 
 // The kinds of actions.
 const (
-	None  ActionKind = iota
-	Write            // write Entries to the table in one transaction
-	Copy             // copy Entries to every other host of the hall
+	ActionNone  ActionKind = iota
+	ActionWrite            // write Entries to the table in one transaction
+	ActionCopy             // copy Entries to every other host of the hall
 )
 
-// MaxGroup is the largest number of entries in one table transaction.
-const MaxGroup = 32
+// MaxTxnEntries is the largest number of entries in one table transaction.
+const MaxTxnEntries = 32
 
-// An Action is what the caller of [Writer.Next] or [Writer.NextCopy] has to do.
+// An Action is what the caller of [Writer.NextWrite] or [Writer.NextCopy] has to do.
 type Action struct {
 	Kind    ActionKind
 	Entries []Entry
@@ -26,14 +26,14 @@
 
 // A Config configures a [Writer].
 type Config struct {
-	Host  spoolsill.HostID
-	Life  spoolsill.Incarnation
-	Epoch spoolsill.Epoch
+	Host        spoolsill.HostID
+	Incarnation spoolsill.Incarnation
+	Epoch       spoolsill.Epoch
 	// Last is the sequence number of the newest entry in the table.
 	Last spoolsill.Sequence
-	// Copies reports that the hall has other hosts to copy entries to. If it has none,
+	// HasPeers reports that the hall has other hosts to copy entries to. If it has none,
 	// entries count as durable in memory alone while the table does not respond.
-	Copies bool
+	HasPeers bool
 }
 
 // A Writer makes entries durable in order. It performs no I/O: it tells its caller what
@@ -65,42 +65,42 @@
 	}
 }
 
-// Append adds records for the next entry. They are durable once [Writer.Lasting] reaches
-// the sequence number that the following [Writer.Cut] returns.
+// Append adds records for the next entry. They are durable once [Writer.Durable] reaches
+// the sequence number that the following [Writer.Seal] returns.
 func (w *Writer) Append(records []place.Record) {
 	w.pending = append(w.pending, records...)
 }
 
-// Cut groups the pending records into entries and returns the sequence number of the
+// Seal groups the pending records into entries and returns the sequence number of the
 // last entry.
-func (w *Writer) Cut() spoolsill.Sequence {
+func (w *Writer) Seal() spoolsill.Sequence {
 	for len(w.pending) > 0 {
 		n := min(len(w.pending), MaxRecords)
 		w.lastSealed++
 		w.unstored = append(w.unstored, Entry{
-			Epoch:    w.config.Epoch,
-			Sequence: w.lastSealed,
-			Writer:   w.config.Host,
-			Life:     w.config.Life,
-			Records:  w.pending[:n:n],
+			Epoch:       w.config.Epoch,
+			Sequence:    w.lastSealed,
+			Writer:      w.config.Host,
+			Incarnation: w.config.Incarnation,
+			Records:     w.pending[:n:n],
 		})
 		w.pending = w.pending[n:]
 	}
 	return w.lastSealed
 }
 
-// Lasting returns the sequence number of the newest durable entry: one that is in the
+// Durable returns the sequence number of the newest durable entry: one that is in the
 // table, or that every other host of the hall has a copy of.
-func (w *Writer) Lasting() spoolsill.Sequence {
+func (w *Writer) Durable() spoolsill.Sequence {
 	w.durable = max(w.durable, w.stored, w.copied)
 	return w.durable
 }
 
-// Forgot tells w that another host of the hall has restarted and lost its copies, so
-// that all entries missing from the table are copied again. Entries that were durable
+// PeerRestarted tells w that another host of the hall has restarted and lost its copies,
+// so that all entries missing from the table are copied again. Entries that were durable
 // before still count as durable.
-func (w *Writer) Forgot() {
-	w.Lasting()
+func (w *Writer) PeerRestarted() {
+	w.Durable()
 	w.copied = w.stored
 	w.copyInvalid = w.copyInFlight
 }
@@ -115,24 +115,24 @@
 	return append([]Entry(nil), w.unstored...)
 }
 
-// Open returns the number of entries that are not known to be in the table.
-func (w *Writer) Open() int {
+// UnstoredCount returns the number of entries that are not known to be in the table.
+func (w *Writer) UnstoredCount() int {
 	return len(w.unstored)
 }
 
-// Next returns the next write to the table, if there is one to start. After a failed
-// write it returns the same entries again.
-func (w *Writer) Next() Action {
+// NextWrite returns the next write to the table, if there is one to start. After a
+// failed write it returns the same entries again.
+func (w *Writer) NextWrite() Action {
 	if w.writeInFlight || len(w.unstored) == 0 {
 		return Action{}
 	}
 	w.writeInFlight = true
 	if len(w.batch) == 0 {
-		n := min(len(w.unstored), MaxGroup)
+		n := min(len(w.unstored), MaxTxnEntries)
 		w.batch = append([]Entry(nil), w.unstored[:n]...)
 	}
 	return Action{
-		Kind:    Write,
+		Kind:    ActionWrite,
 		Entries: w.batch,
 	}
 }
@@ -143,7 +143,7 @@
 	if w.copyInFlight || max(w.stored, w.copied) >= w.lastSealed {
 		return Action{}
 	}
-	if !w.config.Copies {
+	if !w.config.HasPeers {
 		w.copied = w.lastSealed
 		return Action{}
 	}
@@ -158,15 +158,15 @@
 	}
 	w.copyInFlight = true
 	return Action{
-		Kind:    Copy,
+		Kind:    ActionCopy,
 		Entries: missing,
 	}
 }
 
-// Wrote records whether the write of the last [Writer.Next] was applied. Entries that
-// were not applied, or may not have been, are written again unchanged, so that they take
-// effect once.
-func (w *Writer) Wrote(applied bool) {
+// WriteDone records whether the write of the last [Writer.NextWrite] was applied.
+// Entries that were not applied, or may not have been, are written again unchanged, so
+// that they take effect once.
+func (w *Writer) WriteDone(applied bool) {
 	w.writeInFlight = false
 	if !applied {
 		return
@@ -178,9 +178,9 @@
 	}
 }
 
-// Copied records the result of the last [Writer.NextCopy]: whether every other host of
+// CopyDone records the result of the last [Writer.NextCopy]: whether every other host of
 // the hall has accepted the copies, of which upTo is the last.
-func (w *Writer) Copied(upTo spoolsill.Sequence, all bool) {
+func (w *Writer) CopyDone(upTo spoolsill.Sequence, all bool) {
 	valid := w.copyInFlight && !w.copyInvalid
 	w.copyInFlight = false
 	w.copyInvalid = false
--- a/timeline/clock.go
+++ b/timeline/clock.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// A Stamp is a reading of a hybrid logical clock: wall time in microseconds and a
+// A Timestamp is a reading of a hybrid logical clock: wall time in microseconds and a
 // counter that orders events within one microsecond.
-type Stamp struct {
+type Timestamp struct {
 	Wall    int64  `json:"wall"    msgpack:"w"`
 	Counter uint32 `json:"counter" msgpack:"c"`
 }
 
-// Compare returns -1 if s is before o, +1 if s is after o, and 0 if they are equal.
-func (s Stamp) Compare(o Stamp) int {
+// Compare returns -1 if t is before o, +1 if t is after o, and 0 if they are equal.
+func (t Timestamp) Compare(o Timestamp) int {
 	switch {
-	case s.Wall < o.Wall:
+	case t.Wall < o.Wall:
 		return -1
-	case s.Wall > o.Wall:
+	case t.Wall > o.Wall:
 		return 1
-	case s.Counter < o.Counter:
+	case t.Counter < o.Counter:
 		return -1
-	case s.Counter > o.Counter:
+	case t.Counter > o.Counter:
 		return 1
 	default:
 		return 0
 	}
 }
 
-// Time returns the wall time of s.
-func (s Stamp) Time() time.Time {
-	return time.UnixMicro(s.Wall)
+// Time returns the wall time of t.
+func (t Timestamp) Time() time.Time {
+	return time.UnixMicro(t.Wall)
 }
 
-// String formats s as the time of day in UTC and the counter.
-func (s Stamp) String() string {
-	return fmt.Sprintf("%s+%d", s.Time().UTC().Format("15:04:05.000000"), s.Counter)
+// String formats t as the time of day in UTC and the counter.
+func (t Timestamp) String() string {
+	return fmt.Sprintf("%s+%d", t.Time().UTC().Format("15:04:05.000000"), t.Counter)
 }
 
-// MaxDrift is how far a received stamp may be ahead of the local wall clock. Stamps
-// further ahead are rejected, so that one wrong clock cannot advance all others.
-const MaxDrift = time.Minute
+// MaxSkew is how far a received timestamp may be ahead of the local wall clock.
+// Timestamps further ahead are rejected, so that one wrong clock cannot advance all
+// others.
+const MaxSkew = time.Minute
 
 // A Clock is a hybrid logical clock. It is safe for concurrent use. The zero value is
 // ready to use and reads time.Now.
@@ -50,37 +51,37 @@
 	Now func() time.Time
 
 	mu   sync.Mutex
-	last Stamp
+	last Timestamp
 }
 
-// Tick returns a stamp that is later than all stamps that c has returned or observed.
-func (c *Clock) Tick() Stamp {
+// Tick returns a timestamp that is later than all that c has returned or observed.
+func (c *Clock) Tick() Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.advance(Stamp{
+	c.advance(Timestamp{
 		Wall: c.wall(),
 	})
 	return c.last
 }
 
-// Observe advances c to a stamp received from another process, so that later stamps
-// of c are after s. If s is more than [MaxDrift] ahead of the wall clock, Observe
-// leaves c unchanged and returns false.
-func (c *Clock) Observe(s Stamp) bool {
+// Observe advances c to a timestamp received from another process, so that the
+// timestamps that c returns next are after t. If t is more than [MaxSkew] ahead of the
+// wall clock, Observe leaves c unchanged and returns false.
+func (c *Clock) Observe(t Timestamp) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.Wall > c.wall()+MaxDrift.Microseconds() {
+	if t.Wall > c.wall()+MaxSkew.Microseconds() {
 		return false
 	}
-	if s.Compare(c.last) > 0 {
-		c.last = s
+	if t.Compare(c.last) > 0 {
+		c.last = t
 	}
 	return true
 }
 
-func (c *Clock) advance(s Stamp) {
-	if s.Wall > c.last.Wall {
-		c.last = s
+func (c *Clock) advance(t Timestamp) {
+	if t.Wall > c.last.Wall {
+		c.last = t
 		return
 	}
 	c.last.Counter++
--- a/timeline/event.go
+++ b/timeline/event.go
@@ -20,7 +20,7 @@
 // An Event records an action or observation of a process. Fields that do not apply
 // are empty.
 type Event struct {
-	At      Stamp                `json:"at"`
+	At      Timestamp            `json:"at"`
 	Host    spoolsill.HostID     `json:"host"`
 	Hall    spoolsill.HallID     `json:"hall"`
 	Kind    Kind                 `json:"kind"`
@@ -39,8 +39,8 @@
 	Request spoolsill.RequestKey
 	Worker  spoolsill.WorkerID
 	Hall    spoolsill.HallID
-	// After matches only events with a later stamp.
-	After Stamp
+	// After matches only events with a later timestamp.
+	After Timestamp
 }
 
 // Match reports whether f selects e.
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Add sets the stamp, host and hall of e and stores it. If the ring is full, e replaces
-// the oldest event.
+// Add sets the timestamp, host and hall of e and stores it. If the ring is full, e
+// replaces the oldest event.
 func (r *Ring) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,8 +76,8 @@
 	return out
 }
 
-// Merge returns the events of several rings sorted by stamp. Events with equal stamps
-// are sorted by host.
+// Merge returns the events of several rings sorted by timestamp. Events with equal
+// timestamps are sorted by host.
 func Merge(rings ...[]Event) []Event {
 	out := []Event{}
 	for _, r := range rings {
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// Stamps that two clocks exchange keep their order although the wall clock of one is
-// seconds behind and steps backwards.
-func TestStampsAreCausallyOrdered(t *testing.T) {
+// Timestamps that two clocks exchange keep their order although the wall clock of one
+// is seconds behind and steps backwards.
+func TestTimestampsAreCausallyOrdered(t *testing.T) {
 	c := qt.New(t)
 	ahead, behind := time.UnixMicro(10_000_000), time.UnixMicro(1_000_000)
 	a, b := clockAt(&ahead), clockAt(&behind)
@@ -38,12 +38,12 @@
 	}
 }
 
-func TestObserveRejectsStampFarAhead(t *testing.T) {
+func TestObserveRejectsTimestampFarAhead(t *testing.T) {
 	c := qt.New(t)
 	now := time.UnixMicro(1_000_000)
 	k := clockAt(&now)
-	c.Assert(k.Observe(timeline.Stamp{
-		Wall: now.Add(2 * timeline.MaxDrift).UnixMicro(),
+	c.Assert(k.Observe(timeline.Timestamp{
+		Wall: now.Add(2 * timeline.MaxSkew).UnixMicro(),
 	}), qt.IsFalse)
 	c.Assert(k.Tick().Wall, qt.Equals, now.UnixMicro())
 }
