--- a/logloss/logloss.go
+++ b/logloss/logloss.go
@@ -9,10 +9,10 @@
 	"github.com/spoolsill/spoolsill/logstory"
 )
 
-// An Outcome is how a job ended.
+// An Outcome is whether and how a job ended.
 type Outcome string
 
-// The ways in which a job ends.
+// The outcomes of jobs.
 const (
 	InTime        Outcome = "in time"
 	Late          Outcome = "late"
@@ -22,7 +22,7 @@
 	NeverAccepted Outcome = "never accepted"
 )
 
-// A Reason is why a job missed its objective.
+// A Reason is why a job was not in time.
 type Reason string
 
 // The reasons. Where several apply, a lost worker or a failed run comes first, then an
@@ -39,8 +39,8 @@
 	RanLong           Reason = "ran"
 )
 
-// A Cause counts the jobs of a queue that missed their objective with one outcome and
-// for one reason.
+// A Cause counts the jobs of a queue that were not in time, with one outcome and for one
+// reason.
 type Cause struct {
 	Outcome Outcome `json:"Fate"`
 	Reason  Reason
