--- a/holder/commit.go
+++ b/holder/commit.go
@@ -50,8 +50,8 @@
 	if time.Now().Before(t.nextWrite) {
 		return
 	}
-	a := t.writer.Next()
-	if a.Kind != recordlog.Write {
+	a := t.writer.NextWrite()
+	if a.Kind != recordlog.ActionWrite {
 		return
 	}
 	t.wg.Add(1)
@@ -68,7 +68,7 @@
 		return
 	}
 	a := t.writer.NextCopy()
-	if a.Kind != recordlog.Copy {
+	if a.Kind != recordlog.ActionCopy {
 		t.processDurable()
 		return
 	}
@@ -92,7 +92,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writer.Copied(entries[len(entries)-1].Sequence, all)
+	t.writer.CopyDone(entries[len(entries)-1].Sequence, all)
 	t.processDurable()
 }
 
@@ -109,7 +109,7 @@
 	}
 	stored, ok := t.writeDone(err)
 	if ok {
-		t.h.dropStored(recordlog.Mark{
+		t.h.dropStored(recordlog.Position{
 			Epoch:    t.epoch,
 			Sequence: stored,
 		})
@@ -121,7 +121,7 @@
 func (t *tenure) writeDone(err error) (spoolsill.Sequence, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writer.Wrote(err == nil)
+	t.writer.WriteDone(err == nil)
 	if err != nil {
 		t.scheduleRetry()
 		return 0, false
@@ -137,7 +137,7 @@
 // dropPeerCopies tells the hall's other hosts, once the table has all entries,
 // that they may drop their copies. t.mu must be held.
 func (t *tenure) dropPeerCopies() {
-	if !t.replicated || t.writer.Open() > 0 {
+	if !t.replicated || t.writer.UnstoredCount() > 0 {
 		return
 	}
 	t.replicated = false
@@ -255,7 +255,7 @@
 	if err != nil {
 		return err
 	}
-	last := recordlog.Mark{
+	last := recordlog.Position{
 		Epoch:    snapshot.Epoch,
 		Sequence: snapshot.Sequence,
 	}
@@ -265,11 +265,11 @@
 		return err
 	}
 	w := recordlog.NewWriter(recordlog.Config{
-		Host:   t.h.config.Host,
-		Life:   t.h.config.Incarnation,
-		Epoch:  t.epoch,
-		Last:   last.Sequence,
-		Copies: len(t.h.config.Hosts) > 1,
+		Host:        t.h.config.Host,
+		Incarnation: t.h.config.Incarnation,
+		Epoch:       t.epoch,
+		Last:        last.Sequence,
+		HasPeers:    len(t.h.config.Hosts) > 1,
 	})
 	if err := t.recoverCopies(s, w, last); err != nil {
 		return err
@@ -321,7 +321,7 @@
 	return e, nil
 }
 
-func (t *tenure) readJournal(s *place.State, last recordlog.Mark) (recordlog.Mark, error) {
+func (t *tenure) readJournal(s *place.State, last recordlog.Position) (recordlog.Position, error) {
 	for {
 		rows, err := t.h.config.Table.List(t.ctx, recordlog.Prefix(t.h.config.Hall), recordlog.Key(t.h.config.Hall, last.Sequence), journalPageSize)
 		if err != nil {
@@ -338,7 +338,7 @@
 			if err := apply(s, e); err != nil {
 				return last, err
 			}
-			last = recordlog.Mark{
+			last = recordlog.Position{
 				Epoch:    e.Epoch,
 				Sequence: e.Sequence,
 			}
@@ -361,7 +361,7 @@
 // recoverCopies applies the entries that the previous holder copied to the
 // hosts of the hall, including this one, but did not write to the table. They
 // are added to the journal of this tenure.
-func (t *tenure) recoverCopies(s *place.State, w *recordlog.Writer, last recordlog.Mark) error {
+func (t *tenure) recoverCopies(s *place.State, w *recordlog.Writer, last recordlog.Position) error {
 	best, _ := t.h.Copies(t.epoch, last)
 	for _, h := range t.h.config.Hosts {
 		if h == t.h.config.Host {
@@ -380,7 +380,7 @@
 		}
 		w.Append(e.Records)
 	}
-	w.Cut()
+	w.Seal()
 	return nil
 }
 
--- a/holder/config.go
+++ b/holder/config.go
@@ -75,7 +75,7 @@
 	// newest entry in the table, or all its entries if last is zero. whole
 	// reports whether the host knows all entries that any host of the hall
 	// keeps.
-	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, whole bool, err error)
+	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Position) (list []recordlog.Entry, whole bool, err error)
 }
 
 // Breaks disables safety mechanisms, so that tests can show which failure each
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -164,7 +164,7 @@
 			})
 		}
 	}
-	durable := d.t.writer.Lasting()
+	durable := d.t.writer.Durable()
 	for r, s := range d.forgetAfter {
 		if s <= durable {
 			q.Forget = append(q.Forget, r)
@@ -277,7 +277,7 @@
 		d.report(s.Ref, outcomes[s.State])
 	}
 	if _, ok := d.forgetAfter[s.Ref]; !ok {
-		d.forgetAfter[s.Ref] = d.t.writer.Cut()
+		d.forgetAfter[s.Ref] = d.t.writer.Seal()
 	}
 	return false
 }
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -220,7 +220,7 @@
 		return false
 	}
 	if stored > 0 {
-		h.copies.Drop(recordlog.Mark{
+		h.copies.Drop(recordlog.Position{
 			Epoch:    e,
 			Sequence: stored,
 		})
@@ -234,12 +234,12 @@
 // host has not written yet: the host that asks may be the only one that reaches
 // the table, and may have lost its own copies. whole reports whether this host
 // knows all entries that any host of the hall keeps.
-func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Mark) (list []recordlog.Entry, whole bool) {
+func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Position) (list []recordlog.Entry, whole bool) {
 	h.keepUnstored()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copies.Fence(e)
-	if last == (recordlog.Mark{}) {
+	if last == (recordlog.Position{}) {
 		return h.copies.All(), h.copiesComplete
 	}
 	return h.copies.After(last.Epoch, last.Sequence), h.copiesComplete
@@ -257,7 +257,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.writer != nil {
-		t.writer.Forgot()
+		t.writer.PeerRestarted()
 	}
 }
 
@@ -311,7 +311,7 @@
 
 // dropStored drops the copies of entries that are in the table. Otherwise they
 // would be handed over to other hosts as if only this host had them.
-func (h *Holder) dropStored(m recordlog.Mark) {
+func (h *Holder) dropStored(m recordlog.Position) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copies.Drop(m)
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -157,7 +157,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.writer.Open() > maxOpenEntries {
+	if t.writer.UnstoredCount() > maxOpenEntries {
 		return true
 	}
 	records, more := t.state.Decide(time.Now())
@@ -170,7 +170,7 @@
 // of their last entry. t.mu must be held.
 func (t *tenure) appendRecords(records []place.Record) spoolsill.Sequence {
 	t.writer.Append(records)
-	s := t.writer.Cut()
+	s := t.writer.Seal()
 	for _, r := range records {
 		t.recordEvent(r)
 		switch r.Kind {
@@ -230,7 +230,7 @@
 // processDurable executes the actions and notifies the waiters whose entries are
 // durable. t.mu must be held.
 func (t *tenure) processDurable() {
-	durable := t.writer.Lasting()
+	durable := t.writer.Durable()
 	if t.h.config.Break.Record {
 		durable = 1 << 62
 	}
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	queues := logloss.Of(lines)
+	queues := logloss.Summarize(lines)
 	return s.print(queues, func(w io.Writer) {
 		t := newTable(w, "queue", "jobs", "in time", "others", "what became of them", "why")
 		for _, q := range queues {
--- a/logchart/series.go
+++ b/logchart/series.go
@@ -8,40 +8,43 @@
 	"github.com/spoolsill/spoolsill/logstory"
 )
 
-// Point is a value at a time, in seconds since the first line.
+// A Point is a value at a time, in seconds since the first log line.
 type Point struct {
 	Second float64
 	Value  float64
 }
 
-// Series is what the lines of a log add up to.
+// A Series holds the curves computed from log lines.
 type Series struct {
-	// Accepted, Refused, Started and Ended count lines, a point a second.
-	Accepted []Point
-	Refused  []Point
-	Started  []Point
-	Ended    []Point
-	// Waiting and Late count the stages that wait, and Used the cores in use,
-	// as the leader told.
-	Waiting []Point
-	Late    []Point
-	Used    []Point
-	// Away counts the hosts that do not reach the store.
+	// JobsAccepted, RequestsRefused, TasksStarted and TasksEnded count log lines, with
+	// one point per second.
+	JobsAccepted    []Point
+	RequestsRefused []Point
+	TasksStarted    []Point
+	TasksEnded      []Point
+	// StagesWaiting counts the waiting stages, StagesLate those of them that can no
+	// longer meet their objective, and CoresUsed the cores in use, as reported by the
+	// leader.
+	StagesWaiting []Point
+	StagesLate    []Point
+	CoresUsed     []Point
+	// Away counts the hosts that cannot reach the store.
 	Away []Point
-	// Leads are the seconds at which a host took the leadership over.
-	Leads []float64
+	// LeaderChanges holds the times at which a host became leader, in seconds since
+	// the first log line.
+	LeaderChanges []float64
 }
 
-// counted are the messages that are counted, and where.
-var counted = map[string]func(*Series) *[]Point{
-	"job accepted":    func(s *Series) *[]Point { return &s.Accepted },
-	"request refused": func(s *Series) *[]Point { return &s.Refused },
-	"task started":    func(s *Series) *[]Point { return &s.Started },
-	"task ended":      func(s *Series) *[]Point { return &s.Ended },
+// lineCounters maps the messages that are counted to their curves.
+var lineCounters = map[string]func(*Series) *[]Point{
+	"job accepted":    func(s *Series) *[]Point { return &s.JobsAccepted },
+	"request refused": func(s *Series) *[]Point { return &s.RequestsRefused },
+	"task started":    func(s *Series) *[]Point { return &s.TasksStarted },
+	"task ended":      func(s *Series) *[]Point { return &s.TasksEnded },
 }
 
-// Of returns the series of some lines, in any order.
-func Of(lines []logstory.Line) Series {
+// NewSeries computes the series of lines, which may be in any order.
+func NewSeries(lines []logstory.Line) Series {
 	var s Series
 	if len(lines) == 0 {
 		return s
@@ -52,10 +55,10 @@
 	since := func(t time.Time) float64 { return t.Sub(begin).Seconds() }
 	last := int(since(lines[len(lines)-1].Time))
 	counts := map[string][]int{}
-	for m := range counted {
+	for m := range lineCounters {
 		counts[m] = make([]int, last+1)
 	}
-	away := map[string]bool{}
+	storeUnreachable := map[string]bool{}
 	for _, l := range lines {
 		at := since(l.Time)
 		if c := counts[l.Message]; c != nil {
@@ -63,18 +66,18 @@
 		}
 		switch l.Message {
 		case "load of the cell":
-			s.Waiting = append(s.Waiting, point(at, number(l, "stages_wait")))
-			s.Late = append(s.Late, point(at, number(l, "stages_late")))
-			s.Used = append(s.Used, point(at, number(l, "cores_used")))
+			s.StagesWaiting = append(s.StagesWaiting, point(at, number(l, "stages_wait")))
+			s.StagesLate = append(s.StagesLate, point(at, number(l, "stages_late")))
+			s.CoresUsed = append(s.CoresUsed, point(at, number(l, "cores_used")))
 		case "this host leads":
-			s.Leads = append(s.Leads, at)
+			s.LeaderChanges = append(s.LeaderChanges, at)
 		case "store not reachable", "store reachable", "host started":
-			away[l.Host] = l.Message == "store not reachable"
-			s.Away = append(s.Away, point(at, countTrue(away)))
+			storeUnreachable[l.Host] = l.Message == "store not reachable"
+			s.Away = append(s.Away, point(at, countTrue(storeUnreachable)))
 		}
 	}
 	for m, c := range counts {
-		p := counted[m](&s)
+		p := lineCounters[m](&s)
 		for second, n := range c {
 			*p = append(*p, point(float64(second), float64(n)))
 		}
--- a/logloss/logloss_test.go
+++ b/logloss/logloss_test.go
@@ -11,7 +11,8 @@
 	"github.com/spoolsill/spoolsill/logstory"
 )
 
-// a log of six jobs of queue "q", one that nobody accepted, and a new leader.
+// log holds six jobs of queue "q", a job that no host accepted, a change of leader and
+// an outage of the store.
 const log = `
 {"time":"2026-05-12T01:00:00Z","msg":"job accepted","job":"in-time","queue":"q"}
 {"time":"2026-05-12T01:00:00Z","msg":"job accepted","job":"room","queue":"q"}
@@ -30,18 +31,18 @@
 {"time":"2026-05-12T01:03:00Z","msg":"request refused","method":"GET","path":"/orders/asked","status":502}
 `
 
-func TestLossesAreCountedByReason(t *testing.T) {
+func TestCausesAreCountedByReason(t *testing.T) {
 	lines, _, err := logstory.Read(strings.NewReader(log))
 	qt.Assert(t, err, qt.IsNil)
-	queues := logloss.Of(lines)
+	queues := logloss.Summarize(lines)
 	qt.Assert(t, queues, qt.HasLen, 2)
 	qt.Assert(t, queues[0], qt.DeepEquals, logloss.Queue{
 		Name: "/orders/",
 		Jobs: 1,
 		Causes: []logloss.Cause{
 			{
-				Fate:   logloss.Refused,
-				Reason: logloss.StoreAway,
+				Fate:   logloss.NeverAccepted,
+				Reason: logloss.StoreUnreachable,
 				Jobs:   1,
 			},
 		},
@@ -62,12 +63,12 @@
 	})
 }
 
-func ExampleOf() {
+func ExampleSummarize() {
 	lines, _, err := logstory.Read(strings.NewReader(log))
 	if err != nil {
 		panic(err)
 	}
-	for _, q := range logloss.Of(lines) {
+	for _, q := range logloss.Summarize(lines) {
 		fmt.Println(q.Name, q.Jobs, q.InTime)
 	}
 	// Output:
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -36,7 +36,7 @@
 	Method      string                `msgpack:"m,omitempty"`
 	From        spoolsill.HostID      `msgpack:"f,omitempty"`
 	Incarnation spoolsill.Incarnation `msgpack:"n,omitempty"`
-	Stamp       timeline.Stamp        `msgpack:"s"`
+	Stamp       timeline.Timestamp    `msgpack:"s"`
 	// Wait is the caller's remaining timeout for the reply; 0 means no timeout.
 	Wait time.Duration      `msgpack:"w,omitempty"`
 	Body msgpack.RawMessage `msgpack:"b,omitempty"`
--- a/timeline/event.go
+++ b/timeline/event.go
@@ -2,7 +2,7 @@
 
 import "github.com/spoolsill/spoolsill"
 
-// Kind sorts events.
+// Kind classifies events.
 type Kind string
 
 // The kinds of events.
@@ -17,10 +17,10 @@
 	KindOperator   Kind = "operator"
 )
 
-// An Event is one thing that a process did or saw. Fields that do not apply
+// An Event records an action or observation of a process. Fields that do not apply
 // are empty.
 type Event struct {
-	At      Stamp                `json:"at"`
+	At      Timestamp            `json:"at"`
 	Host    spoolsill.HostID     `json:"host"`
 	Hall    spoolsill.HallID     `json:"hall"`
 	Kind    Kind                 `json:"kind"`
@@ -32,15 +32,15 @@
 	Text    string               `json:"text"`
 }
 
-// A Filter selects events. An empty field selects all.
+// A Filter selects events. An empty field matches all events.
 type Filter struct {
 	Job     spoolsill.JobID
 	Task    string
 	Request spoolsill.RequestKey
 	Worker  spoolsill.WorkerID
 	Hall    spoolsill.HallID
-	// After selects only events with a later stamp.
-	After Stamp
+	// After matches only events with a later timestamp.
+	After Timestamp
 }
 
 // Match reports whether f selects e.
