--- a/entry/operate.go
+++ b/entry/api.go
@@ -24,18 +24,19 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// maxOperate bounds the body of an operator's call.
-const maxOperate = 4 << 20
+// maxOperatorBody is the maximum length in bytes of the body of an operator's
+// request.
+const maxOperatorBody = 4 << 20
 
-// handler returns the host's HTTP interface.
+// handler returns the handler of the host's HTTP interface.
 func (h *Host) handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/healthz", h.getHealth)
 	r.Get("/readyz", h.getReady)
 	r.Handle("/metrics", h.metrics.handler())
 	r.Route("/v1", func(r chi.Router) {
-		r.Post("/call/{service}", h.call)
-		r.Post("/call/{service}/*", h.call)
+		r.Post("/call/{service}", h.postCall)
+		r.Post("/call/{service}/*", h.postCall)
 		r.Post("/plans", h.postPlan)
 		r.Post("/plans/{id}/confirm", h.postConfirm)
 		r.Get("/jobs", h.getJobs)
@@ -43,7 +44,7 @@
 		r.Get("/workers", h.getWorkers)
 		r.Get("/hosts", h.getHosts)
 		r.Get("/config", h.getConfig)
-		r.Put("/config", h.putConfigHTTP)
+		r.Put("/config", h.putConfig)
 		r.Get("/config/history", h.getHistory)
 		r.Get("/timeline", h.getTimeline)
 	})
@@ -57,7 +58,7 @@
 }
 
 func writeError(w http.ResponseWriter, err error) {
-	status, code := statusOf(err)
+	status, code := errorStatus(err)
 	text := err.Error()
 	var r *peer.RemoteError
 	if errors.As(err, &r) {
@@ -69,7 +70,7 @@
 	})
 }
 
-func statusOf(err error) (int, string) {
+func errorStatus(err error) (int, string) {
 	var r *peer.RemoteError
 	if errors.As(err, &r) {
 		switch r.Code {
@@ -98,7 +99,7 @@
 }
 
 func (h *Host) postPlan(w http.ResponseWriter, q *http.Request) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxOperate))
+	b, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxOperatorBody))
 	if err != nil {
 		writeError(w, badInput(err))
 		return
@@ -111,7 +112,7 @@
 	if hall == "" {
 		hall = h.hall.ID
 	}
-	p, err := askHall[holder.Plan](q.Context(), h, hall, opPlan, i)
+	p, err := callHolder[holder.Plan](q.Context(), h, hall, opPlan, i)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -119,7 +120,8 @@
 	writeJSON(w, http.StatusOK, p)
 }
 
-// decodeIntent reads an operator's intent and the hall that it is for.
+// decodeIntent decodes an operator's intent and the hall that it applies to,
+// which is empty if none is named.
 func decodeIntent(b []byte) (spoolsill.HallID, intent.Intent, error) {
 	var x api.Intent
 	if err := json.Unmarshal(b, &x); err != nil {
@@ -144,28 +146,28 @@
 }
 
 func (h *Host) postConfirm(w http.ResponseWriter, q *http.Request) {
-	hall := h.hallOf(q)
+	hall := h.requestedHall(q)
 	id := spoolsill.PlanID(chi.URLParam(q, "id"))
-	if _, err := askHall[empty](q.Context(), h, hall, opConfirm, id); err != nil {
+	if _, err := callHolder[empty](q.Context(), h, hall, opConfirm, id); err != nil {
 		writeError(w, err)
 		return
 	}
-	h.event(timeline.KindOperator, "plan "+string(id)+" confirmed")
+	h.recordEvent(timeline.KindOperator, "plan "+string(id)+" confirmed")
 	writeJSON(w, http.StatusOK, api.Confirmed{
 		ID:   id,
 		Hall: hall,
 	})
 }
 
-func (h *Host) hallOf(q *http.Request) spoolsill.HallID {
+func (h *Host) requestedHall(q *http.Request) spoolsill.HallID {
 	if x := q.URL.Query().Get("hall"); x != "" {
 		return spoolsill.HallID(x)
 	}
 	return h.hall.ID
 }
 
-// halls returns the hall that a call names, or all.
-func (h *Host) halls(q *http.Request) []spoolsill.HallID {
+// requestedHalls returns the hall named in the query, or all halls if none is.
+func (h *Host) requestedHalls(q *http.Request) []spoolsill.HallID {
 	if x := q.URL.Query().Get("hall"); x != "" {
 		return []spoolsill.HallID{spoolsill.HallID(x)}
 	}
@@ -176,20 +178,21 @@
 	return out
 }
 
-// eachHall asks several halls at once. A hall without an answer is named.
-func eachHall[R any](h *Host, q *http.Request, o op, body any) (map[spoolsill.HallID]R, []api.Missing) {
+// callHolders calls the holders of the requested halls concurrently. Halls whose
+// call fails are returned as missing.
+func callHolders[R any](h *Host, q *http.Request, o holderOp, body any) (map[spoolsill.HallID]R, []api.Missing) {
 	type result struct {
 		hall spoolsill.HallID
 		r    R
 		err  error
 	}
-	halls := h.halls(q)
+	halls := h.requestedHalls(q)
 	ctx, cancel := context.WithTimeout(q.Context(), 2*peerTimeout)
 	defer cancel()
 	results := make(chan result, len(halls))
 	for _, x := range halls {
 		go func() {
-			r, err := askHall[R](ctx, h, x, o, body)
+			r, err := callHolder[R](ctx, h, x, o, body)
 			results <- result{
 				hall: x,
 				r:    r,
@@ -214,7 +217,7 @@
 }
 
 func (h *Host) getJobs(w http.ResponseWriter, q *http.Request) {
-	jobs, missing := eachHall[[]place.JobView](h, q, opJobs, empty{})
+	jobs, missing := callHolders[[]place.JobView](h, q, opJobs, empty{})
 	out := api.Jobs{
 		Jobs:    []api.Job{},
 		Missing: missing,
@@ -235,7 +238,7 @@
 
 func (h *Host) getJob(w http.ResponseWriter, q *http.Request) {
 	id := spoolsill.JobID(chi.URLParam(q, "id"))
-	found, missing := eachHall[holder.Detail](h, q, opJob, id)
+	found, missing := callHolders[holder.Detail](h, q, opJob, id)
 	for hall, d := range found {
 		writeJSON(w, http.StatusOK, api.JobDetail{
 			Hall:  hall,
@@ -267,7 +270,7 @@
 }
 
 func (h *Host) getWorkers(w http.ResponseWriter, q *http.Request) {
-	found, missing := eachHall[[]place.WorkerView](h, q, opWorkers, empty{})
+	found, missing := callHolders[[]place.WorkerView](h, q, opWorkers, empty{})
 	out := api.Workers{
 		Workers: []api.Worker{},
 		Missing: missing,
@@ -288,7 +291,7 @@
 
 func (h *Host) getConfig(w http.ResponseWriter, _ *http.Request) {
 	h.mu.Lock()
-	r := h.store.Current()
+	r := h.configStore.Current()
 	h.mu.Unlock()
 	writeJSON(w, http.StatusOK, revision(r))
 }
@@ -303,8 +306,8 @@
 	}
 }
 
-func (h *Host) putConfigHTTP(w http.ResponseWriter, q *http.Request) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxOperate))
+func (h *Host) putConfig(w http.ResponseWriter, q *http.Request) {
+	b, err := io.ReadAll(http.MaxBytesReader(w, q.Body, maxOperatorBody))
 	if err != nil {
 		writeError(w, badInput(err))
 		return
@@ -314,7 +317,7 @@
 		writeError(w, badInput(err))
 		return
 	}
-	v, err := h.putConfig(q.Context(), config.Revision{
+	v, err := h.acceptConfig(q.Context(), config.Revision{
 		Who:  x.Who,
 		Note: x.Note,
 		Text: []byte(x.Text),
@@ -329,7 +332,7 @@
 }
 
 func (h *Host) getHistory(w http.ResponseWriter, q *http.Request) {
-	list, err := h.history(q.Context())
+	list, err := h.configHistory(q.Context())
 	if err != nil {
 		writeError(w, err)
 		return
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -15,71 +15,73 @@
 	"github.com/spoolsill/spoolsill/table"
 )
 
-// maxSkew is how far the clock of a caller or of another host may be off.
-const maxSkew = 2 * time.Second
+// maxClockSkew is the largest clock error of a caller or of another host that
+// is tolerated.
+const maxClockSkew = 2 * time.Second
 
-// claimPrefix starts the keys of claim rows.
-const claimPrefix = "claim/"
+// claimKeyPrefix is the prefix of the keys of claim rows.
+const claimKeyPrefix = "claim/"
 
-type wireVerdict struct {
+type claimReply struct {
 	Verdict claim.Verdict `msgpack:"v"`
 	Answer  claim.Answer  `msgpack:"a"`
 }
 
-type wireSettle struct {
+type settleRequest struct {
 	Key    spoolsill.RequestKey `msgpack:"k"`
 	Owner  claim.Owner          `msgpack:"o"`
 	Answer claim.Answer         `msgpack:"a"`
 }
 
-func (h *Host) takeClaim(_ context.Context, _ peer.Caller, q claim.Claim) (wireVerdict, error) {
+func (h *Host) handleClaim(_ context.Context, _ peer.Caller, q claim.Claim) (claimReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	v, a := h.ledger.Take(time.Now(), q)
-	return wireVerdict{
+	return claimReply{
 		Verdict: v,
 		Answer:  a,
 	}, nil
 }
 
-func (h *Host) takeSettle(_ context.Context, _ peer.Caller, q wireSettle) (empty, error) {
+func (h *Host) handleSettle(_ context.Context, _ peer.Caller, q settleRequest) (empty, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ledger.Settle(q.Key, q.Owner, q.Answer)
 	return empty{}, nil
 }
 
-// A claimed is a key that was asked for, and with whom.
-type claimed struct {
-	claim claim.Claim
-	home  settings.Hall
-	row   bool        // a row of the table was written
-	timer *time.Timer // deletes the row when claims are no longer kept
+// A claimedKey is a claim of a request key, with the hall that keeps it.
+type claimedKey struct {
+	claim       claim.Claim
+	home        settings.Hall
+	rowWritten  bool        // the claim row was written to the table
+	deleteTimer *time.Timer // deletes the row when the claim expires
 }
 
-// homeHall returns the hall that keeps the claim of a key: the one that the
-// key names, else one that follows from the key alone.
+// homeHall returns the hall that keeps the claim of a key: the hall that the
+// key names, or else one chosen by rendezvous hashing, so that all hosts choose
+// the same one.
 func (h *Host) homeHall(k spoolsill.RequestKey) settings.Hall {
 	named := k.HomeHall()
 	var best settings.Hall
-	var most uint64
+	var highest uint64
 	for _, x := range h.settings.Halls {
 		if x.ID == named {
 			return x
 		}
 		n := xxhash.Sum64String(string(k) + "@" + string(x.ID))
-		if best.ID == "" || n > most {
+		if best.ID == "" || n > highest {
 			best = x
-			most = n
+			highest = n
 		}
 	}
 	return best
 }
 
-// take claims the key of an unrepeatable request; see package claim. Used
-// comes with what became of the first request.
-func (h *Host) take(ctx context.Context, r spoolsill.Request) (claimed, claim.Judgement, claim.Answer) {
-	c := claimed{
+// claimKey claims the key of an unrepeatable request; see package claim. If the
+// key was used before, the last result is the outcome of the first request.
+func (h *Host) claimKey(ctx context.Context, r spoolsill.Request) (claimedKey, claim.Judgement, claim.Answer) {
+	c := claimedKey{
 		home: h.homeHall(r.Key),
 		claim: claim.Claim{
 			Key:    r.Key,
@@ -99,7 +101,7 @@
 	}
 	var first claim.Answer
 	for _, x := range c.home.IDs() {
-		v, err := h.claimAt(ctx, x, c.claim)
+		v, err := h.claimAtHost(ctx, x, c.claim)
 		if err != nil {
 			continue
 		}
@@ -110,25 +112,25 @@
 	}
 	j := tally.Judge()
 	if j == claim.AskTable {
-		j = h.takeRow(ctx, &c)
+		j = h.claimInTable(ctx, &c)
 	}
 	if j != claim.Dispatch {
-		h.giveUp(ctx, c)
+		h.releaseClaim(ctx, c)
 	}
 	return c, j, first
 }
 
-func (h *Host) claimAt(ctx context.Context, x spoolsill.HostID, q claim.Claim) (wireVerdict, error) {
+func (h *Host) claimAtHost(ctx context.Context, x spoolsill.HostID, q claim.Claim) (claimReply, error) {
 	if x == h.settings.Host.ID {
-		return h.takeClaim(ctx, peer.Caller{}, q)
+		return h.handleClaim(ctx, peer.Caller{}, q)
 	}
-	return call[wireVerdict](ctx, h, x, methodClaim, q)
+	return callPeer[claimReply](ctx, h, x, methodClaim, q)
 }
 
-// takeRow has the table decide a claim that not every host of the home hall
-// could grant.
-func (h *Host) takeRow(ctx context.Context, c *claimed) claim.Judgement {
-	key := claimPrefix + string(c.claim.Key)
+// claimInTable decides a claim that not every host of the home hall could grant
+// by a conditional write to the platform's table.
+func (h *Host) claimInTable(ctx context.Context, c *claimedKey) claim.Judgement {
+	key := claimKeyPrefix + string(c.claim.Key)
 	value, err := msgpack.Marshal(&c.claim.Owner)
 	if err != nil {
 		return claim.NoHost
@@ -143,21 +145,23 @@
 		}},
 	})
 	if errors.Is(err, table.ErrLost) {
-		r, err = h.readClaim(ctx, key)
+		r, err = h.readClaimRow(ctx, key)
 	}
 	if err != nil {
 		return claim.NoHost
 	}
-	if !r.Applied && !h.owns(r.Conflicts, *c) {
+	if !r.Applied && !h.ownsRows(r.Conflicts, *c) {
 		return claim.Used
 	}
-	c.row = true
-	c.timer = h.forgetRow(key)
+	c.rowWritten = true
+	c.deleteTimer = h.scheduleRowDeletion(key)
 	return claim.Dispatch
 }
 
-// readClaim settles a claim whose answer was lost.
-func (h *Host) readClaim(ctx context.Context, key string) (table.Result, error) {
+// readClaimRow reads a claim row after the reply to its write was lost. It
+// returns the row as a conflict, whose owner tells whether the write took
+// effect, and fails with [table.ErrDown] if there is none.
+func (h *Host) readClaimRow(ctx context.Context, key string) (table.Result, error) {
 	row, err := h.platform.Get(ctx, key)
 	if err != nil {
 		return table.Result{}, err
@@ -170,7 +174,7 @@
 	}, nil
 }
 
-func (h *Host) owns(rows []table.Row, c claimed) bool {
+func (h *Host) ownsRows(rows []table.Row, c claimedKey) bool {
 	for _, r := range rows {
 		var o claim.Owner
 		if err := msgpack.Unmarshal(r.Value, &o); err != nil || o != c.claim.Owner {
@@ -180,9 +184,10 @@
 	return len(rows) > 0
 }
 
-// forgetRow deletes a claim row after claims are no longer kept.
-func (h *Host) forgetRow(key string) *time.Timer {
-	return time.AfterFunc(claim.DefaultKeep+2*maxSkew, func() {
+// scheduleRowDeletion deletes a claim row once hosts no longer keep the claim.
+// Stopping the timer that it returns cancels the deletion.
+func (h *Host) scheduleRowDeletion(key string) *time.Timer {
+	return time.AfterFunc(claim.DefaultKeep+2*maxClockSkew, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 		defer cancel()
 		_, _ = h.platform.Commit(ctx, table.Txn{
@@ -191,18 +196,18 @@
 	})
 }
 
-// giveUp frees what was claimed for a request that certainly did not run, so
-// that its caller may ask again.
-func (h *Host) giveUp(ctx context.Context, c claimed) {
-	h.tell(ctx, c, claim.Answer{
+// releaseClaim releases the claim of a request that certainly did not run, so
+// that its caller can retry.
+func (h *Host) releaseClaim(ctx context.Context, c claimedKey) {
+	h.settleClaim(ctx, c, claim.Answer{
 		Outcome: spoolsill.NotRun,
 	})
-	if !c.row {
+	if !c.rowWritten {
 		return
 	}
-	// A later claim may write the row again: it must not go at this one's time.
-	c.timer.Stop()
-	key := claimPrefix + string(c.claim.Key)
+	// A later claim may create the row again, which the timer must not delete.
+	c.deleteTimer.Stop()
+	key := claimKeyPrefix + string(c.claim.Key)
 	_, _ = h.platform.Commit(ctx, table.Txn{
 		Conditions: []table.Condition{{
 			Key:     key,
@@ -212,12 +217,13 @@
 	})
 }
 
-// tell tells the hosts of the home hall what became of a claimed request.
-func (h *Host) tell(ctx context.Context, c claimed, a claim.Answer) {
+// settleClaim reports the outcome of a claimed request to the hosts of the home
+// hall.
+func (h *Host) settleClaim(ctx context.Context, c claimedKey, a claim.Answer) {
 	if len(a.Body) > claim.MaxBody {
 		a.Body = nil
 	}
-	q := wireSettle{
+	q := settleRequest{
 		Key:    c.claim.Key,
 		Owner:  c.claim.Owner,
 		Answer: a,
@@ -225,9 +231,9 @@
 	ctx = context.WithoutCancel(ctx)
 	for _, x := range c.home.IDs() {
 		if x == h.settings.Host.ID {
-			_, _ = h.takeSettle(ctx, peer.Caller{}, q)
+			_, _ = h.handleSettle(ctx, peer.Caller{}, q)
 			continue
 		}
-		_, _ = call[empty](ctx, h, x, methodSettle, q)
+		_, _ = callPeer[empty](ctx, h, x, methodSettle, q)
 	}
 }
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,13 +1,13 @@
-// Package entry is an entry host: it wires the decisions and what is kept to
-// the network.
+// Package entry implements an entry host: it connects the packages that make
+// decisions and keep state to the network.
 //
 // A [Host] serves callers and operators over HTTP and the other entry hosts
-// over package peer. It routes requests (package router), tries for the lease
-// of its hall and places tasks while it has it (package holder), joins the
-// platform's list with what the hall sees (package member), keeps the
-// configuration in force (package config) and remembers claims of request
-// keys (package claim).
+// over package peer. It routes requests (package router), tries to acquire the
+// lease of its hall and places tasks while it holds it (package holder),
+// combines the platform's list of workers and runners with the hall's own
+// observations (package member), applies the newest configuration (package
+// config) and records claims of request keys (package claim).
 //
-// [Host.Stop] is a planned stop: it cuts off nothing. Ending the context of
-// [Host.Run] is the same as the death of the process.
+// [Host.Stop] is a graceful shutdown: work in flight finishes. Cancelling the
+// context of [Host.Run] has the same effect as a crash of the process.
 package entry
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -24,12 +24,13 @@
 	"github.com/spoolsill/spoolsill/settings"
 )
 
-// newFleet returns a hall with one entry host over loopback sockets.
+// newFleet starts a hall with one entry host over loopback sockets.
 func newFleet(t testing.TB, b entry.Breaks, work time.Duration) (*standin.Cell, *fleet.Fleet) {
 	return newFleetIn(t, 1, b, work, false)
 }
 
-// newFleetIn returns a hall of entry hosts, in memory if that is set.
+// newFleetIn starts a hall of entry hosts. They use an in-memory network if
+// memory is set, and loopback sockets otherwise.
 func newFleetIn(t testing.TB, hosts int, b entry.Breaks, work time.Duration, memory bool) (*standin.Cell, *fleet.Fleet) {
 	c := qt.New(t)
 	halls := []spoolsill.HallID{"vake"}
@@ -74,19 +75,19 @@
 	return cell, f
 }
 
-// A got is the answer to one request.
-type got struct {
+// A response is the response to one request.
+type response struct {
 	status int
 	head   http.Header
 	body   string
 }
 
 // post sends one request to a host.
-func post(f *fleet.Fleet, host int, body string, head map[string]string) (got, error) {
+func post(f *fleet.Fleet, host int, body string, head map[string]string) (response, error) {
 	addresses, _ := f.States()
 	q, err := http.NewRequest(http.MethodPost, "http://"+addresses[host]+"/v1/call/quizdesk/mark", strings.NewReader(body))
 	if err != nil {
-		return got{}, err
+		return response{}, err
 	}
 	for k, v := range head {
 		q.Header.Set(k, v)
@@ -95,24 +96,24 @@
 	defer client.CloseIdleConnections()
 	r, err := client.Do(q)
 	if err != nil {
-		return got{}, err
+		return response{}, err
 	}
 	defer func() { _ = r.Body.Close() }()
 	b, err := io.ReadAll(r.Body)
-	return got{
+	return response{
 		status: r.StatusCode,
 		head:   r.Header,
 		body:   string(b),
 	}, err
 }
 
-// inFlight sends n requests to a host, stops the host as planned while a
-// runner works on all of them, and returns how many came to a whole answer.
-func inFlight(t *testing.T, b entry.Breaks, n int) int {
+// completedAcrossStop sends n requests to a host, calls its Stop method once all
+// of them are running, and returns how many got the complete answer.
+func completedAcrossStop(t *testing.T, b entry.Breaks, n int) int {
 	cell, f := newFleet(t, b, 400*time.Millisecond)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	whole := 0
+	completed := 0
 	for i := range n {
 		wg.Add(1)
 		go func() {
@@ -124,14 +125,14 @@
 			if err == nil && r.body == standin.Answer(spoolsill.RequestKey(key), []byte("sheet")) {
 				mu.Lock()
 				defer mu.Unlock()
-				whole++
+				completed++
 			}
 		}()
 	}
-	for begun := int64(0); begun < int64(n); {
-		begun = 0
+	for started := int64(0); started < int64(n); {
+		started = 0
 		for _, r := range cell.Runners {
-			begun += r.Begun()
+			started += r.Begun()
 		}
 		runtime.Gosched()
 	}
@@ -139,20 +140,20 @@
 	defer cancel()
 	f.Stop(ctx, 0)
 	wg.Wait()
-	return whole
+	return completed
 }
 
-func TestPlannedStopCutsOffNothing(t *testing.T) {
-	qt.Assert(t, inFlight(t, entry.Breaks{}, 40), qt.Equals, 40)
+func TestPlannedStopCompletesInFlightRequests(t *testing.T) {
+	qt.Assert(t, completedAcrossStop(t, entry.Breaks{}, 40), qt.Equals, 40)
 }
 
-func TestPlannedStopNeedsTheDrain(t *testing.T) {
-	qt.Assert(t, inFlight(t, entry.Breaks{
+func TestStopWithoutDrainCutsOffRequests(t *testing.T) {
+	qt.Assert(t, completedAcrossStop(t, entry.Breaks{
 		Drain: true,
 	}, 40) < 40, qt.IsTrue)
 }
 
-func TestBadRequestsAreNotRunAndSaySo(t *testing.T) {
+func TestInvalidRequestsAreRejectedWithReason(t *testing.T) {
 	_, f := newFleet(t, entry.Breaks{}, 0)
 	tests := []struct {
 		name string
@@ -187,7 +188,7 @@
 			want: "a key, since the request is unrepeatable",
 		},
 		{
-			name: "a key from the future",
+			name: "key issued in the future",
 			head: map[string]string{
 				entry.HeaderIssued: strconv.FormatInt(time.Now().Add(time.Hour).UnixMilli(), 10),
 			},
@@ -206,9 +207,10 @@
 	}
 }
 
-// TestTheSameKeyRunsOnce asks again at another host and gets the first answer.
-// The key is made seconds after the hosts have started, on virtual time.
-func TestTheSameKeyRunsOnce(t *testing.T) {
+// A request that is repeated with the same key, also at another host, runs once
+// and gets the first answer. The key is issued seconds after the hosts started,
+// since hosts can't tell whether an older key was used before.
+func TestUnrepeatableRequestRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cell, f := newFleetIn(t, 2, entry.Breaks{}, 0, true)
@@ -230,7 +232,7 @@
 	})
 }
 
-func TestOperatorsAreToldWhatIsWrong(t *testing.T) {
+func TestOperatorErrorsNameTheCause(t *testing.T) {
 	c := qt.New(t)
 	_, f := newFleet(t, entry.Breaks{}, 0)
 	client := f.Client()
@@ -252,7 +254,7 @@
 	c.Check(err, qt.ErrorMatches, `the configuration has changed since.*`)
 }
 
-// BenchmarkRequest sends a request to a runner, straight and through an entry
+// BenchmarkRequest sends a request to a runner, directly and through an entry
 // host, over loopback sockets.
 func BenchmarkRequest(b *testing.B) {
 	cell, f := newFleet(b, entry.Breaks{}, 0)
--- a/entry/header.go
+++ b/entry/header.go
@@ -11,9 +11,9 @@
 	"github.com/spoolsill/spoolsill/upstream"
 )
 
-// The headers of a request. Times are durations such as "1.5s", so that the
-// clocks of callers don't matter, but for HeaderIssued, which is Unix time in
-// milliseconds.
+// Request headers. Times are durations such as "1.5s", so that they don't
+// depend on the clocks of callers, except for HeaderIssued, which is Unix time
+// in milliseconds.
 const (
 	HeaderKey          = upstream.HeaderKey
 	HeaderCaller       = "Spoolsill-Caller"
@@ -25,7 +25,7 @@
 	HeaderIssued       = "Spoolsill-Issued"
 )
 
-// The headers of an answer.
+// Response headers.
 const (
 	HeaderOutcome  = upstream.HeaderOutcome
 	HeaderCause    = "Spoolsill-Cause"
@@ -35,16 +35,16 @@
 
 const headerPrefix = "Spoolsill-"
 
-// Bounds and defaults of request headers.
+// Limits and defaults of request headers.
 const (
-	maxKey          = 200
+	maxIDBytes      = 200
 	maxDeadline     = 10 * time.Minute
 	maxFade         = 24 * time.Hour
 	defaultDeadline = 10 * time.Second
 	defaultWorth    = 1
 )
 
-// A HeaderError names a header that can't be accepted.
+// A HeaderError reports a header whose name or value is not allowed.
 type HeaderError struct {
 	Header  string
 	Value   string
@@ -56,17 +56,17 @@
 	return fmt.Sprintf("header %s: %q is not allowed: want %s", e.Header, e.Value, e.Allowed)
 }
 
-// ParseRequest reads the headers of a request that arrives at now. It fails
-// with a [*HeaderError].
+// ParseRequest parses the headers of a request that arrives at now. Errors are
+// of type [*HeaderError].
 func ParseRequest(now time.Time, s spoolsill.ServiceID, head http.Header) (spoolsill.Request, error) {
 	p := headerParser{
 		head: head,
 	}
-	p.unknown()
+	p.checkNames()
 	r := spoolsill.Request{
 		Service:      s,
-		Key:          spoolsill.RequestKey(p.text(HeaderKey)),
-		Caller:       spoolsill.CallerID(p.text(HeaderCaller)),
+		Key:          spoolsill.RequestKey(p.id(HeaderKey)),
+		Caller:       spoolsill.CallerID(p.id(HeaderCaller)),
 		Class:        p.class(),
 		Worth:        p.number(HeaderWorth, defaultWorth, spoolsill.MaxWorth),
 		Fade:         p.duration(HeaderFade, 0, maxFade),
@@ -75,8 +75,8 @@
 	r.Deadline = now.Add(p.duration(HeaderDeadline, defaultDeadline, maxDeadline))
 	r.Issued = p.issued(now)
 	if r.Unrepeatable {
-		p.need(r.Key != "", HeaderKey, "", "a key, since the request is unrepeatable")
-		p.need(head.Get(HeaderIssued) != "", HeaderIssued, "", "the time at which the key was made, since the request is unrepeatable")
+		p.require(r.Key != "", HeaderKey, "", "a key, since the request is unrepeatable")
+		p.require(head.Get(HeaderIssued) != "", HeaderIssued, "", "the time at which the key was made, since the request is unrepeatable")
 	}
 	if p.err != nil {
 		return spoolsill.Request{}, p.err
@@ -89,7 +89,8 @@
 	err  error
 }
 
-func (p *headerParser) need(ok bool, header, value, allowed string) {
+// require records an error if ok is false. The first error is kept.
+func (p *headerParser) require(ok bool, header, value, allowed string) {
 	if ok || p.err != nil {
 		return
 	}
@@ -111,21 +112,22 @@
 	HeaderIssued:       true,
 }
 
-func (p *headerParser) unknown() {
+// checkNames rejects unknown and repeated headers with headerPrefix.
+func (p *headerParser) checkNames() {
 	for h, v := range p.head {
 		if !strings.HasPrefix(h, headerPrefix) {
 			continue
 		}
-		p.need(knownHeaders[h], h, v[0], "none: there is no such header")
-		p.need(len(v) == 1, h, strings.Join(v, ", "), "one value")
+		p.require(knownHeaders[h], h, v[0], "none: there is no such header")
+		p.require(len(v) == 1, h, strings.Join(v, ", "), "one value")
 	}
 }
 
-func (p *headerParser) text(h string) string {
+func (p *headerParser) id(h string) string {
 	v := p.head.Get(h)
-	p.need(len(v) <= maxKey, h, v, fmt.Sprintf("at most %d bytes", maxKey))
+	p.require(len(v) <= maxIDBytes, h, v, fmt.Sprintf("at most %d bytes", maxIDBytes))
 	for _, c := range []byte(v) {
-		p.need(c > ' ' && c < 0x7f, h, v, "printable ASCII without spaces")
+		p.require(c > ' ' && c < 0x7f, h, v, "printable ASCII without spaces")
 	}
 	return v
 }
@@ -133,7 +135,7 @@
 func (p *headerParser) class() spoolsill.Class {
 	var c spoolsill.Class
 	v := p.head.Get(HeaderClass)
-	p.need(c.UnmarshalText([]byte(v)) == nil, HeaderClass, v, "urgent, normal or patient")
+	p.require(c.UnmarshalText([]byte(v)) == nil, HeaderClass, v, "urgent, normal or patient")
 	return c
 }
 
@@ -143,7 +145,7 @@
 		return def
 	}
 	n, err := strconv.Atoi(v)
-	p.need(err == nil && n >= 0 && n <= high, h, v, fmt.Sprintf("0 to %d", high))
+	p.require(err == nil && n >= 0 && n <= high, h, v, fmt.Sprintf("0 to %d", high))
 	return n
 }
 
@@ -153,19 +155,19 @@
 		return def
 	}
 	d, err := time.ParseDuration(v)
-	p.need(err == nil && d >= 0 && d <= high, h, v, fmt.Sprintf("a duration like \"1.5s\", 0s to %s", high))
+	p.require(err == nil && d >= 0 && d <= high, h, v, fmt.Sprintf("a duration like \"1.5s\", 0s to %s", high))
 	return d
 }
 
 func (p *headerParser) flag(h string) bool {
 	v := p.head.Get(h)
-	p.need(v == "" || v == "true" || v == "false", h, v, "true or false")
+	p.require(v == "" || v == "true" || v == "false", h, v, "true or false")
 	return v == "true"
 }
 
-// issued reads when the key was made. A time that is ahead of this host's
-// clock by more than clocks may be off is refused: it would hide that the key
-// was made before this host started.
+// issued parses the time at which the key was made, which defaults to now. It
+// rejects a time ahead of this host's clock by more than maxClockSkew: it would
+// hide that the key was made before this host started.
 func (p *headerParser) issued(now time.Time) time.Time {
 	v := p.head.Get(HeaderIssued)
 	if v == "" {
@@ -173,6 +175,6 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	t := time.UnixMilli(n)
-	p.need(err == nil && n > 0 && t.Before(now.Add(maxSkew)), HeaderIssued, v, "Unix time in milliseconds, not ahead of now")
+	p.require(err == nil && n > 0 && t.Before(now.Add(maxClockSkew)), HeaderIssued, v, "Unix time in milliseconds, not ahead of now")
 	return t
 }
--- /dev/null
+++ b/entry/heartbeat.go
@@ -0,0 +1,132 @@
+package entry
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/spoolsill/spoolsill"
+	"github.com/spoolsill/spoolsill/internal/pause"
+	"github.com/spoolsill/spoolsill/peer"
+	"github.com/spoolsill/spoolsill/timeline"
+)
+
+// Timing of the heartbeats between the hosts of a hall.
+const (
+	heartbeatInterval = 500 * time.Millisecond
+	heartbeatTimeout  = 1500 * time.Millisecond // a host not heard from for this long is unresponsive
+)
+
+// peerState is what this host knows of another host of its hall from
+// heartbeats and the replies to them.
+type peerState struct {
+	lastHeard    time.Time
+	incarnation  spoolsill.Incarnation
+	version      spoolsill.Version
+	unresponsive bool
+}
+
+type heartbeat struct {
+	Version  spoolsill.Version `msgpack:"v"`
+	Leaving  []string          `msgpack:"l"`
+	Stopping bool              `msgpack:"s"`
+	// ConfigAge is the time since the last read of the newest configuration
+	// from the table that the sender knows of; it is negative if there was none.
+	ConfigAge time.Duration `msgpack:"r"`
+}
+
+// sendHeartbeats sends heartbeats to the hall's other hosts until ctx ends, and
+// checks for hosts that have become unresponsive.
+func (h *Host) sendHeartbeats(ctx context.Context) {
+	for ctx.Err() == nil {
+		for _, x := range h.hallPeers() {
+			go h.sendHeartbeat(ctx, x)
+		}
+		h.markUnresponsive()
+		pause.For(ctx, heartbeatInterval-heartbeatInterval/10+rand.N(heartbeatInterval/5))
+	}
+}
+
+func (h *Host) sendHeartbeat(ctx context.Context, to spoolsill.HostID) {
+	asked := time.Now()
+	r, err := callPeer[heartbeat](ctx, h, to, methodBeat, h.newHeartbeat())
+	if err != nil {
+		return
+	}
+	h.applyHeartbeat(ctx, to, 0, r)
+	if r.ConfigAge >= 0 && h.ConfigVersion() >= r.Version {
+		h.recordConfigRead(asked.Add(-r.ConfigAge))
+	}
+}
+
+func (h *Host) newHeartbeat() heartbeat {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	b := heartbeat{
+		Version:   h.configStore.Current().Version,
+		Leaving:   h.members.Leaving(),
+		Stopping:  h.stopping.Load(),
+		ConfigAge: -1,
+	}
+	if !h.configReadAt.IsZero() {
+		b.ConfigAge = time.Since(h.configReadAt)
+	}
+	return b
+}
+
+func (h *Host) handleHeartbeat(ctx context.Context, c peer.Caller, q heartbeat) (heartbeat, error) {
+	h.applyHeartbeat(ctx, c.Host, c.Incarnation, q)
+	return h.newHeartbeat(), nil
+}
+
+// applyHeartbeat updates the state of another host of the hall from a heartbeat
+// or the reply to one. A senderIncarnation of 0 is not known.
+func (h *Host) applyHeartbeat(ctx context.Context, from spoolsill.HostID, senderIncarnation spoolsill.Incarnation, b heartbeat) {
+	now := time.Now()
+	leavingChanged := false
+	h.mu.Lock()
+	s := h.peerStates[from]
+	recovered := s.unresponsive
+	restarted := senderIncarnation != 0 && s.incarnation != 0 && senderIncarnation != s.incarnation
+	s.lastHeard = now
+	s.unresponsive = false
+	s.version = b.Version
+	if senderIncarnation != 0 {
+		s.incarnation = senderIncarnation
+	}
+	h.peerStates[from] = s
+	for _, id := range b.Leaving {
+		leavingChanged = h.members.SetLeaving(now, id) || leavingChanged
+	}
+	outdated := b.Version > h.configStore.Current().Version
+	h.configStore.Floor(b.Version)
+	h.mu.Unlock()
+	if restarted {
+		h.recordEvent(timeline.KindMembership, "host "+string(from)+" has restarted")
+		h.holder.Forgot()
+	}
+	if recovered {
+		h.recordEvent(timeline.KindMembership, "host "+string(from)+" is heard again")
+	}
+	if leavingChanged {
+		h.recordEvent(timeline.KindMembership, "host "+string(from)+" knows of machines that leave")
+		h.updateRunners()
+	}
+	if outdated {
+		h.fetchConfig(ctx, from)
+	}
+}
+
+func (h *Host) markUnresponsive() {
+	now := time.Now()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, s := range h.peerStates {
+		if s.unresponsive || now.Sub(s.lastHeard) < heartbeatTimeout {
+			continue
+		}
+		s.unresponsive = true
+		h.peerStates[id] = s
+		h.recordEvent(timeline.KindMembership, "host "+string(id)+" is silent")
+	}
+}
--- a/entry/cell.go
+++ b/entry/holdercalls.go
@@ -17,18 +17,18 @@
 	"github.com/spoolsill/spoolsill/table"
 )
 
-// op names what is asked of a hall's holder.
-type op string
+// A holderOp is an operation that a hall's holder carries out.
+type holderOp string
 
 const (
-	opPlan    op = "plan"
-	opConfirm op = "confirm"
-	opJobs    op = "jobs"
-	opJob     op = "job"
-	opWorkers op = "workers"
+	opPlan    holderOp = "plan"
+	opConfirm holderOp = "confirm"
+	opJobs    holderOp = "jobs"
+	opJob     holderOp = "job"
+	opWorkers holderOp = "workers"
 )
 
-// The codes of refusals between hosts.
+// Error codes of calls between hosts.
 const (
 	codeStale      peer.Code = "stale"
 	codeIntent     peer.Code = "intent"
@@ -37,29 +37,29 @@
 	codeNoJob      peer.Code = "no-job"
 )
 
-// maxHops bounds how often a call is handed on: to a host of the hall, and
-// from there to the holder.
+// maxHops bounds how often a call is forwarded: to a host of the hall, and from
+// there to the holder.
 const maxHops = 2
 
-type wireCell struct {
+type holderRequest struct {
 	Hall spoolsill.HallID   `msgpack:"h"`
-	Op   op                 `msgpack:"o"`
+	Op   holderOp           `msgpack:"o"`
 	Hops int                `msgpack:"n"`
 	Body msgpack.RawMessage `msgpack:"b"`
 }
 
-type wireAnswer struct {
+type holderReply struct {
 	Body msgpack.RawMessage `msgpack:"b"`
 }
 
-// askHall asks the holder of a hall, wherever it is.
-func askHall[R any](ctx context.Context, h *Host, hall spoolsill.HallID, o op, q any) (R, error) {
+// callHolder calls the holder of a hall, which may be any host of the cell.
+func callHolder[R any](ctx context.Context, h *Host, hall spoolsill.HallID, o holderOp, q any) (R, error) {
 	var r R
 	b, err := msgpack.Marshal(q)
 	if err != nil {
 		return r, err
 	}
-	a, err := h.cell(ctx, wireCell{
+	a, err := h.routeHolderCall(ctx, holderRequest{
 		Hall: hall,
 		Op:   o,
 		Body: b,
@@ -70,49 +70,50 @@
 	return r, msgpack.Unmarshal(a.Body, &r)
 }
 
-func (h *Host) takeCell(ctx context.Context, _ peer.Caller, q wireCell) (wireAnswer, error) {
-	return h.cell(ctx, q)
+func (h *Host) handleHolderCall(ctx context.Context, _ peer.Caller, q holderRequest) (holderReply, error) {
+	return h.routeHolderCall(ctx, q)
 }
 
-// cell answers a call for a hall's holder here, or hands it on.
-func (h *Host) cell(ctx context.Context, q wireCell) (wireAnswer, error) {
+// routeHolderCall answers a call if this host is the holder of the call's hall,
+// and forwards it otherwise.
+func (h *Host) routeHolderCall(ctx context.Context, q holderRequest) (holderReply, error) {
 	if q.Hall != h.hall.ID {
-		return h.cellElsewhere(ctx, q)
+		return h.forwardToHall(ctx, q)
 	}
 	if h.holder.Holds() {
-		v, err := h.cellHere(ctx, q)
+		v, err := h.serveHolderCall(ctx, q)
 		if err != nil {
-			return wireAnswer{}, refusal(err)
+			return holderReply{}, remoteError(err)
 		}
 		b, err := msgpack.Marshal(v)
-		return wireAnswer{
+		return holderReply{
 			Body: b,
 		}, err
 	}
 	to, _, ok := h.holder.Seen()
 	if !ok || to == h.settings.Host.ID || q.Hops >= maxHops {
-		return wireAnswer{}, refusal(holder.ErrNotHolder)
+		return holderReply{}, remoteError(holder.ErrNotHolder)
 	}
 	q.Hops++
-	return peer.Call[wireAnswer](ctx, h.node, to, methodCell, q)
+	return peer.Call[holderReply](ctx, h.node, to, methodCell, q)
 }
 
-// cellElsewhere asks the hosts of another hall until one has an answer.
-func (h *Host) cellElsewhere(ctx context.Context, q wireCell) (wireAnswer, error) {
+// forwardToHall tries the hosts of another hall in turn until one can answer.
+func (h *Host) forwardToHall(ctx context.Context, q holderRequest) (holderReply, error) {
 	x, ok := h.findHall(q.Hall)
 	if !ok || q.Hops >= maxHops {
-		return wireAnswer{}, badInput(fmt.Errorf("hall %q is not known", q.Hall))
+		return holderReply{}, badInput(fmt.Errorf("hall %q is not known", q.Hall))
 	}
 	q.Hops++
 	var err = peer.ErrUnreachable
 	for _, p := range x.IDs() {
-		var a wireAnswer
-		a, err = peer.Call[wireAnswer](ctx, h.node, p, methodCell, q)
+		var a holderReply
+		a, err = peer.Call[holderReply](ctx, h.node, p, methodCell, q)
 		if !errors.Is(err, peer.ErrUnreachable) && !peer.IsCode(err, codeNotHolder) {
 			return a, err
 		}
 	}
-	return wireAnswer{}, err
+	return holderReply{}, err
 }
 
 func (h *Host) findHall(id spoolsill.HallID) (settings.Hall, bool) {
@@ -124,19 +125,19 @@
 	return settings.Hall{}, false
 }
 
-// cellHere answers a call as the hall's holder.
-func (h *Host) cellHere(ctx context.Context, q wireCell) (any, error) {
+// serveHolderCall answers a call as the hall's holder.
+func (h *Host) serveHolderCall(ctx context.Context, q holderRequest) (any, error) {
 	switch q.Op {
 	case opPlan:
-		return with(q.Body, h.holder.Plan)
+		return decodeAndCall(q.Body, h.holder.Plan)
 	case opConfirm:
-		return with(q.Body, func(id spoolsill.PlanID) (empty, error) {
+		return decodeAndCall(q.Body, func(id spoolsill.PlanID) (empty, error) {
 			return empty{}, h.holder.Confirm(ctx, id)
 		})
 	case opJobs:
 		return h.holder.Jobs()
 	case opJob:
-		return with(q.Body, h.holder.Job)
+		return decodeAndCall(q.Body, h.holder.Job)
 	case opWorkers:
 		return h.holder.Workers()
 	default:
@@ -144,7 +145,7 @@
 	}
 }
 
-func with[Q, R any](body []byte, f func(Q) (R, error)) (R, error) {
+func decodeAndCall[Q, R any](body []byte, f func(Q) (R, error)) (R, error) {
 	var q Q
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		var r R
@@ -153,19 +154,20 @@
 	return f(q)
 }
 
-// refusal gives an error the code under which the asking host knows it.
-func refusal(err error) error {
+// remoteError returns err as an error with the code that the calling host
+// matches.
+func remoteError(err error) error {
 	var r *peer.RemoteError
 	if errors.As(err, &r) {
 		return err
 	}
 	return &peer.RemoteError{
-		Code: codeOf(err),
+		Code: errorCode(err),
 		Text: err.Error(),
 	}
 }
 
-func codeOf(err error) peer.Code {
+func errorCode(err error) peer.Code {
 	var stale *place.StaleError
 	switch {
 	case errors.As(err, &stale):
@@ -183,14 +185,14 @@
 	}
 }
 
-// jobPrefix starts the keys of the rows that say which hall a job belongs to.
-const jobPrefix = "job/"
+// jobKeyPrefix is the prefix of the keys of rows that map a job to its hall.
+const jobKeyPrefix = "job/"
 
-// register makes a job's id the hall's own. While the table is silent only
-// ids that start with the hall's name can be registered, since no other hall
-// gives those out.
-func (h *Host) register(ctx context.Context, id spoolsill.JobID, p spoolsill.PlanID) error {
-	key := jobPrefix + string(id)
+// registerJob reserves a job's id for the hall. It is idempotent for the same
+// plan. While the table does not answer, only ids that start with the hall's
+// name can be registered, since no other hall assigns those.
+func (h *Host) registerJob(ctx context.Context, id spoolsill.JobID, p spoolsill.PlanID) error {
+	key := jobKeyPrefix + string(id)
 	value := string(h.hall.ID) + " " + string(p)
 	r, err := h.platform.Commit(ctx, table.Txn{
 		Conditions: []table.Condition{{
@@ -202,7 +204,7 @@
 		}},
 	})
 	if err != nil {
-		return h.registerAlone(id, err)
+		return h.registerOffline(id, err)
 	}
 	if r.Applied || (len(r.Conflicts) > 0 && string(r.Conflicts[0].Value) == value) {
 		return nil
@@ -213,7 +215,7 @@
 	}
 }
 
-func (h *Host) registerAlone(id spoolsill.JobID, err error) error {
+func (h *Host) registerOffline(id spoolsill.JobID, err error) error {
 	if strings.HasPrefix(string(id), string(h.hall.ID)+"-") {
 		return nil
 	}
--- a/entry/host.go
+++ b/entry/host.go
@@ -34,21 +34,22 @@
 type Config struct {
 	Settings settings.Settings
 	Log      logrus.FieldLogger
-	// Dial opens all connections of the host; nil means TCP.
+	// Dial opens the host's outgoing connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// HTTP and Peer are the listeners; nil listens on the addresses of the
-	// settings.
+	// HTTP and Peer accept connections; a listener that is nil is opened on
+	// the address in Settings.
 	HTTP net.Listener
 	Peer net.Listener
-	// Break switches mechanisms off, for tests only.
+	// Break disables mechanisms. For tests only.
 	Break Breaks
 }
 
-// Breaks switches mechanisms off, so that tests can show what each is for.
+// Breaks selects mechanisms to disable, so that tests can show that each is
+// necessary.
 type Breaks struct {
 	Holder holder.Breaks
 	Claim  bool // dispatch unrepeatable requests without a claim
-	Drain  bool // stop without waiting for requests under way
+	Drain  bool // stop without waiting for requests in flight
 }
 
 // A Host is one entry host. It is safe for concurrent use.
@@ -69,7 +70,7 @@
 	holder   *holder.Holder
 	services map[spoolsill.ServiceID]*service
 	metrics  *metrics
-	limits   *limits
+	limits   *rateLimits
 
 	stopping atomic.Bool
 	nonces   atomic.Uint64
@@ -77,23 +78,23 @@
 	stop     context.CancelFunc
 	stopped  chan struct{}
 
-	mu     sync.Mutex // guards what follows
-	view   *member.View
-	store  config.Store
-	life   lifeRow
-	read   time.Time // the last time known at which the newest configuration was read from the table, here or by another host of the hall
-	ledger *claim.Ledger
-	beats  map[spoolsill.HostID]seen
+	mu               sync.Mutex // guards the fields below
+	members          *member.View
+	configStore      config.Store
+	savedIncarnation incarnationRow
+	configReadAt     time.Time // last known read of the newest configuration from the table, by this host or another host of the hall
+	ledger           *claim.Ledger
+	peerStates       map[spoolsill.HostID]peerState
 }
 
-// A service is what the host has for one service.
+// A service holds the router and the upstream client of one service.
 type service struct {
 	settings settings.Service
 	router   *router.Router
 	client   *upstream.Client
 }
 
-// New returns a host that does nothing before Run.
+// New returns a host that is not running; [Host.Run] starts it.
 func New(c Config) *Host {
 	now := time.Now()
 	h := &Host{
@@ -104,8 +105,8 @@
 		started:     now,
 		clock:       &timeline.Clock{},
 		services:    map[spoolsill.ServiceID]*service{},
-		view:        member.NewView(member.Config{}),
-		beats:       map[spoolsill.HostID]seen{},
+		members:     member.NewView(member.Config{}),
+		peerStates:  map[spoolsill.HostID]peerState{},
 		stopped:     make(chan struct{}),
 	}
 	h.hallHosts = h.hall.IDs()
@@ -120,9 +121,9 @@
 	})
 	h.ledger = claim.NewLedger(claim.Config{
 		Started: now,
-		Skew:    maxSkew,
+		Skew:    maxClockSkew,
 	})
-	h.limits = newLimits()
+	h.limits = newRateLimits()
 	h.platform = remote.NewClient(remote.Config{
 		URL:     c.Settings.Platform.URL,
 		Timeout: time.Duration(c.Settings.Platform.Timeout),
@@ -141,7 +142,7 @@
 	}
 	h.holder = holder.New(h.holderConfig())
 	h.metrics = newMetrics(h)
-	h.handlePeers()
+	h.registerHandlers()
 	return h
 }
 
@@ -158,8 +159,8 @@
 		Addresses:   addresses,
 		Clock:       h.clock,
 		Report: func(remote string, err error) {
-			h.log.WithError(err).WithField("remote", remote).Warn("peer connection broke")
-			h.fault("peer connection with " + remote + " broke: " + err.Error())
+			h.log.WithError(err).WithField("remote", remote).Warn("peer connection failed")
+			h.recordFault("peer connection with " + remote + " broke: " + err.Error())
 		},
 	}
 	if d := h.config.Dial; d != nil {
@@ -192,8 +193,8 @@
 			Upstream: client,
 			Peers:    (*slotPeers)(h),
 			Events:   h.ring,
-			Saw:      h.sawRunner,
-			Leaves:   h.runnerLeaves,
+			Saw:      h.recordRunnerCall,
+			Leaves:   h.markRunnerLeaving,
 		}),
 	}
 }
@@ -208,9 +209,9 @@
 		Objects:     h.platform,
 		Agents:      h.agents,
 		Peers:       (*holderPeers)(h),
-		Workers:     h.workers,
-		Quotas:      h.quotas,
-		Register:    h.register,
+		Workers:     h.hallWorkers,
+		Quotas:      h.hallQuotas,
+		Register:    h.registerJob,
 		Events:      h.ring,
 		Log:         h.log,
 		Lease: lease.Config{
@@ -223,31 +224,31 @@
 	}
 }
 
-// Run serves until ctx ends or [Host.Stop] is done. It returns an error only
-// when the host can't listen.
+// Run serves until ctx ends or [Host.Stop] has finished. It returns an error
+// only if the host can't listen or accept connections.
 func (h *Host) Run(ctx context.Context) error {
 	ctx, h.stop = context.WithCancel(ctx)
 	defer h.stop()
 	defer close(h.stopped)
-	web, err := listen(h.config.HTTP, h.settings.Host.HTTP)
+	httpListener, err := listen(h.config.HTTP, h.settings.Host.HTTP)
 	if err != nil {
 		return eris.Wrap(err, "http")
 	}
-	inner, err := listen(h.config.Peer, h.settings.Host.Peer)
+	peerListener, err := listen(h.config.Peer, h.settings.Host.Peer)
 	if err != nil {
-		_ = web.Close()
+		_ = httpListener.Close()
 		return eris.Wrap(err, "peer")
 	}
-	h.event(timeline.KindMembership, "host started")
-	h.log.WithField("http", web.Addr().String()).Info("host started")
+	h.recordEvent(timeline.KindMembership, "host started")
+	h.log.WithField("http", httpListener.Addr().String()).Info("host started")
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return h.node.Serve(ctx, inner) })
-	g.Go(func() error { return h.serveHTTP(ctx, web) })
+	g.Go(func() error { return h.node.Serve(ctx, peerListener) })
+	g.Go(func() error { return h.serveHTTP(ctx, httpListener) })
 	g.Go(func() error { h.holder.Run(ctx); return nil })
-	g.Go(func() error { h.followMembers(ctx); return nil })
-	g.Go(func() error { h.followConfig(ctx); return nil })
-	g.Go(func() error { h.beat(ctx); return nil })
-	g.Go(func() error { h.openHome(ctx); return nil })
+	g.Go(func() error { h.pollMembers(ctx); return nil })
+	g.Go(func() error { h.pollConfig(ctx); return nil })
+	g.Go(func() error { h.sendHeartbeats(ctx); return nil })
+	g.Go(func() error { h.recoverOwnSlots(ctx); return nil })
 	for _, s := range h.services {
 		g.Go(func() error { s.router.Run(ctx); return nil })
 	}
@@ -275,8 +276,8 @@
 func (h *Host) serveHTTP(ctx context.Context, l net.Listener) error {
 	s := &http.Server{
 		Handler:           h.handler(),
-		ReadHeaderTimeout: readTimeout,
-		MaxHeaderBytes:    maxHeader,
+		ReadHeaderTimeout: readHeaderTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          nil,
 	}
 	h.mu.Lock()
@@ -291,35 +292,36 @@
 	return nil
 }
 
-// Limits of the HTTP interface.
+// Limits of the HTTP server.
 const (
-	readTimeout = 10 * time.Second
-	maxHeader   = 16 << 10
+	readHeaderTimeout = 10 * time.Second
+	maxHeaderBytes    = 16 << 10
 )
 
-// Stop ends the host as planned: readiness goes off, the balancer gets its
-// time to notice, no new work is taken, all that is under way finishes, the
-// hall's lease is given back. It returns when Run has, or when ctx ends; then
-// what is left is cut off, and Stop reports false.
+// Stop shuts the host down gracefully: it reports that it is not ready, gives
+// the load balancer the configured delay to notice, refuses new work, waits for
+// work in flight and releases the hall's lease. It returns when Run has
+// returned. If ctx ends first, Stop cuts off the remaining work and returns
+// false.
 func (h *Host) Stop(ctx context.Context) bool {
 	if h.stopping.Swap(true) {
 		<-h.stopped
 		return true
 	}
-	h.event(timeline.KindOperator, "planned stop began")
+	h.recordEvent(timeline.KindOperator, "planned stop began")
 	h.log.Info("planned stop began")
 	h.holder.Leave()
 	if !h.config.Break.Drain {
-		h.finishWork(ctx)
+		h.drain(ctx)
 	}
 	clean := ctx.Err() == nil
-	h.event(timeline.KindOperator, "planned stop ends")
+	h.recordEvent(timeline.KindOperator, "planned stop ends")
 	h.stop()
 	<-h.stopped
 	return clean
 }
 
-func (h *Host) finishWork(ctx context.Context) {
+func (h *Host) drain(ctx context.Context) {
 	pause.For(ctx, time.Duration(h.settings.Host.DrainDelay))
 	h.mu.Lock()
 	s := h.server
@@ -327,46 +329,46 @@
 	if s != nil {
 		_ = s.Shutdown(ctx)
 	}
-	empty := true
+	drained := true
 	for _, v := range h.services {
-		empty = v.router.Stop(ctx) && empty
+		drained = v.router.Stop(ctx) && drained
 	}
 	h.holder.Drain(ctx)
-	ctx, cancel := context.WithTimeout(ctx, releaseWithin)
+	ctx, cancel := context.WithTimeout(ctx, leaseReleaseTimeout)
 	defer cancel()
 	h.holder.Release(ctx)
-	if empty {
-		h.closeHome(ctx)
+	if drained {
+		h.recordCleanShutdown(ctx)
 	}
 }
 
-// releaseWithin bounds the giving back of the lease at a planned stop. While
-// the platform is silent it can't be given back, and lapses by itself.
-const releaseWithin = 5 * time.Second
+// leaseReleaseTimeout bounds the release of the hall's lease by Stop. While the
+// platform does not answer, the lease can't be released and expires by itself.
+const leaseReleaseTimeout = 5 * time.Second
 
-// Ring returns the host's events.
+// Ring returns the buffer of the host's recent events.
 func (h *Host) Ring() *timeline.Ring {
 	return h.ring
 }
 
-// Holds reports whether the host holds its hall's lease now.
+// Holds reports whether the host currently holds its hall's lease.
 func (h *Host) Holds() bool {
 	return h.holder.Holds()
 }
 
-// Sent returns the bytes that the host has sent to other hosts.
+// Sent returns the number of bytes sent to other hosts.
 func (h *Host) Sent() uint64 {
 	n, _ := h.node.Traffic()
 	return n
 }
 
-// Silent reports whether the platform has not answered lately.
+// Silent reports whether the platform has not answered recent calls.
 func (h *Host) Silent() bool {
 	return h.platform.Silent()
 }
 
-// Check verifies what must hold at all times over the hall's state. It fails
-// with [holder.ErrNotHolder] at a host that does not hold the hall's lease.
+// Check verifies the invariants of the hall's state. It fails with
+// [holder.ErrNotHolder] on a host that does not hold the hall's lease.
 func (h *Host) Check() error {
 	return h.holder.Check()
 }
@@ -375,18 +377,19 @@
 func (h *Host) ConfigVersion() spoolsill.Version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.store.Current().Version
+	return h.configStore.Current().Version
 }
 
-func (h *Host) event(k timeline.Kind, text string) {
+func (h *Host) recordEvent(k timeline.Kind, text string) {
 	h.ring.Add(timeline.Event{
 		Kind: k,
 		Text: text,
 	})
 }
 
-// fault counts and records something that should not have come about.
-func (h *Host) fault(text string) {
+// recordFault counts and records a fault, such as a broken connection or input
+// that was rejected.
+func (h *Host) recordFault(text string) {
 	h.metrics.faults.Add(context.Background(), 1)
-	h.event(timeline.KindFault, text)
+	h.recordEvent(timeline.KindFault, text)
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -14,75 +14,77 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// memberEvery is the time between two looks at the platform's list.
-const memberEvery = time.Second
+// memberPollInterval is the mean time between reads of the platform's list.
+const memberPollInterval = time.Second
 
-// followMembers keeps the view of the hall's machines until ctx ends.
-func (h *Host) followMembers(ctx context.Context) {
+// pollMembers updates the view of workers and runners from the platform's list
+// until ctx ends.
+func (h *Host) pollMembers(ctx context.Context) {
 	var last member.List
 	for ctx.Err() == nil {
 		l, err := h.platform.Members(ctx)
 		if err != nil {
-			l, err = h.membersFromPeers(ctx)
+			l, err = h.fetchMembersFromPeers(ctx)
 		}
 		if err == nil {
 			h.mu.Lock()
-			h.view.SetList(time.Now(), l)
+			h.members.SetList(time.Now(), l)
 			h.mu.Unlock()
 			if !reflect.DeepEqual(l, last) {
 				last = l
-				h.event(timeline.KindMembership, "the list of workers and runners has changed")
-				h.applyMembers()
+				h.recordEvent(timeline.KindMembership, "the list of workers and runners has changed")
+				h.updateRunners()
 			}
 		}
-		pause.For(ctx, memberEvery-memberEvery/10+rand.N(memberEvery/5))
+		pause.For(ctx, memberPollInterval-memberPollInterval/10+rand.N(memberPollInterval/5))
 	}
 }
 
-// membersFromPeers asks the hall's other hosts for the list when this host
-// has none yet and the platform is silent.
-func (h *Host) membersFromPeers(ctx context.Context) (member.List, error) {
+// fetchMembersFromPeers asks the hall's other hosts for the list if this host
+// has none yet. It is called when the platform does not answer.
+func (h *Host) fetchMembersFromPeers(ctx context.Context) (member.List, error) {
 	h.mu.Lock()
-	_, known := h.view.Known()
+	_, known := h.members.Known()
 	h.mu.Unlock()
 	if known {
-		return member.List{}, errNoList
+		return member.List{}, errNoMemberList
 	}
-	for _, x := range h.others() {
-		r, err := call[wireMembers](ctx, h, x, methodMembers, empty{})
+	for _, x := range h.hallPeers() {
+		r, err := callPeer[membersReply](ctx, h, x, methodMembers, empty{})
 		if err == nil && r.Known {
 			return r.List, nil
 		}
 	}
-	return member.List{}, errNoList
+	return member.List{}, errNoMemberList
 }
 
-type noListError struct{}
+type noMemberListError struct{}
 
 // Error implements error.
-func (noListError) Error() string { return "no list of workers and runners" }
+func (noMemberListError) Error() string { return "no list of workers and runners available" }
 
-var errNoList error = noListError{}
+var errNoMemberList error = noMemberListError{}
 
-type wireMembers struct {
+type membersReply struct {
 	Known bool        `msgpack:"k"`
 	List  member.List `msgpack:"l"`
 }
 
-func (h *Host) takeMembersRead(context.Context, peer.Caller, empty) (wireMembers, error) {
+func (h *Host) handleMembersRead(context.Context, peer.Caller, empty) (membersReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, known := h.view.Known()
-	return wireMembers{
+	_, known := h.members.Known()
+	return membersReply{
 		Known: known,
-		List:  h.view.List(),
+		List:  h.members.List(),
 	}, nil
 }
 
-// applyMembers hands the view to the routers. The holder asks for it itself.
-func (h *Host) applyMembers() {
+// updateRunners passes the hall's runners to the routers. The holder gets its
+// workers by calling hallWorkers.
+func (h *Host) updateRunners() {
 	h.mu.Lock()
-	runners := h.view.Runners(h.hall.ID)
+	runners := h.members.Runners(h.hall.ID)
 	h.mu.Unlock()
 	for id, s := range h.services {
 		var list []spoolsill.Runner
@@ -95,21 +97,23 @@
 	}
 }
 
-// workers returns the hall's workers for package holder.
-func (h *Host) workers() ([]spoolsill.Worker, bool) {
+// hallWorkers returns the hall's workers for package holder, and whether a list
+// of them has been received.
+func (h *Host) hallWorkers() ([]spoolsill.Worker, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, known := h.view.Known()
-	return h.view.Workers(h.hall.ID), known
+	_, known := h.members.Known()
+	return h.members.Workers(h.hall.ID), known
 }
 
-// quotas returns the hall's share of every team's quota: an equal part, so
-// that all halls together stay inside it also when they are cut off.
-func (h *Host) quotas() []place.Quota {
+// hallQuotas returns the hall's share of every team's quota. Shares are equal,
+// so that the halls together stay within the quota even while they can't reach
+// each other.
+func (h *Host) hallQuotas() []place.Quota {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := len(h.settings.Halls)
-	teams := h.store.Document().Teams
+	teams := h.configStore.Document().Teams
 	out := make([]place.Quota, 0, len(teams))
 	for _, t := range teams {
 		q := t.Quota()
@@ -127,24 +131,25 @@
 	return out
 }
 
-// sawRunner takes in whether a runner answered a call.
-func (h *Host) sawRunner(id spoolsill.RunnerID, answered bool) {
+// recordRunnerCall counts calls that a runner did not answer. Answered calls
+// are ignored.
+func (h *Host) recordRunnerCall(id spoolsill.RunnerID, answered bool) {
 	if answered {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.view.Saw(string(id), answered)
+	h.members.Saw(string(id), answered)
 }
 
-// runnerLeaves takes in a runner's own word that it is leaving. The hall's
-// other hosts learn of it with the next heartbeat.
-func (h *Host) runnerLeaves(id spoolsill.RunnerID) {
+// markRunnerLeaving records that a runner announced its shutdown. The next
+// heartbeat passes this on to the hall's other hosts.
+func (h *Host) markRunnerLeaving(id spoolsill.RunnerID) {
 	h.mu.Lock()
-	news := h.view.SetLeaving(time.Now(), string(id))
+	changed := h.members.SetLeaving(time.Now(), string(id))
 	h.mu.Unlock()
-	if news {
-		h.event(timeline.KindMembership, "runner "+string(id)+" says that it is leaving")
-		h.applyMembers()
+	if changed {
+		h.recordEvent(timeline.KindMembership, "runner "+string(id)+" says that it is leaving")
+		h.updateRunners()
 	}
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -15,19 +15,19 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// metrics are the host's OpenTelemetry metrics, served in the Prometheus
-// format.
+// metrics holds the host's OpenTelemetry metrics, which are served in the
+// Prometheus format.
 type metrics struct {
-	registry *prometheus.Registry
-	requests metric.Int64Counter
-	refusals metric.Int64Counter
-	faults   metric.Int64Counter
-	seconds  metric.Float64Histogram
-	waited   metric.Float64Histogram
+	registry   *prometheus.Registry
+	requests   metric.Int64Counter
+	rejections metric.Int64Counter
+	faults     metric.Int64Counter
+	duration   metric.Float64Histogram
+	queueTime  metric.Float64Histogram
 }
 
-// newMetrics returns the metrics of a host. An instrument that can't be made
-// is a broken invariant: names and units are constants.
+// newMetrics returns the metrics of a host. It panics if an instrument can't be
+// created, which is a programming error since names and units are constants.
 func newMetrics(h *Host) *metrics {
 	r := prometheus.NewRegistry()
 	e, err := otelprom.New(otelprom.WithRegisterer(r), otelprom.WithoutScopeInfo())
@@ -39,15 +39,15 @@
 	}
 	x.requests, err = m.Int64Counter("spoolsill.requests", metric.WithDescription("requests by service, outcome and cause"))
 	must(err)
-	x.refusals, err = m.Int64Counter("spoolsill.requests.refused", metric.WithDescription("requests that could not be accepted, by status"))
+	x.rejections, err = m.Int64Counter("spoolsill.requests.refused", metric.WithDescription("requests that could not be accepted, by status"))
 	must(err)
 	x.faults, err = m.Int64Counter("spoolsill.faults", metric.WithDescription("bad frames, refused input and records that can't be read"))
 	must(err)
-	x.seconds, err = m.Float64Histogram("spoolsill.request.duration", metric.WithUnit("s"), buckets, metric.WithDescription("time from arrival to answer"))
+	x.duration, err = m.Float64Histogram("spoolsill.request.duration", metric.WithUnit("s"), buckets, metric.WithDescription("time from arrival to answer"))
 	must(err)
-	x.waited, err = m.Float64Histogram("spoolsill.request.wait", metric.WithUnit("s"), buckets, metric.WithDescription("time in the queue"))
+	x.queueTime, err = m.Float64Histogram("spoolsill.request.wait", metric.WithUnit("s"), buckets, metric.WithDescription("time in the queue"))
 	must(err)
-	h.observe(m)
+	h.registerGauges(m)
 	return x
 }
 
@@ -57,49 +57,49 @@
 	}
 }
 
-// observe has the gauges read when they are asked for.
-func (h *Host) observe(m metric.Meter) {
-	gauge := func(name, text string, read func(s gauges) int64) {
+// registerGauges registers gauges whose values are read on collection.
+func (h *Host) registerGauges(m metric.Meter) {
+	gauge := func(name, text string, read func(s gaugeValues) int64) {
 		_, err := m.Int64ObservableGauge(name, metric.WithDescription(text), metric.WithInt64Callback(
 			func(_ context.Context, o metric.Int64Observer) error {
-				o.Observe(read(h.gauges()))
+				o.Observe(read(h.readGauges()))
 				return nil
 			}))
 		must(err)
 	}
-	gauge("spoolsill.requests.waiting", "requests in the queue", func(g gauges) int64 { return g.waiting })
-	gauge("spoolsill.requests.running", "requests at runners", func(g gauges) int64 { return g.running })
-	gauge("spoolsill.lease.held", "1 while this host holds its hall's lease", func(g gauges) int64 { return g.held })
-	gauge("spoolsill.config.version", "version of the configuration in force", func(g gauges) int64 { return g.version })
-	gauge("spoolsill.platform.silent", "1 while the platform does not answer", func(g gauges) int64 { return g.silent })
-	gauge("spoolsill.claims", "claims of request keys remembered", func(g gauges) int64 { return g.claims })
-	gauge("spoolsill.peer.sent", "bytes sent to other hosts", func(g gauges) int64 { return g.sent })
-	gauge("spoolsill.peer.received", "bytes received from other hosts", func(g gauges) int64 { return g.received })
+	gauge("spoolsill.requests.waiting", "requests in the queue", func(g gaugeValues) int64 { return g.waiting })
+	gauge("spoolsill.requests.running", "requests at runners", func(g gaugeValues) int64 { return g.running })
+	gauge("spoolsill.lease.held", "1 while this host holds its hall's lease", func(g gaugeValues) int64 { return g.held })
+	gauge("spoolsill.config.version", "version of the configuration in force", func(g gaugeValues) int64 { return g.version })
+	gauge("spoolsill.platform.silent", "1 while the platform does not answer", func(g gaugeValues) int64 { return g.silent })
+	gauge("spoolsill.claims", "claims of request keys remembered", func(g gaugeValues) int64 { return g.claims })
+	gauge("spoolsill.peer.sent", "bytes sent to other hosts", func(g gaugeValues) int64 { return g.sent })
+	gauge("spoolsill.peer.received", "bytes received from other hosts", func(g gaugeValues) int64 { return g.received })
 }
 
-type gauges struct {
+type gaugeValues struct {
 	waiting, running, held, version, silent, claims, sent, received int64
 }
 
-func (h *Host) gauges() gauges {
+func (h *Host) readGauges() gaugeValues {
 	s := h.status()
 	sent, received := h.node.Traffic()
 	h.mu.Lock()
 	claims := h.ledger.Len()
 	h.mu.Unlock()
-	return gauges{
+	return gaugeValues{
 		waiting:  int64(s.Waiting),
 		running:  int64(s.Running),
-		held:     flag(s.Holds),
+		held:     boolValue(s.Holds),
 		version:  int64(s.Config),
-		silent:   flag(s.Degraded),
+		silent:   boolValue(s.Degraded),
 		claims:   int64(claims),
 		sent:     int64(sent),
 		received: int64(received),
 	}
 }
 
-func flag(b bool) int64 {
+func boolValue(b bool) int64 {
 	if b {
 		return 1
 	}
@@ -110,16 +110,16 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *metrics) request(s spoolsill.ServiceID, p reply, took time.Duration) {
+func (m *metrics) recordRequest(s spoolsill.ServiceID, p reply, elapsed time.Duration) {
 	ctx := context.Background()
 	service := attribute.String("service", string(s))
 	m.requests.Add(ctx, 1, metric.WithAttributes(service,
 		attribute.String("outcome", string(p.Outcome)),
 		attribute.String("cause", string(p.Cause))))
-	m.seconds.Record(ctx, took.Seconds(), metric.WithAttributes(service))
-	m.waited.Record(ctx, p.Waited.Seconds(), metric.WithAttributes(service))
+	m.duration.Record(ctx, elapsed.Seconds(), metric.WithAttributes(service))
+	m.queueTime.Record(ctx, p.Waited.Seconds(), metric.WithAttributes(service))
 }
 
-func (m *metrics) refused(status int) {
-	m.refusals.Add(context.Background(), 1, metric.WithAttributes(attribute.Int("status", status)))
+func (m *metrics) recordRejection(status int) {
+	m.rejections.Add(context.Background(), 1, metric.WithAttributes(attribute.Int("status", status)))
 }
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -13,39 +13,41 @@
 	"github.com/spoolsill/spoolsill/upstream"
 )
 
-// Overflow to other halls.
+// Limits of the overflow of requests to other halls.
 const (
-	offerTimeout  = 20 * time.Millisecond
-	maxOffers     = 3                     // hosts asked for one request
-	leastTimeLeft = 50 * time.Millisecond // else it does not pay to go elsewhere
+	offerTimeout = 20 * time.Millisecond
+	maxOffers    = 3                     // hosts asked per request
+	minTimeLeft  = 50 * time.Millisecond // with less left another hall is not worth trying
 )
 
-// route routes a call in the own hall. When that gives it up, another hall
-// that has free slots and agrees may take it.
-func (h *Host) route(ctx context.Context, s *service, c router.Call) router.Reply {
+// routeRequest routes a call in the host's own hall. If the request was not run
+// there for a cause that mayOverflow accepts, it is forwarded to a host of
+// another hall that has free slots and agrees to take it.
+func (h *Host) routeRequest(ctx context.Context, s *service, c router.Call) router.Reply {
 	p := s.router.Do(ctx, c)
-	if p.Outcome != spoolsill.NotRun || !overflows(p.Cause) {
+	if p.Outcome != spoolsill.NotRun || !mayOverflow(p.Cause) {
 		return p
 	}
-	if time.Until(c.Request.Expires()) < leastTimeLeft {
+	if time.Until(c.Request.Expires()) < minTimeLeft {
 		return p
 	}
-	if x, ok := h.findTaker(ctx, s.settings.ID); ok {
+	if x, ok := h.findOverflowHost(ctx, s.settings.ID); ok {
 		return h.relay(ctx, x, c, p)
 	}
 	return p
 }
 
-func overflows(c route.Cause) bool {
+func mayOverflow(c route.Cause) bool {
 	return c == route.CauseOverload || c == route.CauseNoRunner || c == route.CauseRefused
 }
 
-type wireOffer struct {
+type offerRequest struct {
 	Service spoolsill.ServiceID `msgpack:"s"`
 }
 
-// findTaker returns a host of another hall that agrees to take a request.
-func (h *Host) findTaker(ctx context.Context, s spoolsill.ServiceID) (spoolsill.HostID, bool) {
+// findOverflowHost asks random hosts of other halls whether they have a free
+// slot, and returns the first that does.
+func (h *Host) findOverflowHost(ctx context.Context, s spoolsill.ServiceID) (spoolsill.HostID, bool) {
 	var hosts []spoolsill.HostID
 	for _, x := range h.settings.Halls {
 		if x.ID != h.hall.ID {
@@ -57,7 +59,7 @@
 	})
 	for _, x := range hosts[:min(len(hosts), maxOffers)] {
 		ctx, cancel := context.WithTimeout(ctx, offerTimeout)
-		r, err := peer.Call[wireYes](ctx, h.node, x, methodOffer, wireOffer{
+		r, err := peer.Call[acceptReply](ctx, h.node, x, methodOffer, offerRequest{
 			Service: s,
 		})
 		cancel()
@@ -68,22 +70,22 @@
 	return "", false
 }
 
-func (h *Host) takeOffer(_ context.Context, _ peer.Caller, q wireOffer) (wireYes, error) {
+func (h *Host) handleOffer(_ context.Context, _ peer.Caller, q offerRequest) (acceptReply, error) {
 	s, ok := h.services[q.Service]
-	return wireYes{
+	return acceptReply{
 		Yes: ok && !h.stopping.Load() && s.router.Spare() > 0,
 	}, nil
 }
 
-type wireRelay struct {
+type relayRequest struct {
 	Request spoolsill.Request `msgpack:"r"`
-	Left    time.Duration     `msgpack:"l"` // to the deadline
+	Left    time.Duration     `msgpack:"l"` // until the deadline
 	Path    string            `msgpack:"p"`
 	Type    string            `msgpack:"t"`
 	Body    []byte            `msgpack:"b"`
 }
 
-type wireRelayed struct {
+type relayReply struct {
 	Outcome    spoolsill.Outcome  `msgpack:"o"`
 	Cause      route.Cause        `msgpack:"c"`
 	RetryAfter time.Duration      `msgpack:"a"`
@@ -93,12 +95,13 @@
 	Body       []byte             `msgpack:"b"`
 }
 
-// relay has a host of another hall route a call. When its answer is lost the
-// request may have run.
+// relay forwards a call to a host of another hall. If that host can't be reached
+// or refuses, it returns p, the reply of the own hall. If the host's reply is
+// lost, the outcome is unknown, since the request may have run.
 func (h *Host) relay(ctx context.Context, to spoolsill.HostID, c router.Call, p router.Reply) router.Reply {
 	ctx, cancel := context.WithDeadline(ctx, c.Request.Expires())
 	defer cancel()
-	r, err := peer.Call[wireRelayed](ctx, h.node, to, methodRelay, wireRelay{
+	r, err := peer.Call[relayReply](ctx, h.node, to, methodRelay, relayRequest{
 		Request: c.Request,
 		Left:    time.Until(c.Request.Deadline),
 		Path:    c.Path,
@@ -128,11 +131,12 @@
 	}
 }
 
-// takeRelay routes a request of another hall, here and nowhere else.
-func (h *Host) takeRelay(ctx context.Context, _ peer.Caller, q wireRelay) (wireRelayed, error) {
+// handleRelay routes a request from another hall. It does not forward it any
+// further.
+func (h *Host) handleRelay(ctx context.Context, _ peer.Caller, q relayRequest) (relayReply, error) {
 	s, ok := h.services[q.Request.Service]
 	if !ok || h.stopping.Load() {
-		return wireRelayed{
+		return relayReply{
 			Outcome: spoolsill.NotRun,
 			Cause:   route.CauseStopping,
 		}, nil
@@ -144,7 +148,7 @@
 		Type:    q.Type,
 		Body:    q.Body,
 	})
-	return wireRelayed{
+	return relayReply{
 		Outcome:    p.Outcome,
 		Cause:      p.Cause,
 		RetryAfter: p.RetryAfter,
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -12,7 +12,7 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// The methods that hosts call at each other.
+// Methods of calls between hosts.
 const (
 	methodBeat     = "beat"
 	methodPromise  = "promise"
@@ -31,29 +31,29 @@
 	methodCell     = "cell"
 )
 
-// peerTimeout bounds a call between hosts that carries no request.
+// peerTimeout bounds calls between hosts that don't forward a request.
 const peerTimeout = time.Second
 
-func (h *Host) handlePeers() {
-	peer.Handle(h.node, methodBeat, h.takeBeat)
-	peer.Handle(h.node, methodPromise, h.takePromise)
-	peer.Handle(h.node, methodCopy, h.takeCopy)
-	peer.Handle(h.node, methodCopies, h.takeCopies)
-	peer.Handle(h.node, methodBorrow, h.takeBorrow)
-	peer.Handle(h.node, methodReturn, h.takeReturn)
-	peer.Handle(h.node, methodClaim, h.takeClaim)
-	peer.Handle(h.node, methodSettle, h.takeSettle)
-	peer.Handle(h.node, methodConfig, h.takeConfigRead)
-	peer.Handle(h.node, methodMembers, h.takeMembersRead)
-	peer.Handle(h.node, methodTimeline, h.takeTimeline)
-	peer.Handle(h.node, methodHost, h.takeHostRead)
-	peer.Handle(h.node, methodOffer, h.takeOffer)
-	peer.Handle(h.node, methodRelay, h.takeRelay)
-	peer.Handle(h.node, methodCell, h.takeCell)
+func (h *Host) registerHandlers() {
+	peer.Handle(h.node, methodBeat, h.handleHeartbeat)
+	peer.Handle(h.node, methodPromise, h.handlePromise)
+	peer.Handle(h.node, methodCopy, h.handleCopy)
+	peer.Handle(h.node, methodCopies, h.handleCopies)
+	peer.Handle(h.node, methodBorrow, h.handleBorrow)
+	peer.Handle(h.node, methodReturn, h.handleReturn)
+	peer.Handle(h.node, methodClaim, h.handleClaim)
+	peer.Handle(h.node, methodSettle, h.handleSettle)
+	peer.Handle(h.node, methodConfig, h.handleConfigRead)
+	peer.Handle(h.node, methodMembers, h.handleMembersRead)
+	peer.Handle(h.node, methodTimeline, h.handleTimeline)
+	peer.Handle(h.node, methodHost, h.handleHostRead)
+	peer.Handle(h.node, methodOffer, h.handleOffer)
+	peer.Handle(h.node, methodRelay, h.handleRelay)
+	peer.Handle(h.node, methodCell, h.handleHolderCall)
 }
 
-// others returns the other hosts of the hall.
-func (h *Host) others() []spoolsill.HostID {
+// hallPeers returns the other hosts of the hall.
+func (h *Host) hallPeers() []spoolsill.HostID {
 	var out []spoolsill.HostID
 	for _, x := range h.hallHosts {
 		if x != h.settings.Host.ID {
@@ -63,8 +63,8 @@
 	return out
 }
 
-// call makes a call to a host with the usual time limit.
-func call[R, Q any](ctx context.Context, h *Host, to spoolsill.HostID, method string, q Q) (R, error) {
+// callPeer calls a method of another host with a timeout of peerTimeout.
+func callPeer[R, Q any](ctx context.Context, h *Host, to spoolsill.HostID, method string, q Q) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	return peer.Call[R](ctx, h.node, to, method, q)
@@ -72,36 +72,36 @@
 
 type empty struct{}
 
-type wirePromise struct {
+type promiseRequest struct {
 	Epoch spoolsill.Epoch `msgpack:"e"`
 }
 
-type wireYes struct {
+type acceptReply struct {
 	Yes bool `msgpack:"y"`
 }
 
-type wireCopy struct {
+type entriesMessage struct {
 	Epoch   spoolsill.Epoch    `msgpack:"e"`
 	Stored  spoolsill.Sequence `msgpack:"s"`
 	Entries [][]byte           `msgpack:"n"`
-	// Leaving says that the sender will be gone soon.
+	// Leaving says that the sender is shutting down and hands over its entries.
 	Leaving bool `msgpack:"g,omitempty"`
-	// Whole says that nothing is kept elsewhere in the hall that the sender
-	// does not know.
-	Whole bool `msgpack:"w,omitempty"`
+	// Complete says that no other host of the hall keeps entries that the
+	// sender lacks.
+	Complete bool `msgpack:"w,omitempty"`
 }
 
-type wireCopies struct {
+type copiesRequest struct {
 	Epoch spoolsill.Epoch `msgpack:"e"`
 	Last  recordlog.Mark  `msgpack:"l"`
 }
 
-// holderPeers reaches the hall's other hosts for package holder.
+// holderPeers calls the hall's other hosts for package holder.
 type holderPeers Host
 
 // Promise implements holder.Peers.
 func (p *holderPeers) Promise(ctx context.Context, to spoolsill.HostID, e spoolsill.Epoch) bool {
-	r, err := call[wireYes](ctx, (*Host)(p), to, methodPromise, wirePromise{
+	r, err := callPeer[acceptReply](ctx, (*Host)(p), to, methodPromise, promiseRequest{
 		Epoch: e,
 	})
 	return err == nil && r.Yes
@@ -109,7 +109,7 @@
 
 // Copy implements holder.Peers.
 func (p *holderPeers) Copy(ctx context.Context, to spoolsill.HostID, e spoolsill.Epoch, stored spoolsill.Sequence, entries []recordlog.Entry) bool {
-	return p.send(ctx, to, entries, wireCopy{
+	return p.send(ctx, to, entries, entriesMessage{
 		Epoch:  e,
 		Stored: stored,
 	})
@@ -117,19 +117,19 @@
 
 // HandOver implements holder.Peers.
 func (p *holderPeers) HandOver(ctx context.Context, to spoolsill.HostID, e spoolsill.Epoch, entries []recordlog.Entry) bool {
-	return p.send(ctx, to, entries, wireCopy{
+	return p.send(ctx, to, entries, entriesMessage{
 		Epoch:   e,
 		Leaving: true,
 	})
 }
 
-func (p *holderPeers) send(ctx context.Context, to spoolsill.HostID, entries []recordlog.Entry, q wireCopy) bool {
+func (p *holderPeers) send(ctx context.Context, to spoolsill.HostID, entries []recordlog.Entry, q entriesMessage) bool {
 	list, err := encodeEntries(entries)
 	if err != nil {
 		return false
 	}
 	q.Entries = list
-	r, err := call[wireYes](ctx, (*Host)(p), to, methodCopy, q)
+	r, err := callPeer[acceptReply](ctx, (*Host)(p), to, methodCopy, q)
 	return err == nil && r.Yes
 }
 
@@ -146,9 +146,9 @@
 }
 
 // Copies implements holder.Peers.
-func (p *holderPeers) Copies(ctx context.Context, to spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, whole bool, err error) {
+func (p *holderPeers) Copies(ctx context.Context, to spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, complete bool, err error) {
 	_, e, _ := p.holder.Seen()
-	r, err := call[wireCopy](ctx, (*Host)(p), to, methodCopies, wireCopies{
+	r, err := callPeer[entriesMessage](ctx, (*Host)(p), to, methodCopies, copiesRequest{
 		Epoch: e,
 		Last:  last,
 	})
@@ -156,7 +156,7 @@
 		return nil, false, err
 	}
 	list, err = decodeEntries(r.Entries)
-	return list, r.Whole, err
+	return list, r.Complete, err
 }
 
 func decodeEntries(list [][]byte) ([]recordlog.Entry, error) {
@@ -171,56 +171,56 @@
 	return out, nil
 }
 
-func (h *Host) takePromise(_ context.Context, _ peer.Caller, q wirePromise) (wireYes, error) {
-	return wireYes{
+func (h *Host) handlePromise(_ context.Context, _ peer.Caller, q promiseRequest) (acceptReply, error) {
+	return acceptReply{
 		Yes: h.holder.Promise(q.Epoch),
 	}, nil
 }
 
-func (h *Host) takeCopy(_ context.Context, _ peer.Caller, q wireCopy) (wireYes, error) {
+func (h *Host) handleCopy(_ context.Context, _ peer.Caller, q entriesMessage) (acceptReply, error) {
 	entries, err := decodeEntries(q.Entries)
 	if err != nil {
-		return wireYes{}, badInput(err)
+		return acceptReply{}, badInput(err)
 	}
 	if q.Leaving {
-		return wireYes{
+		return acceptReply{
 			Yes: h.holder.HandOver(q.Epoch, entries),
 		}, nil
 	}
-	return wireYes{
+	return acceptReply{
 		Yes: h.holder.Copy(q.Epoch, q.Stored, entries),
 	}, nil
 }
 
-func (h *Host) takeCopies(_ context.Context, _ peer.Caller, q wireCopies) (wireCopy, error) {
-	kept, whole := h.holder.Copies(q.Epoch, q.Last)
+func (h *Host) handleCopies(_ context.Context, _ peer.Caller, q copiesRequest) (entriesMessage, error) {
+	kept, complete := h.holder.Copies(q.Epoch, q.Last)
 	list, err := encodeEntries(kept)
-	return wireCopy{
-		Entries: list,
-		Whole:   whole,
+	return entriesMessage{
+		Entries:  list,
+		Complete: complete,
 	}, err
 }
 
-type wireBorrow struct {
+type borrowRequest struct {
 	Service spoolsill.ServiceID `msgpack:"s"`
 	Count   int                 `msgpack:"n"`
 }
 
-type wireLoans struct {
+type borrowReply struct {
 	Loans []route.Loan `msgpack:"l"`
 }
 
-type wireReturn struct {
+type returnRequest struct {
 	Service spoolsill.ServiceID `msgpack:"s"`
 	Loans   []route.LoanID      `msgpack:"l"`
 }
 
-// slotPeers reaches the hall's other hosts for package router.
+// slotPeers calls the hall's other hosts for package router.
 type slotPeers Host
 
 // Borrow implements router.Peers.
 func (p *slotPeers) Borrow(ctx context.Context, to spoolsill.HostID, s spoolsill.ServiceID, n int) ([]route.Loan, error) {
-	r, err := peer.Call[wireLoans](ctx, p.node, to, methodBorrow, wireBorrow{
+	r, err := peer.Call[borrowReply](ctx, p.node, to, methodBorrow, borrowRequest{
 		Service: s,
 		Count:   n,
 	})
@@ -229,28 +229,28 @@
 
 // Return implements router.Peers.
 func (p *slotPeers) Return(ctx context.Context, to spoolsill.HostID, s spoolsill.ServiceID, ids []route.LoanID) {
-	_, _ = call[empty](ctx, (*Host)(p), to, methodReturn, wireReturn{
+	_, _ = callPeer[empty](ctx, (*Host)(p), to, methodReturn, returnRequest{
 		Service: s,
 		Loans:   ids,
 	})
 }
 
-var errNoService = errors.New("no such service")
+var errUnknownService = errors.New("no such service")
 
-func (h *Host) takeBorrow(_ context.Context, _ peer.Caller, q wireBorrow) (wireLoans, error) {
+func (h *Host) handleBorrow(_ context.Context, _ peer.Caller, q borrowRequest) (borrowReply, error) {
 	s, ok := h.services[q.Service]
 	if !ok {
-		return wireLoans{}, badInput(errNoService)
+		return borrowReply{}, badInput(errUnknownService)
 	}
-	return wireLoans{
+	return borrowReply{
 		Loans: s.router.Lend(q.Count),
 	}, nil
 }
 
-func (h *Host) takeReturn(_ context.Context, _ peer.Caller, q wireReturn) (empty, error) {
+func (h *Host) handleReturn(_ context.Context, _ peer.Caller, q returnRequest) (empty, error) {
 	s, ok := h.services[q.Service]
 	if !ok {
-		return empty{}, badInput(errNoService)
+		return empty{}, badInput(errUnknownService)
 	}
 	s.router.Returned(q.Loans)
 	return empty{}, nil
@@ -263,17 +263,17 @@
 	}
 }
 
-type wireTimeline struct {
+type timelineRequest struct {
 	Filter timeline.Filter `msgpack:"f"`
 	Limit  int             `msgpack:"l"`
 }
 
-type wireEvents struct {
+type timelineReply struct {
 	Events []timeline.Event `msgpack:"e"`
 }
 
-func (h *Host) takeTimeline(_ context.Context, _ peer.Caller, q wireTimeline) (wireEvents, error) {
-	return wireEvents{
+func (h *Host) handleTimeline(_ context.Context, _ peer.Caller, q timelineRequest) (timelineReply, error) {
+	return timelineReply{
 		Events: h.ring.Select(q.Filter, q.Limit),
 	}, nil
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -21,8 +21,8 @@
 	"github.com/spoolsill/spoolsill/upstream"
 )
 
-// wireFailure is the body of an answer that is not a runner's.
-type wireFailure struct {
+// failureBody is the body of a response that does not come from a runner.
+type failureBody struct {
 	Outcome      spoolsill.Outcome `json:"outcome"`
 	Cause        route.Cause       `json:"cause"`
 	Text         string            `json:"text"`
@@ -44,18 +44,18 @@
 	route.CauseBadInput:  "the request can't be accepted",
 }
 
-// call serves one request of a caller.
-func (h *Host) call(w http.ResponseWriter, q *http.Request) {
+// postCall handles a caller's request to a service.
+func (h *Host) postCall(w http.ResponseWriter, q *http.Request) {
 	now := time.Now()
 	id := spoolsill.ServiceID(chi.URLParam(q, "service"))
 	s, ok := h.services[id]
 	if !ok {
-		h.refuse(w, http.StatusNotFound, fmt.Sprintf("service %q is not known", id))
+		h.rejectRequest(w, http.StatusNotFound, fmt.Sprintf("service %q is not known", id))
 		return
 	}
 	r, err := ParseRequest(now, id, q.Header)
 	if err != nil {
-		h.refuse(w, http.StatusBadRequest, err.Error())
+		h.rejectRequest(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	c, ok := h.readCall(w, q, s, r)
@@ -63,32 +63,33 @@
 		return
 	}
 	p := h.serve(q.Context(), s, c)
-	h.metrics.request(id, p, time.Since(now))
-	h.outcome(c.Request, p)
+	h.metrics.recordRequest(id, p, time.Since(now))
+	h.recordOutcome(c.Request, p)
 	writeReply(w, p)
 }
 
-// refuse answers a request that can't be accepted. It did not run.
-func (h *Host) refuse(w http.ResponseWriter, status int, text string) {
-	h.metrics.refused(status)
-	h.fault("request refused: " + text)
-	writeFailure(w, status, wireFailure{
+// rejectRequest responds to a request that is invalid and was not run.
+func (h *Host) rejectRequest(w http.ResponseWriter, status int, text string) {
+	h.metrics.recordRejection(status)
+	h.recordFault("request refused: " + text)
+	writeFailure(w, status, failureBody{
 		Outcome: spoolsill.NotRun,
 		Cause:   route.CauseBadInput,
 		Text:    text,
 	})
 }
 
-// readCall reads the whole body before the request takes a slot.
+// readCall reads the body of a request, before the request occupies a slot. A
+// request without a key gets a random one.
 func (h *Host) readCall(w http.ResponseWriter, q *http.Request, s *service, r spoolsill.Request) (router.Call, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, s.settings.MaxBody))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		h.refuse(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", s.settings.MaxBody))
+		h.rejectRequest(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", s.settings.MaxBody))
 		return router.Call{}, false
 	}
 	if err != nil {
-		h.refuse(w, http.StatusBadRequest, "the body did not come whole")
+		h.rejectRequest(w, http.StatusBadRequest, "the body did not come whole")
 		return router.Call{}, false
 	}
 	if r.Key == "" {
@@ -102,43 +103,45 @@
 	}, true
 }
 
-// A reply is what a caller gets.
+// A reply is the response to a caller.
 type reply struct {
 	router.Reply
 	replayed bool
 }
 
-// serve admits, claims and routes a call.
+// serve applies the caller's rate limit, claims the key if the request is
+// unrepeatable, and routes the call.
 func (h *Host) serve(ctx context.Context, s *service, c router.Call) reply {
 	if wait, ok := h.limits.allow(time.Now(), c.Request.Caller); !ok {
 		return notRun(route.CauseLimit, wait)
 	}
 	if !c.Request.Unrepeatable {
 		return reply{
-			Reply: h.route(ctx, s, c),
+			Reply: h.routeRequest(ctx, s, c),
 		}
 	}
 	return h.serveOnce(ctx, s, c)
 }
 
-// serveOnce serves an unrepeatable request.
+// serveOnce runs an unrepeatable request at most once. It goes on when the
+// caller disconnects.
 func (h *Host) serveOnce(ctx context.Context, s *service, c router.Call) reply {
 	ctx = context.WithoutCancel(ctx)
-	k, j, a := h.take(ctx, c.Request)
+	k, j, a := h.claimKey(ctx, c.Request)
 	switch j {
 	case claim.Dispatch:
 	case claim.Used:
-		return replay(a)
+		return replayAnswer(a)
 	case claim.NoHost:
 		return notRun(route.CauseNoRecord, time.Second)
 	default:
-		return unknown(route.CauseClaimed)
+		return unknownOutcome(route.CauseClaimed)
 	}
-	p := h.route(ctx, s, c)
+	p := h.routeRequest(ctx, s, c)
 	if p.Outcome == spoolsill.NotRun {
-		h.giveUp(ctx, k)
+		h.releaseClaim(ctx, k)
 	} else {
-		go h.tell(ctx, k, claim.Answer{
+		go h.settleClaim(ctx, k, claim.Answer{
 			Outcome: p.Outcome,
 			Status:  p.Answer.Status,
 			Type:    p.Answer.Type,
@@ -150,10 +153,11 @@
 	}
 }
 
-// replay answers with what became of the first request with a key.
-func replay(a claim.Answer) reply {
+// replayAnswer returns the recorded answer to the first request with the same
+// key, or an unknown outcome if there is none.
+func replayAnswer(a claim.Answer) reply {
 	if a.Outcome != spoolsill.Done || a.Body == nil {
-		return unknown(route.CauseClaimed)
+		return unknownOutcome(route.CauseClaimed)
 	}
 	return reply{
 		replayed: true,
@@ -168,17 +172,17 @@
 	}
 }
 
-func notRun(c route.Cause, retry time.Duration) reply {
+func notRun(c route.Cause, retryAfter time.Duration) reply {
 	return reply{
 		Reply: router.Reply{
 			Outcome:    spoolsill.NotRun,
 			Cause:      c,
-			RetryAfter: retry,
+			RetryAfter: retryAfter,
 		},
 	}
 }
 
-func unknown(c route.Cause) reply {
+func unknownOutcome(c route.Cause) reply {
 	return reply{
 		Reply: router.Reply{
 			Outcome:    spoolsill.Unknown,
@@ -188,7 +192,7 @@
 	}
 }
 
-func (h *Host) outcome(r spoolsill.Request, p reply) {
+func (h *Host) recordOutcome(r spoolsill.Request, p reply) {
 	text := string(p.Outcome)
 	if p.Cause != "" {
 		text += ": " + string(p.Cause)
@@ -201,7 +205,7 @@
 	})
 }
 
-var causeStatus = map[route.Cause]int{
+var causeStatuses = map[route.Cause]int{
 	route.CauseDeadline: http.StatusGatewayTimeout,
 	route.CauseTimeout:  http.StatusGatewayTimeout,
 	route.CauseFailed:   http.StatusBadGateway,
@@ -213,11 +217,11 @@
 
 func writeReply(w http.ResponseWriter, p reply) {
 	if p.Outcome != spoolsill.Done {
-		status, ok := causeStatus[p.Cause]
+		status, ok := causeStatuses[p.Cause]
 		if !ok {
 			status = http.StatusServiceUnavailable
 		}
-		writeFailure(w, status, wireFailure{
+		writeFailure(w, status, failureBody{
 			Outcome:      p.Outcome,
 			Cause:        p.Cause,
 			Text:         causeTexts[p.Cause],
@@ -239,7 +243,7 @@
 	_, _ = w.Write(p.Answer.Body)
 }
 
-func writeFailure(w http.ResponseWriter, status int, f wireFailure) {
+func writeFailure(w http.ResponseWriter, status int, f failureBody) {
 	head := w.Header()
 	head.Set(HeaderOutcome, string(f.Outcome))
 	head.Set(HeaderCause, string(f.Cause))
--- a/entry/status.go
+++ b/entry/status.go
@@ -14,8 +14,8 @@
 	writeJSON(w, http.StatusOK, h.status())
 }
 
-// getReady tells the balancer whether to send callers here. A lost platform
-// makes the host degraded, not unready.
+// getReady is the readiness check for load balancers. A host that can't reach
+// the platform is degraded, but still ready.
 func (h *Host) getReady(w http.ResponseWriter, _ *http.Request) {
 	s := h.status()
 	status := http.StatusOK
@@ -25,7 +25,7 @@
 	writeJSON(w, status, s)
 }
 
-// status returns what the host knows of itself.
+// status returns the host's own status.
 func (h *Host) status() api.Host {
 	x, epoch, _ := h.holder.Seen()
 	s := api.Host{
@@ -47,17 +47,18 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s.Config = h.store.Current().Version
-	s.ConfigSure = h.configSure()
-	_, s.Members = h.view.Known()
+	s.Config = h.configStore.Current().Version
+	s.ConfigSure = h.configSynced()
+	_, s.Members = h.members.Known()
 	return s
 }
 
-func (h *Host) takeHostRead(context.Context, peer.Caller, empty) (api.Host, error) {
+func (h *Host) handleHostRead(context.Context, peer.Caller, empty) (api.Host, error) {
 	return h.status(), nil
 }
 
-// getHosts asks every host of the cell for its status.
+// getHosts returns the status of every host of the cell. Hosts that don't answer
+// are listed with the reason.
 func (h *Host) getHosts(w http.ResponseWriter, q *http.Request) {
 	type result struct {
 		s   api.Host
@@ -71,7 +72,7 @@
 		for _, p := range x.Hosts {
 			n++
 			go func() {
-				s, err := h.statusOf(ctx, p.ID)
+				s, err := h.fetchStatus(ctx, p.ID)
 				if err != nil {
 					s.ID, s.Hall, s.HTTP = p.ID, x.ID, p.HTTP
 				}
@@ -96,9 +97,9 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-func (h *Host) statusOf(ctx context.Context, id spoolsill.HostID) (api.Host, error) {
+func (h *Host) fetchStatus(ctx context.Context, id spoolsill.HostID) (api.Host, error) {
 	if id == h.settings.Host.ID {
 		return h.status(), nil
 	}
-	return call[api.Host](ctx, h, id, methodHost, empty{})
+	return callPeer[api.Host](ctx, h, id, methodHost, empty{})
 }
--- a/entry/events.go
+++ b/entry/timeline.go
@@ -13,7 +13,8 @@
 // maxEvents is the largest number of events that one call returns.
 const maxEvents = 10_000
 
-// getTimeline merges the rings of all hosts that answer.
+// getTimeline returns the merged events of all hosts that answer and lists the
+// hosts that don't.
 func (h *Host) getTimeline(w http.ResponseWriter, q *http.Request) {
 	v := q.URL.Query()
 	limit, err := strconv.Atoi(v.Get("limit"))
@@ -30,7 +31,7 @@
 	f.After.Wall, _ = strconv.ParseInt(v.Get("after"), 10, 64)
 	n, _ := strconv.ParseUint(v.Get("after_counter"), 10, 32)
 	f.After.Counter = uint32(n)
-	events, missing := h.collect(q.Context(), f, limit)
+	events, missing := h.collectEvents(q.Context(), f, limit)
 	if len(events) > limit {
 		events = events[len(events)-limit:]
 	}
@@ -40,7 +41,7 @@
 	})
 }
 
-func (h *Host) collect(ctx context.Context, f timeline.Filter, limit int) ([]timeline.Event, []spoolsill.HostID) {
+func (h *Host) collectEvents(ctx context.Context, f timeline.Filter, limit int) ([]timeline.Event, []spoolsill.HostID) {
 	type result struct {
 		id     spoolsill.HostID
 		events []timeline.Event
@@ -52,7 +53,7 @@
 		for _, p := range x.Hosts {
 			n++
 			go func() {
-				e, err := h.eventsOf(ctx, p.ID, f, limit)
+				e, err := h.fetchEvents(ctx, p.ID, f, limit)
 				results <- result{
 					id:     p.ID,
 					events: e,
@@ -74,11 +75,11 @@
 	return timeline.Merge(rings...), missing
 }
 
-func (h *Host) eventsOf(ctx context.Context, id spoolsill.HostID, f timeline.Filter, limit int) ([]timeline.Event, error) {
+func (h *Host) fetchEvents(ctx context.Context, id spoolsill.HostID, f timeline.Filter, limit int) ([]timeline.Event, error) {
 	if id == h.settings.Host.ID {
 		return h.ring.Select(f, limit), nil
 	}
-	r, err := call[wireEvents](ctx, h, id, methodTimeline, wireTimeline{
+	r, err := callPeer[timelineReply](ctx, h, id, methodTimeline, timelineRequest{
 		Filter: f,
 		Limit:  limit,
 	})
