--- a/entry/host.go
+++ b/entry/host.go
@@ -40,12 +40,12 @@
 	// the address in Settings.
 	HTTP net.Listener
 	Peer net.Listener
-	// Break disables mechanisms. For tests only.
+	// Break disables safety mechanisms. For tests only.
 	Break Breaks
 }
 
-// Breaks selects mechanisms to disable, so that tests can show that each is
-// necessary.
+// Breaks disables safety mechanisms, so that tests can show which failure each
+// prevents.
 type Breaks struct {
 	Holder holder.Breaks
 	Claim  bool // dispatch unrepeatable requests without a claim
