--- a/entry/config.go
+++ b/entry/config.go
@@ -67,9 +67,10 @@
 	return h.configReadAt.After(h.started) && !h.configStore.Behind()
 }
 
-// ConfigSure returns the version of the configuration in force and whether it
-// is at least as new as every version accepted before the host started.
-func (h *Host) ConfigSure() (spoolsill.Version, bool) {
+// SyncedConfigVersion returns the version of the configuration in force and
+// whether it is at least as new as every version accepted before the host
+// started.
+func (h *Host) SyncedConfigVersion() (spoolsill.Version, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.configStore.Current().Version, h.configSynced()
--- a/entry/host.go
+++ b/entry/host.go
@@ -351,25 +351,26 @@
 	return h.ring
 }
 
-// Holds reports whether the host currently holds its hall's lease.
-func (h *Host) Holds() bool {
+// HoldsLease reports whether the host currently holds its hall's lease.
+func (h *Host) HoldsLease() bool {
 	return h.holder.Holds()
 }
 
-// Sent returns the number of bytes sent to other hosts.
-func (h *Host) Sent() uint64 {
+// BytesSent returns the number of bytes sent to other hosts.
+func (h *Host) BytesSent() uint64 {
 	n, _ := h.node.Traffic()
 	return n
 }
 
-// Silent reports whether the platform has not answered recent calls.
-func (h *Host) Silent() bool {
+// PlatformUnresponsive reports whether the platform has not answered recent
+// calls.
+func (h *Host) PlatformUnresponsive() bool {
 	return h.platform.Silent()
 }
 
-// Check verifies the invariants of the hall's state. It fails with
+// CheckInvariants verifies the invariants of the hall's state. It fails with
 // [holder.ErrNotHolder] on a host that does not hold the hall's lease.
-func (h *Host) Check() error {
+func (h *Host) CheckInvariants() error {
 	return h.holder.Check()
 }
 
--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -247,7 +247,7 @@
 func traffic(f *fleet.Fleet) uint64 {
 	var n uint64
 	for i := range f.Len() {
-		n += f.Host(i).Sent()
+		n += f.Host(i).BytesSent()
 	}
 	return n
 }
--- a/internal/fault/fail.go
+++ b/internal/fault/fail.go
@@ -190,7 +190,7 @@
 	// A host that leaves hands on what only it knows, to the platform or to the
 	// other host: that is lost with it only where the platform is silent to the
 	// end.
-	if w.fleet.Host(i).Silent() {
+	if w.fleet.Host(i).PlatformUnresponsive() {
 		w.operator.harm(i)
 	}
 	return func() { w.restart(i) }
--- a/internal/fault/run.go
+++ b/internal/fault/run.go
@@ -274,8 +274,8 @@
 		return err
 	}
 	for i := range w.fleet.Len() {
-		if h := w.fleet.Host(i); h.Holds() {
-			if err := h.Check(); err != nil && !errors.Is(err, holder.ErrNotHolder) {
+		if h := w.fleet.Host(i); h.HoldsLease() {
+			if err := h.CheckInvariants(); err != nil && !errors.Is(err, holder.ErrNotHolder) {
 				w.cell.Truth.Break(standin.Capacity, "hall %s: %s", w.fleet.Hall(i), err)
 			}
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -278,7 +278,7 @@
 	out := map[spoolsill.HostID]spoolsill.Version{}
 	for _, u := range f.units {
 		if u.state == Up {
-			if v, sure := u.host.ConfigSure(); sure {
+			if v, sure := u.host.SyncedConfigVersion(); sure {
 				out[u.settings.Host.ID] = v
 			}
 		}
@@ -347,7 +347,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, u := range f.units {
-		if u.state == Up && u.settings.Own().ID == hall && u.host.Silent() {
+		if u.state == Up && u.settings.Own().ID == hall && u.host.PlatformUnresponsive() {
 			return true
 		}
 	}
@@ -359,7 +359,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, u := range f.units {
-		if u.state == Up && u.settings.Own().ID == hall && u.host.Holds() {
+		if u.state == Up && u.settings.Own().ID == hall && u.host.HoldsLease() {
 			return i, true
 		}
 	}
