--- a/entry/api.go
+++ b/entry/api.go
@@ -76,7 +76,7 @@
 		switch r.Code {
 		case codeStale:
 			return http.StatusConflict, string(r.Code)
-		case codeIntent, peer.CodeInput:
+		case codeIntent, peer.CodeBadInput:
 			return http.StatusBadRequest, string(r.Code)
 		case codeNoJob:
 			return http.StatusNotFound, string(r.Code)
@@ -91,7 +91,7 @@
 		return http.StatusConflict, "stale"
 	case errors.Is(err, peer.ErrUnreachable):
 		return http.StatusServiceUnavailable, "unreachable"
-	case errors.Is(err, peer.ErrLost), errors.Is(err, table.ErrLost):
+	case errors.Is(err, peer.ErrReplyLost), errors.Is(err, table.ErrLost):
 		return http.StatusGatewayTimeout, "unknown"
 	default:
 		return http.StatusServiceUnavailable, "unavailable"
@@ -238,7 +238,7 @@
 
 func (h *Host) getJob(w http.ResponseWriter, q *http.Request) {
 	id := spoolsill.JobID(chi.URLParam(q, "id"))
-	found, missing := callHolders[holder.Detail](h, q, opJob, id)
+	found, missing := callHolders[holder.JobStatus](h, q, opJob, id)
 	for hall, d := range found {
 		writeJSON(w, http.StatusOK, api.JobDetail{
 			Hall:  hall,
@@ -265,7 +265,7 @@
 func isNoJob(m api.Missing) bool {
 	return m.Text == (&peer.RemoteError{
 		Code: codeNoJob,
-		Text: holder.ErrNoJob.Error(),
+		Text: holder.ErrJobNotFound.Error(),
 	}).Error()
 }
 
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -24,19 +24,19 @@
 
 type claimReply struct {
 	Verdict claim.Verdict `msgpack:"v"`
-	Answer  claim.Answer  `msgpack:"a"`
+	Answer  claim.Result  `msgpack:"a"`
 }
 
 type settleRequest struct {
 	Key    spoolsill.RequestKey `msgpack:"k"`
 	Owner  claim.Owner          `msgpack:"o"`
-	Answer claim.Answer         `msgpack:"a"`
+	Answer claim.Result         `msgpack:"a"`
 }
 
 func (h *Host) handleClaim(_ context.Context, _ peer.Caller, q claim.Claim) (claimReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v, a := h.ledger.Take(time.Now(), q)
+	v, a := h.ledger.Acquire(time.Now(), q)
 	return claimReply{
 		Verdict: v,
 		Answer:  a,
@@ -46,7 +46,7 @@
 func (h *Host) handleSettle(_ context.Context, _ peer.Caller, q settleRequest) (empty, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ledger.Settle(q.Key, q.Owner, q.Answer)
+	h.ledger.RecordResult(q.Key, q.Owner, q.Answer)
 	return empty{}, nil
 }
 
@@ -80,7 +80,7 @@
 
 // claimKey claims the key of an unrepeatable request; see package claim. If the
 // key was used before, the last result is the outcome of the first request.
-func (h *Host) claimKey(ctx context.Context, r spoolsill.Request) (claimedKey, claim.Judgement, claim.Answer) {
+func (h *Host) claimKey(ctx context.Context, r spoolsill.Request) (claimedKey, claim.Decision, claim.Result) {
 	c := claimedKey{
 		home: h.homeHall(r.Key),
 		claim: claim.Claim{
@@ -94,12 +94,12 @@
 		},
 	}
 	if h.config.Break.Claim {
-		return c, claim.Dispatch, claim.Answer{}
+		return c, claim.Dispatch, claim.Result{}
 	}
 	tally := claim.Tally{
 		Hosts: len(c.home.Hosts),
 	}
-	var first claim.Answer
+	var first claim.Result
 	for _, x := range c.home.IDs() {
 		v, err := h.claimAtHost(ctx, x, c.claim)
 		if err != nil {
@@ -110,7 +110,7 @@
 			break
 		}
 	}
-	j := tally.Judge()
+	j := tally.Decide()
 	if j == claim.AskTable {
 		j = h.claimInTable(ctx, &c)
 	}
@@ -129,11 +129,11 @@
 
 // claimInTable decides a claim that not every host of the home hall could grant
 // by a conditional write to the platform's table.
-func (h *Host) claimInTable(ctx context.Context, c *claimedKey) claim.Judgement {
+func (h *Host) claimInTable(ctx context.Context, c *claimedKey) claim.Decision {
 	key := claimKeyPrefix + string(c.claim.Key)
 	value, err := msgpack.Marshal(&c.claim.Owner)
 	if err != nil {
-		return claim.NoHost
+		return claim.NotRecorded
 	}
 	r, err := h.platform.Commit(ctx, table.Txn{
 		Conditions: []table.Condition{{
@@ -148,10 +148,10 @@
 		r, err = h.readClaimRow(ctx, key)
 	}
 	if err != nil {
-		return claim.NoHost
+		return claim.NotRecorded
 	}
 	if !r.Applied && !h.ownsRows(r.Conflicts, *c) {
-		return claim.Used
+		return claim.KeyUsed
 	}
 	c.rowWritten = true
 	c.deleteTimer = h.scheduleRowDeletion(key)
@@ -199,8 +199,8 @@
 // releaseClaim releases the claim of a request that certainly did not run, so
 // that its caller can retry.
 func (h *Host) releaseClaim(ctx context.Context, c claimedKey) {
-	h.settleClaim(ctx, c, claim.Answer{
-		Outcome: spoolsill.NotRun,
+	h.settleClaim(ctx, c, claim.Result{
+		Outcome: spoolsill.OutcomeNotRun,
 	})
 	if !c.rowWritten {
 		return
@@ -219,7 +219,7 @@
 
 // settleClaim reports the outcome of a claimed request to the hosts of the home
 // hall.
-func (h *Host) settleClaim(ctx context.Context, c claimedKey, a claim.Answer) {
+func (h *Host) settleClaim(ctx context.Context, c claimedKey, a claim.Result) {
 	if len(a.Body) > claim.MaxBody {
 		a.Body = nil
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -201,7 +201,7 @@
 			r, err := post(f, 0, x.body, x.head)
 			c.Assert(err, qt.IsNil)
 			c.Check(r.status >= 400 && r.status < 500, qt.IsTrue)
-			c.Check(r.head.Get(entry.HeaderOutcome), qt.Equals, string(spoolsill.NotRun))
+			c.Check(r.head.Get(entry.HeaderOutcome), qt.Equals, string(spoolsill.OutcomeNotRun))
 			c.Check(r.body, qt.Contains, x.want)
 		})
 	}
@@ -223,7 +223,7 @@
 		for i := range 4 {
 			r, err := post(f, i%2, "points", head)
 			c.Assert(err, qt.IsNil)
-			c.Check(r.head.Get(entry.HeaderOutcome), qt.Equals, string(spoolsill.Done))
+			c.Check(r.head.Get(entry.HeaderOutcome), qt.Equals, string(spoolsill.OutcomeDone))
 			c.Check(r.body, qt.Equals, standin.Answer("vake/once", []byte("points")))
 			c.Check(r.head.Get(entry.HeaderReplayed) == "true", qt.Equals, i > 0)
 			pause.For(context.Background(), time.Second)
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -103,7 +103,7 @@
 	h.mu.Unlock()
 	if restarted {
 		h.recordEvent(timeline.KindMembership, "host "+string(from)+" has restarted")
-		h.holder.Forgot()
+		h.holder.PeerRestarted()
 	}
 	if recovered {
 		h.recordEvent(timeline.KindMembership, "host "+string(from)+" is heard again")
--- a/entry/holdercalls.go
+++ b/entry/holdercalls.go
@@ -90,7 +90,7 @@
 			Body: b,
 		}, err
 	}
-	to, _, ok := h.holder.Seen()
+	to, _, ok := h.holder.LeaseHolder()
 	if !ok || to == h.settings.Host.ID || q.Hops >= maxHops {
 		return holderReply{}, remoteError(holder.ErrNotHolder)
 	}
@@ -176,9 +176,9 @@
 		return codeIntent
 	case errors.Is(err, holder.ErrNotHolder):
 		return codeNotHolder
-	case errors.Is(err, holder.ErrNotLasting):
+	case errors.Is(err, holder.ErrUnknownOutcome):
 		return codeNotLasting
-	case errors.Is(err, holder.ErrNoJob):
+	case errors.Is(err, holder.ErrJobNotFound):
 		return codeNoJob
 	default:
 		return peer.CodeInternal
@@ -219,5 +219,5 @@
 	if strings.HasPrefix(string(id), string(h.hall.ID)+"-") {
 		return nil
 	}
-	return fmt.Errorf("%w: the table is silent, so that only jobs named %s-... can be added: %w", holder.ErrNotLasting, h.hall.ID, err)
+	return fmt.Errorf("%w: the table is silent, so that only jobs named %s-... can be added: %w", holder.ErrUnknownOutcome, h.hall.ID, err)
 }
--- a/entry/host.go
+++ b/entry/host.go
@@ -137,7 +137,7 @@
 	h.node = h.newNode()
 	for _, s := range c.Settings.Services {
 		v := h.newService(s)
-		v.router.SetHome(now.Add(time.Duration(s.SlotLifetime)))
+		v.router.EnableOwnSlots(now.Add(time.Duration(s.SlotLifetime)))
 		h.services[s.ID] = v
 	}
 	h.holder = holder.New(h.holderConfig())
@@ -173,9 +173,9 @@
 
 func (h *Host) newService(s settings.Service) *service {
 	client := upstream.NewClient(upstream.Config{
-		Connections: max(s.Connections/len(h.hallHosts), 1),
-		Answer:      s.MaxAnswer,
-		Dial:        h.config.Dial,
+		Connections:    max(s.Connections/len(h.hallHosts), 1),
+		MaxAnswerBytes: s.MaxAnswer,
+		Dial:           h.config.Dial,
 	})
 	return &service{
 		settings: s,
@@ -186,7 +186,7 @@
 				Host:         h.settings.Host.ID,
 				Hosts:        h.hallHosts,
 				Slots:        s.Slots,
-				Queue:        s.Queue,
+				MaxQueued:    s.Queue,
 				SlotLifetime: time.Duration(s.SlotLifetime),
 				FirstLoan:    uint64(h.incarnation),
 			},
@@ -310,7 +310,7 @@
 	}
 	h.recordEvent(timeline.KindOperator, "planned stop began")
 	h.log.Info("planned stop began")
-	h.holder.Leave()
+	h.holder.SetLeaving()
 	if !h.config.Break.Drain {
 		h.drain(ctx)
 	}
@@ -331,7 +331,7 @@
 	}
 	drained := true
 	for _, v := range h.services {
-		drained = v.router.Stop(ctx) && drained
+		drained = v.router.StopAndWait(ctx) && drained
 	}
 	h.holder.Drain(ctx)
 	ctx, cancel := context.WithTimeout(ctx, leaseReleaseTimeout)
@@ -371,7 +371,7 @@
 // CheckInvariants verifies the invariants of the hall's state. It fails with
 // [holder.ErrNotHolder] on a host that does not hold the hall's lease.
 func (h *Host) CheckInvariants() error {
-	return h.holder.Check()
+	return h.holder.CheckInvariants()
 }
 
 // ConfigVersion returns the version of the configuration in force.
--- a/entry/incarnation.go
+++ b/entry/incarnation.go
@@ -57,7 +57,7 @@
 
 func (h *Host) enableOwnSlots() {
 	for _, s := range h.services {
-		s.router.SetHome(time.Time{})
+		s.router.EnableOwnSlots(time.Time{})
 	}
 	h.recordEvent(timeline.KindMembership, "own slots are in use: the last life left no request behind")
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -44,7 +44,7 @@
 // has none yet. It is called when the platform does not answer.
 func (h *Host) fetchMembersFromPeers(ctx context.Context) (member.List, error) {
 	h.mu.Lock()
-	_, known := h.members.Known()
+	_, known := h.members.ListTime()
 	h.mu.Unlock()
 	if known {
 		return member.List{}, errNoMemberList
@@ -73,7 +73,7 @@
 func (h *Host) handleMembersRead(context.Context, peer.Caller, empty) (membersReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, known := h.members.Known()
+	_, known := h.members.ListTime()
 	return membersReply{
 		Known: known,
 		List:  h.members.List(),
@@ -102,7 +102,7 @@
 func (h *Host) hallWorkers() ([]spoolsill.Worker, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, known := h.members.Known()
+	_, known := h.members.ListTime()
 	return h.members.Workers(h.hall.ID), known
 }
 
@@ -139,7 +139,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.members.Saw(string(id), answered)
+	h.members.RecordCall(string(id), answered)
 }
 
 // markRunnerLeaving records that a runner announced its shutdown. The next
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -25,7 +25,7 @@
 // another hall that has free slots and agrees to take it.
 func (h *Host) routeRequest(ctx context.Context, s *service, c router.Call) router.Reply {
 	p := s.router.Do(ctx, c)
-	if p.Outcome != spoolsill.NotRun || !mayOverflow(p.Cause) {
+	if p.Outcome != spoolsill.OutcomeNotRun || !mayOverflow(p.Cause) {
 		return p
 	}
 	if time.Until(c.Request.Expires()) < minTimeLeft {
@@ -73,7 +73,7 @@
 func (h *Host) handleOffer(_ context.Context, _ peer.Caller, q offerRequest) (acceptReply, error) {
 	s, ok := h.services[q.Service]
 	return acceptReply{
-		Yes: ok && !h.stopping.Load() && s.router.Spare() > 0,
+		Yes: ok && !h.stopping.Load() && s.router.FreeSlots() > 0,
 	}, nil
 }
 
@@ -114,7 +114,7 @@
 	}
 	if err != nil {
 		return router.Reply{
-			Outcome: spoolsill.Unknown,
+			Outcome: spoolsill.OutcomeUnknown,
 			Cause:   route.CauseFailed,
 		}
 	}
@@ -137,7 +137,7 @@
 	s, ok := h.services[q.Request.Service]
 	if !ok || h.stopping.Load() {
 		return relayReply{
-			Outcome: spoolsill.NotRun,
+			Outcome: spoolsill.OutcomeNotRun,
 			Cause:   route.CauseStopping,
 		}, nil
 	}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -92,8 +92,8 @@
 }
 
 type copiesRequest struct {
-	Epoch spoolsill.Epoch `msgpack:"e"`
-	Last  recordlog.Mark  `msgpack:"l"`
+	Epoch spoolsill.Epoch    `msgpack:"e"`
+	Last  recordlog.Position `msgpack:"l"`
 }
 
 // holderPeers calls the hall's other hosts for package holder.
@@ -146,8 +146,8 @@
 }
 
 // Copies implements holder.Peers.
-func (p *holderPeers) Copies(ctx context.Context, to spoolsill.HostID, last recordlog.Mark) (list []recordlog.Entry, complete bool, err error) {
-	_, e, _ := p.holder.Seen()
+func (p *holderPeers) Copies(ctx context.Context, to spoolsill.HostID, last recordlog.Position) (list []recordlog.Entry, complete bool, err error) {
+	_, e, _ := p.holder.LeaseHolder()
 	r, err := callPeer[entriesMessage](ctx, (*Host)(p), to, methodCopies, copiesRequest{
 		Epoch: e,
 		Last:  last,
@@ -184,11 +184,11 @@
 	}
 	if q.Leaving {
 		return acceptReply{
-			Yes: h.holder.HandOver(q.Epoch, entries),
+			Yes: h.holder.AcceptHandOver(q.Epoch, entries),
 		}, nil
 	}
 	return acceptReply{
-		Yes: h.holder.Copy(q.Epoch, q.Stored, entries),
+		Yes: h.holder.KeepCopies(q.Epoch, q.Stored, entries),
 	}, nil
 }
 
@@ -252,13 +252,13 @@
 	if !ok {
 		return empty{}, badInput(errUnknownService)
 	}
-	s.router.Returned(q.Loans)
+	s.router.LoansReturned(q.Loans)
 	return empty{}, nil
 }
 
 func badInput(err error) error {
 	return &peer.RemoteError{
-		Code: peer.CodeInput,
+		Code: peer.CodeBadInput,
 		Text: err.Error(),
 	}
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -30,18 +30,18 @@
 }
 
 var causeTexts = map[route.Cause]string{
-	route.CauseDeadline:  "its time passed before it could be sent to a runner",
-	route.CauseOverload:  "there is more work than can be done, and it is worth the least",
-	route.CauseNoRunner:  "no runner of the service is known in this hall",
-	route.CauseRefused:   "the runners refused it",
-	route.CauseFailed:    "the runner failed after it got the request",
-	route.CauseTimeout:   "no answer came in time",
-	route.CauseCancelled: "the caller left",
-	route.CauseStopping:  "this host is stopping: ask again at once",
-	route.CauseLimit:     "the caller sends more than its rate",
-	route.CauseClaimed:   "a request with the same key was sent before",
-	route.CauseNoRecord:  "it could not be recorded that the request runs",
-	route.CauseBadInput:  "the request can't be accepted",
+	route.CauseDeadline:     "its time passed before it could be sent to a runner",
+	route.CauseOverload:     "there is more work than can be done, and it is worth the least",
+	route.CauseNoRunner:     "no runner of the service is known in this hall",
+	route.CauseRefused:      "the runners refused it",
+	route.CauseFailed:       "the runner failed after it got the request",
+	route.CauseTimeout:      "no answer came in time",
+	route.CauseCancelled:    "the caller left",
+	route.CauseStopping:     "this host is stopping: ask again at once",
+	route.CauseRateLimit:    "the caller sends more than its rate",
+	route.CauseDuplicateKey: "a request with the same key was sent before",
+	route.CauseNotRecorded:  "it could not be recorded that the request runs",
+	route.CauseBadInput:     "the request can't be accepted",
 }
 
 // postCall handles a caller's request to a service.
@@ -73,7 +73,7 @@
 	h.metrics.recordRejection(status)
 	h.recordFault("request refused: " + text)
 	writeFailure(w, status, failureBody{
-		Outcome: spoolsill.NotRun,
+		Outcome: spoolsill.OutcomeNotRun,
 		Cause:   route.CauseBadInput,
 		Text:    text,
 	})
@@ -113,7 +113,7 @@
 // unrepeatable, and routes the call.
 func (h *Host) serve(ctx context.Context, s *service, c router.Call) reply {
 	if wait, ok := h.limits.allow(time.Now(), c.Request.Caller); !ok {
-		return notRun(route.CauseLimit, wait)
+		return notRun(route.CauseRateLimit, wait)
 	}
 	if !c.Request.Unrepeatable {
 		return reply{
@@ -130,18 +130,18 @@
 	k, j, a := h.claimKey(ctx, c.Request)
 	switch j {
 	case claim.Dispatch:
-	case claim.Used:
+	case claim.KeyUsed:
 		return replayAnswer(a)
-	case claim.NoHost:
-		return notRun(route.CauseNoRecord, time.Second)
+	case claim.NotRecorded:
+		return notRun(route.CauseNotRecorded, time.Second)
 	default:
-		return unknownOutcome(route.CauseClaimed)
+		return unknownOutcome(route.CauseDuplicateKey)
 	}
 	p := h.routeRequest(ctx, s, c)
-	if p.Outcome == spoolsill.NotRun {
+	if p.Outcome == spoolsill.OutcomeNotRun {
 		h.releaseClaim(ctx, k)
 	} else {
-		go h.settleClaim(ctx, k, claim.Answer{
+		go h.settleClaim(ctx, k, claim.Result{
 			Outcome: p.Outcome,
 			Status:  p.Answer.Status,
 			Type:    p.Answer.Type,
@@ -155,14 +155,14 @@
 
 // replayAnswer returns the recorded answer to the first request with the same
 // key, or an unknown outcome if there is none.
-func replayAnswer(a claim.Answer) reply {
-	if a.Outcome != spoolsill.Done || a.Body == nil {
-		return unknownOutcome(route.CauseClaimed)
+func replayAnswer(a claim.Result) reply {
+	if a.Outcome != spoolsill.OutcomeDone || a.Body == nil {
+		return unknownOutcome(route.CauseDuplicateKey)
 	}
 	return reply{
 		replayed: true,
 		Reply: router.Reply{
-			Outcome: spoolsill.Done,
+			Outcome: spoolsill.OutcomeDone,
 			Answer: upstream.Answer{
 				Status: a.Status,
 				Type:   a.Type,
@@ -175,7 +175,7 @@
 func notRun(c route.Cause, retryAfter time.Duration) reply {
 	return reply{
 		Reply: router.Reply{
-			Outcome:    spoolsill.NotRun,
+			Outcome:    spoolsill.OutcomeNotRun,
 			Cause:      c,
 			RetryAfter: retryAfter,
 		},
@@ -185,7 +185,7 @@
 func unknownOutcome(c route.Cause) reply {
 	return reply{
 		Reply: router.Reply{
-			Outcome:    spoolsill.Unknown,
+			Outcome:    spoolsill.OutcomeUnknown,
 			Cause:      c,
 			RetryAfter: time.Second,
 		},
@@ -206,17 +206,17 @@
 }
 
 var causeStatuses = map[route.Cause]int{
-	route.CauseDeadline: http.StatusGatewayTimeout,
-	route.CauseTimeout:  http.StatusGatewayTimeout,
-	route.CauseFailed:   http.StatusBadGateway,
-	route.CauseRefused:  http.StatusServiceUnavailable,
-	route.CauseLimit:    http.StatusTooManyRequests,
-	route.CauseClaimed:  http.StatusConflict,
-	route.CauseBadInput: http.StatusBadRequest,
+	route.CauseDeadline:     http.StatusGatewayTimeout,
+	route.CauseTimeout:      http.StatusGatewayTimeout,
+	route.CauseFailed:       http.StatusBadGateway,
+	route.CauseRefused:      http.StatusServiceUnavailable,
+	route.CauseRateLimit:    http.StatusTooManyRequests,
+	route.CauseDuplicateKey: http.StatusConflict,
+	route.CauseBadInput:     http.StatusBadRequest,
 }
 
 func writeReply(w http.ResponseWriter, p reply) {
-	if p.Outcome != spoolsill.Done {
+	if p.Outcome != spoolsill.OutcomeDone {
 		status, ok := causeStatuses[p.Cause]
 		if !ok {
 			status = http.StatusServiceUnavailable
@@ -230,7 +230,7 @@
 		return
 	}
 	head := w.Header()
-	head.Set(HeaderOutcome, string(spoolsill.Done))
+	head.Set(HeaderOutcome, string(spoolsill.OutcomeDone))
 	head.Set("Content-Type", p.Answer.Type)
 	head.Set("Content-Length", strconv.Itoa(len(p.Answer.Body)))
 	if p.Runner != "" {
--- a/entry/status.go
+++ b/entry/status.go
@@ -27,7 +27,7 @@
 
 // status returns the host's own status.
 func (h *Host) status() api.Host {
-	x, epoch, _ := h.holder.Seen()
+	x, epoch, _ := h.holder.LeaseHolder()
 	s := api.Host{
 		ID:       h.settings.Host.ID,
 		Hall:     h.hall.ID,
@@ -38,7 +38,7 @@
 		Holder:   x,
 		Epoch:    epoch,
 		Holds:    h.holder.Holds(),
-		Placing:  h.holder.Placing(),
+		Placing:  h.holder.Ready(),
 	}
 	for _, v := range h.services {
 		waiting, running := v.router.Load()
@@ -49,7 +49,7 @@
 	defer h.mu.Unlock()
 	s.Config = h.configStore.Current().Version
 	s.ConfigSure = h.configSynced()
-	_, s.Members = h.members.Known()
+	_, s.Members = h.members.ListTime()
 	return s
 }
 
