--- a/agent/client.go
+++ b/agent/client.go
@@ -14,19 +14,19 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrRefused is returned when the agent certainly did not do what was asked.
-var ErrRefused = errors.New("agent: refused")
+// ErrNotExecuted is returned when the agent certainly did not do what was asked.
+var ErrNotExecuted = errors.New("agent: refused")
 
-// ErrLost is returned when the agent may have done what was asked.
-var ErrLost = errors.New("agent: answer lost")
+// ErrUnknownOutcome is returned when the agent may have done what was asked.
+var ErrUnknownOutcome = errors.New("agent: answer lost")
 
 // DefaultTimeout bounds each call.
 const DefaultTimeout = time.Second
 
 const maxAnswer = 8 << 20
 
-// A Start asks for one start of a task.
-type Start struct {
+// A StartRequest asks for one start of a task.
+type StartRequest struct {
 	Task    spoolsill.TaskID    `json:"task"`
 	Attempt spoolsill.Attempt   `json:"attempt"`
 	Epoch   spoolsill.Epoch     `json:"epoch"`
@@ -37,18 +37,18 @@
 	LeaseEnd int64 `json:"lease_end_ms"`
 }
 
-// A Ref names one start of a task.
-type Ref struct {
+// A TaskAttempt names one start of a task.
+type TaskAttempt struct {
 	Task    spoolsill.TaskID  `json:"task"`
 	Attempt spoolsill.Attempt `json:"attempt"`
 }
 
-// A Renewal extends the leases of tasks, and lets the agent forget ended ones.
-type Renewal struct {
+// A RenewRequest extends the leases of tasks, and lets the agent forget ended ones.
+type RenewRequest struct {
 	Epoch    spoolsill.Epoch `json:"epoch"`
 	LeaseEnd int64           `json:"lease_end_ms"`
-	Tasks    []Ref           `json:"tasks"`
-	Forget   []Ref           `json:"forget"`
+	Tasks    []TaskAttempt   `json:"tasks"`
+	Forget   []TaskAttempt   `json:"forget"`
 }
 
 // State says how a task is on its worker.
@@ -66,7 +66,7 @@
 
 // A Status is what an agent reports of one start of a task.
 type Status struct {
-	Ref
+	TaskAttempt
 	State State               `json:"state"`
 	Used  spoolsill.Resources `json:"used"`
 }
@@ -83,7 +83,7 @@
 
 // A Signal asks something of a running task.
 type Signal struct {
-	Ref
+	TaskAttempt
 	Verb Verb `json:"verb"`
 }
 
@@ -124,13 +124,13 @@
 }
 
 // Start starts a task at the agent with an address.
-func (c *Client) Start(ctx context.Context, address string, s Start) error {
+func (c *Client) Start(ctx context.Context, address string, s StartRequest) error {
 	return c.call(ctx, address, "/v1/start", s, nil)
 }
 
 // Renew extends leases and returns the status of every task that the agent
 // knows.
-func (c *Client) Renew(ctx context.Context, address string, r Renewal) ([]Status, error) {
+func (c *Client) Renew(ctx context.Context, address string, r RenewRequest) ([]Status, error) {
 	var out []Status
 	err := c.call(ctx, address, "/v1/renew", r, &out)
 	return out, err
@@ -160,19 +160,19 @@
 	defer func() { _ = r.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrLost, err)
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	if r.StatusCode == http.StatusConflict {
-		return fmt.Errorf("%w: %.200s", ErrRefused, b)
+		return fmt.Errorf("%w: %.200s", ErrNotExecuted, b)
 	}
 	if r.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: status %d", ErrLost, r.StatusCode)
+		return fmt.Errorf("%w: status %d", ErrUnknownOutcome, r.StatusCode)
 	}
 	if into == nil {
 		return nil
 	}
 	if err := json.Unmarshal(b, into); err != nil {
-		return fmt.Errorf("%w: %w", ErrLost, err)
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	return nil
 }
@@ -180,7 +180,7 @@
 func classify(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
-	return fmt.Errorf("%w: %w", ErrLost, err)
+	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 }
--- a/api/api.go
+++ b/api/api.go
@@ -10,33 +10,33 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// An Intent is the body of POST /v1/plans. One of Submit, Cancel and Drain is
+// A PlanRequest is the body of POST /v1/plans. One of Submit, Cancel and Drain is
 // set.
-type Intent struct {
+type PlanRequest struct {
 	// Hall is where; empty means the hall of the job file, else the one of the
 	// host that is asked.
 	Hall spoolsill.HallID `json:"hall,omitempty"`
-	// Submit is the text of a job file, Name its name for error messages.
-	Submit string             `json:"submit,omitempty"`
-	Name   string             `json:"name,omitempty"`
-	Cancel []spoolsill.JobID  `json:"cancel,omitempty"`
-	Drain  spoolsill.WorkerID `json:"drain,omitempty"`
+	// Submit is the text of a job file, FileName its name for error messages.
+	Submit   string             `json:"submit,omitempty"`
+	FileName string             `json:"name,omitempty"`
+	Cancel   []spoolsill.JobID  `json:"cancel,omitempty"`
+	Drain    spoolsill.WorkerID `json:"drain,omitempty"`
 }
 
-// A Confirmed answers POST /v1/plans/ID/confirm.
-type Confirmed struct {
+// A ConfirmResponse answers POST /v1/plans/ID/confirm.
+type ConfirmResponse struct {
 	ID   spoolsill.PlanID `json:"id"`
 	Hall spoolsill.HallID `json:"hall"`
 }
 
-// An Error is the body of every answer that is not a success.
-type Error struct {
+// An ErrorResponse is the body of every answer that is not a success.
+type ErrorResponse struct {
 	Code string `json:"code"`
 	Text string `json:"text"`
 }
 
-// A Missing names a hall that did not answer.
-type Missing struct {
+// An UnavailableHall names a hall that did not answer.
+type UnavailableHall struct {
 	Hall spoolsill.HallID `json:"hall"`
 	Text string           `json:"text"`
 }
@@ -49,8 +49,8 @@
 
 // Jobs answers GET /v1/jobs.
 type Jobs struct {
-	Jobs    []Job     `json:"jobs"`
-	Missing []Missing `json:"missing"`
+	Jobs             []Job             `json:"jobs"`
+	UnavailableHalls []UnavailableHall `json:"missing"`
 }
 
 // A JobDetail answers GET /v1/jobs/ID.
@@ -68,65 +68,65 @@
 
 // Workers answers GET /v1/workers.
 type Workers struct {
-	Workers []Worker  `json:"workers"`
-	Missing []Missing `json:"missing"`
-}
-
-// A Host answers GET /healthz and GET /readyz.
-type Host struct {
-	ID          spoolsill.HostID  `json:"id"                    msgpack:"i"`
-	Hall        spoolsill.HallID  `json:"hall"                  msgpack:"h"`
-	HTTP        string            `json:"http"                  msgpack:"a"`
-	Started     time.Time         `json:"started"               msgpack:"s"`
-	Stopping    bool              `json:"stopping"              msgpack:"x"`
-	Degraded    bool              `json:"degraded"              msgpack:"d"` // the platform is silent
-	Members     bool              `json:"members"               msgpack:"m"` // workers and runners are known
-	Config      spoolsill.Version `json:"config"                msgpack:"v"`
-	ConfigSure  bool              `json:"config_sure"           msgpack:"u"` // no newer one is in force in the hall
-	Holder      spoolsill.HostID  `json:"holder"                msgpack:"o"`
-	Epoch       spoolsill.Epoch   `json:"epoch"                 msgpack:"e"`
-	Holds       bool              `json:"holds"                 msgpack:"l"` // has the hall's lease
-	Placing     bool              `json:"placing"               msgpack:"p"` // has it, and answers for the hall
-	Waiting     int               `json:"waiting"               msgpack:"w"`
-	Running     int               `json:"running"               msgpack:"r"`
-	Unreachable string            `json:"unreachable,omitempty" msgpack:"n"`
+	Workers          []Worker          `json:"workers"`
+	UnavailableHalls []UnavailableHall `json:"missing"`
+}
+
+// A HostStatus answers GET /healthz and GET /readyz.
+type HostStatus struct {
+	ID                spoolsill.HostID  `json:"id"                    msgpack:"i"`
+	Hall              spoolsill.HallID  `json:"hall"                  msgpack:"h"`
+	HTTPAddress       string            `json:"http"                  msgpack:"a"`
+	Started           time.Time         `json:"started"               msgpack:"s"`
+	Stopping          bool              `json:"stopping"              msgpack:"x"`
+	Degraded          bool              `json:"degraded"              msgpack:"d"` // the platform is silent
+	MembersKnown      bool              `json:"members"               msgpack:"m"` // workers and runners are known
+	Config            spoolsill.Version `json:"config"                msgpack:"v"`
+	ConfigCurrent     bool              `json:"config_sure"           msgpack:"u"` // no newer one is in force in the hall
+	LeaseHolder       spoolsill.HostID  `json:"holder"                msgpack:"o"`
+	Epoch             spoolsill.Epoch   `json:"epoch"                 msgpack:"e"`
+	HoldsLease        bool              `json:"holds"                 msgpack:"l"` // has the hall's lease
+	Placing           bool              `json:"placing"               msgpack:"p"` // has it, and answers for the hall
+	Waiting           int               `json:"waiting"               msgpack:"w"`
+	Running           int               `json:"running"               msgpack:"r"`
+	UnreachableReason string            `json:"unreachable,omitempty" msgpack:"n"`
 }
 
 // Hosts answers GET /v1/hosts.
 type Hosts struct {
-	Hosts []Host `json:"hosts"`
+	Hosts []HostStatus `json:"hosts"`
 }
 
-// A Revision answers GET /v1/config.
-type Revision struct {
-	Version spoolsill.Version `json:"version"`
-	Who     string            `json:"who"`
-	When    time.Time         `json:"when"`
-	Note    string            `json:"note"`
-	Text    string            `json:"text"`
+// A ConfigRevision answers GET /v1/config.
+type ConfigRevision struct {
+	Version    spoolsill.Version `json:"version"`
+	Author     string            `json:"who"`
+	AcceptedAt time.Time         `json:"when"`
+	Note       string            `json:"note"`
+	Text       string            `json:"text"`
 }
 
-// A PutConfig is the body of PUT /v1/config. Base is the version that the
+// A PutConfigRequest is the body of PUT /v1/config. BaseVersion is the version that the
 // text was made from.
-type PutConfig struct {
-	Base spoolsill.Version `json:"base"`
-	Who  string            `json:"who"`
-	Note string            `json:"note"`
-	Text string            `json:"text"`
+type PutConfigRequest struct {
+	BaseVersion spoolsill.Version `json:"base"`
+	Author      string            `json:"who"`
+	Note        string            `json:"note"`
+	Text        string            `json:"text"`
 }
 
-// An Accepted answers PUT /v1/config.
-type Accepted struct {
+// A PutConfigResponse answers PUT /v1/config.
+type PutConfigResponse struct {
 	Version spoolsill.Version `json:"version"`
 }
 
-// A History answers GET /v1/config/history, newest first.
-type History struct {
-	Revisions []Revision `json:"revisions"`
+// A ConfigHistory answers GET /v1/config/history, newest first.
+type ConfigHistory struct {
+	Revisions []ConfigRevision `json:"revisions"`
 }
 
 // A Timeline answers GET /v1/timeline, oldest first.
 type Timeline struct {
-	Events  []timeline.Event   `json:"events"`
-	Missing []spoolsill.HostID `json:"missing"`
+	Events           []timeline.Event   `json:"events"`
+	UnavailableHosts []spoolsill.HostID `json:"missing"`
 }
--- a/api/client.go
+++ b/api/client.go
@@ -23,32 +23,32 @@
 
 const maxAnswer = 256 << 20
 
-// A RefusedError is an answer that is not a success.
-type RefusedError struct {
+// A StatusError is an answer that is not a success.
+type StatusError struct {
 	Status int
 	Code   string
 	Text   string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
+func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s (%s)", e.Text, e.Code)
 }
 
-// ErrNoHost is returned when none of the hosts could be reached.
-var ErrNoHost = errors.New("api: no entry host can be reached")
+// ErrNoHostReachable is returned when none of the hosts could be reached.
+var ErrNoHostReachable = errors.New("api: no entry host can be reached")
 
 // A Client calls the operators' interface of the first of several entry hosts
 // that can be reached. It is safe for concurrent use.
 type Client struct {
 	// Hosts are IPs and ports of entry hosts.
 	Hosts []string
-	// HTTP makes the calls; nil means http.DefaultClient.
-	HTTP *http.Client
+	// HTTPClient makes the calls; nil means http.DefaultClient.
+	HTTPClient *http.Client
 }
 
 // Plan asks what an intent would change.
-func (c *Client) Plan(ctx context.Context, i Intent) (holder.Plan, error) {
+func (c *Client) Plan(ctx context.Context, i PlanRequest) (holder.Plan, error) {
 	var p holder.Plan
 	return p, c.do(ctx, http.MethodPost, "/v1/plans", i, &p)
 }
@@ -85,20 +85,20 @@
 }
 
 // Config returns the configuration in force at the host that answers.
-func (c *Client) Config(ctx context.Context) (Revision, error) {
-	var out Revision
+func (c *Client) Config(ctx context.Context) (ConfigRevision, error) {
+	var out ConfigRevision
 	return out, c.do(ctx, http.MethodGet, "/v1/config", nil, &out)
 }
 
 // PutConfig has a configuration accepted.
-func (c *Client) PutConfig(ctx context.Context, p PutConfig) (Accepted, error) {
-	var out Accepted
+func (c *Client) PutConfig(ctx context.Context, p PutConfigRequest) (PutConfigResponse, error) {
+	var out PutConfigResponse
 	return out, c.do(ctx, http.MethodPut, "/v1/config", p, &out)
 }
 
-// History returns the accepted configurations.
-func (c *Client) History(ctx context.Context) (History, error) {
-	var out History
+// ConfigHistory returns the accepted configurations.
+func (c *Client) ConfigHistory(ctx context.Context) (ConfigHistory, error) {
+	var out ConfigHistory
 	return out, c.do(ctx, http.MethodGet, "/v1/config/history", nil, &out)
 }
 
@@ -150,7 +150,7 @@
 		}
 		return err
 	}
-	return fmt.Errorf("%w: %w", ErrNoHost, err)
+	return fmt.Errorf("%w: %w", ErrNoHostReachable, err)
 }
 
 func (c *Client) try(ctx context.Context, method, to string, body []byte, into any) error {
@@ -161,7 +161,7 @@
 		return err
 	}
 	q.Header.Set("Content-Type", "application/json")
-	client := c.HTTP
+	client := c.HTTPClient
 	if client == nil {
 		client = http.DefaultClient
 	}
@@ -184,10 +184,10 @@
 }
 
 func refused(status int, b []byte) error {
-	e := &RefusedError{
+	e := &StatusError{
 		Status: status,
 	}
-	var x Error
+	var x ErrorResponse
 	if json.Unmarshal(b, &x) != nil {
 		x.Text = string(b)
 	}
--- a/cmd/spoolsilld/main.go
+++ b/cmd/spoolsilld/main.go
@@ -47,7 +47,7 @@
 		return exitSettings
 	}
 	if f.Check {
-		fmt.Printf("%s: host %s in hall %s, %d halls, %d services\n", f.Settings, s.Host.ID, s.Own().ID, len(s.Halls), len(s.Services))
+		fmt.Printf("%s: host %s in hall %s, %d halls, %d services\n", f.Settings, s.Host.ID, s.OwnHall().ID, len(s.Halls), len(s.Services))
 		return exitOK
 	}
 	return serve(s)
@@ -74,7 +74,7 @@
 
 // stop ends the host as planned. A second signal ends it at once.
 func stop(h *entry.Host, s settings.Settings, signals <-chan os.Signal) int {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Host.StopWithin))
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Host.StopTimeout))
 	defer cancel()
 	clean := make(chan bool, 1)
 	go func() { clean <- h.Stop(ctx) }()
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -40,7 +40,7 @@
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
 			_, err := config.Parse([]byte(x.text))
-			qt.Assert(t, errors.Is(err, config.ErrDocument), qt.IsTrue)
+			qt.Assert(t, errors.Is(err, config.ErrInvalidDocument), qt.IsTrue)
 			qt.Assert(t, err, qt.ErrorMatches, x.want)
 		})
 	}
@@ -50,7 +50,7 @@
 	c := qt.New(t)
 	var s config.Store
 	offer := func(v spoolsill.Version, text string) bool {
-		ok, _ := s.Offer(config.Revision{
+		ok, _ := s.Apply(config.Revision{
 			Version: v,
 			Text:    []byte(text),
 		})
@@ -59,8 +59,8 @@
 	c.Assert(offer(2, "caller_rate_per_second = 2"), qt.IsTrue)
 	c.Assert(offer(1, "caller_rate_per_second = 1"), qt.IsFalse)
 	c.Assert(offer(3, "nonsense = 1"), qt.IsFalse)
-	c.Assert(s.Document().CallerRate, qt.Equals, 2)
-	s.Floor(5)
+	c.Assert(s.Document().DefaultCallerRate, qt.Equals, 2)
+	s.RaiseMinVersion(5)
 	c.Assert(s.Behind(), qt.IsTrue)
 	c.Assert(offer(4, ""), qt.IsFalse)
 	c.Assert(offer(5, ""), qt.IsTrue)
@@ -70,8 +70,8 @@
 func TestARestartedProcessServesNoOlderVersionThanItsHall(t *testing.T) {
 	c := qt.New(t)
 	var s config.Store
-	s.Floor(7)
-	ok, err := s.Offer(config.Revision{
+	s.RaiseMinVersion(7)
+	ok, err := s.Apply(config.Revision{
 		Version: 6,
 	})
 	c.Assert(err, qt.IsNil)
--- a/config/document.go
+++ b/config/document.go
@@ -11,15 +11,15 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrDocument is returned for a document that can't be accepted.
-var ErrDocument = errors.New("config: document not accepted")
+// ErrInvalidDocument is returned for a document that can't be accepted.
+var ErrInvalidDocument = errors.New("config: document not accepted")
 
 // Limits of a document.
 const (
-	MaxDocument = 1 << 20 // bytes
-	MaxTeams    = 2000
-	MaxRate     = 1_000_000
-	MaxWeight   = 1000
+	MaxDocumentBytes = 1 << 20 // bytes
+	MaxTeams         = 2000
+	MaxRate          = 1_000_000
+	MaxWeight        = 1000
 )
 
 // A Document is the configuration of the cell.
@@ -28,9 +28,9 @@
 	Teams []Team `toml:"team"`
 	// Callers are the request rates of callers.
 	Callers []Caller `toml:"caller"`
-	// CallerRate bounds the requests a second of a caller that is not listed;
+	// DefaultCallerRate bounds the requests a second of a caller that is not listed;
 	// 0 means no bound.
-	CallerRate int `toml:"caller_rate_per_second"`
+	DefaultCallerRate int `toml:"caller_rate_per_second"`
 	// Drained lists workers and runners that get no new work.
 	Drained []string `toml:"drained"`
 }
@@ -60,25 +60,25 @@
 	Burst int                `toml:"burst"`
 }
 
-// Parse reads and checks a document. It fails with [ErrDocument] and the
+// Parse reads and checks a document. It fails with [ErrInvalidDocument] and the
 // place and reason of each fault.
 func Parse(text []byte) (Document, error) {
-	if len(text) > MaxDocument {
-		return Document{}, fmt.Errorf("%w: %d bytes, at most %d", ErrDocument, len(text), MaxDocument)
+	if len(text) > MaxDocumentBytes {
+		return Document{}, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidDocument, len(text), MaxDocumentBytes)
 	}
 	var d Document
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&d)
 	if err != nil {
-		return Document{}, fmt.Errorf("%w: %s", ErrDocument, Explain(err))
+		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, DescribeTOMLError(err))
 	}
 	if faults := d.check(); len(faults) > 0 {
-		return Document{}, fmt.Errorf("%w: %s", ErrDocument, strings.Join(faults, "; "))
+		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, strings.Join(faults, "; "))
 	}
 	return d, nil
 }
 
-// Explain returns the text of a TOML error with its line and key.
-func Explain(err error) string {
+// DescribeTOMLError returns the text of a TOML error with its line and key.
+func DescribeTOMLError(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		var lines []string
@@ -104,7 +104,7 @@
 		}
 	}
 	need(len(d.Teams) <= MaxTeams, "team: %d listed, at most %d", len(d.Teams), MaxTeams)
-	need(d.CallerRate >= 0 && d.CallerRate <= MaxRate, "caller_rate_per_second: %d, want 0 to %d", d.CallerRate, MaxRate)
+	need(d.DefaultCallerRate >= 0 && d.DefaultCallerRate <= MaxRate, "caller_rate_per_second: %d, want 0 to %d", d.DefaultCallerRate, MaxRate)
 	teams := map[spoolsill.TeamID]bool{}
 	for i, t := range d.Teams {
 		need(t.ID != "", "team[%d].id: empty", i)
--- a/config/store.go
+++ b/config/store.go
@@ -20,19 +20,19 @@
 	return historyPrefix
 }
 
-// Key returns the key of the row that keeps a version.
-func Key(v spoolsill.Version) string {
+// VersionKey returns the key of the row that keeps a version.
+func VersionKey(v spoolsill.Version) string {
 	return fmt.Sprintf("%s%012d", historyPrefix, uint64(v))
 }
 
 // A Revision is one accepted document.
 type Revision struct {
 	Version spoolsill.Version `msgpack:"v" json:"version"`
-	Who     string            `msgpack:"w" json:"who"`
-	// When is Unix time in seconds.
-	When int64  `msgpack:"t" json:"when"`
-	Note string `msgpack:"n" json:"note"`
-	Text []byte `msgpack:"b" json:"-"`
+	Author  string            `msgpack:"w" json:"who"`
+	// AcceptedAt is Unix time in seconds.
+	AcceptedAt int64  `msgpack:"t" json:"when"`
+	Note       string `msgpack:"n" json:"note"`
+	Text       []byte `msgpack:"b" json:"-"`
 	// Nonce tells two revisions of the same number apart.
 	Nonce uint64 `msgpack:"o" json:"-"`
 }
@@ -50,16 +50,16 @@
 func DecodeRevision(b []byte) (Revision, error) {
 	var r Revision
 	if err := msgpack.Unmarshal(b, &r); err != nil {
-		return Revision{}, fmt.Errorf("%w: %w", ErrDocument, err)
+		return Revision{}, fmt.Errorf("%w: %w", ErrInvalidDocument, err)
 	}
 	return r, nil
 }
 
-// Accept returns the transaction that accepts r on top of the head row that
+// AcceptTxn returns the transaction that accepts r on top of the head row that
 // was read, with row version 0 for none.
-func Accept(r Revision, head uint64) table.Txn {
+func AcceptTxn(r Revision, head uint64) table.Txn {
 	b := r.Encode()
-	key := Key(r.Version)
+	key := VersionKey(r.Version)
 	return table.Txn{
 		Conditions: []table.Condition{
 			{
@@ -92,10 +92,10 @@
 	floor    spoolsill.Version
 }
 
-// Offer puts r in force if its version is higher than the one in force and
+// Apply puts r in force if its version is higher than the one in force and
 // not below the floor, and reports whether it did. A document that does not
 // pass the checks is refused with an error, and the last good one stays.
-func (s *Store) Offer(r Revision) (bool, error) {
+func (s *Store) Apply(r Revision) (bool, error) {
 	if r.Version <= s.revision.Version || r.Version < s.floor {
 		return false, nil
 	}
@@ -108,9 +108,9 @@
 	return true, nil
 }
 
-// Floor says that a version is in force elsewhere in the hall: no lower one
-// is put in force from here on.
-func (s *Store) Floor(v spoolsill.Version) {
+// RaiseMinVersion says that a version is in force elsewhere in the hall: no
+// lower one is put in force from here on.
+func (s *Store) RaiseMinVersion(v spoolsill.Version) {
 	s.floor = max(s.floor, v)
 }
 
--- a/entry/beat.go
+++ b/entry/beat.go
@@ -96,7 +96,7 @@
 		news = h.view.SetLeaving(now, id) || news
 	}
 	behind := b.Version > h.store.Current().Version
-	h.store.Floor(b.Version)
+	h.store.RaiseMinVersion(b.Version)
 	h.mu.Unlock()
 	if reborn {
 		h.event(timeline.KindMembership, "host "+string(from)+" has restarted")
--- a/entry/cell.go
+++ b/entry/cell.go
@@ -105,7 +105,7 @@
 	}
 	q.Hops++
 	var err = peer.ErrUnreachable
-	for _, p := range x.IDs() {
+	for _, p := range x.HostIDs() {
 		var a wireAnswer
 		a, err = peer.Call[wireAnswer](ctx, h.node, p, methodCell, q)
 		if !errors.Is(err, peer.ErrUnreachable) && !peer.IsCode(err, codeNotHolder) {
@@ -170,7 +170,7 @@
 	switch {
 	case errors.As(err, &stale):
 		return codeStale
-	case errors.Is(err, intent.ErrIntent):
+	case errors.Is(err, intent.ErrInvalidIntent):
 		return codeIntent
 	case errors.Is(err, holder.ErrNotHolder):
 		return codeNotHolder
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -98,7 +98,7 @@
 		Hosts: len(c.home.Hosts),
 	}
 	var first claim.Answer
-	for _, x := range c.home.IDs() {
+	for _, x := range c.home.HostIDs() {
 		v, err := h.claimAt(ctx, x, c.claim)
 		if err != nil {
 			continue
@@ -142,7 +142,7 @@
 			Value: value,
 		}},
 	})
-	if errors.Is(err, table.ErrLost) {
+	if errors.Is(err, table.ErrUnknownOutcome) {
 		r, err = h.readClaim(ctx, key)
 	}
 	if err != nil {
@@ -163,7 +163,7 @@
 		return table.Result{}, err
 	}
 	if row.Version == 0 {
-		return table.Result{}, table.ErrDown
+		return table.Result{}, table.ErrUnavailable
 	}
 	return table.Result{
 		Conflicts: []table.Row{row},
@@ -223,7 +223,7 @@
 		Answer: a,
 	}
 	ctx = context.WithoutCancel(ctx)
-	for _, x := range c.home.IDs() {
+	for _, x := range c.home.HostIDs() {
 		if x == h.settings.Host.ID {
 			_, _ = h.takeSettle(ctx, peer.Caller{}, q)
 			continue
--- a/entry/configs.go
+++ b/entry/configs.go
@@ -73,7 +73,7 @@
 // offer puts a revision in force if it is newer.
 func (h *Host) offer(r config.Revision) {
 	h.mu.Lock()
-	applied, err := h.store.Offer(r)
+	applied, err := h.store.Apply(r)
 	d := h.store.Document()
 	if applied {
 		h.view.SetDrained(d.Drained)
@@ -89,7 +89,7 @@
 	}
 	h.limits.set(d)
 	h.log.WithField("version", r.Version).Info("configuration in force")
-	h.event(timeline.KindConfig, fmt.Sprintf("configuration %d in force, by %s", r.Version, r.Who))
+	h.event(timeline.KindConfig, fmt.Sprintf("configuration %d in force, by %s", r.Version, r.Author))
 	h.applyMembers()
 }
 
@@ -125,10 +125,10 @@
 		return 0, errConfigStale
 	}
 	r.Version = old + 1
-	r.When = time.Now().Unix()
+	r.AcceptedAt = time.Now().Unix()
 	r.Nonce = rand.Uint64()
-	res, err := h.platform.Commit(ctx, config.Accept(r, head.Version))
-	if errors.Is(err, table.ErrLost) {
+	res, err := h.platform.Commit(ctx, config.AcceptTxn(r, head.Version))
+	if errors.Is(err, table.ErrUnknownOutcome) {
 		return h.settleConfig(ctx, r)
 	}
 	if err != nil {
@@ -151,7 +151,7 @@
 
 // settleConfig finds out whether a write whose answer was lost took effect.
 func (h *Host) settleConfig(ctx context.Context, r config.Revision) (spoolsill.Version, error) {
-	row, err := h.platform.Get(ctx, config.Key(r.Version))
+	row, err := h.platform.Get(ctx, config.VersionKey(r.Version))
 	if err != nil {
 		return 0, fmt.Errorf("not known whether version %d was accepted, see config history: %w", r.Version, err)
 	}
@@ -179,7 +179,7 @@
 	h.mu.Unlock()
 	after := ""
 	if newest > maxHistory {
-		after = config.Key(newest - maxHistory)
+		after = config.VersionKey(newest - maxHistory)
 	}
 	rows, err := h.platform.List(ctx, config.HistoryPrefix(), after, maxHistory+1)
 	if err != nil {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -57,13 +57,13 @@
 		TaskLease:    4 * time.Second,
 		Break:        b,
 		Service: settings.Service{
-			ID:           "quizdesk",
-			Slots:        8,
-			Connections:  60,
-			SlotLifetime: settings.Duration(5 * time.Second),
-			MaxBody:      1000,
-			MaxAnswer:    settings.DefaultMaxAnswer,
-			Queue:        settings.DefaultQueue,
+			ID:             "quizdesk",
+			Slots:          8,
+			Connections:    60,
+			SlotLifetime:   settings.Duration(5 * time.Second),
+			MaxBodyBytes:   1000,
+			MaxAnswerBytes: settings.DefaultMaxAnswerBytes,
+			MaxQueued:      settings.DefaultMaxQueued,
 		},
 	})
 	c.Assert(err, qt.IsNil)
@@ -235,19 +235,19 @@
 	_, f := newFleet(t, entry.Breaks{}, 0)
 	client := f.Client()
 	ctx := context.Background()
-	_, err := client.Plan(ctx, api.Intent{
-		Submit: "id = \"x\"",
-		Name:   "x.toml",
+	_, err := client.Plan(ctx, api.PlanRequest{
+		Submit:   "id = \"x\"",
+		FileName: "x.toml",
 	})
 	c.Check(err, qt.ErrorMatches, `x.toml: processors: "" is not allowed.*`)
-	_, err = client.Plan(ctx, api.Intent{})
+	_, err = client.Plan(ctx, api.PlanRequest{})
 	c.Check(err, qt.ErrorMatches, `.*want one of submit, cancel and drain, got 0.*`)
 	_, err = client.Job(ctx, "nobody")
 	c.Check(err, qt.ErrorMatches, `job nobody is not known in any hall.*`)
 	err = client.Confirm(ctx, "vake", "p-none")
 	c.Check(err, qt.ErrorMatches, `plan is stale: plan p-none is not known here.*`)
-	_, err = client.PutConfig(ctx, api.PutConfig{
-		Base: 7,
+	_, err = client.PutConfig(ctx, api.PutConfigRequest{
+		BaseVersion: 7,
 	})
 	c.Check(err, qt.ErrorMatches, `the configuration has changed since.*`)
 }
--- a/entry/events.go
+++ b/entry/events.go
@@ -35,8 +35,8 @@
 		events = events[len(events)-limit:]
 	}
 	writeJSON(w, http.StatusOK, api.Timeline{
-		Events:  events,
-		Missing: missing,
+		Events:           events,
+		UnavailableHosts: missing,
 	})
 }
 
--- a/entry/host.go
+++ b/entry/host.go
@@ -99,7 +99,7 @@
 	h := &Host{
 		config:      c,
 		settings:    c.Settings,
-		hall:        c.Settings.Own(),
+		hall:        c.Settings.OwnHall(),
 		incarnation: spoolsill.Incarnation(now.UnixNano()),
 		started:     now,
 		clock:       &timeline.Clock{},
@@ -108,7 +108,7 @@
 		beats:       map[spoolsill.HostID]seen{},
 		stopped:     make(chan struct{}),
 	}
-	h.hallHosts = h.hall.IDs()
+	h.hallHosts = h.hall.HostIDs()
 	h.log = c.Log.WithFields(logrus.Fields{
 		"host": c.Settings.Host.ID,
 		"hall": h.hall.ID,
@@ -126,8 +126,8 @@
 	h.platform = remote.NewClient(remote.Config{
 		URL:     c.Settings.Platform.URL,
 		Timeout: time.Duration(c.Settings.Platform.Timeout),
-		Reads:   c.Settings.Platform.Reads,
-		Writes:  c.Settings.Platform.Writes,
+		Reads:   c.Settings.Platform.ReadsPerSecond,
+		Writes:  c.Settings.Platform.WritesPerSecond,
 		Dial:    c.Dial,
 	})
 	h.agents = agent.NewClient(agent.Config{
@@ -149,7 +149,7 @@
 	addresses := map[spoolsill.HostID]string{}
 	for _, x := range h.settings.Halls {
 		for _, p := range x.Hosts {
-			addresses[p.ID] = p.Peer
+			addresses[p.ID] = p.PeerAddress
 		}
 	}
 	c := peer.Config{
@@ -173,7 +173,7 @@
 func (h *Host) newService(s settings.Service) *service {
 	client := upstream.NewClient(upstream.Config{
 		Connections: max(s.Connections/len(h.hallHosts), 1),
-		Answer:      s.MaxAnswer,
+		Answer:      s.MaxAnswerBytes,
 		Dial:        h.config.Dial,
 	})
 	return &service{
@@ -185,7 +185,7 @@
 				Host:         h.settings.Host.ID,
 				Hosts:        h.hallHosts,
 				Slots:        s.Slots,
-				Queue:        s.Queue,
+				Queue:        s.MaxQueued,
 				SlotLifetime: time.Duration(s.SlotLifetime),
 				FirstLoan:    uint64(h.incarnation),
 			},
@@ -229,11 +229,11 @@
 	ctx, h.stop = context.WithCancel(ctx)
 	defer h.stop()
 	defer close(h.stopped)
-	web, err := listen(h.config.HTTP, h.settings.Host.HTTP)
+	web, err := listen(h.config.HTTP, h.settings.Host.HTTPAddress)
 	if err != nil {
 		return eris.Wrap(err, "http")
 	}
-	inner, err := listen(h.config.Peer, h.settings.Host.Peer)
+	inner, err := listen(h.config.Peer, h.settings.Host.PeerAddress)
 	if err != nil {
 		_ = web.Close()
 		return eris.Wrap(err, "peer")
--- a/entry/limit.go
+++ b/entry/limit.go
@@ -32,7 +32,7 @@
 func (l *limits) set(d config.Document) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.general = d.CallerRate
+	l.general = d.DefaultCallerRate
 	l.listed = map[spoolsill.CallerID]config.Caller{}
 	for _, c := range d.Callers {
 		l.listed[c.ID] = c
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -90,7 +90,7 @@
 	return gauges{
 		waiting:  int64(s.Waiting),
 		running:  int64(s.Running),
-		held:     flag(s.Holds),
+		held:     flag(s.HoldsLease),
 		version:  int64(s.Config),
 		silent:   flag(s.Degraded),
 		claims:   int64(claims),
--- a/entry/operate.go
+++ b/entry/operate.go
@@ -63,7 +63,7 @@
 	if errors.As(err, &r) {
 		text = r.Text
 	}
-	writeJSON(w, status, api.Error{
+	writeJSON(w, status, api.ErrorResponse{
 		Code: code,
 		Text: text,
 	})
@@ -84,13 +84,13 @@
 		}
 	}
 	switch {
-	case errors.Is(err, config.ErrDocument):
+	case errors.Is(err, config.ErrInvalidDocument):
 		return http.StatusBadRequest, "bad-input"
 	case errors.Is(err, errConfigStale):
 		return http.StatusConflict, "stale"
 	case errors.Is(err, peer.ErrUnreachable):
 		return http.StatusServiceUnavailable, "unreachable"
-	case errors.Is(err, peer.ErrLost), errors.Is(err, table.ErrLost):
+	case errors.Is(err, peer.ErrLost), errors.Is(err, table.ErrUnknownOutcome):
 		return http.StatusGatewayTimeout, "unknown"
 	default:
 		return http.StatusServiceUnavailable, "unavailable"
@@ -121,7 +121,7 @@
 
 // decodeIntent reads an operator's intent and the hall that it is for.
 func decodeIntent(b []byte) (spoolsill.HallID, intent.Intent, error) {
-	var x api.Intent
+	var x api.PlanRequest
 	if err := json.Unmarshal(b, &x); err != nil {
 		return "", intent.Intent{}, err
 	}
@@ -132,7 +132,7 @@
 	if x.Submit == "" {
 		return x.Hall, i, nil
 	}
-	f, err := jobfile.Parse(x.Name, []byte(x.Submit))
+	f, err := jobfile.Parse(x.FileName, []byte(x.Submit))
 	if err != nil {
 		return "", intent.Intent{}, err
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	h.event(timeline.KindOperator, "plan "+string(id)+" confirmed")
-	writeJSON(w, http.StatusOK, api.Confirmed{
+	writeJSON(w, http.StatusOK, api.ConfirmResponse{
 		ID:   id,
 		Hall: hall,
 	})
@@ -177,7 +177,7 @@
 }
 
 // eachHall asks several halls at once. A hall without an answer is named.
-func eachHall[R any](h *Host, q *http.Request, o op, body any) (map[spoolsill.HallID]R, []api.Missing) {
+func eachHall[R any](h *Host, q *http.Request, o op, body any) (map[spoolsill.HallID]R, []api.UnavailableHall) {
 	type result struct {
 		hall spoolsill.HallID
 		r    R
@@ -198,14 +198,14 @@
 		}()
 	}
 	out := map[spoolsill.HallID]R{}
-	missing := []api.Missing{}
+	missing := []api.UnavailableHall{}
 	for range halls {
 		x := <-results
 		if x.err == nil {
 			out[x.hall] = x.r
 			continue
 		}
-		missing = append(missing, api.Missing{
+		missing = append(missing, api.UnavailableHall{
 			Hall: x.hall,
 			Text: x.err.Error(),
 		})
@@ -216,8 +216,8 @@
 func (h *Host) getJobs(w http.ResponseWriter, q *http.Request) {
 	jobs, missing := eachHall[[]place.JobView](h, q, opJobs, empty{})
 	out := api.Jobs{
-		Jobs:    []api.Job{},
-		Missing: missing,
+		Jobs:             []api.Job{},
+		UnavailableHalls: missing,
 	}
 	for hall, list := range jobs {
 		for _, j := range list {
@@ -246,20 +246,20 @@
 	}
 	for _, m := range missing {
 		if !isNoJob(m) {
-			writeJSON(w, http.StatusServiceUnavailable, api.Error{
+			writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{
 				Code: "unavailable",
 				Text: fmt.Sprintf("job %s is in no hall that answers; hall %s does not: %s", id, m.Hall, m.Text),
 			})
 			return
 		}
 	}
-	writeJSON(w, http.StatusNotFound, api.Error{
+	writeJSON(w, http.StatusNotFound, api.ErrorResponse{
 		Code: string(codeNoJob),
 		Text: fmt.Sprintf("job %s is not known in any hall", id),
 	})
 }
 
-func isNoJob(m api.Missing) bool {
+func isNoJob(m api.UnavailableHall) bool {
 	return m.Text == (&peer.RemoteError{
 		Code: codeNoJob,
 		Text: holder.ErrNoJob.Error(),
@@ -269,8 +269,8 @@
 func (h *Host) getWorkers(w http.ResponseWriter, q *http.Request) {
 	found, missing := eachHall[[]place.WorkerView](h, q, opWorkers, empty{})
 	out := api.Workers{
-		Workers: []api.Worker{},
-		Missing: missing,
+		Workers:          []api.Worker{},
+		UnavailableHalls: missing,
 	}
 	for hall, list := range found {
 		for _, x := range list {
@@ -293,13 +293,13 @@
 	writeJSON(w, http.StatusOK, revision(r))
 }
 
-func revision(r config.Revision) api.Revision {
-	return api.Revision{
-		Version: r.Version,
-		Who:     r.Who,
-		When:    time.Unix(r.When, 0).UTC(),
-		Note:    r.Note,
-		Text:    string(r.Text),
+func revision(r config.Revision) api.ConfigRevision {
+	return api.ConfigRevision{
+		Version:    r.Version,
+		Author:     r.Author,
+		AcceptedAt: time.Unix(r.AcceptedAt, 0).UTC(),
+		Note:       r.Note,
+		Text:       string(r.Text),
 	}
 }
 
@@ -309,21 +309,21 @@
 		writeError(w, badInput(err))
 		return
 	}
-	var x api.PutConfig
+	var x api.PutConfigRequest
 	if err := json.Unmarshal(b, &x); err != nil {
 		writeError(w, badInput(err))
 		return
 	}
 	v, err := h.putConfig(q.Context(), config.Revision{
-		Who:  x.Who,
-		Note: x.Note,
-		Text: []byte(x.Text),
-	}, x.Base)
+		Author: x.Author,
+		Note:   x.Note,
+		Text:   []byte(x.Text),
+	}, x.BaseVersion)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, api.Accepted{
+	writeJSON(w, http.StatusOK, api.PutConfigResponse{
 		Version: v,
 	})
 }
@@ -334,8 +334,8 @@
 		writeError(w, err)
 		return
 	}
-	out := api.History{
-		Revisions: []api.Revision{},
+	out := api.ConfigHistory{
+		Revisions: []api.ConfigRevision{},
 	}
 	for _, r := range list {
 		out.Revisions = append(out.Revisions, revision(r))
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -49,7 +49,7 @@
 	var hosts []spoolsill.HostID
 	for _, x := range h.settings.Halls {
 		if x.ID != h.hall.ID {
-			hosts = append(hosts, x.IDs()...)
+			hosts = append(hosts, x.HostIDs()...)
 		}
 	}
 	rand.Shuffle(len(hosts), func(i, j int) {
--- a/entry/request.go
+++ b/entry/request.go
@@ -81,10 +81,10 @@
 
 // readCall reads the whole body before the request takes a slot.
 func (h *Host) readCall(w http.ResponseWriter, q *http.Request, s *service, r spoolsill.Request) (router.Call, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, s.settings.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, s.settings.MaxBodyBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		h.refuse(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", s.settings.MaxBody))
+		h.refuse(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", s.settings.MaxBodyBytes))
 		return router.Call{}, false
 	}
 	if err != nil {
--- a/entry/status.go
+++ b/entry/status.go
@@ -19,26 +19,26 @@
 func (h *Host) getReady(w http.ResponseWriter, _ *http.Request) {
 	s := h.status()
 	status := http.StatusOK
-	if s.Stopping || !s.Members {
+	if s.Stopping || !s.MembersKnown {
 		status = http.StatusServiceUnavailable
 	}
 	writeJSON(w, status, s)
 }
 
 // status returns what the host knows of itself.
-func (h *Host) status() api.Host {
+func (h *Host) status() api.HostStatus {
 	x, epoch, _ := h.holder.Seen()
-	s := api.Host{
-		ID:       h.settings.Host.ID,
-		Hall:     h.hall.ID,
-		HTTP:     h.settings.Host.HTTP,
-		Started:  h.started,
-		Stopping: h.stopping.Load(),
-		Degraded: h.platform.Silent(),
-		Holder:   x,
-		Epoch:    epoch,
-		Holds:    h.holder.Holds(),
-		Placing:  h.holder.Placing(),
+	s := api.HostStatus{
+		ID:          h.settings.Host.ID,
+		Hall:        h.hall.ID,
+		HTTPAddress: h.settings.Host.HTTPAddress,
+		Started:     h.started,
+		Stopping:    h.stopping.Load(),
+		Degraded:    h.platform.Silent(),
+		LeaseHolder: x,
+		Epoch:       epoch,
+		HoldsLease:  h.holder.Holds(),
+		Placing:     h.holder.Placing(),
 	}
 	for _, v := range h.services {
 		waiting, running := v.router.Load()
@@ -48,19 +48,19 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s.Config = h.store.Current().Version
-	s.ConfigSure = h.configSure()
-	_, s.Members = h.view.Known()
+	s.ConfigCurrent = h.configSure()
+	_, s.MembersKnown = h.view.Known()
 	return s
 }
 
-func (h *Host) takeHostRead(context.Context, peer.Caller, empty) (api.Host, error) {
+func (h *Host) takeHostRead(context.Context, peer.Caller, empty) (api.HostStatus, error) {
 	return h.status(), nil
 }
 
 // getHosts asks every host of the cell for its status.
 func (h *Host) getHosts(w http.ResponseWriter, q *http.Request) {
 	type result struct {
-		s   api.Host
+		s   api.HostStatus
 		err error
 	}
 	ctx, cancel := context.WithTimeout(q.Context(), peerTimeout)
@@ -73,7 +73,7 @@
 			go func() {
 				s, err := h.statusOf(ctx, p.ID)
 				if err != nil {
-					s.ID, s.Hall, s.HTTP = p.ID, x.ID, p.HTTP
+					s.ID, s.Hall, s.HTTPAddress = p.ID, x.ID, p.HTTPAddress
 				}
 				results <- result{
 					s:   s,
@@ -86,7 +86,7 @@
 	for range n {
 		r := <-results
 		if r.err != nil {
-			r.s.Unreachable = r.err.Error()
+			r.s.UnreachableReason = r.err.Error()
 		}
 		out.Hosts = append(out.Hosts, r.s)
 	}
@@ -96,9 +96,9 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-func (h *Host) statusOf(ctx context.Context, id spoolsill.HostID) (api.Host, error) {
+func (h *Host) statusOf(ctx context.Context, id spoolsill.HostID) (api.HostStatus, error) {
 	if id == h.settings.Host.ID {
 		return h.status(), nil
 	}
-	return call[api.Host](ctx, h, id, methodHost, empty{})
+	return call[api.HostStatus](ctx, h, id, methodHost, empty{})
 }
--- a/holder/call.go
+++ b/holder/call.go
@@ -33,9 +33,9 @@
 var ErrNoJob = errors.New("holder: no such job in this hall")
 
 // Plan returns what an intent would change. It changes nothing. It fails with
-// [intent.ErrIntent], a [*place.StaleError] or [ErrNotHolder].
+// [intent.ErrInvalidIntent], a [*place.StaleError] or [ErrNotHolder].
 func (h *Holder) Plan(i intent.Intent) (Plan, error) {
-	if err := i.Check(); err != nil {
+	if err := i.Validate(); err != nil {
 		return Plan{}, err
 	}
 	t, err := h.current()
@@ -106,7 +106,7 @@
 		t.mu.Unlock()
 		return ErrNotHolder
 	}
-	p, err := t.book.Take(time.Now(), id)
+	p, err := t.book.Get(time.Now(), id)
 	known := t.state.Confirmed(id)
 	t.mu.Unlock()
 	if known {
@@ -132,7 +132,7 @@
 	now := time.Now()
 	var records []place.Record
 	if !t.state.Confirmed(id) {
-		p, err := t.book.Take(now, id)
+		p, err := t.book.Get(now, id)
 		if err != nil {
 			return nil, err
 		}
--- a/holder/config.go
+++ b/holder/config.go
@@ -52,8 +52,8 @@
 
 // Agents reaches the workers.
 type Agents interface {
-	Start(ctx context.Context, address string, s agent.Start) error
-	Renew(ctx context.Context, address string, r agent.Renewal) ([]agent.Status, error)
+	Start(ctx context.Context, address string, s agent.StartRequest) error
+	Renew(ctx context.Context, address string, r agent.RenewRequest) ([]agent.Status, error)
 	Signal(ctx context.Context, address string, s agent.Signal) error
 }
 
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -29,15 +29,15 @@
 	granted lease.Reading
 	// starting has the starts whose outcome is not known, with the end of the
 	// lease that they carried.
-	starting map[agent.Ref]lease.Reading
+	starting map[agent.TaskAttempt]lease.Reading
 	// started has when starts were answered, until a renewal that was sent
 	// later has told of the task: an earlier one may have been answered before
 	// the start and be heard of after it.
-	started map[agent.Ref]lease.Reading
+	started map[agent.TaskAttempt]lease.Reading
 	// born is when this tenure began to look after the worker. A start that a
 	// former holder sent may arrive for the length of a lease after it.
 	born   lease.Reading
-	forget map[agent.Ref]spoolsill.Sequence
+	forget map[agent.TaskAttempt]spoolsill.Sequence
 	fails  int
 	asked  bool
 	strays bool          // it runs what no record names
@@ -51,9 +51,9 @@
 		id:       id,
 		granted:  now,
 		born:     now,
-		starting: map[agent.Ref]lease.Reading{},
-		started:  map[agent.Ref]lease.Reading{},
-		forget:   map[agent.Ref]spoolsill.Sequence{},
+		starting: map[agent.TaskAttempt]lease.Reading{},
+		started:  map[agent.TaskAttempt]lease.Reading{},
+		forget:   map[agent.TaskAttempt]spoolsill.Sequence{},
 		soon:     make(chan struct{}, 1),
 	}
 }
@@ -141,18 +141,18 @@
 // renewal returns what to ask the worker. When the hall's lease does not
 // stand, only services are renewed: a service that for a while runs twice
 // breaks no promise, work of other kinds would.
-func (d *driver) renewal() (agent.Renewal, string) {
+func (d *driver) renewal() (agent.RenewRequest, string) {
 	holds := d.t.holds()
 	now := d.t.h.reading()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	q := agent.Renewal{
+	q := agent.RenewRequest{
 		Epoch:    d.t.epoch,
 		LeaseEnd: d.t.leaseEnd(now).UnixMilli(),
 	}
 	for _, h := range d.t.state.Holds(d.id) {
 		if holds || h.Service {
-			q.Tasks = append(q.Tasks, agent.Ref{
+			q.Tasks = append(q.Tasks, agent.TaskAttempt{
 				Task:    h.Task,
 				Attempt: h.Attempt,
 			})
@@ -200,7 +200,7 @@
 		return
 	}
 	for _, h := range d.t.state.Holds(d.id) {
-		d.report(agent.Ref{
+		d.report(agent.TaskAttempt{
 			Task:    h.Task,
 			Attempt: h.Attempt,
 		}, place.Lost)
@@ -220,15 +220,15 @@
 // forgetStarted drops the starts that were answered before a renewal was sent: its
 // report tells of them. The lock is held.
 func (d *driver) forgetStarted(sent lease.Reading) {
-	maps.DeleteFunc(d.started, func(_ agent.Ref, at lease.Reading) bool { return at.Mono < sent.Mono })
+	maps.DeleteFunc(d.started, func(_ agent.TaskAttempt, at lease.Reading) bool { return at.Mono < sent.Mono })
 }
 
 // take takes in the report of the worker. The lock is held.
-func (d *driver) take(list []agent.Status, q agent.Renewal) {
-	there := make(map[agent.Ref]bool, len(list))
+func (d *driver) take(list []agent.Status, q agent.RenewRequest) {
+	there := make(map[agent.TaskAttempt]bool, len(list))
 	strays := 0
 	for _, s := range list {
-		there[s.Ref] = true
+		there[s.TaskAttempt] = true
 		if d.takeStatus(s) {
 			strays++
 		}
@@ -246,27 +246,27 @@
 // takeStatus takes in the status of one task, and reports whether it is a
 // stray.
 func (d *driver) takeStatus(s agent.Status) bool {
-	h, held := d.held(s.Ref)
+	h, held := d.held(s.TaskAttempt)
 	if s.State == agent.Running {
 		switch {
 		case !held:
-			d.stray(s.Ref)
+			d.stray(s.TaskAttempt)
 			return true
 		case h.State == spoolsill.TaskCheckpointing:
-			d.t.spawn(func() { d.signal(s.Ref, agent.Checkpoint) })
+			d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Checkpoint) })
 		case h.State == spoolsill.TaskStopping:
-			d.t.spawn(func() { d.signal(s.Ref, agent.Stop) })
+			d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Stop) })
 		default:
-			d.report(s.Ref, place.Started)
+			d.report(s.TaskAttempt, place.Started)
 			d.use(s)
 		}
 		return false
 	}
 	if held {
-		d.report(s.Ref, fates[s.State])
+		d.report(s.TaskAttempt, fates[s.State])
 	}
-	if _, ok := d.forget[s.Ref]; !ok {
-		d.forget[s.Ref] = d.t.writer.Cut()
+	if _, ok := d.forget[s.TaskAttempt]; !ok {
+		d.forget[s.TaskAttempt] = d.t.writer.Cut()
 	}
 	return false
 }
@@ -279,7 +279,7 @@
 	agent.Expired:      place.Expired,
 }
 
-func (d *driver) held(r agent.Ref) (place.Hold, bool) {
+func (d *driver) held(r agent.TaskAttempt) (place.Hold, bool) {
 	for _, h := range d.t.state.Holds(d.id) {
 		if h.Task == r.Task && h.Attempt == r.Attempt {
 			return h, true
@@ -289,7 +289,7 @@
 }
 
 // stray has a task stopped that the worker runs and no record names.
-func (d *driver) stray(r agent.Ref) {
+func (d *driver) stray(r agent.TaskAttempt) {
 	d.t.h.event(timeline.Event{
 		Kind:   timeline.KindFault,
 		Job:    r.Task.Job,
@@ -302,7 +302,7 @@
 
 // missing settles a task that the record places on the worker and that the
 // worker does not know. While its start may still arrive, nothing is known.
-func (d *driver) missing(r agent.Ref) {
+func (d *driver) missing(r agent.TaskAttempt) {
 	_, overtaken := d.started[r]
 	if overtaken || d.unsent(r) || d.mayArrive(r) {
 		return
@@ -313,7 +313,7 @@
 
 // mayArrive reports whether the start of a task may still arrive at the worker
 // and be taken: the lease that it carries has not ended for certain.
-func (d *driver) mayArrive(r agent.Ref) bool {
+func (d *driver) mayArrive(r agent.TaskAttempt) bool {
 	from, ok := d.starting[r]
 	if !ok {
 		h, held := d.held(r)
@@ -327,7 +327,7 @@
 }
 
 // unsent reports whether the start of a task waits to be sent.
-func (d *driver) unsent(r agent.Ref) bool {
+func (d *driver) unsent(r agent.TaskAttempt) bool {
 	for _, a := range d.t.acts {
 		if a.record.Kind == place.TaskPlaced && a.record.Task == r.Task && a.record.Attempt == r.Attempt {
 			return true
@@ -341,12 +341,12 @@
 	m, records := d.t.state.Use(time.Now(), s.Task, s.Used)
 	d.t.record(records)
 	if m == place.MeasureThrottle {
-		d.t.spawn(func() { d.signal(s.Ref, agent.Throttle) })
+		d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Throttle) })
 	}
 }
 
 // report hands a fate to the decisions. The lock is held.
-func (d *driver) report(r agent.Ref, f place.Fate) {
+func (d *driver) report(r agent.TaskAttempt, f place.Fate) {
 	d.t.record(d.t.state.Report(time.Now(), place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
@@ -355,7 +355,7 @@
 }
 
 // start starts a placed task on the worker.
-func (d *driver) start(r agent.Ref) {
+func (d *driver) start(r agent.TaskAttempt) {
 	s, address, ok := d.prepare(r)
 	if !ok {
 		return
@@ -371,7 +371,7 @@
 		delete(d.starting, r)
 		d.started[r] = d.t.h.reading()
 		d.report(r, place.Started)
-	case errors.Is(err, agent.ErrRefused):
+	case errors.Is(err, agent.ErrNotExecuted):
 		delete(d.starting, r)
 		d.report(r, place.Refused)
 	default:
@@ -382,19 +382,19 @@
 
 // prepare returns the start of a task that is still wanted, and counts its
 // lease as granted from before it is sent.
-func (d *driver) prepare(r agent.Ref) (agent.Start, string, bool) {
+func (d *driver) prepare(r agent.TaskAttempt) (agent.StartRequest, string, bool) {
 	now := d.t.h.reading()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	h, held := d.held(r)
 	spec, known := d.t.state.Spec(r.Task.Job)
 	if !held || !known || h.State != spoolsill.TaskPlaced {
-		return agent.Start{}, "", false
+		return agent.StartRequest{}, "", false
 	}
 	d.granted = now
 	d.starting[r] = now
 	d.hurry()
-	return agent.Start{
+	return agent.StartRequest{
 		Task:     r.Task,
 		Attempt:  r.Attempt,
 		Epoch:    d.t.epoch,
@@ -407,7 +407,7 @@
 
 // signal asks something of a task. What gets lost is asked again after the
 // next renewal.
-func (d *driver) signal(r agent.Ref, v agent.Verb) {
+func (d *driver) signal(r agent.TaskAttempt, v agent.Verb) {
 	d.t.mu.Lock()
 	address := d.address
 	d.t.mu.Unlock()
@@ -415,8 +415,8 @@
 		return
 	}
 	err := d.t.h.config.Agents.Signal(d.t.ctx, address, agent.Signal{
-		Ref:  r,
-		Verb: v,
+		TaskAttempt: r,
+		Verb:        v,
 	})
 	if err != nil && !errors.Is(err, context.Canceled) {
 		d.t.h.config.Log.WithError(err).WithField("worker", d.id).Debug("signal not taken")
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -169,7 +169,7 @@
 
 func written(r table.Result, err error) lease.Written {
 	switch {
-	case errors.Is(err, table.ErrDown):
+	case errors.Is(err, table.ErrUnavailable):
 		return lease.NotTaken
 	case err != nil:
 		return lease.Lost
--- a/holder/settle_test.go
+++ b/holder/settle_test.go
@@ -70,7 +70,7 @@
 	})
 	defer agents.Close()
 	ctx := context.Background()
-	c.Assert(agents.Start(ctx, cell.Platform.Members().Workers[0].Address, agent.Start{
+	c.Assert(agents.Start(ctx, cell.Platform.Members().Workers[0].Address, agent.StartRequest{
 		Task: spoolsill.TaskID{
 			Job: "stray",
 		},
@@ -85,8 +85,8 @@
 	defer f.Close()
 	c.Assert(f.WaitReady(ctx), qt.IsNil)
 	client := f.Client()
-	defer client.HTTP.CloseIdleConnections()
-	p, err := client.Plan(ctx, api.Intent{
+	defer client.HTTPClient.CloseIdleConnections()
+	p, err := client.Plan(ctx, api.PlanRequest{
 		Submit: "id = \"whole\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"8\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
 	})
 	c.Assert(err, qt.IsNil)
@@ -139,10 +139,10 @@
 	ctx := context.Background()
 	c.Assert(f.WaitReady(ctx), qt.IsNil)
 	client := f.Client()
-	defer client.HTTP.CloseIdleConnections()
+	defer client.HTTPClient.CloseIdleConnections()
 	worker := string(cell.Platform.Members().Workers[0].ID)
 	cell.Network.SetPaused(worker, true)
-	p, err := client.Plan(ctx, api.Intent{
+	p, err := client.Plan(ctx, api.PlanRequest{
 		Submit: "id = \"late\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
 	})
 	c.Assert(err, qt.IsNil)
@@ -181,7 +181,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		w := oneWorker()
-		w.Use = func(s agent.Start) spoolsill.Resources { return s.Shape.Times(4) }
+		w.Use = func(s agent.StartRequest) spoolsill.Resources { return s.Shape.Times(4) }
 		cell, err := standin.NewCell(w)
 		c.Assert(err, qt.IsNil)
 		defer cell.Close()
@@ -191,8 +191,8 @@
 		ctx := context.Background()
 		c.Assert(f.WaitReady(ctx), qt.IsNil)
 		client := f.Client()
-		defer client.HTTP.CloseIdleConnections()
-		p, err := client.Plan(ctx, api.Intent{
+		defer client.HTTPClient.CloseIdleConnections()
+		p, err := client.Plan(ctx, api.PlanRequest{
 			Submit: "id = \"greedy\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
 		})
 		c.Assert(err, qt.IsNil)
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -34,7 +34,7 @@
 	closed  bool       // nothing is begun any more
 	ready   bool
 	state   *place.State
-	book    *intent.Book
+	book    *intent.PlanCache
 	writer  *recordlog.Writer
 	acts    []act
 	waiters []waiter
@@ -67,7 +67,7 @@
 		done:    make(chan struct{}),
 		kick:    make(chan struct{}, 1),
 		starts:  make(chan struct{}, h.config.Starts),
-		book:    intent.NewBook(h.config.Intent),
+		book:    intent.NewPlanCache(h.config.Intent),
 		workers: map[spoolsill.WorkerID]*driver{},
 	}
 	t.ctx, t.cancel = context.WithCancel(ctx)
@@ -249,7 +249,7 @@
 // do acts on a record that lasts. The lock is held.
 func (t *tenure) do(r place.Record) {
 	d := t.driver(r.Worker)
-	ref := agent.Ref{
+	ref := agent.TaskAttempt{
 		Task:    r.Task,
 		Attempt: r.Attempt,
 	}
--- a/intent/book.go
+++ b/intent/book.go
@@ -10,21 +10,21 @@
 
 // Defaults of [Config].
 const (
-	DefaultLife  = 5 * time.Minute
-	DefaultPlans = 1000
+	DefaultTTL      = 5 * time.Minute
+	DefaultMaxPlans = 1000
 )
 
-// A Config describes a [Book].
+// A Config describes a [PlanCache].
 type Config struct {
-	// Life is how long a plan can be confirmed.
-	Life time.Duration
+	// TTL is how long a plan can be confirmed.
+	TTL time.Duration
 	// Plans bounds the plans kept; the oldest go first.
 	Plans int
 }
 
-// A Book keeps plans that wait to be confirmed. It is not safe for concurrent
+// A PlanCache keeps plans that wait to be confirmed. It is not safe for concurrent
 // use.
-type Book struct {
+type PlanCache struct {
 	config Config
 	plans  map[spoolsill.PlanID]kept
 	order  []spoolsill.PlanID
@@ -35,27 +35,27 @@
 	expires time.Time
 }
 
-// NewBook returns an empty book.
-func NewBook(c Config) *Book {
-	if c.Life == 0 {
-		c.Life = DefaultLife
+// NewPlanCache returns an empty cache.
+func NewPlanCache(c Config) *PlanCache {
+	if c.TTL == 0 {
+		c.TTL = DefaultTTL
 	}
 	if c.Plans == 0 {
-		c.Plans = DefaultPlans
+		c.Plans = DefaultMaxPlans
 	}
-	return &Book{
+	return &PlanCache{
 		config: c,
 		plans:  map[spoolsill.PlanID]kept{},
 	}
 }
 
 // Add keeps a plan and returns when it expires.
-func (b *Book) Add(now time.Time, id spoolsill.PlanID, p place.Plan) time.Time {
+func (b *PlanCache) Add(now time.Time, id spoolsill.PlanID, p place.Plan) time.Time {
 	for len(b.order) >= b.config.Plans {
 		delete(b.plans, b.order[0])
 		b.order = b.order[1:]
 	}
-	end := now.Add(b.config.Life)
+	end := now.Add(b.config.TTL)
 	b.plans[id] = kept{
 		plan:    p,
 		expires: end,
@@ -64,8 +64,8 @@
 	return end
 }
 
-// Take returns a plan that can still be confirmed, or a [*place.StaleError].
-func (b *Book) Take(now time.Time, id spoolsill.PlanID) (place.Plan, error) {
+// Get returns a plan that can still be confirmed, or a [*place.StaleError].
+func (b *PlanCache) Get(now time.Time, id spoolsill.PlanID) (place.Plan, error) {
 	k, ok := b.plans[id]
 	if !ok {
 		return place.Plan{}, &place.StaleError{
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -10,11 +10,11 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// ErrIntent is returned for an intent that can't be accepted.
-var ErrIntent = errors.New("intent: not accepted")
+// ErrInvalidIntent is returned for an intent that can't be accepted.
+var ErrInvalidIntent = errors.New("intent: not accepted")
 
-// MaxCancel is the largest number of jobs that one intent cancels.
-const MaxCancel = 20_000
+// MaxCancelJobs is the largest number of jobs that one intent cancels.
+const MaxCancelJobs = 20_000
 
 // An Intent is what an operator wants. Exactly one field is set.
 type Intent struct {
@@ -23,8 +23,8 @@
 	Drain  spoolsill.WorkerID `msgpack:"d,omitempty"`
 }
 
-// Check returns [ErrIntent] with every fault of i.
-func (i Intent) Check() error {
+// Validate returns [ErrInvalidIntent] with every fault of i.
+func (i Intent) Validate() error {
 	n := 0
 	if i.Submit != nil {
 		n++
@@ -36,10 +36,10 @@
 		n++
 	}
 	if n != 1 {
-		return fmt.Errorf("%w: want one of submit, cancel and drain, got %d", ErrIntent, n)
+		return fmt.Errorf("%w: want one of submit, cancel and drain, got %d", ErrInvalidIntent, n)
 	}
-	if len(i.Cancel) > MaxCancel {
-		return fmt.Errorf("%w: cancel: %d jobs, at most %d", ErrIntent, len(i.Cancel), MaxCancel)
+	if len(i.Cancel) > MaxCancelJobs {
+		return fmt.Errorf("%w: cancel: %d jobs, at most %d", ErrInvalidIntent, len(i.Cancel), MaxCancelJobs)
 	}
 	if i.Submit == nil {
 		return nil
@@ -51,7 +51,7 @@
 	if len(faults) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: %s", ErrIntent, strings.Join(faults, "; "))
+	return fmt.Errorf("%w: %s", ErrInvalidIntent, strings.Join(faults, "; "))
 }
 
 // Plan returns what i would change in a hall. It changes nothing.
--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -161,7 +161,7 @@
 		Runners: 17,
 		Slots:   8,
 		Memory:  true,
-		Runtime: func(s agent.Start) (time.Duration, bool) { return s.Runtime, false },
+		Runtime: func(s agent.StartRequest) (time.Duration, bool) { return s.Runtime, false },
 	})
 	if err != nil {
 		return Point{}, err
@@ -189,7 +189,7 @@
 		return Point{}, err
 	}
 	c := f.Client()
-	defer c.HTTP.CloseIdleConnections()
+	defer c.HTTPClient.CloseIdleConnections()
 	return observe(ctx, cell, f, c, Point{
 		Workers: workers,
 		Hosts:   perHall,
@@ -235,7 +235,7 @@
 
 // submit adds a batch of so many short tasks.
 func submit(ctx context.Context, c *api.Client, n, tasks int) error {
-	plan, err := c.Plan(ctx, api.Intent{
+	plan, err := c.Plan(ctx, api.PlanRequest{
 		Submit: fmt.Sprintf("id = \"load-%d\"\nteam = \"t%d\"\nkind = \"batch\"\ntasks = %d\nprocessors = \"2\"\nmemory = \"1GiB\"\nruntime = \"20s\"\n", n, n%20, tasks),
 	})
 	if err != nil {
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -68,7 +68,7 @@
 		Runners: c.Halls,
 		Slots:   8,
 		Memory:  true,
-		Runtime: func(s agent.Start) (time.Duration, bool) { return s.Runtime, false },
+		Runtime: func(s agent.StartRequest) (time.Duration, bool) { return s.Runtime, false },
 	})
 	if err != nil {
 		return Result{}, err
@@ -103,7 +103,7 @@
 // each, and counts what the table does meanwhile.
 func measure(ctx context.Context, c Config, cell *standin.Cell, f *fleet.Fleet, halls []spoolsill.HallID) (Result, error) {
 	client := f.Client()
-	defer client.HTTP.CloseIdleConnections()
+	defer client.HTTPClient.CloseIdleConnections()
 	writes, reads := cell.Platform.Table.Counts()
 	bytes := cell.Platform.Table.Written()
 	began := time.Now()
@@ -146,7 +146,7 @@
 
 // submit adds a job and returns how long its confirmation took.
 func submit(ctx context.Context, c *api.Client, h spoolsill.HallID, n, tasks int) (time.Duration, error) {
-	p, err := c.Plan(ctx, api.Intent{
+	p, err := c.Plan(ctx, api.PlanRequest{
 		Hall:   h,
 		Submit: fmt.Sprintf("id = \"%s-%d\"\nteam = \"t%d\"\nkind = \"batch\"\ntasks = %d\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1s\"\n", h, n, n%20, tasks),
 	})
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -161,14 +161,14 @@
 	if errors.As(err, &e) {
 		return e.code
 	}
-	var r *api.RefusedError
+	var r *api.StatusError
 	if errors.As(err, &r) {
 		if c, ok := refusedCodes[r.Code]; ok {
 			return c
 		}
 		return ExitFailed
 	}
-	if errors.Is(err, api.ErrNoHost) {
+	if errors.Is(err, api.ErrNoHostReachable) {
 		return ExitUnreachable
 	}
 	return ExitFailed
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	return s.print(r, func(w io.Writer) {
-		fmt.Fprintf(w, "# version %d, by %s\n%s", r.Version, r.Who, r.Text)
+		fmt.Fprintf(w, "# version %d, by %s\n%s", r.Version, r.Author, r.Text)
 	})
 }
 
@@ -52,11 +52,11 @@
 	if _, err := config.Parse([]byte(text)); err != nil {
 		return exitWith(ExitUsage, "%s: %w", c.File, err)
 	}
-	a, err := s.client.PutConfig(s.ctx(), api.PutConfig{
-		Base: c.Base,
-		Who:  c.Who,
-		Note: c.Note,
-		Text: text,
+	a, err := s.client.PutConfig(s.ctx(), api.PutConfigRequest{
+		BaseVersion: c.Base,
+		Author:      c.Who,
+		Note:        c.Note,
+		Text:        text,
 	})
 	if err != nil {
 		return err
@@ -69,13 +69,13 @@
 type configHistory struct{}
 
 type historyRow struct {
-	api.Revision
+	api.ConfigRevision
 	InForce []spoolsill.HostID `json:"in_force"`
 }
 
 // Run prints the history.
 func (c *configHistory) Run(s *session) error {
-	h, err := s.client.History(s.ctx())
+	h, err := s.client.ConfigHistory(s.ctx())
 	if err != nil {
 		return err
 	}
@@ -86,11 +86,11 @@
 	rows := make([]historyRow, 0, len(h.Revisions))
 	for _, r := range h.Revisions {
 		x := historyRow{
-			Revision: r,
-			InForce:  []spoolsill.HostID{},
+			ConfigRevision: r,
+			InForce:        []spoolsill.HostID{},
 		}
 		for _, y := range hosts.Hosts {
-			if y.Unreachable == "" && y.Config == r.Version {
+			if y.UnreachableReason == "" && y.Config == r.Version {
 				x.InForce = append(x.InForce, y.ID)
 			}
 		}
@@ -99,7 +99,7 @@
 	return s.print(rows, func(w io.Writer) {
 		t := newTable(w, "version", "when", "who", "note", "in force at")
 		for _, r := range rows {
-			t.row(fmt.Sprint(r.Version), r.When.Format("2006-01-02 15:04:05"), r.Who, r.Note, joinHosts(r.InForce))
+			t.row(fmt.Sprint(r.Version), r.AcceptedAt.Format("2006-01-02 15:04:05"), r.Author, r.Note, joinHosts(r.InForce))
 		}
 		t.flush()
 	})
@@ -161,7 +161,7 @@
 	}
 	for _, f := range c.Settings {
 		v, err := settings.Load(f, c.Host)
-		note(f, fmt.Sprintf("settings of host %s in hall %s", v.Host.ID, v.Own().ID), err)
+		note(f, fmt.Sprintf("settings of host %s in hall %s", v.Host.ID, v.OwnHall().ID), err)
 	}
 	for _, f := range c.Job {
 		note(checkJob(f))
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -32,12 +32,12 @@
 	Hall   spoolsill.HallID   `help:"Hall of the worker."`
 }
 
-func (c planSubmit) intent() (api.Intent, error) {
+func (c planSubmit) intent() (api.PlanRequest, error) {
 	text, err := readFile(c.File)
-	return api.Intent{
-		Hall:   c.Hall,
-		Submit: text,
-		Name:   c.File,
+	return api.PlanRequest{
+		Hall:     c.Hall,
+		Submit:   text,
+		FileName: c.File,
 	}, err
 }
 
@@ -69,23 +69,23 @@
 }
 
 // cancelIntent finds the hall of the jobs when none is named.
-func (s *session) cancelIntent(h spoolsill.HallID, jobs []spoolsill.JobID) (api.Intent, error) {
+func (s *session) cancelIntent(h spoolsill.HallID, jobs []spoolsill.JobID) (api.PlanRequest, error) {
 	if h == "" {
 		d, err := s.client.Job(s.ctx(), jobs[0])
 		if err != nil {
-			return api.Intent{}, err
+			return api.PlanRequest{}, err
 		}
 		h = d.Hall
 	}
-	return api.Intent{
+	return api.PlanRequest{
 		Hall:   h,
 		Cancel: jobs,
 	}, nil
 }
 
 // drainIntent finds the hall of a worker when none is named.
-func (s *session) drainIntent(h spoolsill.HallID, w spoolsill.WorkerID) (api.Intent, error) {
-	i := api.Intent{
+func (s *session) drainIntent(h spoolsill.HallID, w spoolsill.WorkerID) (api.PlanRequest, error) {
+	i := api.PlanRequest{
 		Hall:  h,
 		Drain: w,
 	}
@@ -106,7 +106,7 @@
 }
 
 // plan asks for a plan and prints it.
-func (s *session) plan(i api.Intent) error {
+func (s *session) plan(i api.PlanRequest) error {
 	p, err := s.client.Plan(s.ctx(), i)
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 	if err := s.client.Confirm(s.ctx(), h, id); err != nil {
 		return err
 	}
-	return s.print(api.Confirmed{
+	return s.print(api.ConfirmResponse{
 		ID:   id,
 		Hall: h,
 	}, func(w io.Writer) {
@@ -170,7 +170,7 @@
 }
 
 // planAndConfirm shows a plan, asks, and confirms it.
-func (s *session) planAndConfirm(i api.Intent, yes bool) error {
+func (s *session) planAndConfirm(i api.PlanRequest, yes bool) error {
 	p, err := s.client.Plan(s.ctx(), i)
 	if err != nil {
 		return err
@@ -255,11 +255,11 @@
 	if c.Undo {
 		note = "undo " + note
 	}
-	a, err := s.client.PutConfig(s.ctx(), api.PutConfig{
-		Base: r.Version,
-		Who:  c.Who,
-		Note: note,
-		Text: text,
+	a, err := s.client.PutConfig(s.ctx(), api.PutConfigRequest{
+		BaseVersion: r.Version,
+		Author:      c.Who,
+		Note:        note,
+		Text:        text,
 	})
 	if err != nil {
 		return err
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -28,7 +28,7 @@
 			t.row(string(x.ID), string(x.Hall), string(x.Team), string(x.Kind), x.Class.String(), states(x.States), x.Reason)
 		}
 		t.flush()
-		printMissing(w, j.Missing)
+		printMissing(w, j.UnavailableHalls)
 	})
 }
 
@@ -41,7 +41,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func printMissing(w io.Writer, list []api.Missing) {
+func printMissing(w io.Writer, list []api.UnavailableHall) {
 	for _, m := range list {
 		fmt.Fprintf(w, "hall %s does not answer: %s\n", m.Hall, m.Text)
 	}
@@ -102,7 +102,7 @@
 	}
 	return s.print(l, func(w io.Writer) {
 		printEvents(w, l.Events)
-		printSilent(w, l.Missing)
+		printSilent(w, l.UnavailableHosts)
 	})
 }
 
@@ -122,7 +122,7 @@
 			t.row(string(x.ID), string(x.Hall), string(x.Rack), fmt.Sprint(x.Tasks), x.Free.String(), x.Capacity.String(), workerState(x))
 		}
 		t.flush()
-		printMissing(w, l.Missing)
+		printMissing(w, l.UnavailableHalls)
 	})
 }
 
@@ -152,21 +152,21 @@
 	return s.print(l, func(w io.Writer) {
 		t := newTable(w, "host", "hall", "http", "up", "config", "holder", "epoch", "waiting", "running", "state")
 		for _, x := range l.Hosts {
-			t.row(string(x.ID), string(x.Hall), x.HTTP, up(x), configText(x), yes(x.Holds), fmt.Sprint(x.Epoch), fmt.Sprint(x.Waiting), fmt.Sprint(x.Running), hostState(x))
+			t.row(string(x.ID), string(x.Hall), x.HTTPAddress, up(x), configText(x), yes(x.HoldsLease), fmt.Sprint(x.Epoch), fmt.Sprint(x.Waiting), fmt.Sprint(x.Running), hostState(x))
 		}
 		t.flush()
 	})
 }
 
-func up(h api.Host) string {
-	if h.Unreachable != "" {
+func up(h api.HostStatus) string {
+	if h.UnreachableReason != "" {
 		return "-"
 	}
 	return time.Since(h.Started).Round(time.Second).String()
 }
 
-func configText(h api.Host) string {
-	if h.ConfigSure {
+func configText(h api.HostStatus) string {
+	if h.ConfigCurrent {
 		return fmt.Sprint(h.Config)
 	}
 	return fmt.Sprintf("%d?", h.Config)
@@ -179,15 +179,15 @@
 	return ""
 }
 
-func hostState(h api.Host) string {
+func hostState(h api.HostStatus) string {
 	switch {
-	case h.Unreachable != "":
+	case h.UnreachableReason != "":
 		return "unreachable"
 	case h.Stopping:
 		return "stopping"
 	case h.Degraded:
 		return "degraded: the platform is silent"
-	case !h.Members:
+	case !h.MembersKnown:
 		return "starting: no list of machines yet"
 	default:
 		return "ready"
@@ -224,7 +224,7 @@
 		err = s.print(l, func(w io.Writer) {
 			printEvents(w, l.Events)
 			if !c.Follow {
-				printSilent(w, l.Missing)
+				printSilent(w, l.UnavailableHosts)
 			}
 		})
 		if err != nil || !c.Follow {
--- a/internal/fault/operator.go
+++ b/internal/fault/operator.go
@@ -49,7 +49,7 @@
 }
 
 func (o *operator) close() {
-	o.client.HTTP.CloseIdleConnections()
+	o.client.HTTPClient.CloseIdleConnections()
 }
 
 func (o *operator) run(ctx context.Context) {
@@ -89,7 +89,7 @@
 func (o *operator) submit(ctx context.Context) {
 	hall := halls[o.random.IntN(len(halls))]
 	id, text := o.job(hall)
-	p, err := o.client.Plan(ctx, api.Intent{
+	p, err := o.client.Plan(ctx, api.PlanRequest{
 		Hall:   hall,
 		Submit: text,
 	})
@@ -105,7 +105,7 @@
 	var wg sync.WaitGroup
 	for range 2 {
 		id, text := o.job(hall)
-		p, err := o.client.Plan(ctx, api.Intent{
+		p, err := o.client.Plan(ctx, api.PlanRequest{
 			Hall:   hall,
 			Submit: text,
 		})
@@ -127,7 +127,7 @@
 func (o *operator) confirm(ctx context.Context, id spoolsill.JobID, hall spoolsill.HallID, plan spoolsill.PlanID) {
 	for range 4 {
 		err := o.client.Confirm(ctx, hall, plan)
-		var r *api.RefusedError
+		var r *api.StatusError
 		switch {
 		case err == nil:
 			o.note(o.confirmed, id)
@@ -180,7 +180,7 @@
 	if err != nil || len(l.Jobs) == 0 {
 		return
 	}
-	p, err := o.client.Plan(ctx, api.Intent{
+	p, err := o.client.Plan(ctx, api.PlanRequest{
 		Hall:   hall,
 		Cancel: []spoolsill.JobID{l.Jobs[o.random.IntN(len(l.Jobs))].ID},
 	})
@@ -195,10 +195,10 @@
 	if err != nil {
 		return
 	}
-	a, err := o.client.PutConfig(ctx, api.PutConfig{
-		Base: r.Version,
-		Who:  "operator",
-		Text: fmt.Sprintf("caller_rate_per_second = %d\n", 1000+o.random.IntN(1000)),
+	a, err := o.client.PutConfig(ctx, api.PutConfigRequest{
+		BaseVersion: r.Version,
+		Author:      "operator",
+		Text:        fmt.Sprintf("caller_rate_per_second = %d\n", 1000+o.random.IntN(1000)),
 	})
 	if err != nil {
 		return
--- a/internal/fault/run.go
+++ b/internal/fault/run.go
@@ -138,7 +138,7 @@
 }
 
 // runtime returns how long a start of a task runs, and whether it fails then.
-func (w *world) runtime(s agent.Start) (time.Duration, bool) {
+func (w *world) runtime(s agent.StartRequest) (time.Duration, bool) {
 	if s.Runtime == 0 {
 		return time.Hour, false
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,9 +69,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	zero.Default(&c.Service.Connections, settings.DefaultConnections)
-	zero.Default(&c.Service.MaxBody, settings.DefaultMaxBody)
-	zero.Default(&c.Service.MaxAnswer, settings.DefaultMaxAnswer)
-	zero.Default(&c.Service.Queue, settings.DefaultQueue)
+	zero.Default(&c.Service.MaxBodyBytes, settings.DefaultMaxBodyBytes)
+	zero.Default(&c.Service.MaxAnswerBytes, settings.DefaultMaxAnswerBytes)
+	zero.Default(&c.Service.MaxQueued, settings.DefaultMaxQueued)
 	f := &Fleet{
 		config: c,
 		log:    log,
@@ -84,13 +84,13 @@
 		for _, p := range h.Hosts {
 			s := base
 			s.Host.ID = p.ID
-			s.Host.HTTP = p.HTTP
-			s.Host.Peer = p.Peer
+			s.Host.HTTPAddress = p.HTTPAddress
+			s.Host.PeerAddress = p.PeerAddress
 			u := &unit{
 				settings: s,
 			}
 			f.units = append(f.units, u)
-			f.run(u, listeners[p.HTTP], listeners[p.Peer])
+			f.run(u, listeners[p.HTTPAddress], listeners[p.PeerAddress])
 		}
 	}
 	return f, nil
@@ -100,14 +100,14 @@
 func (f *Fleet) layout() (settings.Settings, map[string]net.Listener, error) {
 	s := settings.Settings{
 		Host: settings.Host{
-			DrainDelay: settings.Duration(300 * time.Millisecond),
-			StopWithin: settings.Duration(20 * time.Second),
+			DrainDelay:  settings.Duration(300 * time.Millisecond),
+			StopTimeout: settings.Duration(20 * time.Second),
 		},
 		Platform: settings.Platform{
-			URL:     f.config.Cell.URL,
-			Timeout: settings.Duration(500 * time.Millisecond),
-			Reads:   100,
-			Writes:  100,
+			URL:             f.config.Cell.URL,
+			Timeout:         settings.Duration(500 * time.Millisecond),
+			ReadsPerSecond:  100,
+			WritesPerSecond: 100,
 		},
 		Services: []settings.Service{f.config.Service},
 		Lease: settings.Lease{
@@ -121,10 +121,10 @@
 			ID: id,
 		}
 		for i := range f.config.HostsPerHall {
-			p := settings.Peer{
+			p := settings.HallHost{
 				ID: spoolsill.HostID(fmt.Sprintf("%s-%d", id, i+1)),
 			}
-			for _, a := range []*string{&p.HTTP, &p.Peer} {
+			for _, a := range []*string{&p.HTTPAddress, &p.PeerAddress} {
 				l, err := f.config.Cell.Network.Listen(node(p.ID, id), "")
 				if err != nil {
 					return s, nil, err
@@ -154,7 +154,7 @@
 	u.host = entry.New(entry.Config{
 		Settings: u.settings,
 		Log:      f.log,
-		Dial:     f.config.Cell.Network.Dialer(node(u.settings.Host.ID, u.settings.Own().ID)),
+		Dial:     f.config.Cell.Network.Dialer(node(u.settings.Host.ID, u.settings.OwnHall().ID)),
 		HTTP:     web,
 		Peer:     inner,
 		Break:    f.config.Break,
@@ -193,7 +193,7 @@
 
 // Hall returns the hall of the host with an index.
 func (f *Fleet) Hall(i int) spoolsill.HallID {
-	return f.units[i].settings.Own().ID
+	return f.units[i].settings.OwnHall().ID
 }
 
 // Host returns the host with an index.
@@ -232,12 +232,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u := f.units[i]
-	at := node(u.settings.Host.ID, u.settings.Own().ID)
-	web, err := f.config.Cell.Network.Listen(at, u.settings.Host.HTTP)
+	at := node(u.settings.Host.ID, u.settings.OwnHall().ID)
+	web, err := f.config.Cell.Network.Listen(at, u.settings.Host.HTTPAddress)
 	if err != nil {
 		return err
 	}
-	inner, err := f.config.Cell.Network.Listen(at, u.settings.Host.Peer)
+	inner, err := f.config.Cell.Network.Listen(at, u.settings.Host.PeerAddress)
 	if err != nil {
 		_ = web.Close()
 		return err
@@ -264,7 +264,7 @@
 	var a []string
 	var s []State
 	for _, u := range f.units {
-		a = append(a, u.settings.Host.HTTP)
+		a = append(a, u.settings.Host.HTTPAddress)
 		s = append(s, u.state)
 	}
 	return a, s
@@ -307,8 +307,8 @@
 func (f *Fleet) Client() *api.Client {
 	a, _ := f.States()
 	return &api.Client{
-		Hosts: a,
-		HTTP:  f.HTTP(),
+		Hosts:      a,
+		HTTPClient: f.HTTP(),
 	}
 }
 
@@ -316,7 +316,7 @@
 // ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	c := f.Client()
-	defer c.HTTP.CloseIdleConnections()
+	defer c.HTTPClient.CloseIdleConnections()
 	for {
 		hosts, err := c.ListHosts(ctx)
 		if err == nil && f.ready(hosts) {
@@ -332,7 +332,7 @@
 func (f *Fleet) ready(h api.Hosts) bool {
 	holders := 0
 	for _, x := range h.Hosts {
-		if x.Unreachable != "" || !x.Members {
+		if x.UnreachableReason != "" || !x.MembersKnown {
 			return false
 		}
 		if x.Placing {
@@ -347,7 +347,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, u := range f.units {
-		if u.state == Up && u.settings.Own().ID == hall && u.host.Silent() {
+		if u.state == Up && u.settings.OwnHall().ID == hall && u.host.Silent() {
 			return true
 		}
 	}
@@ -359,7 +359,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, u := range f.units {
-		if u.state == Up && u.settings.Own().ID == hall && u.host.Holds() {
+		if u.state == Up && u.settings.OwnHall().ID == hall && u.host.Holds() {
 			return i, true
 		}
 	}
--- a/internal/fleet/takeover_test.go
+++ b/internal/fleet/takeover_test.go
@@ -49,7 +49,7 @@
 		Slots:   1,
 		Memory:  true,
 		Work:    func(spoolsill.RequestKey) time.Duration { return time.Millisecond },
-		Runtime: func(s agent.Start) (time.Duration, bool) { return s.Runtime, false },
+		Runtime: func(s agent.StartRequest) (time.Duration, bool) { return s.Runtime, false },
 	})
 	qt.Assert(t, err, qt.IsNil)
 	f, err := fleet.New(fleet.Config{
@@ -73,7 +73,7 @@
 	t.Helper()
 	var last error
 	for ctx.Err() == nil {
-		p, err := c.Plan(ctx, api.Intent{
+		p, err := c.Plan(ctx, api.PlanRequest{
 			Hall:   hall,
 			Submit: text,
 		})
@@ -94,7 +94,7 @@
 	t.Helper()
 	for ctx.Err() == nil {
 		l, err := c.Jobs(ctx, hall)
-		if err == nil && len(l.Missing) == 0 {
+		if err == nil && len(l.UnavailableHalls) == 0 {
 			var ids []spoolsill.JobID
 			for _, j := range l.Jobs {
 				ids = append(ids, j.ID)
@@ -128,7 +128,7 @@
 	defer cell.Close()
 	defer f.Close()
 	client := f.Client()
-	defer client.HTTP.CloseIdleConnections()
+	defer client.HTTPClient.CloseIdleConnections()
 	qt.Assert(t, f.WaitReady(ctx), qt.IsNil)
 	former, ok := f.Holder(hall)
 	qt.Assert(t, ok, qt.IsTrue)
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -30,9 +30,9 @@
 	// Work returns how long a request takes.
 	Work func(spoolsill.RequestKey) time.Duration
 	// Runtime returns how long a task runs, and whether it then fails.
-	Runtime func(agent.Start) (time.Duration, bool)
+	Runtime func(agent.StartRequest) (time.Duration, bool)
 	// Use returns what a task uses; nil takes its shape.
-	Use func(agent.Start) spoolsill.Resources
+	Use func(agent.StartRequest) spoolsill.Resources
 	// Platform is the address that the platform listens on; empty means any.
 	Platform string
 	// Memory keeps all connections in memory, so that the cell can run on
--- a/jobfile/jobfile.go
+++ b/jobfile/jobfile.go
@@ -20,8 +20,8 @@
 	"github.com/spoolsill/spoolsill/config"
 )
 
-// MaxFile is the length in bytes of the longest job file.
-const MaxFile = 64 << 10
+// MaxFileBytes is the length in bytes of the longest job file.
+const MaxFileBytes = 64 << 10
 
 // A File is what a job file says.
 type File struct {
@@ -32,13 +32,13 @@
 
 // An Error has all faults of a job file.
 type Error struct {
-	File   string
-	Faults []string
+	File     string
+	Problems []string
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	return e.File + ": " + strings.Join(e.Faults, "; ")
+	return e.File + ": " + strings.Join(e.Problems, "; ")
 }
 
 type wireFile struct {
@@ -63,8 +63,8 @@
 	if name == "" {
 		name = "job"
 	}
-	if len(text) > MaxFile {
-		return File{}, fault(name, fmt.Sprintf("%d bytes, at most %d", len(text), MaxFile))
+	if len(text) > MaxFileBytes {
+		return File{}, fault(name, fmt.Sprintf("%d bytes, at most %d", len(text), MaxFileBytes))
 	}
 	w, err := decode(text)
 	if err != nil {
@@ -79,8 +79,8 @@
 
 func fault(name string, faults ...string) error {
 	return &Error{
-		File:   name,
-		Faults: faults,
+		File:     name,
+		Problems: faults,
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&w)
 	if err != nil {
-		return w, fmt.Errorf("%s", config.Explain(err))
+		return w, fmt.Errorf("%s", config.DescribeTOMLError(err))
 	}
 	return w, nil
 }
--- a/settings/check.go
+++ b/settings/check.go
@@ -49,12 +49,12 @@
 func (c *checker) check(s Settings) {
 	c.name("host.id", string(s.Host.ID))
 	c.between("host.drain_delay", s.Host.DrainDelay, 0, time.Minute)
-	c.between("host.stop_within", s.Host.StopWithin, time.Second, 10*time.Minute)
+	c.between("host.stop_within", s.Host.StopTimeout, time.Second, 10*time.Minute)
 	u, err := url.Parse(s.Platform.URL)
-	c.need(err == nil && u.Scheme == "http" && IsAddress(u.Host), "platform.url", s.Platform.URL, "http:// with an IP number and port")
+	c.need(err == nil && u.Scheme == "http" && IsAddrPort(u.Host), "platform.url", s.Platform.URL, "http:// with an IP number and port")
 	c.between("platform.timeout", s.Platform.Timeout, 10*time.Millisecond, time.Minute)
-	c.count("platform.reads_per_second", s.Platform.Reads, 1, 10_000)
-	c.count("platform.writes_per_second", s.Platform.Writes, 1, 10_000)
+	c.count("platform.reads_per_second", s.Platform.ReadsPerSecond, 1, 10_000)
+	c.count("platform.writes_per_second", s.Platform.WritesPerSecond, 1, 10_000)
 	c.between("lease.hall", s.Lease.Hall, 500*time.Millisecond, time.Minute)
 	c.between("lease.task", s.Lease.Task, time.Second, 10*time.Minute)
 	_, err = logrus.ParseLevel(s.Log.Level)
@@ -68,7 +68,7 @@
 }
 
 func (c *checker) address(key, v string) {
-	c.need(IsAddress(v), key, v, "an IP number and port, as in 127.0.0.1:7001")
+	c.need(IsAddrPort(v), key, v, "an IP number and port, as in 127.0.0.1:7001")
 }
 
 func (c *checker) between(key string, v Duration, low, high time.Duration) {
@@ -96,8 +96,8 @@
 			key := fmt.Sprintf("hall[%d].host[%d]", i, j)
 			c.name(key+".id", string(p.ID))
 			c.need(!hosts[p.ID], key+".id", p.ID, "a host that is listed once")
-			c.address(key+".peer", p.Peer)
-			c.address(key+".http", p.HTTP)
+			c.address(key+".peer", p.PeerAddress)
+			c.address(key+".http", p.HTTPAddress)
 			hosts[p.ID] = true
 		}
 	}
@@ -114,9 +114,9 @@
 		c.count(key+".slots", v.Slots, 1, 1024)
 		c.count(key+".connections", v.Connections, v.Slots, 10_000)
 		c.between(key+".slot_lifetime", v.SlotLifetime, 100*time.Millisecond, time.Hour)
-		c.count(key+".max_body_bytes", int(v.MaxBody), 1, 1<<30)
-		c.count(key+".max_answer_bytes", int(v.MaxAnswer), 1, 1<<30)
-		c.count(key+".queue", v.Queue, 1, 1_000_000)
+		c.count(key+".max_body_bytes", int(v.MaxBodyBytes), 1, 1<<30)
+		c.count(key+".max_answer_bytes", int(v.MaxAnswerBytes), 1, 1<<30)
+		c.count(key+".queue", v.MaxQueued, 1, 1_000_000)
 		seen[v.ID] = true
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -16,8 +16,8 @@
 	"github.com/spoolsill/spoolsill/internal/zero"
 )
 
-// MaxFile is the length in bytes of the longest settings file.
-const MaxFile = 1 << 20
+// MaxFileBytes is the length in bytes of the longest settings file.
+const MaxFileBytes = 1 << 20
 
 // An Error says what is wrong with a settings file.
 type Error struct {
@@ -72,38 +72,38 @@
 	// ID is one of the hosts listed under hall. All hosts of a deployment can
 	// share one file in which it is left out, and get it from the command line.
 	ID spoolsill.HostID `toml:"id"`
-	// HTTP and Peer are the host's own addresses, from its entry under hall.
-	HTTP string `toml:"-"`
-	Peer string `toml:"-"`
+	// HTTPAddress and PeerAddress are the host's own addresses, from its entry under hall.
+	HTTPAddress string `toml:"-"`
+	PeerAddress string `toml:"-"`
 	// DrainDelay is the time between readiness off and the end of accepting,
 	// for the balancer to notice.
 	DrainDelay Duration `toml:"drain_delay"`
-	// StopWithin bounds a planned stop.
-	StopWithin Duration `toml:"stop_within"`
+	// StopTimeout bounds a planned stop.
+	StopTimeout Duration `toml:"stop_within"`
 }
 
 // A Platform is where the platform's services are.
 type Platform struct {
 	URL     string   `toml:"url"`
 	Timeout Duration `toml:"timeout"`
-	// Reads and Writes are this host's share of the cell's budget, a second.
-	Reads  int `toml:"reads_per_second"`
-	Writes int `toml:"writes_per_second"`
+	// ReadsPerSecond and WritesPerSecond are this host's share of the cell's budget, a second.
+	ReadsPerSecond  int `toml:"reads_per_second"`
+	WritesPerSecond int `toml:"writes_per_second"`
 }
 
 // A Hall lists the entry hosts of one hall.
 type Hall struct {
 	ID     spoolsill.HallID `toml:"id"`
 	Region string           `toml:"region"`
-	Hosts  []Peer           `toml:"host"`
+	Hosts  []HallHost       `toml:"host"`
 }
 
-// A Peer is one entry host: its IP and port for other entry hosts, and the one
+// A HallHost is one entry host: its IP and port for other entry hosts, and the one
 // for callers and operators.
-type Peer struct {
-	ID   spoolsill.HostID `toml:"id"`
-	Peer string           `toml:"peer"`
-	HTTP string           `toml:"http"`
+type HallHost struct {
+	ID          spoolsill.HostID `toml:"id"`
+	PeerAddress string           `toml:"peer"`
+	HTTPAddress string           `toml:"http"`
 }
 
 // A Service is one service that callers send requests to.
@@ -115,11 +115,11 @@
 	Connections int `toml:"connections"`
 	// SlotLifetime bounds how long a request occupies a runner.
 	SlotLifetime Duration `toml:"slot_lifetime"`
-	// MaxBody and MaxAnswer bound lengths in bytes.
-	MaxBody   int64 `toml:"max_body_bytes"`
-	MaxAnswer int64 `toml:"max_answer_bytes"`
-	// Queue bounds the waiting requests of one host.
-	Queue int `toml:"queue"`
+	// MaxBodyBytes and MaxAnswerBytes bound lengths in bytes.
+	MaxBodyBytes   int64 `toml:"max_body_bytes"`
+	MaxAnswerBytes int64 `toml:"max_answer_bytes"`
+	// MaxQueued bounds the waiting requests of one host.
+	MaxQueued int `toml:"queue"`
 }
 
 // A Lease has the times of the hall's lease and of tasks' leases.
@@ -136,13 +136,13 @@
 func defaults() Settings {
 	return Settings{
 		Host: Host{
-			DrainDelay: Duration(2 * time.Second),
-			StopWithin: Duration(30 * time.Second),
+			DrainDelay:  Duration(2 * time.Second),
+			StopTimeout: Duration(30 * time.Second),
 		},
 		Platform: Platform{
-			Timeout: Duration(time.Second),
-			Reads:   40,
-			Writes:  20,
+			Timeout:         Duration(time.Second),
+			ReadsPerSecond:  40,
+			WritesPerSecond: 20,
 		},
 		Lease: Lease{
 			Hall: Duration(5 * time.Second),
@@ -171,10 +171,10 @@
 // Parse reads and checks the text of a settings file. It fails with an
 // [*Error]; file only names the text in it.
 func Parse(file string, text []byte, id spoolsill.HostID) (Settings, error) {
-	if len(text) > MaxFile {
+	if len(text) > MaxFileBytes {
 		return Settings{}, &Error{
 			File: file,
-			Text: fmt.Sprintf("%d bytes, at most %d", len(text), MaxFile),
+			Text: fmt.Sprintf("%d bytes, at most %d", len(text), MaxFileBytes),
 		}
 	}
 	s := defaults()
@@ -226,19 +226,19 @@
 
 // Defaults of a service.
 const (
-	DefaultSlots       = 8
-	DefaultConnections = 60
-	DefaultMaxBody     = 1 << 20
-	DefaultMaxAnswer   = 16 << 20
-	DefaultQueue       = 4096
+	DefaultSlots          = 8
+	DefaultConnections    = 60
+	DefaultMaxBodyBytes   = 1 << 20
+	DefaultMaxAnswerBytes = 16 << 20
+	DefaultMaxQueued      = 4096
 )
 
 func (s *Settings) fill() {
 	for _, h := range s.Halls {
 		for _, p := range h.Hosts {
 			if p.ID == s.Host.ID {
-				s.Host.HTTP = p.HTTP
-				s.Host.Peer = p.Peer
+				s.Host.HTTPAddress = p.HTTPAddress
+				s.Host.PeerAddress = p.PeerAddress
 			}
 		}
 	}
@@ -246,15 +246,15 @@
 		v := &s.Services[i]
 		zero.Default(&v.Slots, DefaultSlots)
 		zero.Default(&v.Connections, DefaultConnections)
-		zero.Default(&v.MaxBody, DefaultMaxBody)
-		zero.Default(&v.MaxAnswer, DefaultMaxAnswer)
-		zero.Default(&v.Queue, DefaultQueue)
+		zero.Default(&v.MaxBodyBytes, DefaultMaxBodyBytes)
+		zero.Default(&v.MaxAnswerBytes, DefaultMaxAnswerBytes)
+		zero.Default(&v.MaxQueued, DefaultMaxQueued)
 		zero.Default(&v.SlotLifetime, Duration(30*time.Second))
 	}
 }
 
-// Own returns the hall that the host stands in.
-func (s Settings) Own() Hall {
+// OwnHall returns the hall that the host stands in.
+func (s Settings) OwnHall() Hall {
 	for _, h := range s.Halls {
 		for _, p := range h.Hosts {
 			if p.ID == s.Host.ID {
@@ -265,8 +265,8 @@
 	return Hall{}
 }
 
-// IDs returns the ids of the hall's hosts, in order.
-func (h Hall) IDs() []spoolsill.HostID {
+// HostIDs returns the ids of the hall's hosts, in order.
+func (h Hall) HostIDs() []spoolsill.HostID {
 	out := make([]spoolsill.HostID, 0, len(h.Hosts))
 	for _, p := range h.Hosts {
 		out = append(out, p.ID)
@@ -277,8 +277,8 @@
 	return out
 }
 
-// IsAddress reports whether s is an IP number and a port.
-func IsAddress(s string) bool {
+// IsAddrPort reports whether s is an IP number and a port.
+func IsAddrPort(s string) bool {
 	_, err := netip.ParseAddrPort(s)
 	return err == nil
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -48,8 +48,8 @@
 					n++
 					o, err := settings.Parse(x.file, []byte(example(t, x.file)), p.ID)
 					c.Assert(err, qt.IsNil)
-					c.Assert(o.Own().ID, qt.Equals, h.ID)
-					c.Assert(o.Host.HTTP, qt.Equals, p.HTTP)
+					c.Assert(o.OwnHall().ID, qt.Equals, h.ID)
+					c.Assert(o.Host.HTTPAddress, qt.Equals, p.HTTPAddress)
 				}
 			}
 			c.Assert(n, qt.Equals, x.hosts)
@@ -136,7 +136,7 @@
 		if err != nil && !errors.As(err, &e) {
 			t.Fatal(err)
 		}
-		if err == nil && s.Own().ID == spoolsill.HallID("") {
+		if err == nil && s.OwnHall().ID == spoolsill.HallID("") {
 			t.Fatal("accepted without a hall")
 		}
 	})
--- a/table/remote/breaker.go
+++ b/table/remote/breaker.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Defaults of [Breaker].
+// Defaults of [CircuitBreaker].
 const (
-	DefaultTrip = 4
-	DefaultRest = 250 * time.Millisecond
-	maxRest     = time.Second
+	DefaultFailureThreshold = 4
+	DefaultOpenDuration     = 250 * time.Millisecond
+	maxRest                 = time.Second
 )
 
-// A Breaker refuses calls for a while after several have failed in a row, and
+// A CircuitBreaker refuses calls for a while after several have failed in a row, and
 // then lets one through to try. It is safe for concurrent use; the zero value
 // is usable.
-type Breaker struct {
+type CircuitBreaker struct {
 	// Trip is the number of failures in a row that open it.
 	Trip int
 	// Rest is how long it stays open the first time; it doubles.
@@ -30,7 +30,7 @@
 
 // Allow reports whether a call may be made at now. The caller of an allowed
 // call must call Done.
-func (b *Breaker) Allow(now time.Time) bool {
+func (b *CircuitBreaker) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.until.IsZero() {
@@ -43,8 +43,8 @@
 	return true
 }
 
-// Done takes in whether a call was answered.
-func (b *Breaker) Done(now time.Time, answered bool) {
+// RecordResult takes in whether a call was answered.
+func (b *CircuitBreaker) RecordResult(now time.Time, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.trial = false
@@ -63,22 +63,22 @@
 }
 
 // Open reports whether calls are refused, or the next one is only a trial.
-func (b *Breaker) Open() bool {
+func (b *CircuitBreaker) Open() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.until.IsZero()
 }
 
-func (b *Breaker) trip() int {
+func (b *CircuitBreaker) trip() int {
 	if b.Trip == 0 {
-		return DefaultTrip
+		return DefaultFailureThreshold
 	}
 	return b.Trip
 }
 
-func (b *Breaker) rest() time.Duration {
+func (b *CircuitBreaker) rest() time.Duration {
 	if b.Rest == 0 {
-		return DefaultRest
+		return DefaultOpenDuration
 	}
 	return b.Rest
 }
--- a/table/remote/client.go
+++ b/table/remote/client.go
@@ -55,7 +55,7 @@
 	reads   *rate.Limiter
 	writes  *rate.Limiter
 	flight  singleflight.Group
-	breaker *Breaker
+	breaker *CircuitBreaker
 }
 
 // NewClient returns a client. It opens no connection yet.
@@ -81,7 +81,7 @@
 		},
 		reads:  rate.NewLimiter(rate.Limit(c.Reads), 2*c.Reads),
 		writes: rate.NewLimiter(rate.Limit(c.Writes), 2*c.Writes),
-		breaker: &Breaker{
+		breaker: &CircuitBreaker{
 			Trip: c.Trip,
 			Rest: c.Rest,
 		},
@@ -134,7 +134,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
 	if err := c.writes.Wait(ctx); err != nil {
-		return table.Result{}, fmt.Errorf("%w: write budget: %w", table.ErrDown, err)
+		return table.Result{}, fmt.Errorf("%w: write budget: %w", table.ErrUnavailable, err)
 	}
 	body, err := json.Marshal(encodeTxn(t))
 	if err != nil {
@@ -215,7 +215,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 10*c.config.Timeout)
 	defer cancel()
 	if err := c.writes.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: write budget: %w", table.ErrDown, err)
+		return fmt.Errorf("%w: write budget: %w", table.ErrUnavailable, err)
 	}
 	return c.do(ctx, http.MethodPut, "/v1/objects/"+name, b, nil)
 }
@@ -230,7 +230,7 @@
 // read makes one call for all equal reads under way at the same time.
 func (c *Client) read(ctx context.Context, path string, into any) error {
 	if !c.reads.Allow() {
-		return fmt.Errorf("%w: read budget is used up", table.ErrDown)
+		return fmt.Errorf("%w: read budget is used up", table.ErrUnavailable)
 	}
 	v, err, _ := c.flight.Do(path, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Timeout)
@@ -251,17 +251,17 @@
 		return nil
 	}
 	if err := json.Unmarshal(b, into); err != nil {
-		return fmt.Errorf("%w: %w", table.ErrLost, err)
+		return fmt.Errorf("%w: %w", table.ErrUnknownOutcome, err)
 	}
 	return nil
 }
 
 func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
 	if !c.breaker.Allow(time.Now()) {
-		return fmt.Errorf("%w: breaker is open", table.ErrDown)
+		return fmt.Errorf("%w: breaker is open", table.ErrUnavailable)
 	}
 	b, err := c.call(ctx, method, path, body)
-	c.breaker.Done(time.Now(), err == nil || errors.Is(err, ErrNotFound))
+	c.breaker.RecordResult(time.Now(), err == nil || errors.Is(err, ErrNotFound))
 	if err != nil || into == nil {
 		return err
 	}
@@ -285,7 +285,7 @@
 	defer func() { _ = r.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", table.ErrLost, err)
+		return nil, fmt.Errorf("%w: %w", table.ErrUnknownOutcome, err)
 	}
 	return b, statusError(r.StatusCode, b)
 }
@@ -297,9 +297,9 @@
 	case status == http.StatusNotFound:
 		return ErrNotFound
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests:
-		return fmt.Errorf("%w: status %d", table.ErrDown, status)
+		return fmt.Errorf("%w: status %d", table.ErrUnavailable, status)
 	default:
-		return fmt.Errorf("%w: status %d: %.200s", table.ErrLost, status, body)
+		return fmt.Errorf("%w: status %d: %.200s", table.ErrUnknownOutcome, status, body)
 	}
 }
 
@@ -307,7 +307,7 @@
 func classify(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return fmt.Errorf("%w: %w", table.ErrDown, err)
+		return fmt.Errorf("%w: %w", table.ErrUnavailable, err)
 	}
-	return fmt.Errorf("%w: %w", table.ErrLost, err)
+	return fmt.Errorf("%w: %w", table.ErrUnknownOutcome, err)
 }
--- a/table/table.go
+++ b/table/table.go
@@ -7,13 +7,13 @@
 
 import "errors"
 
-// ErrDown is returned when the table did not take a call: it certainly had no
+// ErrUnavailable is returned when the table did not take a call: it certainly had no
 // effect.
-var ErrDown = errors.New("table: down")
+var ErrUnavailable = errors.New("table: down")
 
-// ErrLost is returned when the answer to a call did not come: it may have
+// ErrUnknownOutcome is returned when the answer to a call did not come: it may have
 // taken effect.
-var ErrLost = errors.New("table: answer lost")
+var ErrUnknownOutcome = errors.New("table: answer lost")
 
 // A Row is one key with its value. Version is 1 when the row is made and
 // grows by one with each write.
