--- a/config/config_test.go
+++ b/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/config"
 )
 
-func TestParseNamesEveryFault(t *testing.T) {
+func TestParseErrorNamesLineAndKey(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -27,12 +27,12 @@
 			want: ".*line 1.*caller_rate_per_second.*",
 		},
 		{
-			name: "impossible value",
+			name: "value out of range",
 			text: "caller_rate_per_second = -1",
 			want: ".*caller_rate_per_second: -1, want 0 to 1000000.*",
 		},
 		{
-			name: "team twice",
+			name: "duplicate team",
 			text: "[[team]]\nid = \"a\"\n[[team]]\nid = \"a\"",
 			want: `.*team\[1\].id: "a" is listed twice.*`,
 		},
@@ -46,28 +46,30 @@
 	}
 }
 
-func TestStoreNeverGoesBack(t *testing.T) {
+func TestStoreAppliesOnlyHigherVersions(t *testing.T) {
 	c := qt.New(t)
 	var s config.Store
-	offer := func(v spoolsill.Version, text string) bool {
+	apply := func(v spoolsill.Version, text string) bool {
 		ok, _ := s.Apply(config.Revision{
 			Version: v,
 			Text:    []byte(text),
 		})
 		return ok
 	}
-	c.Assert(offer(2, "caller_rate_per_second = 2"), qt.IsTrue)
-	c.Assert(offer(1, "caller_rate_per_second = 1"), qt.IsFalse)
-	c.Assert(offer(3, "nonsense = 1"), qt.IsFalse)
+	c.Assert(apply(2, "caller_rate_per_second = 2"), qt.IsTrue)
+	c.Assert(apply(1, "caller_rate_per_second = 1"), qt.IsFalse)
+	c.Assert(apply(3, "nonsense = 1"), qt.IsFalse)
 	c.Assert(s.Document().DefaultCallerRate, qt.Equals, 2)
 	s.RaiseMinVersion(5)
 	c.Assert(s.Behind(), qt.IsTrue)
-	c.Assert(offer(4, ""), qt.IsFalse)
-	c.Assert(offer(5, ""), qt.IsTrue)
+	c.Assert(apply(4, ""), qt.IsFalse)
+	c.Assert(apply(5, ""), qt.IsTrue)
 	c.Assert(s.Current().Version, qt.Equals, spoolsill.Version(5))
 }
 
-func TestARestartedProcessServesNoOlderVersionThanItsHall(t *testing.T) {
+// A restarted process has no revision in force. It must not apply a version
+// lower than the one in force in its hall, which an outdated host may send.
+func TestStoreIgnoresVersionsBelowMinimum(t *testing.T) {
 	c := qt.New(t)
 	var s config.Store
 	s.RaiseMinVersion(7)
--- a/config/document.go
+++ b/config/document.go
@@ -11,10 +11,10 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrInvalidDocument is returned for a document that can't be accepted.
-var ErrInvalidDocument = errors.New("config: document not accepted")
+// ErrInvalidDocument is returned for a document that fails validation.
+var ErrInvalidDocument = errors.New("config: invalid document")
 
-// Limits of a document.
+// Limits of a document. MaxRate is in requests per second.
 const (
 	MaxDocumentBytes = 1 << 20 // bytes
 	MaxTeams         = 2000
@@ -24,14 +24,14 @@
 
 // A Document is the configuration of the cell.
 type Document struct {
-	// Teams are the quotas of teams, for the whole cell.
+	// Teams lists the quotas of teams, each for the whole cell.
 	Teams []Team `toml:"team"`
-	// Callers are the request rates of callers.
+	// Callers lists the rate limits of callers.
 	Callers []Caller `toml:"caller"`
-	// DefaultCallerRate bounds the requests a second of a caller that is not listed;
-	// 0 means no bound.
+	// DefaultCallerRate is the rate limit, in requests per second, of a caller
+	// that is not listed; 0 means no limit.
 	DefaultCallerRate int `toml:"caller_rate_per_second"`
-	// Drained lists workers and runners that get no new work.
+	// Drained lists the ids of workers and runners that get no new work.
 	Drained []string `toml:"drained"`
 }
 
@@ -44,7 +44,7 @@
 	Accelerators int64            `toml:"accelerators"`
 }
 
-// Quota returns the team's quota in units.
+// Quota returns the team's quota as resources.
 func (t Team) Quota() spoolsill.Resources {
 	return spoolsill.Resources{
 		Processors:   spoolsill.Millicores(t.Processors),
@@ -53,15 +53,15 @@
 	}
 }
 
-// A Caller is the request rate of one caller.
+// A Caller is the rate limit of one caller.
 type Caller struct {
 	ID    spoolsill.CallerID `toml:"id"`
 	Rate  int                `toml:"rate_per_second"`
 	Burst int                `toml:"burst"`
 }
 
-// Parse reads and checks a document. It fails with [ErrInvalidDocument] and the
-// place and reason of each fault.
+// Parse decodes and validates a document. Its error wraps [ErrInvalidDocument]
+// and gives the location and reason of each problem.
 func Parse(text []byte) (Document, error) {
 	if len(text) > MaxDocumentBytes {
 		return Document{}, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidDocument, len(text), MaxDocumentBytes)
@@ -71,13 +71,14 @@
 	if err != nil {
 		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, DescribeTOMLError(err))
 	}
-	if faults := d.check(); len(faults) > 0 {
-		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, strings.Join(faults, "; "))
+	if problems := d.check(); len(problems) > 0 {
+		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, strings.Join(problems, "; "))
 	}
 	return d, nil
 }
 
-// DescribeTOMLError returns the text of a TOML error with its line and key.
+// DescribeTOMLError formats a decoding error of go-toml with its line and key.
+// It returns the text of any other error unchanged.
 func DescribeTOMLError(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -96,30 +97,31 @@
 	return err.Error()
 }
 
+// check returns a description of every invalid field.
 func (d Document) check() []string {
-	var faults []string
-	need := func(ok bool, format string, args ...any) {
+	var problems []string
+	require := func(ok bool, format string, args ...any) {
 		if !ok {
-			faults = append(faults, fmt.Sprintf(format, args...))
+			problems = append(problems, fmt.Sprintf(format, args...))
 		}
 	}
-	need(len(d.Teams) <= MaxTeams, "team: %d listed, at most %d", len(d.Teams), MaxTeams)
-	need(d.DefaultCallerRate >= 0 && d.DefaultCallerRate <= MaxRate, "caller_rate_per_second: %d, want 0 to %d", d.DefaultCallerRate, MaxRate)
+	require(len(d.Teams) <= MaxTeams, "team: %d listed, at most %d", len(d.Teams), MaxTeams)
+	require(d.DefaultCallerRate >= 0 && d.DefaultCallerRate <= MaxRate, "caller_rate_per_second: %d, want 0 to %d", d.DefaultCallerRate, MaxRate)
 	teams := map[spoolsill.TeamID]bool{}
 	for i, t := range d.Teams {
-		need(t.ID != "", "team[%d].id: empty", i)
-		need(!teams[t.ID], "team[%d].id: %q is listed twice", i, t.ID)
-		need(t.Weight >= 0 && t.Weight <= MaxWeight, "team[%d].weight: %d, want 0 to %d", i, t.Weight, MaxWeight)
-		need(!t.Quota().Negative(), "team[%d]: a quota is below 0", i)
+		require(t.ID != "", "team[%d].id: empty", i)
+		require(!teams[t.ID], "team[%d].id: %q is listed twice", i, t.ID)
+		require(t.Weight >= 0 && t.Weight <= MaxWeight, "team[%d].weight: %d, want 0 to %d", i, t.Weight, MaxWeight)
+		require(!t.Quota().Negative(), "team[%d]: a quota is below 0", i)
 		teams[t.ID] = true
 	}
 	callers := map[spoolsill.CallerID]bool{}
 	for i, c := range d.Callers {
-		need(c.ID != "", "caller[%d].id: empty", i)
-		need(!callers[c.ID], "caller[%d].id: %q is listed twice", i, c.ID)
-		need(c.Rate >= 1 && c.Rate <= MaxRate, "caller[%d].rate_per_second: %d, want 1 to %d", i, c.Rate, MaxRate)
-		need(c.Burst >= 0 && c.Burst <= MaxRate, "caller[%d].burst: %d, want 0 to %d", i, c.Burst, MaxRate)
+		require(c.ID != "", "caller[%d].id: empty", i)
+		require(!callers[c.ID], "caller[%d].id: %q is listed twice", i, c.ID)
+		require(c.Rate >= 1 && c.Rate <= MaxRate, "caller[%d].rate_per_second: %d, want 1 to %d", i, c.Rate, MaxRate)
+		require(c.Burst >= 0 && c.Burst <= MaxRate, "caller[%d].burst: %d, want 0 to %d", i, c.Burst, MaxRate)
 		callers[c.ID] = true
 	}
-	return faults
+	return problems
 }
--- a/intent/doc.go
+++ b/intent/doc.go
@@ -1,13 +1,14 @@
-// Package intent turns what an operator wants into a plan, and keeps plans
-// until they are confirmed or expire.
+// Package intent validates an operator's intent, computes the plan for it and
+// caches plans until they expire.
 //
-// Nothing happens until a plan is confirmed. A plan is confirmed as it was
-// shown or refused as stale, so that two operators who race each other never
-// get a mixture of their intents; package place decides which. Confirming a
-// plan again after its answer was lost is safe: the confirmation is one of
-// the records of the hall's journal.
+// A plan takes effect only when it is confirmed. It is then applied exactly as
+// it was shown or rejected as stale, so that the intents of two concurrent
+// operators are never mixed; package place decides which. Confirming a plan
+// again after the response was lost is safe: the confirmation is a record in
+// the hall's journal.
 //
-// Plans are kept in the memory of the hall's holder. When the holder changes
-// they are gone, and confirming one answers that it is not known: nothing was
-// changed, and a new plan can be asked for.
+// Plans are cached in the memory of the host that holds the hall's lease. When
+// another host takes over the lease, the plans are lost and confirming one
+// fails because it is not known. Nothing was changed then, and the operator
+// can request a new plan.
 package intent
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -10,20 +10,21 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// ErrInvalidIntent is returned for an intent that can't be accepted.
-var ErrInvalidIntent = errors.New("intent: not accepted")
+// ErrInvalidIntent is returned for an intent that fails validation.
+var ErrInvalidIntent = errors.New("intent: invalid")
 
-// MaxCancelJobs is the largest number of jobs that one intent cancels.
+// MaxCancelJobs is the maximum number of jobs that one intent cancels.
 const MaxCancelJobs = 20_000
 
-// An Intent is what an operator wants. Exactly one field is set.
+// An Intent is a change that an operator requests. Exactly one field is set.
 type Intent struct {
 	Submit *spoolsill.Job     `msgpack:"s,omitempty"`
 	Cancel []spoolsill.JobID  `msgpack:"c,omitempty"`
 	Drain  spoolsill.WorkerID `msgpack:"d,omitempty"`
 }
 
-// Validate returns [ErrInvalidIntent] with every fault of i.
+// Validate returns an error that wraps [ErrInvalidIntent] if i is invalid. It
+// lists every invalid field of a job.
 func (i Intent) Validate() error {
 	n := 0
 	if i.Submit != nil {
@@ -44,17 +45,18 @@
 	if i.Submit == nil {
 		return nil
 	}
-	var faults []string
+	var problems []string
 	for _, f := range i.Submit.Validate() {
-		faults = append(faults, f.Error())
+		problems = append(problems, f.Error())
 	}
-	if len(faults) == 0 {
+	if len(problems) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: %s", ErrInvalidIntent, strings.Join(faults, "; "))
+	return fmt.Errorf("%w: %s", ErrInvalidIntent, strings.Join(problems, "; "))
 }
 
-// Plan returns what i would change in a hall. It changes nothing.
+// Plan returns the changes that i would make to the state of a hall. It does
+// not modify the state.
 func (i Intent) Plan(s *place.State, now time.Time) (place.Plan, error) {
 	switch {
 	case i.Submit != nil:
--- a/intent/book.go
+++ b/intent/plancache.go
@@ -16,26 +16,26 @@
 
 // A Config describes a [PlanCache].
 type Config struct {
-	// TTL is how long a plan can be confirmed.
+	// TTL is the time within which a plan can be confirmed.
 	TTL time.Duration
-	// Plans bounds the plans kept; the oldest go first.
+	// Plans is the maximum number of cached plans; the oldest is evicted first.
 	Plans int
 }
 
-// A PlanCache keeps plans that wait to be confirmed. It is not safe for concurrent
+// A PlanCache holds plans until they are evicted. It is not safe for concurrent
 // use.
 type PlanCache struct {
 	config Config
-	plans  map[spoolsill.PlanID]kept
+	plans  map[spoolsill.PlanID]cachedPlan
 	order  []spoolsill.PlanID
 }
 
-type kept struct {
+type cachedPlan struct {
 	plan    place.Plan
 	expires time.Time
 }
 
-// NewPlanCache returns an empty cache.
+// NewPlanCache returns an empty cache. Zero fields of c get their defaults.
 func NewPlanCache(c Config) *PlanCache {
 	if c.TTL == 0 {
 		c.TTL = DefaultTTL
@@ -45,18 +45,18 @@
 	}
 	return &PlanCache{
 		config: c,
-		plans:  map[spoolsill.PlanID]kept{},
+		plans:  map[spoolsill.PlanID]cachedPlan{},
 	}
 }
 
-// Add keeps a plan and returns when it expires.
+// Add stores a plan and returns the time at which it expires.
 func (b *PlanCache) Add(now time.Time, id spoolsill.PlanID, p place.Plan) time.Time {
 	for len(b.order) >= b.config.Plans {
 		delete(b.plans, b.order[0])
 		b.order = b.order[1:]
 	}
 	end := now.Add(b.config.TTL)
-	b.plans[id] = kept{
+	b.plans[id] = cachedPlan{
 		plan:    p,
 		expires: end,
 	}
@@ -64,17 +64,19 @@
 	return end
 }
 
-// Get returns a plan that can still be confirmed, or a [*place.StaleError].
+// Get returns the plan with an id. It returns a [*place.StaleError] if the plan
+// is not in the cache or has expired. The plan stays in the cache, so that a
+// confirmation can be repeated.
 func (b *PlanCache) Get(now time.Time, id spoolsill.PlanID) (place.Plan, error) {
 	k, ok := b.plans[id]
 	if !ok {
 		return place.Plan{}, &place.StaleError{
-			Text: fmt.Sprintf("plan %s is not known here: it is too old, or the hall's holder has changed", id),
+			Text: fmt.Sprintf("plan %s is not known here: it was evicted, or another host took over the hall's lease", id),
 		}
 	}
 	if now.After(k.expires) {
 		return place.Plan{}, &place.StaleError{
-			Text: fmt.Sprintf("plan %s has expired at %s", id, k.expires.UTC().Format(time.RFC3339)),
+			Text: fmt.Sprintf("plan %s expired at %s", id, k.expires.UTC().Format(time.RFC3339)),
 		}
 	}
 	return k.plan, nil
--- a/jobfile/jobfile.go
+++ b/jobfile/jobfile.go
@@ -1,8 +1,9 @@
-// Package jobfile reads the descriptions of jobs that operators write, in
-// TOML or JSON.
+// Package jobfile parses job files, in which operators describe jobs in TOML or
+// JSON.
 //
-// Every fault is an [*Error] that names the file, the field, the value and
-// what is allowed; all faults of a file are reported at once.
+// An [*Error] names the file and lists every rejected field with its value and
+// the allowed values. The limits of a job are checked only when each field has
+// a valid format.
 package jobfile
 
 import (
@@ -20,17 +21,18 @@
 	"github.com/spoolsill/spoolsill/config"
 )
 
-// MaxFileBytes is the length in bytes of the longest job file.
+// MaxFileBytes is the maximum size of a job file.
 const MaxFileBytes = 64 << 10
 
-// A File is what a job file says.
+// A File is the content of a job file.
 type File struct {
 	Job spoolsill.Job
-	// Hall is where the job is to run; empty leaves it to the one who asks.
+	// Hall is the hall in which the job is to run. If it is empty, the caller
+	// of Parse chooses the hall.
 	Hall spoolsill.HallID
 }
 
-// An Error has all faults of a job file.
+// An Error lists the problems of a job file.
 type Error struct {
 	File     string
 	Problems []string
@@ -41,7 +43,8 @@
 	return e.File + ": " + strings.Join(e.Problems, "; ")
 }
 
-type wireFile struct {
+// A jobDocument is the encoding of a job file, in TOML and in JSON.
+type jobDocument struct {
 	ID           string `json:"id"           toml:"id"`
 	Hall         string `json:"hall"         toml:"hall"`
 	Team         string `json:"team"         toml:"team"`
@@ -57,98 +60,100 @@
 	Command      string `json:"command"      toml:"command"`
 }
 
-// Parse reads and checks a job file. A text that starts with "{" is JSON,
-// another one TOML. It fails with an [*Error].
+// Parse decodes and validates a job file. A text that starts with "{" is JSON;
+// any other text is TOML. The name of the file is only used in errors, which
+// are of type [*Error].
 func Parse(name string, text []byte) (File, error) {
 	if name == "" {
 		name = "job"
 	}
 	if len(text) > MaxFileBytes {
-		return File{}, fault(name, fmt.Sprintf("%d bytes, at most %d", len(text), MaxFileBytes))
+		return File{}, newError(name, fmt.Sprintf("%d bytes, at most %d", len(text), MaxFileBytes))
 	}
-	w, err := decode(text)
+	doc, err := decode(text)
 	if err != nil {
-		return File{}, fault(name, err.Error())
+		return File{}, newError(name, err.Error())
 	}
-	f, faults := w.file()
-	if len(faults) > 0 {
-		return File{}, fault(name, faults...)
+	f, problems := doc.toFile()
+	if len(problems) > 0 {
+		return File{}, newError(name, problems...)
 	}
 	return f, nil
 }
 
-func fault(name string, faults ...string) error {
+func newError(name string, problems ...string) error {
 	return &Error{
 		File:     name,
-		Problems: faults,
+		Problems: problems,
 	}
 }
 
-func decode(text []byte) (wireFile, error) {
-	var w wireFile
+func decode(text []byte) (jobDocument, error) {
+	var doc jobDocument
 	if bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
 		d := json.NewDecoder(bytes.NewReader(text))
 		d.DisallowUnknownFields()
-		return w, d.Decode(&w)
+		return doc, d.Decode(&doc)
 	}
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&w)
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&doc)
 	if err != nil {
-		return w, fmt.Errorf("%s", config.DescribeTOMLError(err))
+		return doc, fmt.Errorf("%s", config.DescribeTOMLError(err))
 	}
-	return w, nil
+	return doc, nil
 }
 
-func (w wireFile) file() (File, []string) {
-	var faults []string
-	note := func(field, value, allowed string) {
-		faults = append(faults, (&spoolsill.FieldError{
+func (doc jobDocument) toFile() (File, []string) {
+	var problems []string
+	reject := func(field, value, allowed string) {
+		problems = append(problems, (&spoolsill.FieldError{
 			Field:   field,
 			Value:   value,
 			Allowed: allowed,
 		}).Error())
 	}
 	j := spoolsill.Job{
-		ID:           spoolsill.JobID(w.ID),
-		Team:         spoolsill.TeamID(w.Team),
-		Kind:         spoolsill.Kind(w.Kind),
-		Tasks:        w.Tasks,
-		Worth:        w.Worth,
-		Unrepeatable: w.Unrepeatable,
-		Command:      w.Command,
+		ID:           spoolsill.JobID(doc.ID),
+		Team:         spoolsill.TeamID(doc.Team),
+		Kind:         spoolsill.Kind(doc.Kind),
+		Tasks:        doc.Tasks,
+		Worth:        doc.Worth,
+		Unrepeatable: doc.Unrepeatable,
+		Command:      doc.Command,
 	}
-	if err := j.Class.UnmarshalText([]byte(w.Class)); err != nil {
-		note("class", w.Class, "urgent, normal or patient")
+	if err := j.Class.UnmarshalText([]byte(doc.Class)); err != nil {
+		reject("class", doc.Class, "urgent, normal or patient")
 	}
 	var ok bool
-	if j.Shape.Processors, ok = ParseProcessors(w.Processors); !ok {
-		note("processors", w.Processors, `cores like "2" or "0.5", or "500m"`)
+	if j.Shape.Processors, ok = ParseProcessors(doc.Processors); !ok {
+		reject("processors", doc.Processors, `cores like "2" or "0.5", or "500m"`)
 	}
-	if j.Shape.Memory, ok = ParseMemory(w.Memory); !ok {
-		note("memory", w.Memory, `bytes like "512MiB" or "4GiB"`)
+	if j.Shape.Memory, ok = ParseMemory(doc.Memory); !ok {
+		reject("memory", doc.Memory, `bytes like "512MiB" or "4GiB"`)
 	}
-	j.Shape.Accelerators = spoolsill.Accelerators(w.Accelerators)
-	if w.Runtime != "" {
-		d, err := time.ParseDuration(w.Runtime)
+	j.Shape.Accelerators = spoolsill.Accelerators(doc.Accelerators)
+	if doc.Runtime != "" {
+		d, err := time.ParseDuration(doc.Runtime)
 		if err != nil {
-			note("runtime", w.Runtime, `a duration like "90s" or "2h"`)
+			reject("runtime", doc.Runtime, `a duration like "90s" or "2h"`)
 		}
 		j.Runtime = d
 	}
-	if len(faults) == 0 {
+	if len(problems) == 0 {
 		for _, e := range j.Validate() {
-			faults = append(faults, e.Error())
+			problems = append(problems, e.Error())
 		}
 	}
 	return File{
 		Job:  j,
-		Hall: spoolsill.HallID(w.Hall),
-	}, faults
+		Hall: spoolsill.HallID(doc.Hall),
+	}, problems
 }
 
-// maxCores bounds the cores that a file may ask for.
+// maxCores is the maximum number of cores of a task.
 const maxCores = 1 << 20
 
-// ParseProcessors reads cores, as in "2", "0.5" or "500m".
+// ParseProcessors parses a number of cores such as "2", "0.5" or "500m"; the
+// suffix m stands for millicores.
 func ParseProcessors(s string) (spoolsill.Millicores, bool) {
 	if m, ok := strings.CutSuffix(s, "m"); ok {
 		n, err := strconv.ParseInt(m, 10, 64)
@@ -171,9 +176,9 @@
 	"TiB": spoolsill.GiB << 10,
 }
 
-const maxMemory = 1 << 50 // bytes
+const maxMemoryBytes = 1 << 50 // bytes
 
-// ParseMemory reads bytes, as in "512MiB" or "4GiB".
+// ParseMemory parses a memory size such as "512MiB" or "4GiB".
 func ParseMemory(s string) (spoolsill.Bytes, bool) {
 	m := memoryPattern.FindStringSubmatch(s)
 	if m == nil {
@@ -181,7 +186,7 @@
 	}
 	n, err := strconv.ParseInt(m[1], 10, 64)
 	u := memoryUnits[m[2]]
-	if err != nil || n <= 0 || n > maxMemory/int64(u) {
+	if err != nil || n <= 0 || n > maxMemoryBytes/int64(u) {
 		return 0, false
 	}
 	return spoolsill.Bytes(n) * u, true
--- a/jobfile/jobfile_test.go
+++ b/jobfile/jobfile_test.go
@@ -13,7 +13,7 @@
 	"github.com/spoolsill/spoolsill/jobfile"
 )
 
-const good = `
+const validFile = `
 id = "a"
 team = "t"
 kind = "batch"
@@ -24,7 +24,7 @@
 runtime = "90s"
 `
 
-func TestTOMLAndJSONSayTheSame(t *testing.T) {
+func TestParseTOMLAndJSONAgree(t *testing.T) {
 	c := qt.New(t)
 	want := spoolsill.Job{
 		ID:    "a",
@@ -38,7 +38,7 @@
 		},
 		Runtime: 90 * time.Second,
 	}
-	f, err := jobfile.Parse("f", []byte(good))
+	f, err := jobfile.Parse("f", []byte(validFile))
 	c.Assert(err, qt.IsNil)
 	c.Assert(f.Job, qt.DeepEquals, want)
 	f, err = jobfile.Parse("f", []byte(`{"id":"a","team":"t","kind":"batch","class":"patient","tasks":3,"processors":"500m","memory":"512MiB","runtime":"1m30s"}`))
@@ -46,7 +46,7 @@
 	c.Assert(f.Job, qt.DeepEquals, want)
 }
 
-func TestExamplesAreFine(t *testing.T) {
+func TestParseExamples(t *testing.T) {
 	files, err := filepath.Glob("../examples/jobs/*.toml")
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(files) >= 3, qt.IsTrue)
@@ -58,13 +58,13 @@
 	}
 }
 
-func TestFaultsNameFieldValueAndWhatIsAllowed(t *testing.T) {
+func TestParseErrorNamesFieldValueAndAllowed(t *testing.T) {
 	tests := []struct {
 		text string
 		want string
 	}{
 		{
-			text: good + "speed = 3",
+			text: validFile + "speed = 3",
 			want: "f: line 10: unknown key speed",
 		},
 		{
@@ -76,7 +76,7 @@
 			want: `f: processors: "lots" is not allowed.*; memory: "4" is not allowed.*`,
 		},
 		{
-			text: good + "unrepeatable = 1",
+			text: validFile + "unrepeatable = 1",
 			want: "f: line 10.*unrepeatable.*",
 		},
 		{
@@ -91,7 +91,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add(`{"id":"a"}`)
 	f.Add("processors = \"1e300\"")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,8 +1,8 @@
-// Package settings reads the settings of one process: what it needs to know
-// before it can reach anybody, as against the configuration of the cell
-// (package config), which operators change while it runs.
+// Package settings reads the settings of one process: what it needs before it
+// can connect to the platform or to other hosts. The configuration of the cell
+// (package config) is separate: operators change it while the cell runs.
 //
-// A settings file is TOML. A key that is not known, a value of the wrong type
-// or one that can't work is an [*Error] that names file, line, key and what is
-// allowed; nothing is started then.
+// A settings file is TOML. An unknown key, a value of the wrong type or a value
+// out of range is reported as an [*Error] with the file, the line, the key and
+// the allowed values; the process does not start then.
 package settings
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -16,13 +16,13 @@
 	"github.com/spoolsill/spoolsill/internal/zero"
 )
 
-// MaxFileBytes is the length in bytes of the longest settings file.
+// MaxFileBytes is the maximum size of a settings file.
 const MaxFileBytes = 1 << 20
 
-// An Error says what is wrong with a settings file.
+// An Error describes the first problem of a settings file.
 type Error struct {
 	File string
-	Line int // 0: not known
+	Line int // 0 if unknown
 	Key  string
 	Text string
 }
@@ -39,7 +39,7 @@
 	return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Text)
 }
 
-// A Duration is a time.Duration that is written as in "1.5s".
+// A Duration is a time.Duration with a text encoding such as "1.5s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -57,7 +57,7 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Settings are those of one entry host.
+// Settings are the settings of one entry host.
 type Settings struct {
 	Host     Host      `toml:"host"`
 	Platform Platform  `toml:"platform"`
@@ -67,26 +67,28 @@
 	Log      Log       `toml:"log"`
 }
 
-// A Host is the process itself.
+// A Host has the settings of the process itself.
 type Host struct {
-	// ID is one of the hosts listed under hall. All hosts of a deployment can
-	// share one file in which it is left out, and get it from the command line.
+	// ID is the id of one of the hosts listed under hall. All hosts of a
+	// deployment can share one file that omits it; the id then comes from the
+	// command line.
 	ID spoolsill.HostID `toml:"id"`
-	// HTTPAddress and PeerAddress are the host's own addresses, from its entry under hall.
+	// HTTPAddress and PeerAddress are copied from the host's entry under hall.
 	HTTPAddress string `toml:"-"`
 	PeerAddress string `toml:"-"`
-	// DrainDelay is the time between readiness off and the end of accepting,
-	// for the balancer to notice.
+	// DrainDelay is the time for which a stopping host still accepts requests
+	// after it reports that it is not ready, so that the load balancer notices.
 	DrainDelay Duration `toml:"drain_delay"`
-	// StopTimeout bounds a planned stop.
+	// StopTimeout is the maximum duration of a graceful shutdown.
 	StopTimeout Duration `toml:"stop_within"`
 }
 
-// A Platform is where the platform's services are.
+// A Platform has the address and the call budget of the platform's services.
 type Platform struct {
 	URL     string   `toml:"url"`
 	Timeout Duration `toml:"timeout"`
-	// ReadsPerSecond and WritesPerSecond are this host's share of the cell's budget, a second.
+	// ReadsPerSecond and WritesPerSecond are this host's share of the cell's
+	// budget of calls.
 	ReadsPerSecond  int `toml:"reads_per_second"`
 	WritesPerSecond int `toml:"writes_per_second"`
 }
@@ -98,37 +100,37 @@
 	Hosts  []HallHost       `toml:"host"`
 }
 
-// A HallHost is one entry host: its IP and port for other entry hosts, and the one
-// for callers and operators.
+// A HallHost lists one entry host of a hall: its address for other entry hosts
+// and its address for callers and operators, each an IP address and port.
 type HallHost struct {
 	ID          spoolsill.HostID `toml:"id"`
 	PeerAddress string           `toml:"peer"`
 	HTTPAddress string           `toml:"http"`
 }
 
-// A Service is one service that callers send requests to.
+// A Service has the settings of one service that callers send requests to.
 type Service struct {
 	ID spoolsill.ServiceID `toml:"id"`
-	// Slots is how many requests a runner takes at once, Connections how many
-	// connections, each over all entry hosts.
+	// Slots is the number of concurrent requests of a runner and Connections
+	// its number of connections, each summed over all entry hosts.
 	Slots       int `toml:"slots"`
 	Connections int `toml:"connections"`
-	// SlotLifetime bounds how long a request occupies a runner.
+	// SlotLifetime is the maximum time for which a request occupies a slot.
 	SlotLifetime Duration `toml:"slot_lifetime"`
-	// MaxBodyBytes and MaxAnswerBytes bound lengths in bytes.
+	// MaxBodyBytes and MaxAnswerBytes limit the bodies of requests and responses.
 	MaxBodyBytes   int64 `toml:"max_body_bytes"`
 	MaxAnswerBytes int64 `toml:"max_answer_bytes"`
-	// MaxQueued bounds the waiting requests of one host.
+	// MaxQueued is the maximum number of requests queued at one host.
 	MaxQueued int `toml:"queue"`
 }
 
-// A Lease has the times of the hall's lease and of tasks' leases.
+// A Lease has the durations of the hall's lease and of task leases.
 type Lease struct {
 	Hall Duration `toml:"hall"`
 	Task Duration `toml:"task"`
 }
 
-// A Log says what is logged.
+// A Log has the settings of the log.
 type Log struct {
 	Level string `toml:"level"`
 }
@@ -154,9 +156,8 @@
 	}
 }
 
-// Load reads and checks a settings file, for the host that it names, or for
-// another one of the deployment when id is not empty. It fails with an
-// [*Error].
+// Load reads and validates a settings file. If id is not empty, it replaces the
+// host id of the file. Errors are of type [*Error].
 func Load(file string, id spoolsill.HostID) (Settings, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -168,8 +169,8 @@
 	return Parse(file, b, id)
 }
 
-// Parse reads and checks the text of a settings file. It fails with an
-// [*Error]; file only names the text in it.
+// Parse is like [Load] for the text of a settings file. The name of the file is
+// only used in errors.
 func Parse(file string, text []byte, id spoolsill.HostID) (Settings, error) {
 	if len(text) > MaxFileBytes {
 		return Settings{}, &Error{
@@ -184,7 +185,7 @@
 	if id != "" {
 		s.Host.ID = id
 	}
-	s.fill()
+	s.complete()
 	c := checker{
 		file: file,
 		text: text,
@@ -224,7 +225,7 @@
 	}
 }
 
-// Defaults of a service.
+// Defaults of a [Service].
 const (
 	DefaultSlots          = 8
 	DefaultConnections    = 60
@@ -233,7 +234,8 @@
 	DefaultMaxQueued      = 4096
 )
 
-func (s *Settings) fill() {
+// complete sets the host's own addresses and the defaults of services.
+func (s *Settings) complete() {
 	for _, h := range s.Halls {
 		for _, p := range h.Hosts {
 			if p.ID == s.Host.ID {
@@ -253,7 +255,7 @@
 	}
 }
 
-// OwnHall returns the hall that the host stands in.
+// OwnHall returns the hall of the host itself.
 func (s Settings) OwnHall() Hall {
 	for _, h := range s.Halls {
 		for _, p := range h.Hosts {
@@ -265,7 +267,7 @@
 	return Hall{}
 }
 
-// HostIDs returns the ids of the hall's hosts, in order.
+// HostIDs returns the ids of the hall's hosts in ascending order.
 func (h Hall) HostIDs() []spoolsill.HostID {
 	out := make([]spoolsill.HostID, 0, len(h.Hosts))
 	for _, p := range h.Hosts {
@@ -277,7 +279,7 @@
 	return out
 }
 
-// IsAddrPort reports whether s is an IP number and a port.
+// IsAddrPort reports whether s is an IP address and port.
 func IsAddrPort(s string) bool {
 	_, err := netip.ParseAddrPort(s)
 	return err == nil
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -19,7 +19,7 @@
 	return string(b)
 }
 
-func TestExamplesAreTheTwoDeployments(t *testing.T) {
+func TestParseExampleDeployments(t *testing.T) {
 	tests := []struct {
 		file  string
 		halls int
@@ -57,60 +57,60 @@
 	}
 }
 
-func TestFaultsNameFileLineKeyAndRange(t *testing.T) {
+func TestParseErrorNamesFileLineKeyAndRange(t *testing.T) {
 	tests := []struct {
-		name string
-		old  string
-		now  string
-		want string
+		name        string
+		old         string
+		replacement string
+		want        string
 	}{
 		{
-			name: "unknown key",
-			old:  "drain_delay = \"2s\"",
-			now:  "drain_daley = \"2s\"",
-			want: `f.toml:6: host.drain_daley: unknown key`,
+			name:        "unknown key",
+			old:         "drain_delay = \"2s\"",
+			replacement: "drain_daley = \"2s\"",
+			want:        `f.toml:6: host.drain_daley: unknown key`,
 		},
 		{
-			name: "wrong type",
-			old:  "slots = 8",
-			now:  "slots = \"eight\"",
-			want: `f.toml:24: service.slots: .*`,
+			name:        "wrong type",
+			old:         "slots = 8",
+			replacement: "slots = \"eight\"",
+			want:        `f.toml:24: service.slots: .*`,
 		},
 		{
-			name: "no duration",
-			old:  "hall = \"5s\"",
-			now:  "hall = \"5 s\"",
-			want: `f.toml:16: lease.hall: .*`,
+			name:        "invalid duration",
+			old:         "hall = \"5s\"",
+			replacement: "hall = \"5 s\"",
+			want:        `f.toml:16: lease.hall: .*`,
 		},
 		{
-			name: "impossible value",
-			old:  "slots = 8",
-			now:  "slots = 0\nqueue = 0",
-			want: `f.toml:.*`,
+			name:        "value out of range",
+			old:         "slots = 8",
+			replacement: "slots = 0\nqueue = 0",
+			want:        `f.toml:.*`,
 		},
 		{
-			name: "too many slots",
-			old:  "slots = 8",
-			now:  "slots = 4000",
-			want: `f.toml:24: service\[0\].slots: 4000 is not allowed: want 1 to 1024`,
+			name:        "too many slots",
+			old:         "slots = 8",
+			replacement: "slots = 4000",
+			want:        `f.toml:24: service\[0\].slots: 4000 is not allowed: want 1 to 1024`,
 		},
 		{
-			name: "a name where an IP number is wanted",
-			old:  "peer = \"127.0.0.1:7204\"",
-			now:  "peer = \"localhost:7204\"",
-			want: `f.toml:57: hall\[1\].host\[1\].peer: "localhost:7204" is not allowed: want an IP number and port, as in 127.0.0.1:7001`,
+			name:        "host name instead of IP address",
+			old:         "peer = \"127.0.0.1:7204\"",
+			replacement: "peer = \"localhost:7204\"",
+			want:        `f.toml:57: hall\[1\].host\[1\].peer: "localhost:7204" is not allowed: want an IP number and port, as in 127.0.0.1:7001`,
 		},
 		{
-			name: "host of no hall",
-			old:  "id = \"vake-1\"\ndrain",
-			now:  "id = \"vake-9\"\ndrain",
-			want: `f.toml:5: host.id: "vake-9" is not allowed: want one of the hosts listed under hall`,
+			name:        "host not listed under hall",
+			old:         "id = \"vake-1\"\ndrain",
+			replacement: "id = \"vake-9\"\ndrain",
+			want:        `f.toml:5: host.id: "vake-9" is not allowed: want one of the hosts listed under hall`,
 		},
 		{
-			name: "host twice",
-			old:  "id = \"didube-2\"",
-			now:  "id = \"vake-2\"",
-			want: `f.toml:.*: hall\[2\].host\[1\].id: "vake-2" is not allowed: want a host that is listed once`,
+			name:        "duplicate host",
+			old:         "id = \"didube-2\"",
+			replacement: "id = \"vake-2\"",
+			want:        `f.toml:.*: hall\[2\].host\[1\].id: "vake-2" is not allowed: want a host that is listed once`,
 		},
 	}
 	text := example(t, "tbilisi.toml")
@@ -118,7 +118,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := qt.New(t)
 			c.Assert(strings.Contains(text, x.old), qt.IsTrue)
-			_, err := settings.Parse("f.toml", []byte(strings.Replace(text, x.old, x.now, 1)), "")
+			_, err := settings.Parse("f.toml", []byte(strings.Replace(text, x.old, x.replacement, 1)), "")
 			var e *settings.Error
 			c.Assert(errors.As(err, &e), qt.IsTrue, qt.Commentf("%v", err))
 			c.Assert(err, qt.ErrorMatches, x.want)
