--- a/agent/client.go
+++ b/agent/client.go
@@ -14,18 +14,19 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrNotExecuted is returned when the agent certainly did not do what was asked.
-var ErrNotExecuted = errors.New("agent: refused")
+// ErrNotExecuted is returned when the agent certainly did not execute the
+// request: it rejected it, or no connection could be opened.
+var ErrNotExecuted = errors.New("agent: request not executed")
 
-// ErrUnknownOutcome is returned when the agent may have done what was asked.
+// ErrUnknownOutcome is returned when the agent may have executed the request.
 var ErrUnknownOutcome = errors.New("agent: answer lost")
 
-// DefaultTimeout bounds each call.
+// DefaultTimeout is the default of [Config.Timeout].
 const DefaultTimeout = time.Second
 
-const maxAnswer = 8 << 20
+const maxResponseBytes = 8 << 20
 
-// A StartRequest asks for one start of a task.
+// A StartRequest asks an agent to start a task.
 type StartRequest struct {
 	Task    spoolsill.TaskID    `json:"task"`
 	Attempt spoolsill.Attempt   `json:"attempt"`
@@ -33,17 +34,18 @@
 	Shape   spoolsill.Resources `json:"shape"`
 	Command string              `json:"command"`
 	Runtime time.Duration       `json:"runtime_ns"`
-	// LeaseEnd is Unix time in milliseconds.
+	// LeaseEnd is the end of the task's lease as Unix time in milliseconds.
 	LeaseEnd int64 `json:"lease_end_ms"`
 }
 
-// A TaskAttempt names one start of a task.
+// A TaskAttempt identifies one start of a task.
 type TaskAttempt struct {
 	Task    spoolsill.TaskID  `json:"task"`
 	Attempt spoolsill.Attempt `json:"attempt"`
 }
 
-// A RenewRequest extends the leases of tasks, and lets the agent forget ended ones.
+// A RenewRequest extends the leases of Tasks to LeaseEnd. The agent also drops
+// the status of the tasks in Forget that have ended.
 type RenewRequest struct {
 	Epoch    spoolsill.Epoch `json:"epoch"`
 	LeaseEnd int64           `json:"lease_end_ms"`
@@ -51,7 +53,7 @@
 	Forget   []TaskAttempt   `json:"forget"`
 }
 
-// State says how a task is on its worker.
+// State is the state of a task on its worker.
 type State string
 
 // The states of a task on its worker.
@@ -61,17 +63,17 @@
 	Failed       State = "failed"
 	Checkpointed State = "checkpointed"
 	Stopped      State = "stopped"
-	Expired      State = "expired" // its lease ended, and so did it
+	Expired      State = "expired" // ended by the agent because its lease expired
 )
 
-// A Status is what an agent reports of one start of a task.
+// A Status is the status of one start of a task, as reported by the agent.
 type Status struct {
 	TaskAttempt
 	State State               `json:"state"`
 	Used  spoolsill.Resources `json:"used"`
 }
 
-// Verb is what a signal asks for.
+// Verb is the action that a signal requests.
 type Verb string
 
 // The verbs of signals.
@@ -81,7 +83,7 @@
 	Throttle   Verb = "throttle"
 )
 
-// A Signal asks something of a running task.
+// A Signal requests an action on a running task.
 type Signal struct {
 	TaskAttempt
 	Verb Verb `json:"verb"`
@@ -91,11 +93,11 @@
 type Config struct {
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Timeout bounds each call; 0 means DefaultTimeout.
+	// Timeout is the timeout of each call; 0 means DefaultTimeout.
 	Timeout time.Duration
 }
 
-// A Client reaches agents. It is safe for concurrent use.
+// A Client calls agents. It is safe for concurrent use.
 type Client struct {
 	config Config
 	http   *http.Client
@@ -118,66 +120,70 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// Start starts a task at the agent with an address.
+// Start asks the agent at address to start a task.
 func (c *Client) Start(ctx context.Context, address string, s StartRequest) error {
 	return c.call(ctx, address, "/v1/start", s, nil)
 }
 
-// Renew extends leases and returns the status of every task that the agent
-// knows.
+// Renew extends leases and returns the status of every task that is known to
+// the agent.
 func (c *Client) Renew(ctx context.Context, address string, r RenewRequest) ([]Status, error) {
 	var out []Status
 	err := c.call(ctx, address, "/v1/renew", r, &out)
 	return out, err
 }
 
-// Signal asks something of a running task.
+// Signal sends a signal to a running task.
 func (c *Client) Signal(ctx context.Context, address string, s Signal) error {
 	return c.call(ctx, address, "/v1/signal", s, nil)
 }
 
-func (c *Client) call(ctx context.Context, address, path string, q, into any) error {
+// call posts payload as JSON and decodes the response into result unless that is
+// nil.
+func (c *Client) call(ctx context.Context, address, path string, payload, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
-	body, err := json.Marshal(q)
+	body, err := json.Marshal(payload)
 	if err != nil {
 		return err
 	}
-	p, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	p.Header.Set("Content-Type", "application/json")
-	r, err := c.http.Do(p)
+	request.Header.Set("Content-Type", "application/json")
+	response, err := c.http.Do(request)
 	if err != nil {
-		return classify(err)
+		return classifyError(err)
 	}
-	defer func() { _ = r.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }()
+	b, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
-	if r.StatusCode == http.StatusConflict {
+	if response.StatusCode == http.StatusConflict {
 		return fmt.Errorf("%w: %.200s", ErrNotExecuted, b)
 	}
-	if r.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: status %d", ErrUnknownOutcome, r.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%w: status %d", ErrUnknownOutcome, response.StatusCode)
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(b, into); err != nil {
+	if err := json.Unmarshal(b, result); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	return nil
 }
 
-func classify(err error) error {
+// classifyError distinguishes a failed dial, after which the agent can't have
+// received the request, from other errors.
+func classifyError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
--- a/api/api.go
+++ b/api/api.go
@@ -1,5 +1,6 @@
-// Package api has the bodies of the operators' HTTP interface, and a client
-// for it. The paths are listed in docs/OPERATIONS.md.
+// Package api defines the request and response bodies of the HTTP interface for
+// operators and has a client for it. The paths are listed in
+// docs/OPERATIONS.md.
 package api
 
 import (
@@ -10,32 +11,32 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// A PlanRequest is the body of POST /v1/plans. One of Submit, Cancel and Drain is
-// set.
+// A PlanRequest is the body of POST /v1/plans. Exactly one of Submit, Cancel and
+// Drain is set.
 type PlanRequest struct {
-	// Hall is where; empty means the hall of the job file, else the one of the
-	// host that is asked.
+	// Hall is the hall to plan for. If it is empty, the hall named in the job
+	// file is used, or else the hall of the host that receives the request.
 	Hall spoolsill.HallID `json:"hall,omitempty"`
-	// Submit is the text of a job file, FileName its name for error messages.
+	// Submit is the text of a job file. FileName is used in error messages.
 	Submit   string             `json:"submit,omitempty"`
 	FileName string             `json:"name,omitempty"`
 	Cancel   []spoolsill.JobID  `json:"cancel,omitempty"`
 	Drain    spoolsill.WorkerID `json:"drain,omitempty"`
 }
 
-// A ConfirmResponse answers POST /v1/plans/ID/confirm.
+// A ConfirmResponse is the response to POST /v1/plans/ID/confirm.
 type ConfirmResponse struct {
 	ID   spoolsill.PlanID `json:"id"`
 	Hall spoolsill.HallID `json:"hall"`
 }
 
-// An ErrorResponse is the body of every answer that is not a success.
+// An ErrorResponse is the body of every response that reports an error.
 type ErrorResponse struct {
 	Code string `json:"code"`
 	Text string `json:"text"`
 }
 
-// An UnavailableHall names a hall that did not answer.
+// An UnavailableHall names a hall that did not respond, and the error.
 type UnavailableHall struct {
 	Hall spoolsill.HallID `json:"hall"`
 	Text string           `json:"text"`
@@ -47,13 +48,13 @@
 	place.JobView
 }
 
-// Jobs answers GET /v1/jobs.
+// Jobs is the response to GET /v1/jobs.
 type Jobs struct {
 	Jobs             []Job             `json:"jobs"`
 	UnavailableHalls []UnavailableHall `json:"missing"`
 }
 
-// A JobDetail answers GET /v1/jobs/ID.
+// A JobDetail is the response to GET /v1/jobs/ID.
 type JobDetail struct {
 	Hall  spoolsill.HallID `json:"hall"`
 	Job   place.JobView    `json:"job"`
@@ -66,38 +67,38 @@
 	place.WorkerView
 }
 
-// Workers answers GET /v1/workers.
+// Workers is the response to GET /v1/workers.
 type Workers struct {
 	Workers          []Worker          `json:"workers"`
 	UnavailableHalls []UnavailableHall `json:"missing"`
 }
 
-// A HostStatus answers GET /healthz and GET /readyz.
+// A HostStatus is the response to GET /healthz and GET /readyz.
 type HostStatus struct {
 	ID                spoolsill.HostID  `json:"id"                    msgpack:"i"`
 	Hall              spoolsill.HallID  `json:"hall"                  msgpack:"h"`
 	HTTPAddress       string            `json:"http"                  msgpack:"a"`
 	Started           time.Time         `json:"started"               msgpack:"s"`
 	Stopping          bool              `json:"stopping"              msgpack:"x"`
-	Degraded          bool              `json:"degraded"              msgpack:"d"` // the platform is silent
-	MembersKnown      bool              `json:"members"               msgpack:"m"` // workers and runners are known
+	Degraded          bool              `json:"degraded"              msgpack:"d"` // the platform does not respond
+	MembersKnown      bool              `json:"members"               msgpack:"m"` // the list of workers and runners is known
 	Config            spoolsill.Version `json:"config"                msgpack:"v"`
-	ConfigCurrent     bool              `json:"config_sure"           msgpack:"u"` // no newer one is in force in the hall
+	ConfigCurrent     bool              `json:"config_sure"           msgpack:"u"` // no newer version is known to be in force in the hall
 	LeaseHolder       spoolsill.HostID  `json:"holder"                msgpack:"o"`
 	Epoch             spoolsill.Epoch   `json:"epoch"                 msgpack:"e"`
-	HoldsLease        bool              `json:"holds"                 msgpack:"l"` // has the hall's lease
-	Placing           bool              `json:"placing"               msgpack:"p"` // has it, and answers for the hall
+	HoldsLease        bool              `json:"holds"                 msgpack:"l"` // holds the hall's lease
+	Placing           bool              `json:"placing"               msgpack:"p"` // holds it, and serves calls for the hall
 	Waiting           int               `json:"waiting"               msgpack:"w"`
 	Running           int               `json:"running"               msgpack:"r"`
 	UnreachableReason string            `json:"unreachable,omitempty" msgpack:"n"`
 }
 
-// Hosts answers GET /v1/hosts.
+// Hosts is the response to GET /v1/hosts.
 type Hosts struct {
 	Hosts []HostStatus `json:"hosts"`
 }
 
-// A ConfigRevision answers GET /v1/config.
+// A ConfigRevision is the response to GET /v1/config.
 type ConfigRevision struct {
 	Version    spoolsill.Version `json:"version"`
 	Author     string            `json:"who"`
@@ -106,8 +107,8 @@
 	Text       string            `json:"text"`
 }
 
-// A PutConfigRequest is the body of PUT /v1/config. BaseVersion is the version that the
-// text was made from.
+// A PutConfigRequest is the body of PUT /v1/config. It is rejected unless
+// BaseVersion, the version that Text is based on, is still the newest one.
 type PutConfigRequest struct {
 	BaseVersion spoolsill.Version `json:"base"`
 	Author      string            `json:"who"`
@@ -115,17 +116,17 @@
 	Text        string            `json:"text"`
 }
 
-// A PutConfigResponse answers PUT /v1/config.
+// A PutConfigResponse is the response to PUT /v1/config.
 type PutConfigResponse struct {
 	Version spoolsill.Version `json:"version"`
 }
 
-// A ConfigHistory answers GET /v1/config/history, newest first.
+// A ConfigHistory is the response to GET /v1/config/history, newest first.
 type ConfigHistory struct {
 	Revisions []ConfigRevision `json:"revisions"`
 }
 
-// A Timeline answers GET /v1/timeline, oldest first.
+// A Timeline is the response to GET /v1/timeline, oldest first.
 type Timeline struct {
 	Events           []timeline.Event   `json:"events"`
 	UnavailableHosts []spoolsill.HostID `json:"missing"`
--- a/api/client.go
+++ b/api/client.go
@@ -18,12 +18,12 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// DefaultTimeout bounds each call of a [Client].
+// DefaultTimeout is the timeout of each attempt of a [Client] at one host.
 const DefaultTimeout = 10 * time.Second
 
-const maxAnswer = 256 << 20
+const maxResponseBytes = 256 << 20
 
-// A StatusError is an answer that is not a success.
+// A StatusError is a response with an error status.
 type StatusError struct {
 	Status int
 	Code   string
@@ -38,29 +38,30 @@
 // ErrNoHostReachable is returned when none of the hosts could be reached.
 var ErrNoHostReachable = errors.New("api: no entry host can be reached")
 
-// A Client calls the operators' interface of the first of several entry hosts
-// that can be reached. It is safe for concurrent use.
+// A Client calls the HTTP interface for operators. It sends each call to the
+// first of several entry hosts that accepts a connection. It is safe for
+// concurrent use.
 type Client struct {
-	// Hosts are IPs and ports of entry hosts.
+	// Hosts lists the IP addresses and ports of entry hosts.
 	Hosts []string
-	// HTTPClient makes the calls; nil means http.DefaultClient.
+	// HTTPClient sends the calls; nil means http.DefaultClient.
 	HTTPClient *http.Client
 }
 
-// Plan asks what an intent would change.
+// Plan requests a plan of the changes that an intent would make.
 func (c *Client) Plan(ctx context.Context, i PlanRequest) (holder.Plan, error) {
 	var p holder.Plan
 	return p, c.do(ctx, http.MethodPost, "/v1/plans", i, &p)
 }
 
-// Confirm has a plan of a hall applied. After a lost answer it may be called
-// again.
+// Confirm applies a plan of a hall. It is safe to call again if the response
+// was lost.
 func (c *Client) Confirm(ctx context.Context, h spoolsill.HallID, id spoolsill.PlanID) error {
 	path := "/v1/plans/" + url.PathEscape(string(id)) + "/confirm?hall=" + url.QueryEscape(string(h))
 	return c.do(ctx, http.MethodPost, path, nil, nil)
 }
 
-// Jobs returns the jobs of a hall, or of all.
+// Jobs returns the jobs of a hall, or of all halls if h is empty.
 func (c *Client) Jobs(ctx context.Context, h spoolsill.HallID) (Jobs, error) {
 	var out Jobs
 	return out, c.do(ctx, http.MethodGet, "/v1/jobs"+hallQuery(h), nil, &out)
@@ -72,7 +73,7 @@
 	return out, c.do(ctx, http.MethodGet, "/v1/jobs/"+url.PathEscape(string(id)), nil, &out)
 }
 
-// Workers returns the workers of a hall, or of all.
+// Workers returns the workers of a hall, or of all halls if h is empty.
 func (c *Client) Workers(ctx context.Context, h spoolsill.HallID) (Workers, error) {
 	var out Workers
 	return out, c.do(ctx, http.MethodGet, "/v1/workers"+hallQuery(h), nil, &out)
@@ -84,25 +85,27 @@
 	return out, c.do(ctx, http.MethodGet, "/v1/hosts", nil, &out)
 }
 
-// Config returns the configuration in force at the host that answers.
+// Config returns the configuration in force on the host that responds.
 func (c *Client) Config(ctx context.Context) (ConfigRevision, error) {
 	var out ConfigRevision
 	return out, c.do(ctx, http.MethodGet, "/v1/config", nil, &out)
 }
 
-// PutConfig has a configuration accepted.
+// PutConfig proposes a new version of the configuration.
 func (c *Client) PutConfig(ctx context.Context, p PutConfigRequest) (PutConfigResponse, error) {
 	var out PutConfigResponse
 	return out, c.do(ctx, http.MethodPut, "/v1/config", p, &out)
 }
 
-// ConfigHistory returns the accepted configurations.
+// ConfigHistory returns the accepted versions of the configuration, newest
+// first.
 func (c *Client) ConfigHistory(ctx context.Context) (ConfigHistory, error) {
 	var out ConfigHistory
 	return out, c.do(ctx, http.MethodGet, "/v1/config/history", nil, &out)
 }
 
-// Timeline returns the events of all hosts that a filter selects.
+// Timeline returns the events of all hosts that match a filter, at most limit
+// of them.
 func (c *Client) Timeline(ctx context.Context, f timeline.Filter, limit int) (Timeline, error) {
 	q := url.Values{}
 	set := func(k, v string) {
@@ -131,19 +134,20 @@
 	return "?hall=" + url.QueryEscape(string(h))
 }
 
-// do makes a call at the first host that a connection can be opened to.
-func (c *Client) do(ctx context.Context, method, path string, q, into any) error {
+// do sends a call to the first host that accepts a connection. It does not try
+// the next host after any other error, since the call may have taken effect.
+func (c *Client) do(ctx context.Context, method, path string, payload, result any) error {
 	var body []byte
-	if q != nil {
+	if payload != nil {
 		var err error
-		body, err = json.Marshal(q)
+		body, err = json.Marshal(payload)
 		if err != nil {
 			return err
 		}
 	}
 	var err error
 	for _, h := range c.Hosts {
-		err = c.try(ctx, method, "http://"+h+path, body, into)
+		err = c.doOnce(ctx, method, "http://"+h+path, body, result)
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" {
 			continue
@@ -153,37 +157,37 @@
 	return fmt.Errorf("%w: %w", ErrNoHostReachable, err)
 }
 
-func (c *Client) try(ctx context.Context, method, to string, body []byte, into any) error {
+func (c *Client) doOnce(ctx context.Context, method, target string, body []byte, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, DefaultTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, method, to, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	q.Header.Set("Content-Type", "application/json")
+	request.Header.Set("Content-Type", "application/json")
 	client := c.HTTPClient
 	if client == nil {
 		client = http.DefaultClient
 	}
-	r, err := client.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = r.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }()
+	b, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
-	if r.StatusCode >= http.StatusBadRequest {
-		return refused(r.StatusCode, b)
+	if response.StatusCode >= http.StatusBadRequest {
+		return newStatusError(response.StatusCode, b)
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return json.Unmarshal(b, into)
+	return json.Unmarshal(b, result)
 }
 
-func refused(status int, b []byte) error {
+func newStatusError(status int, b []byte) error {
 	e := &StatusError{
 		Status: status,
 	}
--- a/table/remote/breaker.go
+++ b/table/remote/breaker.go
@@ -5,78 +5,79 @@
 	"time"
 )
 
-// Defaults of [CircuitBreaker].
+// Defaults of [CircuitBreaker], and the limit of its open duration.
 const (
 	DefaultFailureThreshold = 4
 	DefaultOpenDuration     = 250 * time.Millisecond
-	maxRest                 = time.Second
+	maxOpenDuration         = time.Second
 )
 
-// A CircuitBreaker refuses calls for a while after several have failed in a row, and
-// then lets one through to try. It is safe for concurrent use; the zero value
-// is usable.
+// A CircuitBreaker opens, that is, rejects calls for a while, after several
+// consecutive failures. It then admits a single trial call, whose success
+// closes it. It is safe for concurrent use; the zero value is ready to use.
 type CircuitBreaker struct {
-	// Trip is the number of failures in a row that open it.
+	// Trip is the number of consecutive failures that opens the breaker.
 	Trip int
-	// Rest is how long it stays open the first time; it doubles.
+	// Rest is how long the breaker stays open the first time. The time doubles
+	// with each further failure, up to one second.
 	Rest time.Duration
 
-	mu    sync.Mutex
-	fails int
-	opens int
-	until time.Time
-	trial bool
+	mu               sync.Mutex
+	failures         int
+	consecutiveOpens int
+	openUntil        time.Time
+	probing          bool
 }
 
-// Allow reports whether a call may be made at now. The caller of an allowed
-// call must call Done.
+// Allow reports whether a call may be made at time now. After an allowed call,
+// the caller must call RecordResult.
 func (b *CircuitBreaker) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.until.IsZero() {
+	if b.openUntil.IsZero() {
 		return true
 	}
-	if now.Before(b.until) || b.trial {
+	if now.Before(b.openUntil) || b.probing {
 		return false
 	}
-	b.trial = true
+	b.probing = true
 	return true
 }
 
-// RecordResult takes in whether a call was answered.
+// RecordResult records whether an allowed call was answered.
 func (b *CircuitBreaker) RecordResult(now time.Time, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.trial = false
+	b.probing = false
 	if answered {
-		b.fails = 0
-		b.opens = 0
-		b.until = time.Time{}
+		b.failures = 0
+		b.consecutiveOpens = 0
+		b.openUntil = time.Time{}
 		return
 	}
-	b.fails++
-	if b.fails < b.trip() {
+	b.failures++
+	if b.failures < b.failureThreshold() {
 		return
 	}
-	b.until = now.Add(min(b.rest()<<min(b.opens, 16), maxRest))
-	b.opens++
+	b.openUntil = now.Add(min(b.openDuration()<<min(b.consecutiveOpens, 16), maxOpenDuration))
+	b.consecutiveOpens++
 }
 
-// Open reports whether calls are refused, or the next one is only a trial.
+// Open reports whether the breaker rejects calls or admits only a trial call.
 func (b *CircuitBreaker) Open() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.until.IsZero()
+	return !b.openUntil.IsZero()
 }
 
-func (b *CircuitBreaker) trip() int {
+func (b *CircuitBreaker) failureThreshold() int {
 	if b.Trip == 0 {
 		return DefaultFailureThreshold
 	}
 	return b.Trip
 }
 
-func (b *CircuitBreaker) rest() time.Duration {
+func (b *CircuitBreaker) openDuration() time.Duration {
 	if b.Rest == 0 {
 		return DefaultOpenDuration
 	}
--- a/table/remote/client.go
+++ b/table/remote/client.go
@@ -20,12 +20,12 @@
 	"github.com/spoolsill/spoolsill/table"
 )
 
-// Defaults of [Config].
+// Defaults of [Config], and the maximum size of a response.
 const (
-	DefaultTimeout = time.Second
-	DefaultReads   = 40 // a second
-	DefaultWrites  = 20 // a second
-	maxAnswer      = 64 << 20
+	DefaultTimeout   = time.Second
+	DefaultReads     = 40 // a second
+	DefaultWrites    = 20 // a second
+	maxResponseBytes = 64 << 20
 )
 
 // ErrNotFound is returned for an object that does not exist.
@@ -33,32 +33,32 @@
 
 // A Config describes a [Client].
 type Config struct {
-	// URL is where the platform serves, as in "http://127.0.0.1:6000".
+	// URL is the base URL of the platform, such as "http://127.0.0.1:6000".
 	URL string
-	// Timeout bounds each call.
+	// Timeout is the timeout of each call. Writes of objects have ten times as
+	// long.
 	Timeout time.Duration
-	// Reads and Writes bound the calls a second of this process.
+	// Reads and Writes limit the calls per second of this process.
 	Reads  int
 	Writes int
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Trip is the number of failures in a row that open the breaker, Rest how
-	// long it stays open the first time.
+	// Trip and Rest configure the circuit breaker, see [CircuitBreaker].
 	Trip int
 	Rest time.Duration
 }
 
-// A Client reaches the platform. It is safe for concurrent use.
+// A Client calls the platform. It is safe for concurrent use.
 type Client struct {
-	config  Config
-	http    *http.Client
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	flight  singleflight.Group
-	breaker *CircuitBreaker
+	config   Config
+	http     *http.Client
+	reads    *rate.Limiter
+	writes   *rate.Limiter
+	inflight singleflight.Group
+	breaker  *CircuitBreaker
 }
 
-// NewClient returns a client. It opens no connection yet.
+// NewClient returns a client. Connections are opened on first use.
 func NewClient(c Config) *Client {
 	if c.Timeout == 0 {
 		c.Timeout = DefaultTimeout
@@ -88,12 +88,13 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// Silent reports whether the platform has not answered lately.
+// Silent reports whether the circuit breaker is open after recent calls to the
+// platform failed.
 func (c *Client) Silent() bool {
 	return c.breaker.Open()
 }
@@ -129,7 +130,7 @@
 	Rows []wireRow `json:"rows"`
 }
 
-// Commit applies a transaction. It waits for its turn in the write budget.
+// Commit applies a transaction. It waits for the write budget.
 func (c *Client) Commit(ctx context.Context, t table.Txn) (table.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
@@ -171,7 +172,7 @@
 	return out
 }
 
-// Get returns one row; its version is 0 when it does not exist.
+// Get returns one row. Its version is 0 if the row does not exist.
 func (c *Client) Get(ctx context.Context, key string) (table.Row, error) {
 	rows, err := c.list(ctx, "/v1/rows?key="+url.QueryEscape(key))
 	if err != nil {
@@ -185,8 +186,8 @@
 	return rows[0], nil
 }
 
-// List returns up to limit rows whose keys have a prefix and come after a
-// key, in the order of keys.
+// List returns up to limit rows, sorted by key, whose keys start with prefix
+// and are greater than after.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
 	q := url.Values{}
 	q.Set("prefix", prefix)
@@ -210,7 +211,7 @@
 	return l, err
 }
 
-// PutObject writes an object.
+// PutObject writes an object. It waits for the write budget.
 func (c *Client) PutObject(ctx context.Context, name string, b []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, 10*c.config.Timeout)
 	defer cancel()
@@ -227,12 +228,13 @@
 	return b, err
 }
 
-// read makes one call for all equal reads under way at the same time.
-func (c *Client) read(ctx context.Context, path string, into any) error {
+// read makes one call for all concurrent reads of the same path. It fails at once
+// if the read budget is exhausted.
+func (c *Client) read(ctx context.Context, path string, result any) error {
 	if !c.reads.Allow() {
-		return fmt.Errorf("%w: read budget is used up", table.ErrUnavailable)
+		return fmt.Errorf("%w: read budget is exhausted", table.ErrUnavailable)
 	}
-	v, err, _ := c.flight.Do(path, func() (any, error) {
+	v, err, _ := c.inflight.Do(path, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Timeout)
 		defer cancel()
 		var b []byte
@@ -242,54 +244,60 @@
 	if err != nil {
 		return err
 	}
-	return decode(v.([]byte), into)
+	return decode(v.([]byte), result)
 }
 
-func decode(b []byte, into any) error {
-	if p, ok := into.(*[]byte); ok {
+// decode stores b itself if result is a pointer to a byte slice, and otherwise
+// decodes b as JSON.
+func decode(b []byte, result any) error {
+	if p, ok := result.(*[]byte); ok {
 		*p = b
 		return nil
 	}
-	if err := json.Unmarshal(b, into); err != nil {
+	if err := json.Unmarshal(b, result); err != nil {
 		return fmt.Errorf("%w: %w", table.ErrUnknownOutcome, err)
 	}
 	return nil
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body []byte, into any) error {
+// do makes a call through the circuit breaker and decodes the response.
+// [ErrNotFound] does not count as a failure.
+func (c *Client) do(ctx context.Context, method, path string, body []byte, result any) error {
 	if !c.breaker.Allow(time.Now()) {
-		return fmt.Errorf("%w: breaker is open", table.ErrUnavailable)
+		return fmt.Errorf("%w: circuit breaker is open", table.ErrUnavailable)
 	}
 	b, err := c.call(ctx, method, path, body)
 	c.breaker.RecordResult(time.Now(), err == nil || errors.Is(err, ErrNotFound))
-	if err != nil || into == nil {
+	if err != nil || result == nil {
 		return err
 	}
-	return decode(b, into)
+	return decode(b, result)
 }
 
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	q, err := http.NewRequestWithContext(ctx, method, c.config.URL+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, c.config.URL+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	if method == http.MethodPut {
-		q.Header.Set("Content-Type", "application/octet-stream")
+		request.Header.Set("Content-Type", "application/octet-stream")
 	} else {
-		q.Header.Set("Content-Type", "application/json")
+		request.Header.Set("Content-Type", "application/json")
 	}
-	r, err := c.http.Do(q)
+	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, classify(err)
+		return nil, classifyError(err)
 	}
-	defer func() { _ = r.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer))
+	defer func() { _ = response.Body.Close() }()
+	b, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", table.ErrUnknownOutcome, err)
 	}
-	return b, statusError(r.StatusCode, b)
+	return b, statusError(response.StatusCode, b)
 }
 
+// statusError distinguishes statuses with which the platform rejects a call from
+// those after which it may have taken effect.
 func statusError(status int, body []byte) error {
 	switch {
 	case status < 300:
@@ -303,8 +311,9 @@
 	}
 }
 
-// classify tells a call that was never sent from one whose answer is lost.
-func classify(err error) error {
+// classifyError distinguishes a failed dial, after which the call can't have taken
+// effect, from other errors.
+func classifyError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", table.ErrUnavailable, err)
--- a/table/remote/doc.go
+++ b/table/remote/doc.go
@@ -1,13 +1,14 @@
-// Package remote reaches the platform's services over HTTP: the
+// Package remote is an HTTP client for the platform's services: the
 // transactional table, the object store and the list of members.
 //
-// A [Client] keeps the cell's budget of calls: commits go first, reads beyond
-// the budget fail at once, and equal reads under way at the same time are made
-// once. After several failures in a row a breaker answers [table.ErrUnavailable] at
-// once for a while, so that a slow platform slows nobody who can do without
-// it.
+// A [Client] limits the rate of its calls to this host's share of the cell's
+// budget. Commits take precedence: they wait for the write budget, while reads
+// beyond the read budget fail at once. Identical concurrent reads share one
+// call. After several consecutive failures a [CircuitBreaker] makes calls fail
+// at once with [table.ErrUnavailable] for a while, so that a slow platform does
+// not delay callers that can continue without it.
 //
-// The wire is JSON; cmd/standin serves the same. Errors keep apart what the
-// table certainly did not take ([table.ErrUnavailable]) and what may have taken
-// effect ([table.ErrUnknownOutcome]).
+// Bodies are JSON; cmd/standin serves the same interface. Errors distinguish
+// calls that certainly had no effect ([table.ErrUnavailable]) from calls that
+// may have taken effect ([table.ErrUnknownOutcome]).
 package remote
--- a/table/table.go
+++ b/table/table.go
@@ -1,30 +1,30 @@
-// Package table is the vocabulary of the platform's transactional table: rows
-// with versions, and transactions that apply whole or not at all.
+// Package table defines the data types of the platform's transactional table:
+// rows with versions, and atomic transactions.
 //
-// The package moves no data. Users declare the calls that they need as a small
-// interface over these types; package remote has the adapter.
+// The package does no I/O. Its users declare the calls that they need as a small
+// interface over these types; package remote implements the calls.
 package table
 
 import "errors"
 
-// ErrUnavailable is returned when the table did not take a call: it certainly had no
-// effect.
-var ErrUnavailable = errors.New("table: down")
+// ErrUnavailable is returned when the table did not accept a call. The call
+// certainly had no effect.
+var ErrUnavailable = errors.New("table: unavailable")
 
-// ErrUnknownOutcome is returned when the answer to a call did not come: it may have
-// taken effect.
+// ErrUnknownOutcome is returned when the response to a call was lost. The call
+// may have taken effect.
 var ErrUnknownOutcome = errors.New("table: answer lost")
 
-// A Row is one key with its value. Version is 1 when the row is made and
-// grows by one with each write.
+// A Row is a key with its value. Version is 1 when the row is created and
+// increases by one with each write.
 type Row struct {
 	Key     string
 	Value   []byte
 	Version uint64
 }
 
-// A Condition holds while a row has a version; 0 means that there is no such
-// row.
+// A Condition holds if the row with key Key has version Version; version 0
+// means that there is no such row.
 type Condition struct {
 	Key     string
 	Version uint64
@@ -43,8 +43,8 @@
 	Deletes    []string
 }
 
-// A Result answers a transaction. When it was not applied, Conflicts has the
-// rows whose conditions did not hold, as they are.
+// A Result is the result of a transaction. If the transaction was not applied,
+// Conflicts has the current rows whose conditions did not hold.
 type Result struct {
 	Applied   bool
 	Conflicts []Row
