--- a/api/client.go
+++ b/api/client.go
@@ -118,7 +118,7 @@
 	set("request", string(f.Request))
 	set("worker", string(f.Worker))
 	set("hall", string(f.Hall))
-	if f.After != (timeline.Stamp{}) {
+	if f.After != (timeline.Timestamp{}) {
 		q.Set("after", strconv.FormatInt(f.After.Wall, 10))
 		q.Set("after_counter", strconv.FormatUint(uint64(f.After.Counter), 10))
 	}
--- a/jobfile/jobfile_test.go
+++ b/jobfile/jobfile_test.go
@@ -29,8 +29,8 @@
 	want := spoolsill.Job{
 		ID:    "a",
 		Team:  "t",
-		Kind:  spoolsill.Batch,
-		Class: spoolsill.Patient,
+		Kind:  spoolsill.KindBatch,
+		Class: spoolsill.ClassPatient,
 		Tasks: 3,
 		Shape: spoolsill.Resources{
 			Processors: 500,
