--- a/config/config_test.go
+++ b/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/config"
 )
 
-func TestParseNamesEveryFault(t *testing.T) {
+func TestParseErrorNamesLineAndKey(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -27,12 +27,12 @@
 			want: ".*line 1.*caller_rate_per_second.*",
 		},
 		{
-			name: "impossible value",
+			name: "value out of range",
 			text: "caller_rate_per_second = -1",
 			want: ".*caller_rate_per_second: -1, want 0 to 1000000.*",
 		},
 		{
-			name: "team twice",
+			name: "duplicate team",
 			text: "[[team]]\nid = \"a\"\n[[team]]\nid = \"a\"",
 			want: `.*team\[1\].id: "a" is listed twice.*`,
 		},
@@ -40,38 +40,40 @@
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
 			_, err := config.Parse([]byte(x.text))
-			qt.Assert(t, errors.Is(err, config.ErrDocument), qt.IsTrue)
+			qt.Assert(t, errors.Is(err, config.ErrInvalidDocument), qt.IsTrue)
 			qt.Assert(t, err, qt.ErrorMatches, x.want)
 		})
 	}
 }
 
-func TestStoreNeverGoesBack(t *testing.T) {
+func TestStoreAppliesOnlyHigherVersions(t *testing.T) {
 	c := qt.New(t)
 	var s config.Store
-	offer := func(v spoolsill.Version, text string) bool {
-		ok, _ := s.Offer(config.Revision{
+	apply := func(v spoolsill.Version, text string) bool {
+		ok, _ := s.Apply(config.Revision{
 			Version: v,
 			Text:    []byte(text),
 		})
 		return ok
 	}
-	c.Assert(offer(2, "caller_rate_per_second = 2"), qt.IsTrue)
-	c.Assert(offer(1, "caller_rate_per_second = 1"), qt.IsFalse)
-	c.Assert(offer(3, "nonsense = 1"), qt.IsFalse)
-	c.Assert(s.Document().CallerRate, qt.Equals, 2)
-	s.Floor(5)
+	c.Assert(apply(2, "caller_rate_per_second = 2"), qt.IsTrue)
+	c.Assert(apply(1, "caller_rate_per_second = 1"), qt.IsFalse)
+	c.Assert(apply(3, "nonsense = 1"), qt.IsFalse)
+	c.Assert(s.Document().DefaultCallerRate, qt.Equals, 2)
+	s.RaiseMinVersion(5)
 	c.Assert(s.Behind(), qt.IsTrue)
-	c.Assert(offer(4, ""), qt.IsFalse)
-	c.Assert(offer(5, ""), qt.IsTrue)
+	c.Assert(apply(4, ""), qt.IsFalse)
+	c.Assert(apply(5, ""), qt.IsTrue)
 	c.Assert(s.Current().Version, qt.Equals, spoolsill.Version(5))
 }
 
-func TestARestartedProcessServesNoOlderVersionThanItsHall(t *testing.T) {
+// A restarted process has no revision in force. It must not apply a version
+// lower than the one in force in its hall, which an outdated host may send.
+func TestStoreIgnoresVersionsBelowMinimum(t *testing.T) {
 	c := qt.New(t)
 	var s config.Store
-	s.Floor(7)
-	ok, err := s.Offer(config.Revision{
+	s.RaiseMinVersion(7)
+	ok, err := s.Apply(config.Revision{
 		Version: 6,
 	})
 	c.Assert(err, qt.IsNil)
--- a/config/document.go
+++ b/config/document.go
@@ -11,27 +11,27 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrDocument is returned for a document that can't be accepted.
-var ErrDocument = errors.New("config: document not accepted")
+// ErrInvalidDocument is returned for a document that fails validation.
+var ErrInvalidDocument = errors.New("config: invalid document")
 
-// Limits of a document.
+// Limits of a document. MaxRate is in requests per second.
 const (
-	MaxDocument = 1 << 20 // bytes
-	MaxTeams    = 2000
-	MaxRate     = 1_000_000
-	MaxWeight   = 1000
+	MaxDocumentBytes = 1 << 20 // bytes
+	MaxTeams         = 2000
+	MaxRate          = 1_000_000
+	MaxWeight        = 1000
 )
 
 // A Document is the configuration of the cell.
 type Document struct {
-	// Teams are the quotas of teams, for the whole cell.
+	// Teams lists the quotas of teams, each for the whole cell.
 	Teams []Team `toml:"team"`
-	// Callers are the request rates of callers.
+	// Callers lists the rate limits of callers.
 	Callers []Caller `toml:"caller"`
-	// CallerRate bounds the requests a second of a caller that is not listed;
-	// 0 means no bound.
-	CallerRate int `toml:"caller_rate_per_second"`
-	// Drained lists workers and runners that get no new work.
+	// DefaultCallerRate is the rate limit, in requests per second, of a caller
+	// that is not listed; 0 means no limit.
+	DefaultCallerRate int `toml:"caller_rate_per_second"`
+	// Drained lists the ids of workers and runners that get no new work.
 	Drained []string `toml:"drained"`
 }
 
@@ -44,7 +44,7 @@
 	Accelerators int64            `toml:"accelerators"`
 }
 
-// Quota returns the team's quota in units.
+// Quota returns the team's quota as resources.
 func (t Team) Quota() spoolsill.Resources {
 	return spoolsill.Resources{
 		Processors:   spoolsill.Millicores(t.Processors),
@@ -53,32 +53,33 @@
 	}
 }
 
-// A Caller is the request rate of one caller.
+// A Caller is the rate limit of one caller.
 type Caller struct {
 	ID    spoolsill.CallerID `toml:"id"`
 	Rate  int                `toml:"rate_per_second"`
 	Burst int                `toml:"burst"`
 }
 
-// Parse reads and checks a document. It fails with [ErrDocument] and the
-// place and reason of each fault.
+// Parse decodes and validates a document. Its error wraps [ErrInvalidDocument]
+// and gives the location and reason of each problem.
 func Parse(text []byte) (Document, error) {
-	if len(text) > MaxDocument {
-		return Document{}, fmt.Errorf("%w: %d bytes, at most %d", ErrDocument, len(text), MaxDocument)
+	if len(text) > MaxDocumentBytes {
+		return Document{}, fmt.Errorf("%w: %d bytes, at most %d", ErrInvalidDocument, len(text), MaxDocumentBytes)
 	}
 	var d Document
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&d)
 	if err != nil {
-		return Document{}, fmt.Errorf("%w: %s", ErrDocument, Explain(err))
+		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, DescribeTOMLError(err))
 	}
-	if faults := d.check(); len(faults) > 0 {
-		return Document{}, fmt.Errorf("%w: %s", ErrDocument, strings.Join(faults, "; "))
+	if problems := d.check(); len(problems) > 0 {
+		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, strings.Join(problems, "; "))
 	}
 	return d, nil
 }
 
-// Explain returns the text of a TOML error with its line and key.
-func Explain(err error) string {
+// DescribeTOMLError formats a decoding error of go-toml with its line and key.
+// It returns the text of any other error unchanged.
+func DescribeTOMLError(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		var lines []string
@@ -96,30 +97,31 @@
 	return err.Error()
 }
 
+// check returns a description of every invalid field.
 func (d Document) check() []string {
-	var faults []string
-	need := func(ok bool, format string, args ...any) {
+	var problems []string
+	require := func(ok bool, format string, args ...any) {
 		if !ok {
-			faults = append(faults, fmt.Sprintf(format, args...))
+			problems = append(problems, fmt.Sprintf(format, args...))
 		}
 	}
-	need(len(d.Teams) <= MaxTeams, "team: %d listed, at most %d", len(d.Teams), MaxTeams)
-	need(d.CallerRate >= 0 && d.CallerRate <= MaxRate, "caller_rate_per_second: %d, want 0 to %d", d.CallerRate, MaxRate)
+	require(len(d.Teams) <= MaxTeams, "team: %d listed, at most %d", len(d.Teams), MaxTeams)
+	require(d.DefaultCallerRate >= 0 && d.DefaultCallerRate <= MaxRate, "caller_rate_per_second: %d, want 0 to %d", d.DefaultCallerRate, MaxRate)
 	teams := map[spoolsill.TeamID]bool{}
 	for i, t := range d.Teams {
-		need(t.ID != "", "team[%d].id: empty", i)
-		need(!teams[t.ID], "team[%d].id: %q is listed twice", i, t.ID)
-		need(t.Weight >= 0 && t.Weight <= MaxWeight, "team[%d].weight: %d, want 0 to %d", i, t.Weight, MaxWeight)
-		need(!t.Quota().Negative(), "team[%d]: a quota is below 0", i)
+		require(t.ID != "", "team[%d].id: empty", i)
+		require(!teams[t.ID], "team[%d].id: %q is listed twice", i, t.ID)
+		require(t.Weight >= 0 && t.Weight <= MaxWeight, "team[%d].weight: %d, want 0 to %d", i, t.Weight, MaxWeight)
+		require(!t.Quota().Negative(), "team[%d]: a quota is below 0", i)
 		teams[t.ID] = true
 	}
 	callers := map[spoolsill.CallerID]bool{}
 	for i, c := range d.Callers {
-		need(c.ID != "", "caller[%d].id: empty", i)
-		need(!callers[c.ID], "caller[%d].id: %q is listed twice", i, c.ID)
-		need(c.Rate >= 1 && c.Rate <= MaxRate, "caller[%d].rate_per_second: %d, want 1 to %d", i, c.Rate, MaxRate)
-		need(c.Burst >= 0 && c.Burst <= MaxRate, "caller[%d].burst: %d, want 0 to %d", i, c.Burst, MaxRate)
+		require(c.ID != "", "caller[%d].id: empty", i)
+		require(!callers[c.ID], "caller[%d].id: %q is listed twice", i, c.ID)
+		require(c.Rate >= 1 && c.Rate <= MaxRate, "caller[%d].rate_per_second: %d, want 1 to %d", i, c.Rate, MaxRate)
+		require(c.Burst >= 0 && c.Burst <= MaxRate, "caller[%d].burst: %d, want 0 to %d", i, c.Burst, MaxRate)
 		callers[c.ID] = true
 	}
-	return faults
+	return problems
 }
--- a/entry/api.go
+++ b/entry/api.go
@@ -64,7 +64,7 @@
 	if errors.As(err, &r) {
 		text = r.Text
 	}
-	writeJSON(w, status, api.Error{
+	writeJSON(w, status, api.ErrorResponse{
 		Code: code,
 		Text: text,
 	})
@@ -85,13 +85,13 @@
 		}
 	}
 	switch {
-	case errors.Is(err, config.ErrDocument):
+	case errors.Is(err, config.ErrInvalidDocument):
 		return http.StatusBadRequest, "bad-input"
 	case errors.Is(err, errConfigStale):
 		return http.StatusConflict, "stale"
 	case errors.Is(err, peer.ErrUnreachable):
 		return http.StatusServiceUnavailable, "unreachable"
-	case errors.Is(err, peer.ErrReplyLost), errors.Is(err, table.ErrLost):
+	case errors.Is(err, peer.ErrReplyLost), errors.Is(err, table.ErrUnknownOutcome):
 		return http.StatusGatewayTimeout, "unknown"
 	default:
 		return http.StatusServiceUnavailable, "unavailable"
@@ -123,7 +123,7 @@
 // decodeIntent decodes an operator's intent and the hall that it applies to,
 // which is empty if none is named.
 func decodeIntent(b []byte) (spoolsill.HallID, intent.Intent, error) {
-	var x api.Intent
+	var x api.PlanRequest
 	if err := json.Unmarshal(b, &x); err != nil {
 		return "", intent.Intent{}, err
 	}
@@ -134,7 +134,7 @@
 	if x.Submit == "" {
 		return x.Hall, i, nil
 	}
-	f, err := jobfile.Parse(x.Name, []byte(x.Submit))
+	f, err := jobfile.Parse(x.FileName, []byte(x.Submit))
 	if err != nil {
 		return "", intent.Intent{}, err
 	}
@@ -153,7 +153,7 @@
 		return
 	}
 	h.recordEvent(timeline.KindOperator, "plan "+string(id)+" confirmed")
-	writeJSON(w, http.StatusOK, api.Confirmed{
+	writeJSON(w, http.StatusOK, api.ConfirmResponse{
 		ID:   id,
 		Hall: hall,
 	})
@@ -180,7 +180,7 @@
 
 // callHolders calls the holders of the requested halls concurrently. Halls whose
 // call fails are returned as missing.
-func callHolders[R any](h *Host, q *http.Request, o holderOp, body any) (map[spoolsill.HallID]R, []api.Missing) {
+func callHolders[R any](h *Host, q *http.Request, o holderOp, body any) (map[spoolsill.HallID]R, []api.UnavailableHall) {
 	type result struct {
 		hall spoolsill.HallID
 		r    R
@@ -201,14 +201,14 @@
 		}()
 	}
 	out := map[spoolsill.HallID]R{}
-	missing := []api.Missing{}
+	missing := []api.UnavailableHall{}
 	for range halls {
 		x := <-results
 		if x.err == nil {
 			out[x.hall] = x.r
 			continue
 		}
-		missing = append(missing, api.Missing{
+		missing = append(missing, api.UnavailableHall{
 			Hall: x.hall,
 			Text: x.err.Error(),
 		})
@@ -219,8 +219,8 @@
 func (h *Host) getJobs(w http.ResponseWriter, q *http.Request) {
 	jobs, missing := callHolders[[]place.JobView](h, q, opJobs, empty{})
 	out := api.Jobs{
-		Jobs:    []api.Job{},
-		Missing: missing,
+		Jobs:             []api.Job{},
+		UnavailableHalls: missing,
 	}
 	for hall, list := range jobs {
 		for _, j := range list {
@@ -249,20 +249,20 @@
 	}
 	for _, m := range missing {
 		if !isNoJob(m) {
-			writeJSON(w, http.StatusServiceUnavailable, api.Error{
+			writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{
 				Code: "unavailable",
 				Text: fmt.Sprintf("job %s is in no hall that answers; hall %s does not: %s", id, m.Hall, m.Text),
 			})
 			return
 		}
 	}
-	writeJSON(w, http.StatusNotFound, api.Error{
+	writeJSON(w, http.StatusNotFound, api.ErrorResponse{
 		Code: string(codeNoJob),
 		Text: fmt.Sprintf("job %s is not known in any hall", id),
 	})
 }
 
-func isNoJob(m api.Missing) bool {
+func isNoJob(m api.UnavailableHall) bool {
 	return m.Text == (&peer.RemoteError{
 		Code: codeNoJob,
 		Text: holder.ErrJobNotFound.Error(),
@@ -272,8 +272,8 @@
 func (h *Host) getWorkers(w http.ResponseWriter, q *http.Request) {
 	found, missing := callHolders[[]place.WorkerView](h, q, opWorkers, empty{})
 	out := api.Workers{
-		Workers: []api.Worker{},
-		Missing: missing,
+		Workers:          []api.Worker{},
+		UnavailableHalls: missing,
 	}
 	for hall, list := range found {
 		for _, x := range list {
@@ -296,13 +296,13 @@
 	writeJSON(w, http.StatusOK, revision(r))
 }
 
-func revision(r config.Revision) api.Revision {
-	return api.Revision{
-		Version: r.Version,
-		Who:     r.Who,
-		When:    time.Unix(r.When, 0).UTC(),
-		Note:    r.Note,
-		Text:    string(r.Text),
+func revision(r config.Revision) api.ConfigRevision {
+	return api.ConfigRevision{
+		Version:    r.Version,
+		Author:     r.Author,
+		AcceptedAt: time.Unix(r.AcceptedAt, 0).UTC(),
+		Note:       r.Note,
+		Text:       string(r.Text),
 	}
 }
 
@@ -312,21 +312,21 @@
 		writeError(w, badInput(err))
 		return
 	}
-	var x api.PutConfig
+	var x api.PutConfigRequest
 	if err := json.Unmarshal(b, &x); err != nil {
 		writeError(w, badInput(err))
 		return
 	}
 	v, err := h.acceptConfig(q.Context(), config.Revision{
-		Who:  x.Who,
-		Note: x.Note,
-		Text: []byte(x.Text),
-	}, x.Base)
+		Author: x.Author,
+		Note:   x.Note,
+		Text:   []byte(x.Text),
+	}, x.BaseVersion)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, api.Accepted{
+	writeJSON(w, http.StatusOK, api.PutConfigResponse{
 		Version: v,
 	})
 }
@@ -337,8 +337,8 @@
 		writeError(w, err)
 		return
 	}
-	out := api.History{
-		Revisions: []api.Revision{},
+	out := api.ConfigHistory{
+		Revisions: []api.ConfigRevision{},
 	}
 	for _, r := range list {
 		out.Revisions = append(out.Revisions, revision(r))
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -100,7 +100,7 @@
 		Hosts: len(c.home.Hosts),
 	}
 	var first claim.Result
-	for _, x := range c.home.IDs() {
+	for _, x := range c.home.HostIDs() {
 		v, err := h.claimAtHost(ctx, x, c.claim)
 		if err != nil {
 			continue
@@ -144,7 +144,7 @@
 			Value: value,
 		}},
 	})
-	if errors.Is(err, table.ErrLost) {
+	if errors.Is(err, table.ErrUnknownOutcome) {
 		r, err = h.readClaimRow(ctx, key)
 	}
 	if err != nil {
@@ -160,14 +160,14 @@
 
 // readClaimRow reads a claim row after the reply to its write was lost. It
 // returns the row as a conflict, whose owner tells whether the write took
-// effect, and fails with [table.ErrDown] if there is none.
+// effect, and fails with [table.ErrUnavailable] if there is none.
 func (h *Host) readClaimRow(ctx context.Context, key string) (table.Result, error) {
 	row, err := h.platform.Get(ctx, key)
 	if err != nil {
 		return table.Result{}, err
 	}
 	if row.Version == 0 {
-		return table.Result{}, table.ErrDown
+		return table.Result{}, table.ErrUnavailable
 	}
 	return table.Result{
 		Conflicts: []table.Row{row},
@@ -229,7 +229,7 @@
 		Answer: a,
 	}
 	ctx = context.WithoutCancel(ctx)
-	for _, x := range c.home.IDs() {
+	for _, x := range c.home.HostIDs() {
 		if x == h.settings.Host.ID {
 			_, _ = h.handleSettle(ctx, peer.Caller{}, q)
 			continue
--- a/entry/config.go
+++ b/entry/config.go
@@ -79,7 +79,7 @@
 // applyConfig applies a revision if it is newer than the one in force.
 func (h *Host) applyConfig(r config.Revision) {
 	h.mu.Lock()
-	applied, err := h.configStore.Offer(r)
+	applied, err := h.configStore.Apply(r)
 	d := h.configStore.Document()
 	if applied {
 		h.members.SetDrained(d.Drained)
@@ -95,7 +95,7 @@
 	}
 	h.limits.configure(d)
 	h.log.WithField("version", r.Version).Info("configuration in force")
-	h.recordEvent(timeline.KindConfig, fmt.Sprintf("configuration %d in force, by %s", r.Version, r.Who))
+	h.recordEvent(timeline.KindConfig, fmt.Sprintf("configuration %d in force, by %s", r.Version, r.Author))
 	h.updateRunners()
 }
 
@@ -133,10 +133,10 @@
 		return 0, errConfigStale
 	}
 	r.Version = old + 1
-	r.When = time.Now().Unix()
+	r.AcceptedAt = time.Now().Unix()
 	r.Nonce = rand.Uint64()
-	res, err := h.platform.Commit(ctx, config.Accept(r, head.Version))
-	if errors.Is(err, table.ErrLost) {
+	res, err := h.platform.Commit(ctx, config.AcceptTxn(r, head.Version))
+	if errors.Is(err, table.ErrUnknownOutcome) {
 		return h.resolveConfigWrite(ctx, r)
 	}
 	if err != nil {
@@ -160,7 +160,7 @@
 // resolveConfigWrite determines whether a write whose reply was lost took
 // effect. The nonce tells r from another revision of the same version.
 func (h *Host) resolveConfigWrite(ctx context.Context, r config.Revision) (spoolsill.Version, error) {
-	row, err := h.platform.Get(ctx, config.Key(r.Version))
+	row, err := h.platform.Get(ctx, config.VersionKey(r.Version))
 	if err != nil {
 		return 0, fmt.Errorf("not known whether version %d was accepted, see config history: %w", r.Version, err)
 	}
@@ -188,7 +188,7 @@
 	h.mu.Unlock()
 	after := ""
 	if newest > maxHistoryRevisions {
-		after = config.Key(newest - maxHistoryRevisions)
+		after = config.VersionKey(newest - maxHistoryRevisions)
 	}
 	rows, err := h.platform.List(ctx, config.HistoryPrefix(), after, maxHistoryRevisions+1)
 	if err != nil {
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -99,7 +99,7 @@
 		leavingChanged = h.members.SetLeaving(now, id) || leavingChanged
 	}
 	outdated := b.Version > h.configStore.Current().Version
-	h.configStore.Floor(b.Version)
+	h.configStore.RaiseMinVersion(b.Version)
 	h.mu.Unlock()
 	if restarted {
 		h.recordEvent(timeline.KindMembership, "host "+string(from)+" has restarted")
--- a/entry/holdercalls.go
+++ b/entry/holdercalls.go
@@ -106,7 +106,7 @@
 	}
 	q.Hops++
 	var err = peer.ErrUnreachable
-	for _, p := range x.IDs() {
+	for _, p := range x.HostIDs() {
 		var a holderReply
 		a, err = peer.Call[holderReply](ctx, h.node, p, methodCell, q)
 		if !errors.Is(err, peer.ErrUnreachable) && !peer.IsCode(err, codeNotHolder) {
@@ -172,7 +172,7 @@
 	switch {
 	case errors.As(err, &stale):
 		return codeStale
-	case errors.Is(err, intent.ErrIntent):
+	case errors.Is(err, intent.ErrInvalidIntent):
 		return codeIntent
 	case errors.Is(err, holder.ErrNotHolder):
 		return codeNotHolder
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -90,7 +90,7 @@
 	return gaugeValues{
 		waiting:  int64(s.Waiting),
 		running:  int64(s.Running),
-		held:     boolValue(s.Holds),
+		held:     boolValue(s.HoldsLease),
 		version:  int64(s.Config),
 		silent:   boolValue(s.Degraded),
 		claims:   int64(claims),
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -51,7 +51,7 @@
 	var hosts []spoolsill.HostID
 	for _, x := range h.settings.Halls {
 		if x.ID != h.hall.ID {
-			hosts = append(hosts, x.IDs()...)
+			hosts = append(hosts, x.HostIDs()...)
 		}
 	}
 	rand.Shuffle(len(hosts), func(i, j int) {
--- a/entry/ratelimit.go
+++ b/entry/ratelimit.go
@@ -33,7 +33,7 @@
 func (l *rateLimits) configure(d config.Document) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.defaultRate = d.CallerRate
+	l.defaultRate = d.DefaultCallerRate
 	l.callers = map[spoolsill.CallerID]config.Caller{}
 	for _, c := range d.Callers {
 		l.callers[c.ID] = c
--- a/entry/request.go
+++ b/entry/request.go
@@ -82,10 +82,10 @@
 // readCall reads the body of a request, before the request occupies a slot. A
 // request without a key gets a random one.
 func (h *Host) readCall(w http.ResponseWriter, q *http.Request, s *service, r spoolsill.Request) (router.Call, bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, s.settings.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, s.settings.MaxBodyBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		h.rejectRequest(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", s.settings.MaxBody))
+		h.rejectRequest(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body is longer than %d bytes", s.settings.MaxBodyBytes))
 		return router.Call{}, false
 	}
 	if err != nil {
--- a/entry/status.go
+++ b/entry/status.go
@@ -19,26 +19,26 @@
 func (h *Host) getReady(w http.ResponseWriter, _ *http.Request) {
 	s := h.status()
 	status := http.StatusOK
-	if s.Stopping || !s.Members {
+	if s.Stopping || !s.MembersKnown {
 		status = http.StatusServiceUnavailable
 	}
 	writeJSON(w, status, s)
 }
 
 // status returns the host's own status.
-func (h *Host) status() api.Host {
+func (h *Host) status() api.HostStatus {
 	x, epoch, _ := h.holder.LeaseHolder()
-	s := api.Host{
-		ID:       h.settings.Host.ID,
-		Hall:     h.hall.ID,
-		HTTP:     h.settings.Host.HTTP,
-		Started:  h.started,
-		Stopping: h.stopping.Load(),
-		Degraded: h.platform.Silent(),
-		Holder:   x,
-		Epoch:    epoch,
-		Holds:    h.holder.Holds(),
-		Placing:  h.holder.Ready(),
+	s := api.HostStatus{
+		ID:          h.settings.Host.ID,
+		Hall:        h.hall.ID,
+		HTTPAddress: h.settings.Host.HTTPAddress,
+		Started:     h.started,
+		Stopping:    h.stopping.Load(),
+		Degraded:    h.platform.Silent(),
+		LeaseHolder: x,
+		Epoch:       epoch,
+		HoldsLease:  h.holder.Holds(),
+		Placing:     h.holder.Ready(),
 	}
 	for _, v := range h.services {
 		waiting, running := v.router.Load()
@@ -48,12 +48,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s.Config = h.configStore.Current().Version
-	s.ConfigSure = h.configSynced()
-	_, s.Members = h.members.ListTime()
+	s.ConfigCurrent = h.configSynced()
+	_, s.MembersKnown = h.members.ListTime()
 	return s
 }
 
-func (h *Host) handleHostRead(context.Context, peer.Caller, empty) (api.Host, error) {
+func (h *Host) handleHostRead(context.Context, peer.Caller, empty) (api.HostStatus, error) {
 	return h.status(), nil
 }
 
@@ -61,7 +61,7 @@
 // are listed with the reason.
 func (h *Host) getHosts(w http.ResponseWriter, q *http.Request) {
 	type result struct {
-		s   api.Host
+		s   api.HostStatus
 		err error
 	}
 	ctx, cancel := context.WithTimeout(q.Context(), peerTimeout)
@@ -74,7 +74,7 @@
 			go func() {
 				s, err := h.fetchStatus(ctx, p.ID)
 				if err != nil {
-					s.ID, s.Hall, s.HTTP = p.ID, x.ID, p.HTTP
+					s.ID, s.Hall, s.HTTPAddress = p.ID, x.ID, p.HTTPAddress
 				}
 				results <- result{
 					s:   s,
@@ -87,7 +87,7 @@
 	for range n {
 		r := <-results
 		if r.err != nil {
-			r.s.Unreachable = r.err.Error()
+			r.s.UnreachableReason = r.err.Error()
 		}
 		out.Hosts = append(out.Hosts, r.s)
 	}
@@ -97,9 +97,9 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-func (h *Host) fetchStatus(ctx context.Context, id spoolsill.HostID) (api.Host, error) {
+func (h *Host) fetchStatus(ctx context.Context, id spoolsill.HostID) (api.HostStatus, error) {
 	if id == h.settings.Host.ID {
 		return h.status(), nil
 	}
-	return callPeer[api.Host](ctx, h, id, methodHost, empty{})
+	return callPeer[api.HostStatus](ctx, h, id, methodHost, empty{})
 }
--- a/holder/call.go
+++ b/holder/call.go
@@ -33,10 +33,10 @@
 var ErrJobNotFound = errors.New("holder: no such job in this hall")
 
 // Plan returns the changes that an intent would make, without making them. It
-// returns [intent.ErrIntent], a [*place.StaleError] or [ErrNotHolder] on
+// returns [intent.ErrInvalidIntent], a [*place.StaleError] or [ErrNotHolder] on
 // failure.
 func (h *Holder) Plan(i intent.Intent) (Plan, error) {
-	if err := i.Check(); err != nil {
+	if err := i.Validate(); err != nil {
 		return Plan{}, err
 	}
 	t, err := h.current()
@@ -108,7 +108,7 @@
 		t.mu.Unlock()
 		return ErrNotHolder
 	}
-	p, err := t.book.Take(time.Now(), id)
+	p, err := t.book.Get(time.Now(), id)
 	known := t.state.Confirmed(id)
 	t.mu.Unlock()
 	if known {
@@ -134,7 +134,7 @@
 	now := time.Now()
 	var records []place.Record
 	if !t.state.Confirmed(id) {
-		p, err := t.book.Take(now, id)
+		p, err := t.book.Get(now, id)
 		if err != nil {
 			return nil, err
 		}
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -29,19 +29,19 @@
 	grantedAt lease.ClockReading
 	// pendingStarts are the start requests whose outcome is unknown, with the
 	// time at which their lease was granted.
-	pendingStarts map[agent.Ref]lease.ClockReading
+	pendingStarts map[agent.TaskAttempt]lease.ClockReading
 	// ackedStarts are the acknowledged start requests, with the time of the
 	// acknowledgment. The worker may have processed a renewal that was sent
 	// before that time ahead of the start, so a report that lacks the task does
 	// not mean that it is not running. An entry is removed when a renewal that
 	// was sent later is answered.
-	ackedStarts map[agent.Ref]lease.ClockReading
+	ackedStarts map[agent.TaskAttempt]lease.ClockReading
 	// createdAt is when this tenure began to manage the worker. Start requests
 	// of a previous holder may be accepted for the duration of a lease after it.
 	createdAt lease.ClockReading
 	// forgetAfter are the ended tasks that the worker still reports. The worker
 	// may forget a task once the entry with that sequence number is durable.
-	forgetAfter  map[agent.Ref]spoolsill.Sequence
+	forgetAfter  map[agent.TaskAttempt]spoolsill.Sequence
 	failures     int  // consecutive failed renewals
 	responded    bool // a renewal has succeeded in this tenure
 	unknownTasks bool // the worker runs tasks that are not in the state
@@ -55,9 +55,9 @@
 		id:            id,
 		grantedAt:     now,
 		createdAt:     now,
-		pendingStarts: map[agent.Ref]lease.ClockReading{},
-		ackedStarts:   map[agent.Ref]lease.ClockReading{},
-		forgetAfter:   map[agent.Ref]spoolsill.Sequence{},
+		pendingStarts: map[agent.TaskAttempt]lease.ClockReading{},
+		ackedStarts:   map[agent.TaskAttempt]lease.ClockReading{},
+		forgetAfter:   map[agent.TaskAttempt]spoolsill.Sequence{},
 		renewSoon:     make(chan struct{}, 1),
 	}
 }
@@ -147,18 +147,18 @@
 // buildRenewal returns the renewal to send and the worker's address. While the
 // host does not hold the hall's lease, only the leases of services are renewed:
 // a service may temporarily run twice, tasks of other kinds must not.
-func (d *driver) buildRenewal() (agent.Renewal, string) {
+func (d *driver) buildRenewal() (agent.RenewRequest, string) {
 	holds := d.t.holdsLease()
 	now := d.t.h.reading()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	q := agent.Renewal{
+	q := agent.RenewRequest{
 		Epoch:    d.t.epoch,
 		LeaseEnd: d.t.leaseEnd(now).UnixMilli(),
 	}
 	for _, h := range d.t.state.Allocations(d.id) {
 		if holds || h.Service {
-			q.Tasks = append(q.Tasks, agent.Ref{
+			q.Tasks = append(q.Tasks, agent.TaskAttempt{
 				Task:    h.Task,
 				Attempt: h.Attempt,
 			})
@@ -210,7 +210,7 @@
 		return
 	}
 	for _, h := range d.t.state.Allocations(d.id) {
-		d.report(agent.Ref{
+		d.report(agent.TaskAttempt{
 			Task:    h.Task,
 			Attempt: h.Attempt,
 		}, place.Lost)
@@ -230,15 +230,15 @@
 // pruneAckedStarts removes the starts that were acknowledged before a renewal
 // was sent, since the report of that renewal covers them. t.mu must be held.
 func (d *driver) pruneAckedStarts(sent lease.ClockReading) {
-	maps.DeleteFunc(d.ackedStarts, func(_ agent.Ref, at lease.ClockReading) bool { return at.Mono < sent.Mono })
+	maps.DeleteFunc(d.ackedStarts, func(_ agent.TaskAttempt, at lease.ClockReading) bool { return at.Mono < sent.Mono })
 }
 
 // applyReport processes the worker's response to renewal q. t.mu must be held.
-func (d *driver) applyReport(list []agent.Status, q agent.Renewal) {
-	reported := make(map[agent.Ref]bool, len(list))
+func (d *driver) applyReport(list []agent.Status, q agent.RenewRequest) {
+	reported := make(map[agent.TaskAttempt]bool, len(list))
 	unknown := 0
 	for _, s := range list {
-		reported[s.Ref] = true
+		reported[s.TaskAttempt] = true
 		if d.applyStatus(s) {
 			unknown++
 		}
@@ -257,27 +257,27 @@
 // applyStatus processes the status of one task and reports whether the task is
 // running but not in the state.
 func (d *driver) applyStatus(s agent.Status) bool {
-	h, held := d.allocation(s.Ref)
+	h, held := d.allocation(s.TaskAttempt)
 	if s.State == agent.Running {
 		switch {
 		case !held:
-			d.stopUnknown(s.Ref)
+			d.stopUnknown(s.TaskAttempt)
 			return true
 		case h.State == spoolsill.TaskCheckpointing:
-			d.t.spawn(func() { d.signal(s.Ref, agent.Checkpoint) })
+			d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Checkpoint) })
 		case h.State == spoolsill.TaskStopping:
-			d.t.spawn(func() { d.signal(s.Ref, agent.Stop) })
+			d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Stop) })
 		default:
-			d.report(s.Ref, place.Started)
+			d.report(s.TaskAttempt, place.Started)
 			d.applyUsage(s)
 		}
 		return false
 	}
 	if held {
-		d.report(s.Ref, outcomes[s.State])
+		d.report(s.TaskAttempt, outcomes[s.State])
 	}
-	if _, ok := d.forgetAfter[s.Ref]; !ok {
-		d.forgetAfter[s.Ref] = d.t.writer.Seal()
+	if _, ok := d.forgetAfter[s.TaskAttempt]; !ok {
+		d.forgetAfter[s.TaskAttempt] = d.t.writer.Seal()
 	}
 	return false
 }
@@ -291,7 +291,7 @@
 }
 
 // allocation returns the resources that a task holds on the worker.
-func (d *driver) allocation(r agent.Ref) (place.Allocation, bool) {
+func (d *driver) allocation(r agent.TaskAttempt) (place.Allocation, bool) {
 	for _, h := range d.t.state.Allocations(d.id) {
 		if h.Task == r.Task && h.Attempt == r.Attempt {
 			return h, true
@@ -301,7 +301,7 @@
 }
 
 // stopUnknown stops a task that the worker runs but that is not in the state.
-func (d *driver) stopUnknown(r agent.Ref) {
+func (d *driver) stopUnknown(r agent.TaskAttempt) {
 	d.t.h.event(timeline.Event{
 		Kind:   timeline.KindFault,
 		Job:    r.Task.Job,
@@ -315,7 +315,7 @@
 // reportMissing handles a task that is placed on the worker but that the worker
 // did not report. The task is reported as missing unless its start request has
 // just been acknowledged, has not been sent, or may still arrive.
-func (d *driver) reportMissing(r agent.Ref) {
+func (d *driver) reportMissing(r agent.TaskAttempt) {
 	_, acked := d.ackedStarts[r]
 	if acked || d.startUnsent(r) || d.startMayArrive(r) {
 		return
@@ -326,7 +326,7 @@
 
 // startMayArrive reports whether the worker may still receive and accept the
 // start request of a task, because the lease in it may not have expired.
-func (d *driver) startMayArrive(r agent.Ref) bool {
+func (d *driver) startMayArrive(r agent.TaskAttempt) bool {
 	from, ok := d.pendingStarts[r]
 	if !ok {
 		h, held := d.allocation(r)
@@ -341,7 +341,7 @@
 
 // startUnsent reports whether the start request of a task is still waiting for
 // the task's placement to become durable.
-func (d *driver) startUnsent(r agent.Ref) bool {
+func (d *driver) startUnsent(r agent.TaskAttempt) bool {
 	for _, a := range d.t.pending {
 		if a.record.Kind == place.TaskPlaced && a.record.Task == r.Task && a.record.Attempt == r.Attempt {
 			return true
@@ -356,12 +356,12 @@
 	m, records := d.t.state.ReportUsage(time.Now(), s.Task, s.Used)
 	d.t.appendRecords(records)
 	if m == place.EnforceThrottle {
-		d.t.spawn(func() { d.signal(s.Ref, agent.Throttle) })
+		d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Throttle) })
 	}
 }
 
 // report records what happened to a task. t.mu must be held.
-func (d *driver) report(r agent.Ref, f place.Outcome) {
+func (d *driver) report(r agent.TaskAttempt, f place.Outcome) {
 	d.t.appendRecords(d.t.state.Report(time.Now(), place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
@@ -370,7 +370,7 @@
 }
 
 // start starts a placed task on the worker.
-func (d *driver) start(r agent.Ref) {
+func (d *driver) start(r agent.TaskAttempt) {
 	s, address, ok := d.prepareStart(r)
 	if !ok {
 		return
@@ -386,7 +386,7 @@
 		delete(d.pendingStarts, r)
 		d.ackedStarts[r] = d.t.h.reading()
 		d.report(r, place.Started)
-	case errors.Is(err, agent.ErrRefused):
+	case errors.Is(err, agent.ErrNotExecuted):
 		delete(d.pendingStarts, r)
 		d.report(r, place.Refused)
 	default:
@@ -399,19 +399,19 @@
 // prepareStart returns the start request of a task and the worker's address. It
 // reports false if the task must not be started any more or the address is not
 // known. The lease in the request counts as granted before the request is sent.
-func (d *driver) prepareStart(r agent.Ref) (agent.Start, string, bool) {
+func (d *driver) prepareStart(r agent.TaskAttempt) (agent.StartRequest, string, bool) {
 	now := d.t.h.reading()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	h, held := d.allocation(r)
 	spec, known := d.t.state.JobSpec(r.Task.Job)
 	if !held || !known || h.State != spoolsill.TaskPlaced {
-		return agent.Start{}, "", false
+		return agent.StartRequest{}, "", false
 	}
 	d.grantedAt = now
 	d.pendingStarts[r] = now
 	d.requestRenewal()
-	return agent.Start{
+	return agent.StartRequest{
 		Task:     r.Task,
 		Attempt:  r.Attempt,
 		Epoch:    d.t.epoch,
@@ -424,7 +424,7 @@
 
 // signal sends a signal to a task. A lost signal is sent again after the next
 // renewal.
-func (d *driver) signal(r agent.Ref, v agent.Verb) {
+func (d *driver) signal(r agent.TaskAttempt, v agent.Verb) {
 	d.t.mu.Lock()
 	address := d.address
 	d.t.mu.Unlock()
@@ -432,8 +432,8 @@
 		return
 	}
 	err := d.t.h.config.Agents.Signal(d.t.ctx, address, agent.Signal{
-		Ref:  r,
-		Verb: v,
+		TaskAttempt: r,
+		Verb:        v,
 	})
 	if err != nil && !errors.Is(err, context.Canceled) {
 		d.t.h.config.Log.WithError(err).WithField("worker", d.id).Debug("cannot signal the task")
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -171,7 +171,7 @@
 
 func writeOutcome(r table.Result, err error) lease.WriteOutcome {
 	switch {
-	case errors.Is(err, table.ErrDown):
+	case errors.Is(err, table.ErrUnavailable):
 		return lease.WriteRejected
 	case err != nil:
 		return lease.WriteUnknown
--- a/holder/reconcile_test.go
+++ b/holder/reconcile_test.go
@@ -70,7 +70,7 @@
 	})
 	defer agents.Close()
 	ctx := context.Background()
-	c.Assert(agents.Start(ctx, cell.Platform.Members().Workers[0].Address, agent.Start{
+	c.Assert(agents.Start(ctx, cell.Platform.Members().Workers[0].Address, agent.StartRequest{
 		Task: spoolsill.TaskID{
 			Job: "stray",
 		},
@@ -85,8 +85,8 @@
 	defer f.Close()
 	c.Assert(f.WaitReady(ctx), qt.IsNil)
 	client := f.Client()
-	defer client.HTTP.CloseIdleConnections()
-	p, err := client.Plan(ctx, api.Intent{
+	defer client.HTTPClient.CloseIdleConnections()
+	p, err := client.Plan(ctx, api.PlanRequest{
 		Submit: "id = \"whole\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"8\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
 	})
 	c.Assert(err, qt.IsNil)
@@ -140,10 +140,10 @@
 	ctx := context.Background()
 	c.Assert(f.WaitReady(ctx), qt.IsNil)
 	client := f.Client()
-	defer client.HTTP.CloseIdleConnections()
+	defer client.HTTPClient.CloseIdleConnections()
 	worker := string(cell.Platform.Members().Workers[0].ID)
 	cell.Network.SetPaused(worker, true)
-	p, err := client.Plan(ctx, api.Intent{
+	p, err := client.Plan(ctx, api.PlanRequest{
 		Submit: "id = \"late\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
 	})
 	c.Assert(err, qt.IsNil)
@@ -184,7 +184,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		w := cellConfig()
-		w.Use = func(s agent.Start) spoolsill.Resources { return s.Shape.Times(4) }
+		w.Use = func(s agent.StartRequest) spoolsill.Resources { return s.Shape.Times(4) }
 		cell, err := standin.NewCell(w)
 		c.Assert(err, qt.IsNil)
 		defer cell.Close()
@@ -194,8 +194,8 @@
 		ctx := context.Background()
 		c.Assert(f.WaitReady(ctx), qt.IsNil)
 		client := f.Client()
-		defer client.HTTP.CloseIdleConnections()
-		p, err := client.Plan(ctx, api.Intent{
+		defer client.HTTPClient.CloseIdleConnections()
+		p, err := client.Plan(ctx, api.PlanRequest{
 			Submit: "id = \"greedy\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
 		})
 		c.Assert(err, qt.IsNil)
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -34,7 +34,7 @@
 	closed        bool       // no more goroutines are started
 	ready         bool
 	state         *place.State
-	book          *intent.Book
+	book          *intent.PlanCache
 	writer        *recordlog.Writer
 	pending       []action
 	waiters       []waiter
@@ -67,7 +67,7 @@
 		done:    make(chan struct{}),
 		wakeup:  make(chan struct{}, 1),
 		slots:   make(chan struct{}, h.config.MaxRequests),
-		book:    intent.NewBook(h.config.Intent),
+		book:    intent.NewPlanCache(h.config.Intent),
 		drivers: map[spoolsill.WorkerID]*driver{},
 	}
 	t.ctx, t.cancel = context.WithCancel(ctx)
@@ -254,7 +254,7 @@
 // execute acts on a durable record. t.mu must be held.
 func (t *tenure) execute(r place.Record) {
 	d := t.driver(r.Worker)
-	ref := agent.Ref{
+	ref := agent.TaskAttempt{
 		Task:    r.Task,
 		Attempt: r.Attempt,
 	}
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -10,21 +10,22 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// ErrIntent is returned for an intent that can't be accepted.
-var ErrIntent = errors.New("intent: not accepted")
+// ErrInvalidIntent is returned for an intent that fails validation.
+var ErrInvalidIntent = errors.New("intent: invalid")
 
-// MaxCancel is the largest number of jobs that one intent cancels.
-const MaxCancel = 20_000
+// MaxCancelJobs is the maximum number of jobs that one intent cancels.
+const MaxCancelJobs = 20_000
 
-// An Intent is what an operator wants. Exactly one field is set.
+// An Intent is a change that an operator requests. Exactly one field is set.
 type Intent struct {
 	Submit *spoolsill.Job     `msgpack:"s,omitempty"`
 	Cancel []spoolsill.JobID  `msgpack:"c,omitempty"`
 	Drain  spoolsill.WorkerID `msgpack:"d,omitempty"`
 }
 
-// Check returns [ErrIntent] with every fault of i.
-func (i Intent) Check() error {
+// Validate returns an error that wraps [ErrInvalidIntent] if i is invalid. It
+// lists every invalid field of a job.
+func (i Intent) Validate() error {
 	n := 0
 	if i.Submit != nil {
 		n++
@@ -36,25 +37,26 @@
 		n++
 	}
 	if n != 1 {
-		return fmt.Errorf("%w: want one of submit, cancel and drain, got %d", ErrIntent, n)
+		return fmt.Errorf("%w: want one of submit, cancel and drain, got %d", ErrInvalidIntent, n)
 	}
-	if len(i.Cancel) > MaxCancel {
-		return fmt.Errorf("%w: cancel: %d jobs, at most %d", ErrIntent, len(i.Cancel), MaxCancel)
+	if len(i.Cancel) > MaxCancelJobs {
+		return fmt.Errorf("%w: cancel: %d jobs, at most %d", ErrInvalidIntent, len(i.Cancel), MaxCancelJobs)
 	}
 	if i.Submit == nil {
 		return nil
 	}
-	var faults []string
+	var problems []string
 	for _, f := range i.Submit.Validate() {
-		faults = append(faults, f.Error())
+		problems = append(problems, f.Error())
 	}
-	if len(faults) == 0 {
+	if len(problems) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%w: %s", ErrIntent, strings.Join(faults, "; "))
+	return fmt.Errorf("%w: %s", ErrInvalidIntent, strings.Join(problems, "; "))
 }
 
-// Plan returns what i would change in a hall. It changes nothing.
+// Plan returns the changes that i would make to the state of a hall. It does
+// not modify the state.
 func (i Intent) Plan(s *place.State, now time.Time) (place.Plan, error) {
 	switch {
 	case i.Submit != nil:
