--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -41,7 +41,7 @@
 	Requests int     `help:"Requests in all." default:"100000"`
 }
 
-// Run measures routing.
+// Run compares routing policies.
 func (c *benchRoute) Run(s *session) error {
 	r := routebench.Run(routebench.Config(*c))
 	return s.print(r, func(w io.Writer) {
@@ -49,7 +49,7 @@
 		t := newTable(w, "policy", "wait p50 ms", "p99 ms", "p999 ms", "worth in time", "slots in use", "violations", "not run", "unknown", "lost twice", "messages/request")
 		for _, p := range r.Policies {
 			q := p.WaitMS["request"]
-			t.row(p.Name, fmt.Sprintf("%.2f", q.P50), fmt.Sprintf("%.2f", q.P99), fmt.Sprintf("%.2f", q.P999), fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Packing), fmt.Sprint(p.Violations), fmt.Sprint(p.NotRun), fmt.Sprint(p.Unknown), fmt.Sprintf("%.4f", p.LostTwice), fmt.Sprintf("%.2f", p.Messages))
+			t.addRow(p.Name, fmt.Sprintf("%.2f", q.P50), fmt.Sprintf("%.2f", q.P99), fmt.Sprintf("%.2f", q.P999), fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Packing), fmt.Sprint(p.Violations), fmt.Sprint(p.NotRun), fmt.Sprint(p.Unknown), fmt.Sprintf("%.4f", p.LostTwice), fmt.Sprintf("%.2f", p.Messages))
 		}
 		t.flush()
 	})
@@ -63,7 +63,7 @@
 	Duration time.Duration `help:"Virtual time." default:"4m"`
 }
 
-// Run measures placement.
+// Run compares placement policies.
 func (c *benchPlace) Run(s *session) error {
 	r := placebench.Run(placebench.Config{
 		Seed:     c.Seed,
@@ -76,19 +76,19 @@
 		fmt.Fprintf(w, "seed %d, %d workers, load %.2f, %.1f starts a second, %.0f%% of the workers fail everything\n\n", r.Seed, r.Workers, r.Load, r.Starts, 100*r.Failing)
 		t := newTable(w, "policy", "work", "starts", "wait p50 ms", "p99 ms", "p999 ms")
 		for _, p := range r.Policies {
-			waitRows(t, p.Name, p.WaitMS)
+			addWaitRows(t, p.Name, p.WaitMS)
 		}
 		t.flush()
 		fmt.Fprintln(w)
 		t = newTable(w, "policy", "worth in time", "packing", "violations", "lost twice", "preempted core s", "unstarted", "decision p50 us", "p99 us", "decisions/s")
 		for _, p := range r.Policies {
-			t.row(p.Name, fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Packing), fmt.Sprint(p.Violations), fmt.Sprintf("%.4f", p.LostTwice), fmt.Sprintf("%.1f", p.Preempted), fmt.Sprint(p.Unstarted), fmt.Sprintf("%.1f", p.DecisionUS.P50), fmt.Sprintf("%.1f", p.DecisionUS.P99), fmt.Sprintf("%.0f", p.PerSecond))
+			t.addRow(p.Name, fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Packing), fmt.Sprint(p.Violations), fmt.Sprintf("%.4f", p.LostTwice), fmt.Sprintf("%.1f", p.Preempted), fmt.Sprint(p.Unstarted), fmt.Sprintf("%.1f", p.DecisionUS.P50), fmt.Sprintf("%.1f", p.DecisionUS.P99), fmt.Sprintf("%.0f", p.PerSecond))
 		}
 		t.flush()
 	})
 }
 
-func waitRows(t table, policy string, waits map[string]event.Quantiles) {
+func addWaitRows(t table, policy string, waits map[string]event.Quantiles) {
 	kinds := make([]string, 0, len(waits))
 	for k := range waits {
 		kinds = append(kinds, k)
@@ -96,7 +96,7 @@
 	sort.Strings(kinds)
 	for _, k := range kinds {
 		q := waits[k]
-		t.row(policy, k, fmt.Sprint(q.Count), fmt.Sprintf("%.1f", q.P50), fmt.Sprintf("%.1f", q.P99), fmt.Sprintf("%.1f", q.P999))
+		t.addRow(policy, k, fmt.Sprint(q.Count), fmt.Sprintf("%.1f", q.P50), fmt.Sprintf("%.1f", q.P99), fmt.Sprintf("%.1f", q.P999))
 	}
 }
 
@@ -109,13 +109,14 @@
 	Move     time.Duration `help:"By how much each time of the schedule is moved at most." default:"1.5s"`
 }
 
-// Run runs sequences of failures. It fails when a promise was broken.
+// Run runs random sequences of failures. It returns an error if a promise was violated.
 func (c *benchFault) Run(s *session) error {
-	return s.onVirtualTime(c.run)
+	return s.runWithVirtualTime(c.run)
 }
 
-// onVirtualTime runs a measurement and ends the process with its exit code.
-func (s *session) onVirtualTime(f func(s *session) error) error {
+// runWithVirtualTime runs f in a process that can use virtual time and exits with f's
+// exit code. It does not return.
+func (s *session) runWithVirtualTime(f func(s *session) error) error {
 	bubble.Main(func() int {
 		err := f(s)
 		if err == nil {
@@ -128,32 +129,32 @@
 }
 
 func (c *benchFault) run(s *session) error {
-	plays, err := c.schedule()
+	schedule, err := c.readSchedule()
 	if err != nil {
-		return exitWith(ExitUsage, "%w", err)
+		return exitErrorf(ExitUsage, "%w", err)
 	}
 	r, err := faultbench.Run(s.ctx(), faultbench.Config{
 		Seed:     c.Seed,
 		Runs:     c.Runs,
 		Break:    c.Break,
-		Schedule: plays,
+		Schedule: schedule,
 		Move:     c.Move,
-		Progress: c.progress(s),
+		Progress: c.progressReporter(s),
 	})
 	if err != nil {
-		return exitWith(ExitUsage, "%w", err)
+		return exitErrorf(ExitUsage, "%w", err)
 	}
 	err = s.print(r, func(w io.Writer) {
 		fmt.Fprintf(w, "%d of %d sequences from seed %d, %d failed, %d requests: %.4f not run, %.4f unknown; %d jobs lost with all hosts of a hall; %d unfinished\n\n", r.Runs, c.Runs, r.Seed, r.Failed, r.Requests, r.NotRunShare, r.UnknownShare, r.LostWithHall, r.Unfinished)
 		t := newTable(w, "promise", "broken")
 		for _, p := range standin.Promises() {
-			t.row(string(p), fmt.Sprint(r.Violations[p]))
+			t.addRow(string(p), fmt.Sprint(r.Violations[p]))
 		}
 		t.flush()
 		fmt.Fprintln(w)
 		t = newTable(w, "recovery", "count", "p50 ms", "p99 ms")
 		for k, q := range r.RecoveryMS {
-			t.row(k, fmt.Sprint(q.Count), fmt.Sprintf("%.0f", q.P50), fmt.Sprintf("%.0f", q.P99))
+			t.addRow(k, fmt.Sprint(q.Count), fmt.Sprintf("%.0f", q.P50), fmt.Sprintf("%.0f", q.P99))
 		}
 		t.flush()
 		for _, x := range append(r.Cases, r.Schedules...) {
@@ -161,13 +162,14 @@
 		}
 	})
 	if err == nil && r.Broken() > 0 {
-		return exitWith(ExitFailed, "a promise was broken")
+		return exitErrorf(ExitFailed, "a promise was broken")
 	}
 	return err
 }
 
-// schedule reads the schedule to play; it has no steps when none is named.
-func (c *benchFault) schedule() (fault.Schedule, error) {
+// readSchedule reads the schedule file. It returns a schedule without steps if no file
+// is given.
+func (c *benchFault) readSchedule() (fault.Schedule, error) {
 	if c.Schedule == "" {
 		return fault.Schedule{}, nil
 	}
@@ -178,13 +180,13 @@
 	return fault.Parse(b)
 }
 
-// progressEvery is how many sequences end between two lines of progress.
-const progressEvery = 50
+// progressInterval is the number of completed sequences between progress lines.
+const progressInterval = 50
 
-// progress tells of a long run on the error stream.
-func (c *benchFault) progress(s *session) func(done, failed int) {
+// progressReporter returns a function that reports progress on standard error.
+func (c *benchFault) progressReporter(s *session) func(done, failed int) {
 	return func(done, failed int) {
-		if done%progressEvery == 0 && done < c.Runs {
+		if done%progressInterval == 0 && done < c.Runs {
 			fmt.Fprintf(s.env.Err, "%d of %d sequences, %d failed\n", done, c.Runs, failed)
 		}
 	}
@@ -197,9 +199,9 @@
 	Duration time.Duration `help:"Virtual time." default:"5s"`
 }
 
-// Run measures what placement asks of the table.
+// Run measures the load that placement puts on the table.
 func (c *benchStore) Run(s *session) error {
-	return s.onVirtualTime(c.run)
+	return s.runWithVirtualTime(c.run)
 }
 
 func (c *benchStore) run(s *session) error {
@@ -209,16 +211,16 @@
 	}
 	return s.print(r, func(w io.Writer) {
 		t := newTable(w, "halls", "placements/s", "table writes/s", "table reads/s", "confirm p50 ms", "p99 ms", "bytes/placement", "broken")
-		t.row(fmt.Sprint(r.Halls), fmt.Sprintf("%.0f", r.PlacementsPerS), fmt.Sprintf("%.1f", r.WritesPerS), fmt.Sprintf("%.1f", r.ReadsPerS), fmt.Sprintf("%.1f", r.CommitMS.P50), fmt.Sprintf("%.1f", r.CommitMS.P99), fmt.Sprintf("%.0f", r.BytesPerPlacement), fmt.Sprint(r.Broken))
+		t.addRow(fmt.Sprint(r.Halls), fmt.Sprintf("%.0f", r.PlacementsPerS), fmt.Sprintf("%.1f", r.WritesPerS), fmt.Sprintf("%.1f", r.ReadsPerS), fmt.Sprintf("%.1f", r.CommitMS.P50), fmt.Sprintf("%.1f", r.CommitMS.P99), fmt.Sprintf("%.0f", r.BytesPerPlacement), fmt.Sprint(r.Broken))
 		t.flush()
 	})
 }
 
 type benchCapacity struct{}
 
-// Run measures the cost of size. Its tables are Markdown.
+// Run measures resource use at several cell sizes. It prints Markdown tables.
 func (c *benchCapacity) Run(s *session) error {
-	return s.onVirtualTime(c.run)
+	return s.runWithVirtualTime(c.run)
 }
 
 func (c *benchCapacity) run(s *session) error {
@@ -228,7 +230,7 @@
 	}
 	return s.print(r, func(w io.Writer) {
 		row := func(cells ...string) { fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | ")) }
-		for _, part := range []struct {
+		for _, section := range []struct {
 			name   string
 			points []capacity.Point
 		}{
@@ -245,10 +247,10 @@
 				points: r.ByHosts,
 			},
 		} {
-			fmt.Fprintf(w, "\n%s\n\n", part.name)
+			fmt.Fprintf(w, "\n%s\n\n", section.name)
 			row("workers", "hosts", "starts/s", "cpu share a host", "peer B/s a host", "table writes/s", "table reads/s", "worker calls/s", "heap MB a host")
 			row("--:", "--:", "--:", "--:", "--:", "--:", "--:", "--:", "--:")
-			for _, p := range part.points {
+			for _, p := range section.points {
 				row(fmt.Sprint(p.Workers), fmt.Sprint(p.Hosts), fmt.Sprintf("%.0f", p.Starts), fmt.Sprintf("%.4f", p.CPU), fmt.Sprintf("%.0f", p.Peer), fmt.Sprintf("%.2f", p.Writes), fmt.Sprintf("%.2f", p.Reads), fmt.Sprintf("%.1f", p.Calls), fmt.Sprintf("%.1f", p.Heap/1e6))
 			}
 		}
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -32,21 +32,21 @@
 }
 
 type callResult struct {
-	Outcome  spoolsill.Outcome    `json:"outcome"`
-	Key      spoolsill.RequestKey `json:"key"`
-	Status   int                  `json:"status"`
-	Runner   string               `json:"runner,omitempty"`
-	Replayed bool                 `json:"replayed,omitempty"`
-	Cause    string               `json:"cause,omitempty"`
-	Retry    string               `json:"retry_after_s,omitempty"`
-	Body     string               `json:"body"`
-	TookMS   float64              `json:"took_ms"`
+	Outcome    spoolsill.Outcome    `json:"outcome"`
+	Key        spoolsill.RequestKey `json:"key"`
+	Status     int                  `json:"status"`
+	Runner     string               `json:"runner,omitempty"`
+	Replayed   bool                 `json:"replayed,omitempty"`
+	Cause      string               `json:"cause,omitempty"`
+	RetryAfter string               `json:"retry_after_s,omitempty"`
+	Body       string               `json:"body"`
+	TookMS     float64              `json:"took_ms"`
 }
 
-// maxBody bounds the answer that is read.
-const maxBody = 64 << 20
+// maxResponseBytes is the maximum number of bytes read of a response body.
+const maxResponseBytes = 64 << 20
 
-// Run sends one request and prints what became of it.
+// Run sends one request and prints its outcome.
 func (c *callCommand) Run(s *session) error {
 	if c.Key == "" {
 		c.Key = spoolsill.RequestKey(fmt.Sprintf("cli-%016x", rand.Uint64()))
@@ -54,16 +54,16 @@
 	if c.Issued == 0 {
 		c.Issued = time.Now().UnixMilli()
 	}
-	body, err := c.body()
+	body, err := c.readBody()
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	r, err := c.send(s, body)
 	if err != nil {
 		return err
 	}
-	r.TookMS = float64(time.Since(began).Microseconds()) / 1000
+	r.TookMS = float64(time.Since(start).Microseconds()) / 1000
 	if err := s.print(r, func(w io.Writer) { r.print(w) }); err != nil {
 		return err
 	}
@@ -71,37 +71,40 @@
 	case spoolsill.OutcomeDone:
 		return nil
 	case spoolsill.OutcomeNotRun:
-		return exitWith(ExitNotRun, "request %s did not run", c.Key)
+		return exitErrorf(ExitNotRun, "request %s did not run", c.Key)
 	default:
-		return exitWith(ExitUnknown, "request %s may have run; ask again with --key %s --issued %d", c.Key, c.Key, c.Issued)
+		return exitErrorf(ExitUnknown, "request %s may have run; ask again with --key %s --issued %d", c.Key, c.Key, c.Issued)
 	}
 }
 
-func (c *callCommand) body() ([]byte, error) {
+// readBody returns the request body, from a file if the flag has the form @FILE.
+func (c *callCommand) readBody() ([]byte, error) {
 	if len(c.Body) == 0 || c.Body[0] != '@' {
 		return []byte(c.Body), nil
 	}
 	b, err := os.ReadFile(c.Body[1:])
 	if err != nil {
-		return nil, exitWith(ExitUsage, "%w", err)
+		return nil, exitErrorf(ExitUsage, "%w", err)
 	}
 	return b, nil
 }
 
-// send sends the request to the first host that a connection can be opened to.
+// send sends the request to the first host that accepts a connection. It tries the next
+// host only after a dial error: after any other error the request may have run, so the
+// outcome is unknown.
 func (c *callCommand) send(s *session, body []byte) (callResult, error) {
 	var err error
 	for _, h := range s.client.Hosts {
-		var q *http.Request
-		q, err = http.NewRequestWithContext(s.ctx(), http.MethodPost, "http://"+h+"/v1/call/"+string(c.Service)+c.Path, bytes.NewReader(body))
+		var req *http.Request
+		req, err = http.NewRequestWithContext(s.ctx(), http.MethodPost, "http://"+h+"/v1/call/"+string(c.Service)+c.Path, bytes.NewReader(body))
 		if err != nil {
-			return callResult{}, exitWith(ExitUsage, "%w", err)
+			return callResult{}, exitErrorf(ExitUsage, "%w", err)
 		}
-		c.setHeaders(q.Header)
-		var x callResult
-		x, err = c.do(q)
+		c.setHeaders(req.Header)
+		var result callResult
+		result, err = c.do(req)
 		if err == nil {
-			return x, nil
+			return result, nil
 		}
 		var op *net.OpError
 		if !errors.As(err, &op) || op.Op != "dial" {
@@ -112,17 +115,17 @@
 			}, nil
 		}
 	}
-	return callResult{}, exitWith(ExitUnreachable, "no entry host can be reached: %w", err)
+	return callResult{}, exitErrorf(ExitUnreachable, "no entry host can be reached: %w", err)
 }
 
-// do sends a request. It fails only when no answer came at all.
-func (c *callCommand) do(q *http.Request) (callResult, error) {
-	r, err := http.DefaultClient.Do(q)
+// do sends a request. It returns an error only if no response was received.
+func (c *callCommand) do(req *http.Request) (callResult, error) {
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return callResult{}, err
 	}
-	defer func() { _ = r.Body.Close() }()
-	return c.read(r), nil
+	defer func() { _ = resp.Body.Close() }()
+	return c.parseResponse(resp), nil
 }
 
 func (c *callCommand) setHeaders(h http.Header) {
@@ -136,23 +139,25 @@
 	h.Set(entry.HeaderUnrepeatable, strconv.FormatBool(c.Unrepeatable))
 }
 
-func (c *callCommand) read(r *http.Response) callResult {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
-	x := callResult{
-		Outcome:  spoolsill.Outcome(r.Header.Get(entry.HeaderOutcome)),
-		Key:      c.Key,
-		Status:   r.StatusCode,
-		Runner:   r.Header.Get(entry.HeaderRunner),
-		Replayed: r.Header.Get(entry.HeaderReplayed) == "true",
-		Cause:    r.Header.Get(entry.HeaderCause),
-		Retry:    r.Header.Get("Retry-After"),
-		Body:     string(b),
+// parseResponse converts a response to a result. The outcome is unknown if the body is
+// incomplete or the outcome header is missing.
+func (c *callCommand) parseResponse(resp *http.Response) callResult {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	result := callResult{
+		Outcome:    spoolsill.Outcome(resp.Header.Get(entry.HeaderOutcome)),
+		Key:        c.Key,
+		Status:     resp.StatusCode,
+		Runner:     resp.Header.Get(entry.HeaderRunner),
+		Replayed:   resp.Header.Get(entry.HeaderReplayed) == "true",
+		Cause:      resp.Header.Get(entry.HeaderCause),
+		RetryAfter: resp.Header.Get("Retry-After"),
+		Body:       string(body),
 	}
-	if err != nil || x.Outcome == "" {
-		x.Outcome = spoolsill.OutcomeUnknown
-		x.Cause = "the answer did not come whole"
+	if err != nil || result.Outcome == "" {
+		result.Outcome = spoolsill.OutcomeUnknown
+		result.Cause = "the answer was incomplete"
 	}
-	return x
+	return result
 }
 
 func (r callResult) print(w io.Writer) {
@@ -172,8 +177,8 @@
 			r.Body = f.Text
 		}
 		fmt.Fprintf(w, "%s: %s\n", r.Cause, r.Body)
-		if r.Retry != "" {
-			fmt.Fprintf(w, "ask again after %s s\n", r.Retry)
+		if r.RetryAfter != "" {
+			fmt.Fprintf(w, "ask again after %s s\n", r.RetryAfter)
 		}
 		return
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,16 +18,16 @@
 // The exit codes of all commands.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1 // the command failed, or a promise was broken
-	ExitUsage       = 2 // flags, settings, job file or request can't be accepted
-	ExitStale       = 3 // a plan or configuration is stale: look again
-	ExitNotRun      = 4 // a request certainly did not run
-	ExitUnknown     = 5 // it is not known whether it took effect
-	ExitUnreachable = 6 // no entry host, or no holder, can be reached
-	ExitNotFound    = 7 // there is no such thing
+	ExitFailed      = 1 // the command failed, or a run violated a promise
+	ExitUsage       = 2 // invalid flags, settings, job file or request
+	ExitStale       = 3 // the plan or the base version of a configuration is out of date
+	ExitNotRun      = 4 // the request definitely did not run
+	ExitUnknown     = 5 // the operation may or may not have taken effect
+	ExitUnreachable = 6 // no entry host, or no holder of the hall's lease, is reachable
+	ExitNotFound    = 7 // the named job, request or worker does not exist
 )
 
-// A Command is the command line.
+// A Command defines the flags and subcommands, as parsed by kong.
 type Command struct {
 	Hosts []string `help:"Entry hosts, as IP:port, tried in order." default:"127.0.0.1:7101" env:"SPOOLSILL_HOSTS" placeholder:"IP:PORT"`
 	JSON  bool     `help:"Print JSON instead of tables." name:"json"`
@@ -57,15 +57,15 @@
 
 Nothing changes until a plan is confirmed: "plan" shows what would change, "confirm" applies just that or says that the plan is stale. "submit", "cancel" and "drain" do both, with a question between (or --yes).`
 
-// An Env is what commands use of their surroundings.
+// An Env is the process environment that commands run in.
 type Env struct {
-	Context context.Context //nolint:containedctx // handed to kong commands, which take no context
+	Context context.Context //nolint:containedctx // the Run methods that kong calls take no context
 	In      io.Reader
 	Out     io.Writer
 	Err     io.Writer
 }
 
-// Main runs the command line and returns the exit code.
+// Main parses args, runs the selected command and returns the exit code.
 func Main(e Env, args []string) int {
 	var c Command
 	code := -1
@@ -79,7 +79,7 @@
 	if err != nil {
 		panic(err)
 	}
-	x, err := k.Parse(args)
+	parsed, err := k.Parse(args)
 	if code >= 0 {
 		return code
 	}
@@ -94,14 +94,14 @@
 			Hosts: c.Hosts,
 		},
 	}
-	if err := x.Run(s); err != nil {
+	if err := parsed.Run(s); err != nil {
 		fmt.Fprintln(e.Err, "spoolsill:", err)
 		return exitCode(err)
 	}
 	return ExitOK
 }
 
-// A session is what a command runs with.
+// A session is passed to the Run method of each command.
 type session struct {
 	env    Env
 	json   bool
@@ -112,10 +112,10 @@
 	return s.env.Context
 }
 
-// print writes v as JSON, or what table writes.
-func (s *session) print(v any, table func(w io.Writer)) error {
+// print writes v as indented JSON if --json is set, and otherwise calls writeText.
+func (s *session) print(v any, writeText func(w io.Writer)) error {
 	if !s.json {
-		table(s.env.Out)
+		writeText(s.env.Out)
 		return nil
 	}
 	e := json.NewEncoder(s.env.Out)
@@ -123,26 +123,26 @@
 	return e.Encode(v)
 }
 
-// An exitError is an error with its exit code.
+// An exitError is an error that sets the exit code of the process.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error implements error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error.
 func (e *exitError) Unwrap() error { return e.err }
 
-func exitWith(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return &exitError{
 		code: code,
 		err:  fmt.Errorf(format, args...),
 	}
 }
 
-var refusedCodes = map[string]int{
+// exitCodeByStatusCode maps the codes of [api.StatusError] to exit codes. Other codes
+// exit with ExitFailed.
+var exitCodeByStatusCode = map[string]int{
 	"stale":       ExitStale,
 	"bad-input":   ExitUsage,
 	"intent":      ExitUsage,
@@ -163,7 +163,7 @@
 	}
 	var r *api.StatusError
 	if errors.As(err, &r) {
-		if c, ok := refusedCodes[r.Code]; ok {
+		if c, ok := exitCodeByStatusCode[r.Code]; ok {
 			return c
 		}
 		return ExitFailed
@@ -176,7 +176,7 @@
 
 type versionCommand struct{}
 
-// Run prints the version.
+// Run prints the version of the main module.
 func (c *versionCommand) Run(s *session) error {
 	v := version()
 	return s.print(map[string]string{
@@ -197,16 +197,17 @@
 func readFile(name string) (string, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
-		return "", exitWith(ExitUsage, "%w", err)
+		return "", exitErrorf(ExitUsage, "%w", err)
 	}
 	return string(b), nil
 }
 
-// ask asks a question and reports whether the answer is yes.
-func (s *session) ask(question string) bool {
+// confirmPrompt prints a question to standard error and reports whether the answer
+// read from standard input is yes.
+func (s *session) confirmPrompt(question string) bool {
 	fmt.Fprintf(s.env.Err, "%s [y/N] ", question)
-	var a string
-	_, _ = fmt.Fscanln(s.env.In, &a)
-	a = strings.ToLower(strings.TrimSpace(a))
-	return a == "y" || a == "yes"
+	var answer string
+	_, _ = fmt.Fscanln(s.env.In, &answer)
+	answer = strings.ToLower(strings.TrimSpace(answer))
+	return answer == "y" || answer == "yes"
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -25,7 +25,7 @@
 	return code, o.String(), e.String()
 }
 
-func TestHelpTeaches(t *testing.T) {
+func TestHelpListsCommands(t *testing.T) {
 	c := qt.New(t)
 	code, out, _ := run("--help")
 	c.Assert(code, qt.Equals, cli.ExitOK)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestCheckOfTheExamplesAsJSON(t *testing.T) {
+func TestCheckExamplesJSON(t *testing.T) {
 	c := qt.New(t)
 	code, out, errs := run("--json", "check", "--settings", "../../examples/tbilisi.toml", "--config", "../../examples/config.toml", "--job", "../../examples/jobs/gang.toml")
 	c.Assert(code, qt.Equals, cli.ExitOK, qt.Commentf("%s", errs))
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -25,7 +25,7 @@
 
 type configGet struct{}
 
-// Run prints the configuration in force.
+// Run prints the configuration in force with its version and author.
 func (c *configGet) Run(s *session) error {
 	r, err := s.client.Config(s.ctx())
 	if err != nil {
@@ -43,14 +43,14 @@
 	Note string            `help:"Why, for the history."`
 }
 
-// Run has a configuration accepted.
+// Run validates a configuration file and submits it as the next version.
 func (c *configPut) Run(s *session) error {
 	text, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
 	if _, err := config.Parse([]byte(text)); err != nil {
-		return exitWith(ExitUsage, "%s: %w", c.File, err)
+		return exitErrorf(ExitUsage, "%s: %w", c.File, err)
 	}
 	a, err := s.client.PutConfig(s.ctx(), api.PutConfigRequest{
 		BaseVersion: c.Base,
@@ -73,7 +73,7 @@
 	InForce []spoolsill.HostID `json:"in_force"`
 }
 
-// Run prints the history.
+// Run prints the configuration versions and the hosts on which each is in force.
 func (c *configHistory) Run(s *session) error {
 	h, err := s.client.ConfigHistory(s.ctx())
 	if err != nil {
@@ -99,7 +99,7 @@
 	return s.print(rows, func(w io.Writer) {
 		t := newTable(w, "version", "when", "who", "note", "in force at")
 		for _, r := range rows {
-			t.row(fmt.Sprint(r.Version), r.AcceptedAt.Format("2006-01-02 15:04:05"), r.Author, r.Note, joinHosts(r.InForce))
+			t.addRow(fmt.Sprint(r.Version), r.AcceptedAt.Format("2006-01-02 15:04:05"), r.Author, r.Note, joinHosts(r.InForce))
 		}
 		t.flush()
 	})
@@ -113,8 +113,8 @@
 	return strings.Join(out, " ")
 }
 
-// withDrained returns a configuration text in which a machine is, or is not,
-// on the list of drained ones.
+// withDrained returns the configuration text with the machine id added to or removed
+// from the list of drained machines.
 func withDrained(text, id string, drained bool) (string, error) {
 	d, err := config.Parse([]byte(text))
 	if err != nil {
@@ -135,55 +135,55 @@
 	Config   []string         `help:"Configuration files." type:"existingfile"`
 	Platform []string         `help:"Settings files that the users' platform writes for a host." type:"existingfile"`
 	Deploy   []string         `help:"Deploy files of the users' platform." type:"existingfile"`
-	// Operators are documents as operators write them into the platform's store.
+	// Operators are JSON documents in the form that operators write to the platform's store.
 	Operators []string `help:"Configurations (JSON) for the users' platform, with queues, teams and quotas." type:"existingfile"`
 }
 
-type checked struct {
-	File string `json:"file"`
-	Fine bool   `json:"fine"`
-	Text string `json:"text"`
+type checkResult struct {
+	File  string `json:"file"`
+	Valid bool   `json:"fine"`
+	Text  string `json:"text"`
 }
 
-// Run checks files.
+// Run validates the named files and prints a result for each.
 func (c *checkCommand) Run(s *session) error {
-	var out []checked
-	note := func(file, fine string, err error) {
-		x := checked{
-			File: file,
-			Fine: err == nil,
-			Text: fine,
+	var results []checkResult
+	addResult := func(file, summary string, err error) {
+		x := checkResult{
+			File:  file,
+			Valid: err == nil,
+			Text:  summary,
 		}
 		if err != nil {
 			x.Text = err.Error()
 		}
-		out = append(out, x)
+		results = append(results, x)
 	}
 	for _, f := range c.Settings {
 		v, err := settings.Load(f, c.Host)
-		note(f, fmt.Sprintf("settings of host %s in hall %s", v.Host.ID, v.OwnHall().ID), err)
+		addResult(f, fmt.Sprintf("settings of host %s in hall %s", v.Host.ID, v.OwnHall().ID), err)
 	}
 	for _, f := range c.Job {
-		note(checkJob(f))
+		addResult(checkJob(f))
 	}
 	for _, f := range c.Config {
-		note(checkConfig(f))
+		addResult(checkConfig(f))
 	}
 	for _, f := range c.Platform {
 		v, err := platform.LoadSettings(f)
-		note(f, fmt.Sprintf("settings of host %s in hall %s", v.Host, v.Hall), err)
+		addResult(f, fmt.Sprintf("settings of host %s in hall %s", v.Host, v.Hall), err)
 	}
 	for _, f := range c.Deploy {
 		v, err := platform.LoadDeployment(f)
-		note(f, fmt.Sprintf("deploy file with %d roles", len(v.Roles)), err)
+		addResult(f, fmt.Sprintf("deploy file with %d roles", len(v.Roles)), err)
 	}
 	for _, f := range c.Operators {
-		note(checkOperators(f))
+		addResult(checkOperatorConfig(f))
 	}
-	if len(out) == 0 {
-		return exitWith(ExitUsage, "name a file with --settings, --job, --config, --platform, --deploy or --operators")
+	if len(results) == 0 {
+		return exitErrorf(ExitUsage, "name a file with --settings, --job, --config, --platform, --deploy or --operators")
 	}
-	return s.reportChecked(out)
+	return s.printCheckResults(results)
 }
 
 func checkJob(file string) (string, string, error) {
@@ -204,8 +204,9 @@
 	return file, fmt.Sprintf("configuration with %d teams and %d callers", len(d.Teams), len(d.Callers)), err
 }
 
-// checkOperators checks a configuration for the users' platform. What it tells has no key.
-func checkOperators(file string) (string, string, error) {
+// checkOperatorConfig validates a configuration for the users' platform. Its results
+// never contain an API key.
+func checkOperatorConfig(file string) (string, string, error) {
 	text, err := readFile(file)
 	if err != nil {
 		return file, "", err
@@ -214,40 +215,40 @@
 	if err != nil {
 		return file, "", err
 	}
-	fine := fmt.Sprintf("configuration %d with %d queues", c.Version, len(c.Routes))
+	summary := fmt.Sprintf("configuration %d with %d queues", c.Version, len(c.Routes))
 	if c.Keys == nil {
-		return file, fine + ", no teams: callers need no keys", nil
+		return file, summary + ", no teams: callers need no keys", nil
 	}
-	var faults []error
+	var errs []error
 	for _, f := range c.Keys.Faults() {
-		faults = append(faults, fmt.Errorf("%s: %s", file, f))
+		errs = append(errs, fmt.Errorf("%s: %s", file, f))
 	}
 	for _, t := range c.Teams {
 		if t.Most.Negative() || t.Weight < 0 {
-			faults = append(faults, fmt.Errorf("%s: team %q: quota and weight must not be negative", file, string(t.ID)))
+			errs = append(errs, fmt.Errorf("%s: team %q: quota and weight must not be negative", file, string(t.ID)))
 		}
 	}
-	return file, fmt.Sprintf("%s, %d teams and %d keys", fine, len(c.Teams), c.Keys.Keys()), errors.Join(faults...)
+	return file, fmt.Sprintf("%s, %d teams and %d keys", summary, len(c.Teams), c.Keys.Keys()), errors.Join(errs...)
 }
 
-func (s *session) reportChecked(list []checked) error {
-	bad := 0
-	err := s.print(list, func(w io.Writer) {
-		for _, x := range list {
-			if x.Fine {
+func (s *session) printCheckResults(results []checkResult) error {
+	invalid := 0
+	err := s.print(results, func(w io.Writer) {
+		for _, x := range results {
+			if x.Valid {
 				fmt.Fprintf(w, "%s: fine: %s\n", x.File, x.Text)
 				continue
 			}
 			fmt.Fprintln(w, x.Text)
 		}
 	})
-	for _, x := range list {
-		if !x.Fine {
-			bad++
+	for _, x := range results {
+		if !x.Valid {
+			invalid++
 		}
 	}
-	if err == nil && bad > 0 {
-		return exitWith(ExitUsage, "%d of %d files can't be accepted", bad, len(list))
+	if err == nil && invalid > 0 {
+		return exitErrorf(ExitUsage, "%d of %d files can't be accepted", invalid, len(results))
 	}
 	return err
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -8,7 +8,7 @@
 	Seed uint64 `help:"Seed of the random choices." default:"1"`
 }
 
-// Run runs the demo.
+// Run runs the demo. It returns an error if a promise was violated.
 func (c *demoCommand) Run(s *session) error {
 	ok, err := demo.Run(s.ctx(), demo.Config{
 		Seed: c.Seed,
@@ -16,7 +16,7 @@
 		Out:  s.env.Out,
 	})
 	if err == nil && !ok {
-		return exitWith(ExitFailed, "a promise was broken")
+		return exitErrorf(ExitFailed, "a promise was broken")
 	}
 	return err
 }
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of callers and operators.
+// Package cli implements the spoolsill command line for callers and operators.
 //
-// Every command that prints takes --json. The exit codes are constants here
-// and listed in docs/OPERATIONS.md.
+// Commands that print structured results support --json. The exit codes are the
+// Exit constants of this package; docs/OPERATIONS.md lists them.
 package cli
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -11,7 +11,7 @@
 	Logs []string `help:"Saved logs of the hosts, in any order." required:"" type:"existingfile" placeholder:"FILE"`
 }
 
-// Run implements the command.
+// Run prints, by queue, the number of jobs in time and the causes of the others.
 func (c *lossesCommand) Run(s *session) error {
 	lines, err := readLogs(c.Logs)
 	if err != nil {
@@ -21,9 +21,9 @@
 	return s.print(queues, func(w io.Writer) {
 		t := newTable(w, "queue", "jobs", "in time", "others", "what became of them", "why")
 		for _, q := range queues {
-			t.row(q.Name, fmt.Sprint(q.Jobs), fmt.Sprint(q.InTime), "", "", "")
+			t.addRow(q.Name, fmt.Sprint(q.Jobs), fmt.Sprint(q.InTime), "", "", "")
 			for _, x := range q.Causes {
-				t.row("", "", "", fmt.Sprint(x.Jobs), string(x.Fate), string(x.Reason))
+				t.addRow("", "", "", fmt.Sprint(x.Jobs), string(x.Fate), string(x.Reason))
 			}
 		}
 		t.flush()
--- a/internal/cli/operators_test.go
+++ b/internal/cli/operators_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/internal/cli"
 )
 
-func TestCheckOfOperatorsConfigurations(t *testing.T) {
+func TestCheckOperatorConfigs(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		teams string
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -32,7 +32,7 @@
 	Hall   spoolsill.HallID   `help:"Hall of the worker."`
 }
 
-func (c planSubmit) intent() (api.PlanRequest, error) {
+func (c planSubmit) planRequest() (api.PlanRequest, error) {
 	text, err := readFile(c.File)
 	return api.PlanRequest{
 		Hall:     c.Hall,
@@ -41,106 +41,108 @@
 	}, err
 }
 
-// Run shows the plan.
+// Run shows the plan for submitting a job.
 func (c *planSubmit) Run(s *session) error {
-	i, err := c.intent()
+	req, err := c.planRequest()
 	if err != nil {
 		return err
 	}
-	return s.plan(i)
+	return s.showPlan(req)
 }
 
-// Run shows the plan.
+// Run shows the plan for cancelling jobs.
 func (c *planCancel) Run(s *session) error {
-	i, err := s.cancelIntent(c.Hall, c.Jobs)
+	req, err := s.cancelRequest(c.Hall, c.Jobs)
 	if err != nil {
 		return err
 	}
-	return s.plan(i)
+	return s.showPlan(req)
 }
 
-// Run shows the plan.
+// Run shows the plan for draining a worker.
 func (c *planDrain) Run(s *session) error {
-	i, err := s.drainIntent(c.Hall, c.Worker)
+	req, err := s.drainRequest(c.Hall, c.Worker)
 	if err != nil {
 		return err
 	}
-	return s.plan(i)
+	return s.showPlan(req)
 }
 
-// cancelIntent finds the hall of the jobs when none is named.
-func (s *session) cancelIntent(h spoolsill.HallID, jobs []spoolsill.JobID) (api.PlanRequest, error) {
-	if h == "" {
+// cancelRequest returns a plan request to cancel jobs. If hall is empty, it uses the hall
+// of the first job.
+func (s *session) cancelRequest(hall spoolsill.HallID, jobs []spoolsill.JobID) (api.PlanRequest, error) {
+	if hall == "" {
 		d, err := s.client.Job(s.ctx(), jobs[0])
 		if err != nil {
 			return api.PlanRequest{}, err
 		}
-		h = d.Hall
+		hall = d.Hall
 	}
 	return api.PlanRequest{
-		Hall:   h,
+		Hall:   hall,
 		Cancel: jobs,
 	}, nil
 }
 
-// drainIntent finds the hall of a worker when none is named.
-func (s *session) drainIntent(h spoolsill.HallID, w spoolsill.WorkerID) (api.PlanRequest, error) {
-	i := api.PlanRequest{
-		Hall:  h,
-		Drain: w,
+// drainRequest returns a plan request to drain a worker. If hall is empty, it looks up
+// the worker's hall.
+func (s *session) drainRequest(hall spoolsill.HallID, worker spoolsill.WorkerID) (api.PlanRequest, error) {
+	req := api.PlanRequest{
+		Hall:  hall,
+		Drain: worker,
 	}
-	if h != "" {
-		return i, nil
+	if hall != "" {
+		return req, nil
 	}
 	list, err := s.client.Workers(s.ctx(), "")
 	if err != nil {
-		return i, err
+		return req, err
 	}
 	for _, x := range list.Workers {
-		if x.ID == w {
-			i.Hall = x.Hall
-			return i, nil
+		if x.ID == worker {
+			req.Hall = x.Hall
+			return req, nil
 		}
 	}
-	return i, exitWith(ExitNotFound, "worker %s is not known in any hall that answers", w)
+	return req, exitErrorf(ExitNotFound, "worker %s is not known in any hall that answers", worker)
 }
 
-// plan asks for a plan and prints it.
-func (s *session) plan(i api.PlanRequest) error {
-	p, err := s.client.Plan(s.ctx(), i)
+// showPlan requests a plan and prints it.
+func (s *session) showPlan(req api.PlanRequest) error {
+	p, err := s.client.Plan(s.ctx(), req)
 	if err != nil {
 		return err
 	}
 	return s.print(p, func(w io.Writer) { printPlan(w, p) })
 }
 
-// shownChanges bounds the changes that a table lists.
-const shownChanges = 40
+// maxListedChanges is the maximum number of changes printed in a table.
+const maxListedChanges = 40
 
 func printPlan(w io.Writer, p holder.Plan) {
 	t := newTable(w, "change", "task", "worker", "why")
 	for i, c := range p.Changes {
-		if i == shownChanges {
+		if i == maxListedChanges {
 			break
 		}
-		t.row(string(c.Verb), c.Task, string(c.Worker), c.Reason)
+		t.addRow(string(c.Verb), c.Task, string(c.Worker), c.Reason)
 	}
 	t.flush()
-	if n := len(p.Changes) - shownChanges; n > 0 {
+	if n := len(p.Changes) - maxListedChanges; n > 0 {
 		fmt.Fprintf(w, "... and %d more (--json lists all)\n", n)
 	}
 	fmt.Fprintln(w)
 	t = newTable(w, "", "before", "after")
-	t.row("free in hall", p.Before.Free.String(), p.After.Free.String())
-	t.row("team uses", p.Before.TeamUsed.String(), p.After.TeamUsed.String())
-	t.row("team quota in hall", quotaText(p.Before), quotaText(p.After))
-	t.row("tasks queued", fmt.Sprint(p.Before.Queued), fmt.Sprint(p.After.Queued))
+	t.addRow("free in hall", p.Before.Free.String(), p.After.Free.String())
+	t.addRow("team uses", p.Before.TeamUsed.String(), p.After.TeamUsed.String())
+	t.addRow("team quota in hall", formatQuota(p.Before), formatQuota(p.After))
+	t.addRow("tasks queued", fmt.Sprint(p.Before.Queued), fmt.Sprint(p.After.Queued))
 	t.flush()
 	fmt.Fprintf(w, "\nplan %s in hall %s, until %s\n", p.ID, p.Hall, p.Expires.Local().Format(time.TimeOnly))
 	fmt.Fprintf(w, "to apply it: spoolsill confirm --hall %s %s\n", p.Hall, p.ID)
 }
 
-func quotaText(t place.Totals) string {
+func formatQuota(t place.Totals) string {
 	if t.TeamQuota.IsZero() {
 		return "none"
 	}
@@ -169,17 +171,18 @@
 	})
 }
 
-// planAndConfirm shows a plan, asks, and confirms it.
-func (s *session) planAndConfirm(i api.PlanRequest, yes bool) error {
-	p, err := s.client.Plan(s.ctx(), i)
+// planAndConfirm requests a plan, prints it, and confirms it after the user agrees. With
+// yes set, it does not ask.
+func (s *session) planAndConfirm(req api.PlanRequest, yes bool) error {
+	p, err := s.client.Plan(s.ctx(), req)
 	if err != nil {
 		return err
 	}
 	if !s.json {
 		printPlan(s.env.Out, p)
 	}
-	if !yes && !s.ask("apply this plan?") {
-		return exitWith(ExitFailed, "nothing was changed")
+	if !yes && !s.confirmPrompt("apply this plan?") {
+		return exitErrorf(ExitFailed, "nothing was changed")
 	}
 	return s.confirm(p.Hall, p.ID)
 }
@@ -189,13 +192,13 @@
 	Yes bool `help:"Confirm without a question." short:"y"`
 }
 
-// Run plans and confirms a job.
+// Run plans and confirms the submission of a job.
 func (c *submitCommand) Run(s *session) error {
-	i, err := c.intent()
+	req, err := c.planRequest()
 	if err != nil {
 		return err
 	}
-	return s.planAndConfirm(i, c.Yes)
+	return s.planAndConfirm(req, c.Yes)
 }
 
 type cancelCommand struct {
@@ -203,13 +206,13 @@
 	Yes bool `help:"Confirm without a question." short:"y"`
 }
 
-// Run plans and confirms the end of jobs.
+// Run plans and confirms the cancellation of jobs.
 func (c *cancelCommand) Run(s *session) error {
-	i, err := s.cancelIntent(c.Hall, c.Jobs)
+	req, err := s.cancelRequest(c.Hall, c.Jobs)
 	if err != nil {
 		return err
 	}
-	return s.planAndConfirm(i, c.Yes)
+	return s.planAndConfirm(req, c.Yes)
 }
 
 type drainCommand struct {
@@ -220,27 +223,28 @@
 	Yes  bool             `help:"Confirm without a question." short:"y"`
 }
 
-// show prints what draining would move, for a worker. A runner has no tasks.
-func (c *drainCommand) show(s *session) error {
-	i, err := s.drainIntent(c.Hall, spoolsill.WorkerID(c.ID))
+// showDrainPlan prints the tasks that draining a worker would move. It prints nothing for an
+// ID that is not a worker: a runner has no tasks.
+func (c *drainCommand) showDrainPlan(s *session) error {
+	req, err := s.drainRequest(c.Hall, spoolsill.WorkerID(c.ID))
 	if exitCode(err) == ExitNotFound {
 		return nil
 	}
 	if err != nil || s.json {
 		return err
 	}
-	return s.plan(i)
+	return s.showPlan(req)
 }
 
-// Run puts a machine on the configuration's list of drained ones, so that it
-// gets no new work, and has a worker's tasks moved.
+// Run adds a machine to the drained list of the configuration, or removes it with --undo.
+// A drained machine receives no new work, and the tasks of a drained worker are moved.
 func (c *drainCommand) Run(s *session) error {
 	if !c.Undo {
-		if err := c.show(s); err != nil {
+		if err := c.showDrainPlan(s); err != nil {
 			return err
 		}
-		if !c.Yes && !s.ask("drain "+c.ID+"?") {
-			return exitWith(ExitFailed, "nothing was changed")
+		if !c.Yes && !s.confirmPrompt("drain "+c.ID+"?") {
+			return exitErrorf(ExitFailed, "nothing was changed")
 		}
 	}
 	r, err := s.client.Config(s.ctx())
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -16,7 +16,7 @@
 	Hall spoolsill.HallID `help:"Only this hall."`
 }
 
-// Run lists jobs.
+// Run lists the jobs of one or all halls.
 func (c *statusCommand) Run(s *session) error {
 	j, err := s.client.Jobs(s.ctx(), c.Hall)
 	if err != nil {
@@ -25,14 +25,15 @@
 	return s.print(j, func(w io.Writer) {
 		t := newTable(w, "job", "hall", "team", "kind", "class", "tasks", "reason")
 		for _, x := range j.Jobs {
-			t.row(string(x.ID), string(x.Hall), string(x.Team), string(x.Kind), x.Class.String(), states(x.States), x.Reason)
+			t.addRow(string(x.ID), string(x.Hall), string(x.Team), string(x.Kind), x.Class.String(), formatStates(x.States), x.Reason)
 		}
 		t.flush()
-		printMissing(w, j.UnavailableHalls)
+		printUnavailableHalls(w, j.UnavailableHalls)
 	})
 }
 
-func states(m map[spoolsill.TaskState]int) string {
+// formatStates returns the number of tasks in each state.
+func formatStates(m map[spoolsill.TaskState]int) string {
 	parts := make([]string, 0, len(m))
 	for s, n := range m {
 		parts = append(parts, fmt.Sprintf("%d %s", n, s))
@@ -41,7 +42,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func printMissing(w io.Writer, list []api.UnavailableHall) {
+func printUnavailableHalls(w io.Writer, list []api.UnavailableHall) {
 	for _, m := range list {
 		fmt.Fprintf(w, "hall %s does not answer: %s\n", m.Hall, m.Text)
 	}
@@ -51,8 +52,8 @@
 	ID string `arg:"" help:"Job, task (job.index) or request key."`
 }
 
-// Run explains a job or task from its hall's state, and a request from the
-// time line.
+// Run explains a job or task from the state of its hall. An ID that no hall knows as a
+// job is looked up in the timeline as a request key.
 func (c *explainCommand) Run(s *session) error {
 	job := spoolsill.JobID(c.ID)
 	if t, err := spoolsill.ParseTaskID(c.ID); err == nil {
@@ -69,7 +70,7 @@
 }
 
 func (c *explainCommand) printJob(w io.Writer, d api.JobDetail) {
-	fmt.Fprintf(w, "job %s of team %s in hall %s: %s, %s, %s\n", d.Job.ID, d.Job.Team, d.Hall, d.Job.Kind, d.Job.Class, states(d.Job.States))
+	fmt.Fprintf(w, "job %s of team %s in hall %s: %s, %s, %s\n", d.Job.ID, d.Job.Team, d.Hall, d.Job.Kind, d.Job.Class, formatStates(d.Job.States))
 	fmt.Fprintf(w, "%s\n\n", d.Job.Reason)
 	t := newTable(w, "task", "state", "worker", "attempt", "since", "reason")
 	for _, x := range d.Tasks {
@@ -80,12 +81,13 @@
 		if len(x.Avoids) > 0 {
 			reason += "; avoids " + strings.Join(x.Avoids, ", ")
 		}
-		t.row(x.ID, string(x.State), string(x.Worker), fmt.Sprint(x.Attempt), age(x.Since), reason)
+		t.addRow(x.ID, string(x.State), string(x.Worker), fmt.Sprint(x.Attempt), formatAge(x.Since), reason)
 	}
 	t.flush()
 }
 
-func age(t time.Time) string {
+// formatAge returns the time elapsed since t.
+func formatAge(t time.Time) string {
 	return time.Since(t).Round(100 * time.Millisecond).String()
 }
 
@@ -98,11 +100,11 @@
 		return err
 	}
 	if len(l.Events) == 0 {
-		return exitWith(ExitNotFound, "%s is no job, and no host that answers remembers a request of that key", key)
+		return exitErrorf(ExitNotFound, "%s is no job, and no host that answers remembers a request of that key", key)
 	}
 	return s.print(l, func(w io.Writer) {
 		printEvents(w, l.Events)
-		printSilent(w, l.UnavailableHosts)
+		printUnavailableHosts(w, l.UnavailableHosts)
 	})
 }
 
@@ -110,7 +112,7 @@
 	Hall spoolsill.HallID `help:"Only this hall."`
 }
 
-// Run lists workers.
+// Run lists the workers of one or all halls.
 func (c *workersCommand) Run(s *session) error {
 	l, err := s.client.Workers(s.ctx(), c.Hall)
 	if err != nil {
@@ -119,10 +121,10 @@
 	return s.print(l, func(w io.Writer) {
 		t := newTable(w, "worker", "hall", "rack", "tasks", "free", "capacity", "state")
 		for _, x := range l.Workers {
-			t.row(string(x.ID), string(x.Hall), string(x.Rack), fmt.Sprint(x.Tasks), x.Free.String(), x.Capacity.String(), workerState(x))
+			t.addRow(string(x.ID), string(x.Hall), string(x.Rack), fmt.Sprint(x.Tasks), x.Free.String(), x.Capacity.String(), workerState(x))
 		}
 		t.flush()
-		printMissing(w, l.UnavailableHalls)
+		printUnavailableHalls(w, l.UnavailableHalls)
 	})
 }
 
@@ -152,27 +154,29 @@
 	return s.print(l, func(w io.Writer) {
 		t := newTable(w, "host", "hall", "http", "up", "config", "holder", "epoch", "waiting", "running", "state")
 		for _, x := range l.Hosts {
-			t.row(string(x.ID), string(x.Hall), x.HTTPAddress, up(x), configText(x), yes(x.HoldsLease), fmt.Sprint(x.Epoch), fmt.Sprint(x.Waiting), fmt.Sprint(x.Running), hostState(x))
+			t.addRow(string(x.ID), string(x.Hall), x.HTTPAddress, formatUptime(x), formatConfigVersion(x), yesOrEmpty(x.HoldsLease), fmt.Sprint(x.Epoch), fmt.Sprint(x.Waiting), fmt.Sprint(x.Running), hostState(x))
 		}
 		t.flush()
 	})
 }
 
-func up(h api.HostStatus) string {
+// formatUptime returns the time since the host started, or "-" if it is unreachable.
+func formatUptime(h api.HostStatus) string {
 	if h.UnreachableReason != "" {
 		return "-"
 	}
 	return time.Since(h.Started).Round(time.Second).String()
 }
 
-func configText(h api.HostStatus) string {
+// formatConfigVersion marks a version that may be out of date with a question mark.
+func formatConfigVersion(h api.HostStatus) string {
 	if h.ConfigCurrent {
 		return fmt.Sprint(h.Config)
 	}
 	return fmt.Sprintf("%d?", h.Config)
 }
 
-func yes(b bool) string {
+func yesOrEmpty(b bool) string {
 	if b {
 		return "yes"
 	}
@@ -204,10 +208,10 @@
 	Follow  bool                 `help:"Go on with new events." short:"f"`
 }
 
-// followEvery is the time between two reads of a followed time line.
-const followEvery = 500 * time.Millisecond
+// followInterval is the polling interval of the timeline with --follow.
+const followInterval = 500 * time.Millisecond
 
-// Run prints the merged events of all hosts.
+// Run prints the merged events of all hosts, repeatedly with --follow.
 func (c *timelineCommand) Run(s *session) error {
 	f := timeline.Filter{
 		Job:     c.Job,
@@ -224,7 +228,7 @@
 		err = s.print(l, func(w io.Writer) {
 			printEvents(w, l.Events)
 			if !c.Follow {
-				printSilent(w, l.UnavailableHosts)
+				printUnavailableHosts(w, l.UnavailableHosts)
 			}
 		})
 		if err != nil || !c.Follow {
@@ -236,18 +240,18 @@
 		select {
 		case <-s.ctx().Done():
 			return nil
-		case <-time.After(followEvery):
+		case <-time.After(followInterval):
 		}
 	}
 }
 
 func printEvents(w io.Writer, events []timeline.Event) {
 	for _, e := range events {
-		fmt.Fprintf(w, "%s  %-14s %-10s %s\n", e.At, e.Host, e.Kind, eventText(e))
+		fmt.Fprintf(w, "%s  %-14s %-10s %s\n", e.At, e.Host, e.Kind, formatEvent(e))
 	}
 }
 
-func eventText(e timeline.Event) string {
+func formatEvent(e timeline.Event) string {
 	parts := []string{}
 	add := func(name, v string) {
 		if v != "" {
@@ -265,7 +269,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func printSilent(w io.Writer, hosts []spoolsill.HostID) {
+func printUnavailableHosts(w io.Writer, hosts []spoolsill.HostID) {
 	for _, h := range hosts {
 		fmt.Fprintf(w, "host %s does not answer: its events are missing\n", h)
 	}
--- a/internal/cli/story.go
+++ b/internal/cli/story.go
@@ -14,7 +14,7 @@
 	Logs []string `help:"Saved logs of the hosts, in any order." required:"" type:"existingfile" placeholder:"FILE"`
 }
 
-// Run implements the command.
+// Run prints the log lines about an ID with their context.
 func (c *storyCommand) Run(s *session) error {
 	all, err := readLogs(c.Logs)
 	if err != nil {
@@ -32,7 +32,7 @@
 	Out  string   `help:"Where the picture (SVG) is written." required:"" placeholder:"FILE"`
 }
 
-// Run implements the command.
+// Run writes an SVG chart of the logs.
 func (c *pictureCommand) Run(_ *session) error {
 	all, err := readLogs(c.Logs)
 	if err != nil {
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -7,25 +7,26 @@
 	"text/tabwriter"
 )
 
-// A table aligns columns for people.
+// A table writes rows of text with aligned columns.
 type table struct {
 	w *tabwriter.Writer
 }
 
-func newTable(w io.Writer, head ...string) table {
-	const space = 2
+// newTable returns a table and writes its header row in upper case.
+func newTable(w io.Writer, headers ...string) table {
+	const padding = 2
 	t := table{
-		w: tabwriter.NewWriter(w, 0, 0, space, ' ', 0),
+		w: tabwriter.NewWriter(w, 0, 0, padding, ' ', 0),
 	}
-	up := make([]string, len(head))
-	for i, h := range head {
-		up[i] = strings.ToUpper(h)
+	upper := make([]string, len(headers))
+	for i, h := range headers {
+		upper[i] = strings.ToUpper(h)
 	}
-	t.row(up...)
+	t.addRow(upper...)
 	return t
 }
 
-func (t table) row(cells ...string) {
+func (t table) addRow(cells ...string) {
 	fmt.Fprintln(t.w, strings.Join(cells, "\t"))
 }
 
