--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -1,6 +1,6 @@
-// Package capacity measures what each role of an entry host costs, with the
-// real hosts on virtual time at several sizes, and fits the cost of one more
-// worker, host, task start or request.
+// Package capacity measures the resource use of entry hosts. It runs the real hosts on
+// virtual time at several sizes and fits the marginal cost of a worker, of a task start
+// per second and of a host.
 package capacity
 
 import (
@@ -21,38 +21,38 @@
 	"github.com/spoolsill/spoolsill/settings"
 )
 
-// A Point is one measurement of a hall, for each host of it.
+// A Point is one measurement of a hall.
 type Point struct {
 	Workers int     `json:"workers"`
 	Hosts   int     `json:"hosts"`
 	Starts  float64 `json:"starts_per_s"`
 	Tasks   int     `json:"tasks"`
 
-	// CPU is processor seconds a second of the whole process, stand-ins and
-	// all hosts included, for each host: an upper bound.
+	// CPU is the processor time per second and host. It is an upper bound: it includes the
+	// stand-ins, which run in the same process.
 	CPU float64 `json:"cpu"`
-	// Peer is bytes a second that a host sends to other hosts.
+	// Peer is the number of bytes per second that a host sends to other hosts.
 	Peer float64 `json:"peer_bytes_per_s"`
-	// Writes and Reads are the hall's calls of the table a second.
+	// Writes and Reads are the calls of the table per second of the whole hall.
 	Writes float64 `json:"table_writes_per_s"`
 	Reads  float64 `json:"table_reads_per_s"`
-	// Calls is the holder's calls of workers a second.
+	// Calls is the number of calls to workers per second.
 	Calls float64 `json:"worker_calls_per_s"`
-	// Heap is bytes in use in the whole process, for each host.
+	// Heap is the allocated heap of the process divided by the number of hosts.
 	Heap float64 `json:"heap_bytes"`
 }
 
-// A Slope is a cost fitted over points.
+// A Slope is a linear fit of a cost over points.
 type Slope struct {
 	Cost  string  `json:"cost"`
 	Per   string  `json:"per"`
 	Value float64 `json:"value"`
-	// Rest is the cost without any, Error the largest miss of the fit.
+	// Rest is the intercept of the fit, Error the largest absolute residual.
 	Rest  float64 `json:"rest"`
 	Error float64 `json:"error"`
 }
 
-// A Result is a whole measurement.
+// A Result holds the measured points and the fitted costs.
 type Result struct {
 	AtRest  []Point `json:"at_rest"`
 	Loaded  []Point `json:"loaded"`
@@ -60,35 +60,36 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// The sizes measured.
+// The measured values of each parameter.
 var (
-	sizes = []int{10, 50, 110, 220}
-	rates = []int{0, 5, 10, 20}
-	hosts = []int{1, 2, 3}
+	workerCounts = []int{10, 50, 110, 220}
+	startRates   = []int{0, 5, 10, 20}
+	hostCounts   = []int{1, 2, 3}
 )
 
-// hallWorkers is how many workers a hall has at the size to come: 2,100 by 19.
+// hallWorkers is the number of workers of a hall at the planned size, 2,100 workers in
+// 19 halls.
 const hallWorkers = 110
 
-// Run measures at all sizes. It is called in [bubble.Main].
+// Run measures at all sizes. It must be called in [bubble.Main].
 func Run() (Result, error) {
 	var r Result
-	for _, n := range sizes {
-		p, err := measure(n, 2, 0)
+	for _, n := range workerCounts {
+		p, err := measurePoint(n, 2, 0)
 		if err != nil {
 			return r, err
 		}
 		r.AtRest = append(r.AtRest, p)
 	}
-	for _, n := range rates {
-		p, err := measure(hallWorkers, 2, n)
+	for _, n := range startRates {
+		p, err := measurePoint(hallWorkers, 2, n)
 		if err != nil {
 			return r, err
 		}
 		r.Loaded = append(r.Loaded, p)
 	}
-	for _, n := range hosts {
-		p, err := measure(hallWorkers, n, 0)
+	for _, n := range hostCounts {
+		p, err := measurePoint(hallWorkers, n, 0)
 		if err != nil {
 			return r, err
 		}
@@ -111,7 +112,7 @@
 	return r, nil
 }
 
-// fit fits a straight line by least squares.
+// fit fits a line to points by least squares.
 func fit(cost, per string, points []Point, x, y func(Point) float64) Slope {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(points))
@@ -133,21 +134,22 @@
 	return s
 }
 
-// warm and window are the virtual times before and of a measurement.
+// warmUp is the virtual time before a measurement, window the virtual time that is
+// measured.
 const (
-	warm   = 5 * time.Second
+	warmUp = 5 * time.Second
 	window = 30 * time.Second
 )
 
-// measure runs one hall.
-func measure(workers, perHall, starts int) (Point, error) {
+// measurePoint measures one hall on a virtual clock of its own.
+func measurePoint(workers, perHall, starts int) (Point, error) {
 	var p Point
 	var err error
-	bubble.Run(func() { p, err = hall(workers, perHall, starts) })
+	bubble.Run(func() { p, err = measureHall(workers, perHall, starts) })
 	return p, err
 }
 
-func hall(workers, perHall, starts int) (Point, error) {
+func measureHall(workers, perHall, starts int) (Point, error) {
 	halls := []spoolsill.HallID{"hall"}
 	cell, err := standin.NewCell(standin.CellConfig{
 		Halls:    halls,
@@ -197,7 +199,8 @@
 	})
 }
 
-// observe counts what the hosts do in a window of virtual time.
+// observe submits load through the warm-up and the measurement window and returns p with
+// the resource use in the window.
 func observe(ctx context.Context, cell *standin.Cell, f *fleet.Fleet, c *api.Client, p Point) (Point, error) {
 	n := 0
 	load := func(d time.Duration) error {
@@ -212,11 +215,11 @@
 		}
 		return nil
 	}
-	if err := load(warm); err != nil {
+	if err := load(warmUp); err != nil {
 		return p, err
 	}
 	writes, reads := cell.Platform.Table.Counts()
-	sent := traffic(f)
+	sent := bytesSent(f)
 	calls := cell.Calls()
 	cpu := processorTime()
 	if err := load(window); err != nil {
@@ -227,13 +230,13 @@
 	p.CPU = (processorTime() - cpu).Seconds() / s / hosts
 	p.Writes = float64(w-writes) / s
 	p.Reads = float64(r-reads) / s
-	p.Peer = float64(traffic(f)-sent) / s / hosts
+	p.Peer = float64(bytesSent(f)-sent) / s / hosts
 	p.Calls = float64(cell.Calls()-calls) / s
-	p.Heap = float64(heap()) / hosts
+	p.Heap = float64(heapBytes()) / hosts
 	return p, nil
 }
 
-// submit adds a batch of so many short tasks.
+// submit plans and confirms a batch job with the given number of tasks.
 func submit(ctx context.Context, c *api.Client, n, tasks int) error {
 	plan, err := c.Plan(ctx, api.PlanRequest{
 		Submit: fmt.Sprintf("id = \"load-%d\"\nteam = \"t%d\"\nkind = \"batch\"\ntasks = %d\nprocessors = \"2\"\nmemory = \"1GiB\"\nruntime = \"20s\"\n", n, n%20, tasks),
@@ -244,7 +247,7 @@
 	return c.Confirm(ctx, plan.Hall, plan.ID)
 }
 
-func traffic(f *fleet.Fleet) uint64 {
+func bytesSent(f *fleet.Fleet) uint64 {
 	var n uint64
 	for i := range f.Len() {
 		n += f.Host(i).BytesSent()
@@ -252,7 +255,7 @@
 	return n
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -14,23 +14,23 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// What the parts of a cell take.
+// Durations and intervals of the simulated cell.
 const (
-	writeTime = 10 * time.Millisecond
-	callTime  = 2 * time.Millisecond
-	beatEvery = time.Second
-	lookEvery = 4 * time.Millisecond
-	tickEvery = 50 * time.Millisecond
-	lease     = 10 * time.Second
-	stopTime  = 400 * time.Millisecond
-	// saveEvery is how often progress is saved; a start from it takes
-	// restoreTime longer.
-	saveEvery   = 500 * time.Millisecond
-	restoreTime = 600 * time.Millisecond
-	ticketValid = 2 * time.Second
+	storeWriteTime    = 10 * time.Millisecond
+	callDelay         = 2 * time.Millisecond
+	heartbeatInterval = time.Second
+	minDecideInterval = 4 * time.Millisecond
+	tickInterval      = 50 * time.Millisecond
+	lease             = 10 * time.Second
+	stopTime          = 400 * time.Millisecond
+	// checkpointInterval is the time between checkpoints of a task. Starting from a
+	// checkpoint takes restoreTime longer.
+	checkpointInterval = 500 * time.Millisecond
+	restoreTime        = 600 * time.Millisecond
+	ticketValidity     = 2 * time.Second
 )
 
-// A cell drives one [sched.State].
+// A cell simulates the workers, the store and the advisor around one [sched.State].
 type cell struct {
 	config  Config
 	loop    event.Loop
@@ -41,46 +41,46 @@
 	jobs    map[spoolsill.JobID]*arrival
 	report  *tally
 
-	writing   bool
-	looked    time.Duration
-	willLook  bool
-	questions []sched.AdviceOrder
-	idle      int // hosts that ask nothing
-	gangs     map[sched.StageID]map[sched.RunID]*run
-	starts    int
-	stops     int
-	broken    []string
+	writing       bool
+	lastDecide    time.Duration
+	decidePending bool
+	adviceOrders  []sched.AdviceOrder
+	idleHosts     int // hosts without an outstanding advice request
+	gangs         map[sched.StageID]map[sched.RunID]*run
+	starts        int
+	stops         int
+	violations    []string
 }
 
 type worker struct {
 	sched.Worker
-	speed    float64
-	runs     map[sched.RunID]*run
-	ends     []sched.End
-	sequence uint64
+	runtimeFactor float64
+	runs          map[sched.RunID]*run
+	unackedEnds   []sched.End
+	sequence      uint64
 }
 
-// A run is a task at a worker. Of a gang it waits until all are there.
+// A run is a task at a worker. A member of a gang waits until all members have arrived.
 type run struct {
-	id     sched.RunID
-	worker *worker
-	work   time.Duration // in all
-	before time.Duration // done by earlier runs
-	began  time.Duration // zero while it waits
-	takes  time.Duration
-	going  bool
-	fails  bool
+	id        sched.RunID
+	worker    *worker
+	totalWork time.Duration // total run time, on a worker with runtimeFactor 1
+	priorWork time.Duration // part of it done by earlier runs
+	began     time.Duration // zero while waiting for the gang
+	runtime   time.Duration
+	started   bool
+	willFail  bool
 }
 
 func newCell(c Config) *cell {
 	x := &cell{
-		config: c,
-		rand:   rand.New(rand.NewPCG(c.Seed, 1)),
-		byID:   map[spoolsill.WorkerID]*worker{},
-		jobs:   map[spoolsill.JobID]*arrival{},
-		gangs:  map[sched.StageID]map[sched.RunID]*run{},
-		report: newTally(c),
-		idle:   c.Hosts,
+		config:    c,
+		rand:      rand.New(rand.NewPCG(c.Seed, 1)),
+		byID:      map[spoolsill.WorkerID]*worker{},
+		jobs:      map[spoolsill.JobID]*arrival{},
+		gangs:     map[sched.StageID]map[sched.RunID]*run{},
+		report:    newTally(c),
+		idleHosts: c.Hosts,
 	}
 	x.state = sched.New(sched.Config{
 		Lease:      lease,
@@ -113,30 +113,30 @@
 				Address:  "a",
 				Capacity: p.Capacity,
 			},
-			speed: 1,
-			runs:  map[sched.RunID]*run{},
+			runtimeFactor: 1,
+			runs:          map[sched.RunID]*run{},
 		}
 		if len(p.Speeds) > 0 {
-			w.speed = p.Speeds[i%len(p.Speeds)]
+			w.runtimeFactor = p.Speeds[i%len(p.Speeds)]
 		}
 		x.workers = append(x.workers, w)
 		x.byID[w.ID] = w
 		x.state.WorkerListed(x.loop.Time(), w.Worker)
-		x.loop.After(time.Duration(i)*time.Millisecond, func() { x.beat(w) })
+		x.loop.After(time.Duration(i)*time.Millisecond, func() { x.heartbeat(w) })
 	}
 }
 
-// run plays all arrivals and what is left after them.
+// run simulates all arrivals and the time until their jobs have ended.
 func (x *cell) run(as []arrival) {
 	for i := range as {
 		a := &as[i]
 		x.loop.After(a.at, func() { x.arrive(a) })
 	}
-	x.loop.After(tickEvery, x.tick)
+	x.loop.After(tickInterval, x.tick)
 	x.loop.Run(x.config.Duration + settleTime)
 }
 
-// settleTime is for what has come last.
+// settleTime is the simulated time after the last arrival, for the last jobs to end.
 const settleTime = time.Minute
 
 func (x *cell) arrive(a *arrival) {
@@ -144,45 +144,47 @@
 	a.job.Received = now
 	x.jobs[a.job.ID] = a
 	x.state.AddJob(now, a.job, sched.Progress{})
-	x.look()
+	x.scheduleDecide()
 }
 
 func (x *cell) tick() {
-	x.look()
-	x.loop.After(tickEvery, x.tick)
+	x.scheduleDecide()
+	x.loop.After(tickInterval, x.tick)
 }
 
-// look has the state decide, at most once in a while.
-func (x *cell) look() {
-	wait := x.looked + lookEvery - x.loop.Now()
+// scheduleDecide calls decide now or, if it ran less than minDecideInterval ago, when that
+// has passed.
+func (x *cell) scheduleDecide() {
+	wait := x.lastDecide + minDecideInterval - x.loop.Now()
 	if wait <= 0 {
-		x.act()
+		x.decide()
 		return
 	}
-	if !x.willLook {
-		x.willLook = true
+	if !x.decidePending {
+		x.decidePending = true
 		x.loop.After(wait, func() {
-			x.willLook = false
-			x.act()
+			x.decidePending = false
+			x.decide()
 		})
 	}
 }
 
-func (x *cell) act() {
+// decide has the state make decisions and carries them out.
+func (x *cell) decide() {
 	now := x.loop.Time()
-	x.looked = x.loop.Now()
+	x.lastDecide = x.loop.Now()
 	x.state.Decide(now)
 	if err := x.state.CheckRoom(); err != nil {
-		x.broken = append(x.broken, err.Error())
+		x.violations = append(x.violations, err.Error())
 	}
 	for _, o := range x.state.Stops() {
-		x.loop.After(callTime, func() { x.stop(o) })
+		x.loop.After(callDelay, func() { x.stop(o) })
 	}
 	for _, o := range x.state.DeferredStarts() {
-		x.loop.After(callTime, func() { x.start(o) })
+		x.loop.After(callDelay, func() { x.start(o) })
 	}
-	x.questions = append(x.questions, x.state.AdviceOrders()...)
-	x.ask()
+	x.adviceOrders = append(x.adviceOrders, x.state.AdviceOrders()...)
+	x.askAdvisor()
 	x.state.Notes()
 	x.state.StatusUpdates()
 	x.write()
@@ -194,56 +196,58 @@
 	}
 	b, any, err := x.state.Batch(x.loop.Time())
 	if err != nil {
-		x.broken = append(x.broken, err.Error())
+		x.violations = append(x.violations, err.Error())
 	}
 	if !any {
 		return
 	}
 	x.writing = true
-	x.loop.After(writeTime, func() {
+	x.loop.After(storeWriteTime, func() {
 		x.writing = false
-		x.written(b)
-		x.look()
+		x.batchWritten(b)
+		x.scheduleDecide()
 	})
 }
 
-func (x *cell) written(b sched.Batch) {
+// batchWritten handles the completion of a write to the store.
+func (x *cell) batchWritten(b sched.Batch) {
 	for _, s := range b.Statuses {
 		if a := x.jobs[s.ID]; a != nil && s.State.Final() {
-			x.report.ended(a, s.State, x.loop.Now()-a.at)
+			x.report.recordEnd(a, s.State, x.loop.Now()-a.at)
 			delete(x.jobs, s.ID)
 		}
 	}
 	for _, o := range x.state.BatchWritten(x.loop.Time(), b) {
-		x.loop.After(callTime, func() { x.start(o) })
+		x.loop.After(callDelay, func() { x.start(o) })
 	}
 	for _, a := range b.Acks {
 		w := x.byID[a.Worker]
-		w.ends = slices.DeleteFunc(w.ends, func(e sched.End) bool { return e.Sequence <= a.Sequence })
+		w.unackedEnds = slices.DeleteFunc(w.unackedEnds, func(e sched.End) bool { return e.Sequence <= a.Sequence })
 	}
 }
 
-// ask has idle hosts ask the advisor, the most urgent question first.
-func (x *cell) ask() {
-	for x.idle > 0 && len(x.questions) > 0 {
+// askAdvisor has idle hosts send the pending advice requests, the most urgent first.
+func (x *cell) askAdvisor() {
+	for x.idleHosts > 0 && len(x.adviceOrders) > 0 {
 		i := 0
-		for j, o := range x.questions {
-			if compareQuestions(o, x.questions[i]) < 0 {
+		for j, o := range x.adviceOrders {
+			if compareAdviceOrders(o, x.adviceOrders[i]) < 0 {
 				i = j
 			}
 		}
-		o := x.questions[i]
-		x.questions = slices.Delete(x.questions, i, i+1)
-		x.idle--
-		x.loop.After(o.Cost+callTime, func() {
-			x.idle++
+		o := x.adviceOrders[i]
+		x.adviceOrders = slices.Delete(x.adviceOrders, i, i+1)
+		x.idleHosts--
+		x.loop.After(o.Cost+callDelay, func() {
+			x.idleHosts++
 			x.advise(o)
-			x.look()
+			x.scheduleDecide()
 		})
 	}
 }
 
-func compareQuestions(a, b sched.AdviceOrder) int {
+// compareAdviceOrders orders by urgency, then by descending purpose, then by priority.
+func compareAdviceOrders(a, b sched.AdviceOrder) int {
 	if a.Urgent != b.Urgent {
 		if a.Urgent {
 			return -1
@@ -257,10 +261,10 @@
 	a := sched.Advice{
 		Order:    o,
 		Received: x.loop.Time(),
-		Valid:    ticketValid,
+		Valid:    ticketValidity,
 	}
 	for _, l := range o.Workers {
-		if x.good(o.Stage, l.Worker) {
+		if x.allowed(o.Stage, l.Worker) {
 			a.Tickets = append(a.Tickets, sched.Ticket{
 				Worker: l.Worker,
 				Text:   "t",
@@ -270,9 +274,9 @@
 	x.state.AdviceReceived(x.loop.Time(), a)
 }
 
-// good tells by a hash whether a stage may run at a worker. Some stages may run at
-// none.
-func (x *cell) good(s sched.StageID, id spoolsill.WorkerID) bool {
+// allowed reports whether the advisor allows a stage on a worker. It decides by a hash, so
+// the answer is stable; some stages are allowed on no worker.
+func (x *cell) allowed(s sched.StageID, id spoolsill.WorkerID) bool {
 	a := x.jobs[s.Job]
 	if a == nil {
 		return true
@@ -282,46 +286,48 @@
 	return float64(h.Sum64()>>11)/(1<<53) < a.kind.Good
 }
 
-func (x *cell) start(o sched.StartOrder) {
-	w := x.byID[o.Worker]
-	a := x.jobs[o.Run.Task.Stage.Job]
+func (x *cell) start(order sched.StartOrder) {
+	w := x.byID[order.Worker]
+	a := x.jobs[order.Run.Task.Stage.Job]
 	x.starts++
 	x.state.StartAnswered(x.loop.Time(), sched.StartAnswer{
-		Life: o.Life,
-		Run:  o.Run,
+		Life: order.Life,
+		Run:  order.Run,
 	})
 	if a == nil {
 		return
 	}
 	r := &run{
-		id:     o.Run,
-		worker: w,
-		work:   a.work[o.Run.Task.Stage.Step][o.Run.Task.Index],
-		fails:  x.rand.Float64() < a.kind.Fails,
+		id:        order.Run,
+		worker:    w,
+		totalWork: a.work[order.Run.Task.Stage.Step][order.Run.Task.Index],
+		willFail:  x.rand.Float64() < a.kind.Fails,
 	}
-	if o.Saved != "" {
-		ms, _ := strconv.Atoi(o.Saved)
-		r.before = time.Duration(ms) * time.Millisecond
+	if order.Saved != "" {
+		ms, _ := strconv.Atoi(order.Saved)
+		r.priorWork = time.Duration(ms) * time.Millisecond
 	}
 	w.runs[r.id] = r
-	if !a.job.Steps[o.Run.Task.Stage.Step].Gang {
-		x.begin(r, r.duration())
+	if !a.job.Steps[order.Run.Task.Stage.Step].Gang {
+		x.startRun(r, r.duration())
 		return
 	}
-	x.join(a, r)
+	x.joinGang(a, r)
 }
 
-// duration is how long a run takes at its worker.
+// duration returns the run time at the run's worker, with the restore time if it starts
+// from a checkpoint.
 func (r *run) duration() time.Duration {
-	d := time.Duration(float64(r.work-r.before) * r.worker.speed)
-	if r.before > 0 {
+	d := time.Duration(float64(r.totalWork-r.priorWork) * r.worker.runtimeFactor)
+	if r.priorWork > 0 {
 		d += restoreTime
 	}
 	return d
 }
 
-// join adds a member to a gang and begins it when all are there.
-func (x *cell) join(a *arrival, r *run) {
+// joinGang adds a member to its gang and starts all members once the gang is complete.
+// They run as long as the slowest member.
+func (x *cell) joinGang(a *arrival, r *run) {
 	s := r.id.Task.Stage
 	g := x.gangs[s]
 	if g == nil {
@@ -329,24 +335,24 @@
 		x.gangs[s] = g
 	}
 	g[r.id] = r
-	var most time.Duration
+	var longest time.Duration
 	n := 0
 	for id, m := range g {
 		if id.Number == r.id.Number {
 			n++
-			most = max(most, m.duration())
+			longest = max(longest, m.duration())
 		}
 	}
 	if n < a.job.Steps[s.Step].Tasks {
 		return
 	}
-	for _, m := range x.members(r) {
-		x.begin(m, most)
+	for _, m := range x.gangMembers(r) {
+		x.startRun(m, longest)
 	}
 }
 
-// members returns the runs of r's gang in a fixed order.
-func (x *cell) members(r *run) []*run {
+// gangMembers returns the runs of r's gang sorted by task index.
+func (x *cell) gangMembers(r *run) []*run {
 	var out []*run
 	for id, m := range x.gangs[r.id.Task.Stage] {
 		if id.Number == r.id.Number {
@@ -357,19 +363,19 @@
 	return out
 }
 
-func (x *cell) begin(r *run, takes time.Duration) {
-	r.going = true
+func (x *cell) startRun(r *run, runtime time.Duration) {
+	r.started = true
 	r.began = x.loop.Now()
-	r.takes = takes
+	r.runtime = runtime
 	k := sched.EndDone
-	if r.fails {
+	if r.willFail {
 		k = sched.EndFailed
 	}
-	x.loop.After(takes, func() { x.end(r, k, "") })
+	x.loop.After(runtime, func() { x.endRun(r, k, "") })
 }
 
-// end has a run end, and the worker tell of it.
-func (x *cell) end(r *run, k sched.EndKind, saved string) {
+// endRun ends a run and has its worker report it.
+func (x *cell) endRun(r *run, k sched.EndKind, saved string) {
 	w := r.worker
 	if w.runs[r.id] != r {
 		return
@@ -377,77 +383,79 @@
 	delete(w.runs, r.id)
 	delete(x.gangs[r.id.Task.Stage], r.id)
 	w.sequence++
-	w.ends = append(w.ends, sched.End{
+	w.unackedEnds = append(w.unackedEnds, sched.End{
 		Sequence: w.sequence,
 		Run:      r.id,
 		Kind:     k,
 		Saved:    saved,
 	})
-	x.loop.After(callTime, func() { x.answer(w) })
+	x.loop.After(callDelay, func() { x.sendHeartbeat(w) })
 }
 
-func (x *cell) stop(o sched.StopOrder) {
-	w := x.byID[o.Worker]
+func (x *cell) stop(order sched.StopOrder) {
+	w := x.byID[order.Worker]
 	x.stops++
 	x.state.StopAnswered(x.loop.Time(), sched.StopAnswer{
-		Order: o,
+		Order: order,
 		Taken: true,
 	})
-	if r := w.runs[o.Run]; r != nil {
-		x.loop.After(stopTime/2, func() { x.end(r, sched.EndStopped, x.saved(r)) })
+	if r := w.runs[order.Run]; r != nil {
+		x.loop.After(stopTime/2, func() { x.endRun(r, sched.EndStopped, x.savedProgress(r)) })
 	}
 }
 
-// saved is the progress of a run that is stopped, if it is saved.
-func (x *cell) saved(r *run) string {
+// savedProgress returns the checkpointed progress of a run in milliseconds, or an empty
+// string if there is none.
+func (x *cell) savedProgress(r *run) string {
 	a := x.jobs[r.id.Task.Stage.Job]
 	if a == nil || !a.job.Steps[r.id.Task.Stage.Step].Checkpoints {
 		return ""
 	}
-	done := r.before
-	if r.going {
-		done += time.Duration(float64(x.loop.Now()-r.began) / r.worker.speed)
+	done := r.priorWork
+	if r.started {
+		done += time.Duration(float64(x.loop.Now()-r.began) / r.worker.runtimeFactor)
 	}
-	done = done.Truncate(saveEvery)
+	done = done.Truncate(checkpointInterval)
 	if done == 0 {
 		return ""
 	}
-	return strconv.FormatInt(min(done, r.work).Milliseconds(), 10)
+	return strconv.FormatInt(min(done, r.totalWork).Milliseconds(), 10)
 }
 
-// beat renews a worker's lease each second.
-func (x *cell) beat(w *worker) {
-	x.answer(w)
-	x.loop.After(beatEvery, func() { x.beat(w) })
+// heartbeat sends a heartbeat of the worker every heartbeatInterval.
+func (x *cell) heartbeat(w *worker) {
+	x.sendHeartbeat(w)
+	x.loop.After(heartbeatInterval, func() { x.heartbeat(w) })
 }
 
-func (x *cell) answer(w *worker) {
+// sendHeartbeat renews the worker's lease and reports its running and ended tasks.
+func (x *cell) sendHeartbeat(w *worker) {
 	now := x.loop.Time()
 	x.state.LeaseRequested(w.Life(), sched.LeaseEnd(now, lease))
 	h := sched.Heartbeat{
 		Life: spoolsill.Life{
 			Worker: w.ID,
 		},
-		Sent:  now.Add(-callTime),
+		Sent:  now.Add(-callDelay),
 		Clock: sched.ClockMillis(x.loop.Now().Milliseconds()) + 1,
-		Ended: slices.Clone(w.ends),
+		Ended: slices.Clone(w.unackedEnds),
 	}
 	for _, r := range w.runs {
 		h.Running = append(h.Running, sched.RunningTask{
 			Run:     r.id,
-			Percent: r.percent(x.loop.Now()),
+			Percent: r.progressPercent(x.loop.Now()),
 		})
 	}
 	slices.SortFunc(h.Running, func(a, b sched.RunningTask) int {
 		return cmp.Compare(fmt.Sprint(a.Run.Task), fmt.Sprint(b.Run.Task))
 	})
 	x.state.Heartbeat(now, h)
-	x.look()
+	x.scheduleDecide()
 }
 
-func (r *run) percent(now time.Duration) int {
-	if !r.going || r.takes <= 0 {
+func (r *run) progressPercent(now time.Duration) int {
+	if !r.started || r.runtime <= 0 {
 		return 0
 	}
-	return int(min(100*(now-r.began)/r.takes, 100))
+	return int(min(100*(now-r.began)/r.runtime, 100))
 }
--- a/internal/bench/cellbench/doc.go
+++ b/internal/bench/cellbench/doc.go
@@ -1,5 +1,6 @@
-// Package cellbench measures the decisions of package sched on a whole cell:
-// jobs with steps, gangs, accelerators, saved progress and an advisor, on fake
-// workers and on virtual time. It has no network, no store and no faults; what
-// it tells apart is policies of placement, many thousand jobs a second.
+// Package cellbench measures the decisions of package sched on a whole cell in a
+// discrete-event simulation: jobs with steps, gangs, accelerators, checkpoints and an
+// advisor, on simulated workers. It models no network, store or host faults, so that it
+// simulates many thousand jobs per second and shows differences between placement
+// policies only.
 package cellbench
--- a/internal/bench/cellbench/input.go
+++ b/internal/bench/cellbench/input.go
@@ -10,14 +10,14 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A Spread is a log-normal quantity.
+// A Spread is a log-normal distribution, capped at Most unless that is zero.
 type Spread struct {
 	Mean  float64
 	Sigma float64
 	Most  float64
 }
 
-func (s Spread) draw(r *rand.Rand) float64 {
+func (s Spread) sample(r *rand.Rand) float64 {
 	x := s.Mean * math.Exp(s.Sigma*r.NormFloat64()-s.Sigma*s.Sigma/2)
 	if s.Most > 0 {
 		x = min(x, s.Most)
@@ -25,55 +25,57 @@
 	return x
 }
 
-// A Kind is one kind of job.
+// A Kind describes the jobs of one queue.
 type Kind struct {
 	Queue sched.Queue
-	// Rate is how many jobs come a second.
+	// Rate is the number of jobs that arrive per second.
 	Rate float64
-	// Steps run one after the other, Tasks are those of one step.
+	// Steps is the number of steps, which run in sequence; Tasks is the number of tasks of
+	// a step.
 	Steps Spread
 	Tasks Spread
-	// Work is how long a task runs, in seconds.
+	// Work is the mean run time of the tasks of a step, in seconds.
 	Work Spread
-	// Cores of a task; Memory in GiB; Accelerators has the numbers to choose
-	// from, nil means none.
+	// Cores and Memory, in GiB, are the needs of a task. Accelerators lists the numbers of
+	// accelerators to choose from; nil means none.
 	Cores        Spread
 	Memory       Spread
 	Accelerators []int
-	// Gang is the share of jobs whose tasks run together.
+	// Gang is the fraction of jobs that are gangs.
 	Gang float64
-	// Saves is the share of jobs whose workers save their progress.
+	// Saves is the fraction of jobs whose progress is checkpointed.
 	Saves float64
-	// EstimateOff is by which share an estimate is off at most.
+	// EstimateOff is the maximum relative error of run time estimates.
 	EstimateOff float64
-	// Good is the share of workers that the advisor allows.
+	// Good is the fraction of workers that the advisor allows.
 	Good float64
-	// Fails is the share of runs that fail.
+	// Fails is the fraction of runs that fail.
 	Fails float64
-	// Worth is what a job of mean work earns when it is in time.
+	// Worth is the worth of a job of mean load that ends in time.
 	Worth float64
 }
 
-// A Pool is the workers of one service.
+// A Pool describes the workers of one service.
 type Pool struct {
 	Service  spoolsill.ServiceID
 	Workers  int
 	Capacity spoolsill.Resources
-	// Speeds has the factors on run times to choose from; nil means 1.
+	// Speeds lists the factors on run times, assigned to the workers in turn; nil means 1.
 	Speeds []float64
 }
 
-// An arrival is a job that comes at a time, with how long each task really runs.
+// An arrival is a job with its arrival time and the actual run time of each task.
 type arrival struct {
 	at   time.Duration
 	kind *Kind
 	job  sched.Job
 	work [][]time.Duration
-	// load is the job's core seconds, an accelerator counted as eight cores.
+	// load is the job's work in core seconds, with an accelerator counted as
+	// acceleratorCores.
 	load float64
 }
 
-// acceleratorCores is how many cores an accelerator counts for in a job's load.
+// acceleratorCores is the number of cores that an accelerator counts as in a job's load.
 const acceleratorCores = 8
 
 func arrivals(c Config, r *rand.Rand) []arrival {
@@ -103,9 +105,9 @@
 	gang := r.Float64() < k.Gang
 	saves := r.Float64() < k.Saves
 	need := k.need(r)
-	for i := range atLeastOne(k.Steps.draw(r)) {
+	for i := range atLeastOne(k.Steps.sample(r)) {
 		s := sched.Step{
-			Tasks:       atLeastOne(k.Tasks.draw(r)),
+			Tasks:       atLeastOne(k.Tasks.sample(r)),
 			Need:        need,
 			Gang:        gang,
 			Checkpoints: saves,
@@ -113,12 +115,12 @@
 		if i > 0 {
 			s.After = []int{i - 1}
 		}
-		mean := k.Work.draw(r)
+		mean := k.Work.sample(r)
 		s.Estimate = seconds(mean * (1 + k.EstimateOff*(2*r.Float64()-1)))
 		work := make([]time.Duration, s.Tasks)
 		for j := range work {
-			work[j] = seconds(mean * (1 + uneven*(2*r.Float64()-1)))
-			a.load += work[j].Seconds() * coresOf(need)
+			work[j] = seconds(mean * (1 + taskTimeVariation*(2*r.Float64()-1)))
+			a.load += work[j].Seconds() * equivalentCores(need)
 		}
 		a.job.Steps = append(a.job.Steps, s)
 		a.work = append(a.work, work)
@@ -126,13 +128,14 @@
 	return a
 }
 
-// uneven is by which share tasks of one step differ.
-const uneven = 0.3
+// taskTimeVariation is the maximum relative difference of a task's run time from the mean
+// of its step.
+const taskTimeVariation = 0.3
 
 func (k *Kind) need(r *rand.Rand) spoolsill.Resources {
 	n := spoolsill.Resources{
-		Processors: spoolsill.Millicores(k.Cores.draw(r) * float64(spoolsill.Core)),
-		Memory:     spoolsill.Bytes(k.Memory.draw(r) * float64(spoolsill.GiB)),
+		Processors: spoolsill.Millicores(k.Cores.sample(r) * float64(spoolsill.Core)),
+		Memory:     spoolsill.Bytes(k.Memory.sample(r) * float64(spoolsill.GiB)),
 	}
 	if len(k.Accelerators) > 0 {
 		n.Accelerators = spoolsill.Accelerators(k.Accelerators[r.IntN(len(k.Accelerators))])
@@ -140,19 +143,21 @@
 	return n
 }
 
-func coresOf(n spoolsill.Resources) float64 {
+// equivalentCores returns the cores of n, with accelerators converted to cores.
+func equivalentCores(n spoolsill.Resources) float64 {
 	return float64(n.Processors)/float64(spoolsill.Core) + acceleratorCores*float64(n.Accelerators)
 }
 
-// chain is how long the longest chain of a job's work takes.
-func (a *arrival) chain() time.Duration {
+// criticalPath returns the run time of the job's critical path: the sum over its steps of
+// the longest task.
+func (a *arrival) criticalPath() time.Duration {
 	var sum time.Duration
 	for _, step := range a.work {
-		var most time.Duration
+		var longest time.Duration
 		for _, w := range step {
-			most = max(most, w)
+			longest = max(longest, w)
 		}
-		sum += most
+		sum += longest
 	}
 	return sum
 }
--- a/internal/bench/cellbench/mixes.go
+++ b/internal/bench/cellbench/mixes.go
@@ -7,8 +7,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Accelerated is a pool of few workers with accelerators, asked for by single
-// tasks that take a quarter to all of a worker's and by many that take one.
+// Accelerated returns a pool of a few workers with accelerators, with load from large
+// tasks that need a quarter to all of a worker's accelerators and from many that need one.
 func Accelerated(seed uint64, d time.Duration, load float64) Config {
 	return Config{
 		Seed:     seed,
@@ -33,8 +33,8 @@
 	}
 }
 
-// Gangs is a pool of workers most of whose load are gangs, beside patient and
-// urgent work.
+// Gangs returns a pool of workers whose load is mostly gangs, with patient and urgent
+// work besides.
 func Gangs(seed uint64, d time.Duration, load float64) Config {
 	return Config{
 		Seed:     seed,
@@ -58,13 +58,13 @@
 	}
 }
 
-// A Mix is a named input; load scales how many jobs come.
+// A Mix is a named workload mix. The load parameter of Config scales the arrival rates.
 type Mix struct {
 	Name   string
 	Config func(seed uint64, d time.Duration, load float64) Config
 }
 
-// Mixes returns all inputs.
+// Mixes returns all workload mixes.
 func Mixes() []Mix {
 	return []Mix{
 		{
@@ -85,7 +85,8 @@
 	}
 }
 
-// largeKind is tasks of half of a worker's cores and a quarter to all of its accelerators.
+// largeKind returns tasks that need half of a worker's cores and a quarter to all of its
+// accelerators.
 func largeKind(load float64) Kind {
 	return Kind{
 		Queue: sched.Queue{
@@ -112,7 +113,7 @@
 	}
 }
 
-// singleKind is many tasks of one accelerator.
+// singleKind returns many tasks that need one accelerator each.
 func singleKind(load float64) Kind {
 	return Kind{
 		Queue: sched.Queue{
@@ -139,7 +140,7 @@
 	}
 }
 
-// gangKind is gangs that take most of the cell.
+// gangKind returns gangs that use most of the cell.
 func gangKind(load float64) Kind {
 	return Kind{
 		Queue: sched.Queue{
@@ -166,7 +167,7 @@
 	}
 }
 
-// patientKind is wide jobs that have time.
+// patientKind returns jobs with many tasks and generous objectives.
 func patientKind(load float64) Kind {
 	return Kind{
 		Queue: sched.Queue{
@@ -192,7 +193,7 @@
 	}
 }
 
-// urgentKind is small jobs that have none.
+// urgentKind returns small jobs with tight objectives.
 func urgentKind(load float64) Kind {
 	return Kind{
 		Queue: sched.Queue{
--- a/internal/bench/cellbench/run_test.go
+++ b/internal/bench/cellbench/run_test.go
@@ -18,14 +18,14 @@
 	return string(b)
 }
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	for _, m := range cellbench.Mixes() {
 		c := m.Config(3, 20*time.Second, 1)
 		qt.Assert(t, figures(t, c), qt.Equals, figures(t, c), qt.Commentf("%s", m.Name))
 	}
 }
 
-// A cell with next to nothing to do serves nearly all that can be served.
+// At a very low load, nearly all worth must be earned.
 func TestIdleCellServesInTime(t *testing.T) {
 	for _, m := range cellbench.Mixes() {
 		r := cellbench.Run(m.Config(3, time.Minute, 0.05))
--- a/internal/bench/event/event.go
+++ b/internal/bench/event/event.go
@@ -1,5 +1,5 @@
-// Package event is the virtual time of the measurements: a queue of things
-// that happen at set times, in order.
+// Package event provides a discrete-event simulation loop with a virtual clock, and
+// quantiles of the durations that a simulation collects.
 package event
 
 import (
@@ -7,40 +7,36 @@
 	"time"
 )
 
-// A Loop runs events in the order of their times; events of the same time run
-// in the order in which they were added. The zero value is at time 0.
+// A Loop runs events in order of time. Events scheduled for the same time run in the
+// order in which they were added. The zero value is an empty loop at time 0.
 type Loop struct {
-	now   time.Duration
-	queue queue
-	count uint64
+	now     time.Duration
+	queue   queue
+	lastSeq uint64
 }
 
 type entry struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
+// queue implements heap.Interface.
 type queue []entry
 
-// Len implements heap.Interface.
 func (q queue) Len() int { return len(q) }
 
-// Less implements heap.Interface.
 func (q queue) Less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].seq < q[j].seq
 }
 
-// Swap implements heap.Interface.
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push implements heap.Interface.
 func (q *queue) Push(x any) { *q = append(*q, x.(entry)) }
 
-// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -48,27 +44,27 @@
 	return x
 }
 
-// Now returns the virtual time.
+// Now returns the virtual time since the start of the loop.
 func (l *Loop) Now() time.Duration {
 	return l.now
 }
 
-// Time returns the virtual time as a time of day.
+// Time returns the virtual time as a [time.Time], counted from a fixed epoch.
 func (l *Loop) Time() time.Time {
 	return time.UnixMicro(1_000_000_000_000).Add(l.now)
 }
 
-// After has f run when d has passed.
+// After schedules f to run after d. A negative d counts as zero.
 func (l *Loop) After(d time.Duration, f func()) {
-	l.count++
+	l.lastSeq++
 	heap.Push(&l.queue, entry{
-		at:    l.now + max(d, 0),
-		order: l.count,
-		run:   f,
+		at:  l.now + max(d, 0),
+		seq: l.lastSeq,
+		run: f,
 	})
 }
 
-// Run runs events until none is left or the time has passed end.
+// Run runs the events scheduled up to and including end and advances the clock to end.
 func (l *Loop) Run(end time.Duration) {
 	for len(l.queue) > 0 && l.queue[0].at <= end {
 		x := heap.Pop(&l.queue).(entry)
--- a/internal/bench/faultbench/run.go
+++ b/internal/bench/faultbench/run.go
@@ -1,5 +1,5 @@
-// Package faultbench runs many random sequences of failures and adds up what
-// they broke.
+// Package faultbench runs many random sequences of failures and aggregates the promise
+// violations.
 package faultbench
 
 import (
@@ -18,30 +18,32 @@
 
 // A Config says which sequences to run.
 type Config struct {
-	// Seed is that of the first sequence, Runs how many there are.
+	// Seed is the seed of the first sequence; each following one has the next seed. Runs
+	// is the number of sequences.
 	Seed uint64
 	Runs int
-	// Break names a mechanism to switch off; empty means none.
+	// Break names a safety mechanism to disable. It is empty if all are enabled.
 	Break string
-	// Schedule is what each sequence plays, with each of its times moved by up to
-	// Move; without steps each seed has its own.
+	// Schedule, if it has steps, is run by each sequence, with each time moved randomly by
+	// up to Move. Otherwise each sequence generates a schedule from its seed.
 	Schedule fault.Schedule
 	Move     time.Duration
-	// Progress is told of each sequence that has ended; nil means nobody is.
+	// Progress, if not nil, is called after each sequence.
 	Progress func(done, failed int)
 }
 
-// A Result is what the sequences came to.
+// A Result holds the aggregated results of the sequences.
 type Result struct {
 	Seed uint64 `json:"seed"`
-	// Runs is how many have ended: fewer than asked for when they were stopped.
+	// Runs is the number of completed sequences, less than requested if the run was
+	// interrupted.
 	Runs         int                        `json:"runs"`
 	Failed       int                        `json:"failed"`
 	Break        string                     `json:"break,omitempty"`
 	Faults       map[string]int             `json:"faults"`
 	Violations   map[standin.Promise]int    `json:"violations"`
 	Cases        []string                   `json:"cases,omitempty"`
-	Schedules    []string                   `json:"schedules,omitempty"` // of the first that failed
+	Schedules    []string                   `json:"schedules,omitempty"` // of the first failed sequences
 	UnknownShare float64                    `json:"unknown_share"`
 	NotRunShare  float64                    `json:"not_run_share"`
 	Requests     int64                      `json:"requests"`
@@ -50,7 +52,7 @@
 	Unfinished   int                        `json:"unfinished"`
 }
 
-// Broken returns how often any promise was broken.
+// Broken returns the number of promise violations and unfinished sequences.
 func (r Result) Broken() int {
 	n := r.Unfinished
 	for _, k := range r.Violations {
@@ -59,7 +61,7 @@
 	return n
 }
 
-var breaks = map[string]entry.Breaks{
+var breaksByMechanism = map[string]entry.Breaks{
 	"": {},
 	"promise": {
 		Holder: holder.Breaks{
@@ -94,16 +96,16 @@
 	},
 }
 
-// Run runs sequences, in [bubble.Main] and as many at once as there are
-// processors. When ctx ends it begins no other one and returns what those came
-// to that have ended.
+// Run runs the sequences, as many in parallel as there are processors. It must be called
+// in [bubble.Main]. When ctx ends, it starts no further sequence and returns the results
+// of those that have completed.
 func Run(ctx context.Context, c Config) (Result, error) {
-	b, ok := breaks[c.Break]
+	b, ok := breaksByMechanism[c.Break]
 	if !ok {
 		return Result{}, fmt.Errorf("mechanism %q is not known: want promise, fence, settle, record, lapse, claim or drain", c.Break)
 	}
 	var mu sync.Mutex
-	s := sum{
+	s := aggregator{
 		config: c,
 	}
 	bubble.Each(c.Runs, func(i int) {
@@ -118,7 +120,7 @@
 	return s.result(), nil
 }
 
-// sequence returns the sequence with a number.
+// sequence returns the configuration of sequence i.
 func (c Config) sequence(i int, b entry.Breaks) fault.Config {
 	f := fault.Config{
 		Seed:  c.Seed + uint64(i),
@@ -130,21 +132,22 @@
 	return f
 }
 
-// What a result shows of all cases and of the schedules that failed.
+// Limits on what a result includes of failed sequences. No cases are added once maxCases
+// is reached.
 const (
-	shownCases     = 10
-	shownSchedules = 2
+	maxCases     = 10
+	maxSchedules = 2
 )
 
-// A sum adds sequences up.
-type sum struct {
+// An aggregator combines the results of sequences.
+type aggregator struct {
 	config          Config
 	out             Result
 	recovery        map[string][]time.Duration
 	notRun, unknown int64
 }
 
-func (s *sum) add(r fault.Result) {
+func (s *aggregator) add(r fault.Result) {
 	if s.recovery == nil {
 		s.recovery = map[string][]time.Duration{}
 		s.out.Faults = map[string]int{}
@@ -156,7 +159,7 @@
 	}
 	if r.Err != nil || len(r.Cases) > 0 {
 		s.out.Failed++
-		s.show(r)
+		s.keepFailure(r)
 	}
 	for k, n := range r.Faults {
 		s.out.Faults[k] += n
@@ -176,17 +179,17 @@
 	}
 }
 
-// show keeps what a sequence that failed tells.
-func (s *sum) show(r fault.Result) {
-	if len(s.out.Cases) < shownCases {
+// keepFailure keeps the cases and the schedule of a failed sequence, within the limits.
+func (s *aggregator) keepFailure(r fault.Result) {
+	if len(s.out.Cases) < maxCases {
 		s.out.Cases = append(s.out.Cases, r.Cases...)
 	}
-	if len(s.out.Schedules) < shownSchedules {
+	if len(s.out.Schedules) < maxSchedules {
 		s.out.Schedules = append(s.out.Schedules, r.Schedule.String())
 	}
 }
 
-func (s *sum) result() Result {
+func (s *aggregator) result() Result {
 	r := s.out
 	r.Seed = s.config.Seed
 	r.Break = s.config.Break
--- a/internal/bench/placebench/doc.go
+++ b/internal/bench/placebench/doc.go
@@ -1,4 +1,4 @@
-// Package placebench measures placement: it drives package place, the plain
-// schedulers and a bound that no scheduler can beat through the same jobs on
-// the same fake workers on virtual time.
+// Package placebench compares placement policies in a discrete-event simulation. Package
+// place, two baseline schedulers and a bound that no scheduler can beat get the same jobs
+// on the same simulated workers.
 package placebench
--- a/internal/bench/placebench/input.go
+++ b/internal/bench/placebench/input.go
@@ -9,16 +9,16 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// An arrival is a job that comes at a time, with how long each of its tasks
-// really runs.
+// An arrival is a job with its arrival time and the actual run time of each of its
+// tasks.
 type arrival struct {
-	at      time.Duration
-	job     spoolsill.Job
-	runtime []time.Duration
-	cancel  time.Duration // after its arrival; 0: never
+	at          time.Duration
+	job         spoolsill.Job
+	runtimes    []time.Duration
+	cancelAfter time.Duration // time after the arrival; 0 means never
 }
 
-// An input is what all policies get.
+// An input is the workload and the workers, the same for all policies.
 type input struct {
 	workers  []spoolsill.Worker
 	failing  map[spoolsill.WorkerID]bool
@@ -26,7 +26,7 @@
 	end      time.Duration
 }
 
-// capacity of a worker, as in the brief's deployments.
+// workerCapacity is the capacity of each worker, as in the planned deployments.
 var workerCapacity = spoolsill.Resources{
 	Processors: 64 * spoolsill.Core,
 	Memory:     128 * spoolsill.GiB,
@@ -47,74 +47,74 @@
 	return out
 }
 
-// A kind of work in the mix: its share of the jobs, tasks, cores and mean run
-// time.
+// A workKind describes one kind of work in the workload mix. weight is its fraction of
+// the jobs; tasks and cores are inclusive ranges.
 type workKind struct {
-	name   string
-	weight float64
-	kind   spoolsill.Kind
-	class  spoolsill.Class
-	tasks  [2]int
-	cores  [2]int
-	mean   time.Duration
-	sigma  float64 // of the log-normal run time
+	name         string
+	weight       float64
+	kind         spoolsill.Kind
+	class        spoolsill.Class
+	tasks        [2]int
+	cores        [2]int
+	meanRuntime  time.Duration
+	runtimeSigma float64 // of the log-normal distribution of run times
 }
 
-var mix = []workKind{
+var workloadMix = []workKind{
 	{
-		name:   "urgent",
-		weight: 0.20,
-		kind:   spoolsill.KindBatch,
-		class:  spoolsill.ClassUrgent,
-		tasks:  [2]int{1, 2},
-		cores:  [2]int{1, 4},
-		mean:   4 * time.Second,
-		sigma:  0.8,
+		name:         "urgent",
+		weight:       0.20,
+		kind:         spoolsill.KindBatch,
+		class:        spoolsill.ClassUrgent,
+		tasks:        [2]int{1, 2},
+		cores:        [2]int{1, 4},
+		meanRuntime:  4 * time.Second,
+		runtimeSigma: 0.8,
 	},
 	{
-		name:   "service",
-		weight: 0.02,
-		kind:   spoolsill.KindService,
-		class:  spoolsill.ClassNormal,
-		tasks:  [2]int{2, 6},
-		cores:  [2]int{1, 4},
-		mean:   10 * time.Minute,
-		sigma:  0.5,
+		name:         "service",
+		weight:       0.02,
+		kind:         spoolsill.KindService,
+		class:        spoolsill.ClassNormal,
+		tasks:        [2]int{2, 6},
+		cores:        [2]int{1, 4},
+		meanRuntime:  10 * time.Minute,
+		runtimeSigma: 0.5,
 	},
 	{
-		name:   "gang",
-		weight: 0.04,
-		kind:   spoolsill.KindGang,
-		class:  spoolsill.ClassNormal,
-		tasks:  [2]int{4, 16},
-		cores:  [2]int{4, 16},
-		mean:   20 * time.Second,
-		sigma:  1.0,
+		name:         "gang",
+		weight:       0.04,
+		kind:         spoolsill.KindGang,
+		class:        spoolsill.ClassNormal,
+		tasks:        [2]int{4, 16},
+		cores:        [2]int{4, 16},
+		meanRuntime:  20 * time.Second,
+		runtimeSigma: 1.0,
 	},
 	{
-		name:   "batch",
-		weight: 0.74,
-		kind:   spoolsill.KindBatch,
-		class:  spoolsill.ClassPatient,
-		tasks:  [2]int{1, 12},
-		cores:  [2]int{1, 12},
-		mean:   15 * time.Second,
-		sigma:  1.4,
+		name:         "batch",
+		weight:       0.74,
+		kind:         spoolsill.KindBatch,
+		class:        spoolsill.ClassPatient,
+		tasks:        [2]int{1, 12},
+		cores:        [2]int{1, 12},
+		meanRuntime:  15 * time.Second,
+		runtimeSigma: 1.4,
 	},
 }
 
-// names returns the kinds of work, for reports.
-func names() []string {
+// kindNames returns the names of all kinds of work.
+func kindNames() []string {
 	var out []string
-	for _, k := range mix {
+	for _, k := range workloadMix {
 		out = append(out, k.name)
 	}
 	return out
 }
 
-// kindOf returns the name of the kind of work of a job.
-func kindOf(j spoolsill.Job) string {
-	for _, k := range mix {
+// workKindName returns the name of a job's kind of work.
+func workKindName(j spoolsill.Job) string {
+	for _, k := range workloadMix {
 		if k.kind == j.Kind && k.class == j.Class {
 			return k.name
 		}
@@ -122,40 +122,41 @@
 	return "batch"
 }
 
-func between(r *rand.Rand, b [2]int) int {
+// uniformInt returns a uniformly distributed number in the inclusive range b.
+func uniformInt(r *rand.Rand, b [2]int) int {
 	return b[0] + r.IntN(b[1]-b[0]+1)
 }
 
-// job draws one job of a kind of work.
-func (k workKind) job(r *rand.Rand, n int) (spoolsill.Job, []time.Duration) {
-	cores := between(r, k.cores)
+// newJob draws a job and the run times of its tasks.
+func (k workKind) newJob(r *rand.Rand, n int) (spoolsill.Job, []time.Duration) {
+	cores := uniformInt(r, k.cores)
 	j := spoolsill.Job{
 		ID:    spoolsill.JobID(fmt.Sprintf("%s-%06d", k.name, n)),
 		Team:  spoolsill.TeamID(fmt.Sprintf("team-%02d", int(math.Sqrt(float64(r.IntN(400)))))),
 		Kind:  k.kind,
 		Class: k.class,
-		Tasks: between(r, k.tasks),
+		Tasks: uniformInt(r, k.tasks),
 		Worth: 1 + r.IntN(9),
 		Shape: spoolsill.Resources{
 			Processors: spoolsill.Millicores(cores) * spoolsill.Core,
 			Memory:     spoolsill.Bytes(1+r.IntN(2*cores)) * spoolsill.GiB,
 		},
 	}
-	typical := time.Duration(float64(k.mean) * math.Exp(k.sigma*r.NormFloat64()-k.sigma*k.sigma/2))
-	// Declarations are wrong by up to ten times, both ways.
+	jobRuntime := time.Duration(float64(k.meanRuntime) * math.Exp(k.runtimeSigma*r.NormFloat64()-k.runtimeSigma*k.runtimeSigma/2))
+	// The declared run time is too long or too short by a factor of up to ten.
 	if k.kind != spoolsill.KindService {
-		j.Runtime = max(time.Duration(float64(typical)*math.Pow(10, 2*r.Float64()-1)), 10*time.Millisecond)
+		j.Runtime = max(time.Duration(float64(jobRuntime)*math.Pow(10, 2*r.Float64()-1)), 10*time.Millisecond)
 	}
-	var runs []time.Duration
+	var taskRuntimes []time.Duration
 	for range j.Tasks {
-		d := time.Duration(float64(typical) * (0.8 + 0.4*r.Float64()))
-		runs = append(runs, min(max(d, 50*time.Millisecond), 30*time.Minute))
+		d := time.Duration(float64(jobRuntime) * (0.8 + 0.4*r.Float64()))
+		taskRuntimes = append(taskRuntimes, min(max(d, 50*time.Millisecond), 30*time.Minute))
 	}
-	return j, runs
+	return j, taskRuntimes
 }
 
-// makeInput draws the jobs that fill workers to a load for some time. Services
-// that run already at the start hold their share.
+// makeInput draws jobs that load the workers to c.Load for c.Duration. It includes the
+// services that would already run at the start.
 func makeInput(c Config) input {
 	r := rand.New(rand.NewPCG(c.Seed, 11))
 	in := input{
@@ -171,101 +172,102 @@
 	n := in.addRunningServices(r, gap)
 	for at := time.Duration(0); at < c.Duration; at += time.Duration(r.ExpFloat64() * float64(gap)) {
 		n++
-		k := pick(r)
-		j, runs := k.job(r, n)
+		k := randomKind(r)
+		j, taskRuntimes := k.newJob(r, n)
 		x := arrival{
-			at:      at,
-			job:     j,
-			runtime: runs,
+			at:       at,
+			job:      j,
+			runtimes: taskRuntimes,
 		}
 		in.arrivals = append(in.arrivals, x)
 	}
-	in.addCancelWave(c)
+	in.addBulkCancel(c)
 	return in
 }
 
-// addRunningServices has those services arrive at once that would run already
-// in the steady state, with what is left of their run times. It returns their
-// number.
+// addRunningServices adds the services that would be running in the steady state as
+// arrivals at time zero, with their remaining run times. It returns their number.
 func (in *input) addRunningServices(r *rand.Rand, gap time.Duration) int {
 	n := 0
-	for _, k := range mix {
+	for _, k := range workloadMix {
 		if k.kind != spoolsill.KindService {
 			continue
 		}
-		for range int(k.weight * float64(k.mean) / float64(gap)) {
+		for range int(k.weight * float64(k.meanRuntime) / float64(gap)) {
 			n++
-			j, runs := k.job(r, n)
-			for i := range runs {
-				runs[i] = max(time.Duration(r.Float64()*float64(runs[i])), time.Second)
+			j, taskRuntimes := k.newJob(r, n)
+			for i := range taskRuntimes {
+				taskRuntimes[i] = max(time.Duration(r.Float64()*float64(taskRuntimes[i])), time.Second)
 			}
 			in.arrivals = append(in.arrivals, arrival{
-				job:     j,
-				runtime: runs,
+				job:      j,
+				runtimes: taskRuntimes,
 			})
 		}
 	}
 	return n
 }
 
-// addCancelWave has a share of the patient jobs of the last seconds cancelled
-// at once in the middle of the run.
-func (in *input) addCancelWave(c Config) {
-	wave := c.Duration / 2
+// addBulkCancel cancels, at the middle of the run, every second patient job that arrived
+// in the preceding twentieth of the run.
+func (in *input) addBulkCancel(c Config) {
+	cancelTime := c.Duration / 2
 	for i := range in.arrivals {
 		a := &in.arrivals[i]
-		if a.job.Class == spoolsill.ClassPatient && a.at < wave && a.at > wave-c.Duration/20 && i%2 == 0 {
-			a.cancel = wave - a.at
+		if a.job.Class == spoolsill.ClassPatient && a.at < cancelTime && a.at > cancelTime-c.Duration/20 && i%2 == 0 {
+			a.cancelAfter = cancelTime - a.at
 		}
 	}
 }
 
-func pick(r *rand.Rand) workKind {
+// randomKind draws a kind of work by weight.
+func randomKind(r *rand.Rand) workKind {
 	x := r.Float64()
-	for _, k := range mix {
+	for _, k := range workloadMix {
 		if x < k.weight {
 			return k
 		}
 		x -= k.weight
 	}
-	return mix[len(mix)-1]
+	return workloadMix[len(workloadMix)-1]
 }
 
-// coreSecondsPerJob returns the mean work of a job of the mix, from a sample.
+// coreSecondsPerJob estimates the mean work of a job of the mix from a sample.
 func coreSecondsPerJob(seed uint64) float64 {
 	const sample = 20_000
 	r := rand.New(rand.NewPCG(seed, 13))
 	sum := 0.0
 	for i := range sample {
-		j, runs := pick(r).job(r, i)
-		for _, d := range runs {
+		j, taskRuntimes := randomKind(r).newJob(r, i)
+		for _, d := range taskRuntimes {
 			sum += d.Seconds() * float64(j.Shape.Processors) / float64(spoolsill.Core)
 		}
 	}
 	return sum / sample
 }
 
-// backlogWorkers bounds the workers of the packing run: the plain schedulers
-// look at every worker for every waiting task.
-const backlogWorkers = 110
+// maxBacklogWorkers limits the workers of the utilization run, since the baseline
+// schedulers scan all workers for each waiting task.
+const maxBacklogWorkers = 110
 
-// makeBacklog draws a large batch that waits at the start, of many shapes.
+// makeBacklog draws a large backlog of batch jobs of many shapes that all arrive at time
+// zero.
 func makeBacklog(c Config) input {
-	c.Workers = min(c.Workers, backlogWorkers)
+	c.Workers = min(c.Workers, maxBacklogWorkers)
 	r := rand.New(rand.NewPCG(c.Seed, 17))
 	in := input{
 		workers: makeWorkers(c.Workers),
 		failing: map[spoolsill.WorkerID]bool{},
 		end:     time.Hour,
 	}
-	k := mix[len(mix)-1]
+	k := workloadMix[len(workloadMix)-1]
 	k.cores = [2]int{1, 40}
-	k.sigma = 0.7
+	k.runtimeSigma = 0.7
 	for n := range c.Workers * 6 {
-		j, runs := k.job(r, n)
+		j, taskRuntimes := k.newJob(r, n)
 		in.arrivals = append(in.arrivals, arrival{
-			job:     j,
-			runtime: runs,
+			job:      j,
+			runtimes: taskRuntimes,
 		})
 	}
 	return in
--- a/internal/bench/placebench/policy.go
+++ b/internal/bench/placebench/policy.go
@@ -8,36 +8,36 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// A policy decides which task starts where.
+// A policy is a scheduler under test. It decides which task starts on which worker.
 type policy interface {
 	submit(now time.Time, j spoolsill.Job)
 	cancel(now time.Time, id spoolsill.JobID)
 	report(now time.Time, p place.Report)
-	// decide returns what starts and what is checkpointed or stopped.
-	decide(now time.Time) (starts []start, leave []spoolsill.TaskID)
+	// decide returns the tasks to start and those to checkpoint or stop.
+	decide(now time.Time) (starts []start, preempted []spoolsill.TaskID)
 }
 
-// A start is one task that starts on a worker; an empty worker is the bound's.
+// A start is an attempt of a task on a worker.
 type start struct {
 	task    spoolsill.TaskID
 	attempt spoolsill.Attempt
 	worker  spoolsill.WorkerID
 }
 
-// ours is package place.
-type ours struct {
+// A placeScheduler is the policy of package place.
+type placeScheduler struct {
 	state *place.State
 }
 
-func newOurs(c place.Config, workers []spoolsill.Worker) *ours {
+func newPlaceScheduler(c place.Config, workers []spoolsill.Worker) *placeScheduler {
 	s := place.NewState(c)
 	s.SetWorkers(workers)
-	return &ours{
+	return &placeScheduler{
 		state: s,
 	}
 }
 
-func (o *ours) submit(now time.Time, j spoolsill.Job) {
+func (o *placeScheduler) submit(now time.Time, j spoolsill.Job) {
 	err := o.state.Apply(place.Record{
 		Kind: place.JobAdded,
 		At:   now.UnixMicro(),
@@ -48,17 +48,17 @@
 	}
 }
 
-func (o *ours) cancel(now time.Time, id spoolsill.JobID) {
+func (o *placeScheduler) cancel(now time.Time, id spoolsill.JobID) {
 	o.state.Cancel(now, []spoolsill.JobID{id})
 }
 
-func (o *ours) report(now time.Time, p place.Report) {
+func (o *placeScheduler) report(now time.Time, p place.Report) {
 	o.state.Report(now, p)
 }
 
-func (o *ours) decide(now time.Time) ([]start, []spoolsill.TaskID) {
+func (o *placeScheduler) decide(now time.Time) ([]start, []spoolsill.TaskID) {
 	var starts []start
-	var leave []spoolsill.TaskID
+	var preempted []spoolsill.TaskID
 	for {
 		records, full := o.state.Decide(now)
 		for _, r := range records {
@@ -70,35 +70,35 @@
 					worker:  r.Worker,
 				})
 			case place.TaskCheckpointing, place.TaskStopping:
-				leave = append(leave, r.Task)
+				preempted = append(preempted, r.Task)
 			}
 		}
 		if !full {
-			return starts, leave
+			return starts, preempted
 		}
 	}
 }
 
-// plain is one of the naive schedulers.
-type plain struct {
+// A naiveScheduler is the policy of a baseline scheduler of package naive.
+type naiveScheduler struct {
 	scheduler *naive.Scheduler
 }
 
-func (p *plain) submit(_ time.Time, j spoolsill.Job) {
+func (p *naiveScheduler) submit(_ time.Time, j spoolsill.Job) {
 	p.scheduler.Submit(j)
 }
 
-func (p *plain) cancel(_ time.Time, id spoolsill.JobID) {
+func (p *naiveScheduler) cancel(_ time.Time, id spoolsill.JobID) {
 	p.scheduler.Cancel(id)
 }
 
-func (p *plain) report(_ time.Time, r place.Report) {
+func (p *naiveScheduler) report(_ time.Time, r place.Report) {
 	if r.Outcome != place.Started {
 		p.scheduler.End(r.Task, r.Outcome != place.Exited)
 	}
 }
 
-func (p *plain) decide(time.Time) ([]start, []spoolsill.TaskID) {
+func (p *naiveScheduler) decide(time.Time) ([]start, []spoolsill.TaskID) {
 	var out []start
 	for _, x := range p.scheduler.Decide() {
 		out = append(out, start{
--- a/internal/bench/placebench/run.go
+++ b/internal/bench/placebench/run.go
@@ -11,26 +11,26 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// A Config describes a measurement.
+// A Config describes a simulation.
 type Config struct {
 	Seed    uint64
 	Workers int
-	// Load is the share of the processors that is asked for.
+	// Load is the offered load as a fraction of the processors.
 	Load float64
-	// Failing is the share of workers that fail everything.
+	// Failing is the fraction of workers on which every task fails.
 	Failing  float64
 	Duration time.Duration
 }
 
-// Times of the fake workers and of the holder's loop.
+// Durations of the simulated workers and of the scheduling loop.
 const (
-	group      = 10 * time.Millisecond  // decisions are collected for so long
-	reportLag  = time.Second            // an end is seen within it, evenly spread
-	checkpoint = 200 * time.Millisecond // a task takes to checkpoint
-	failTime   = 20 * time.Millisecond  // a failing worker takes to fail
+	batchInterval  = 10 * time.Millisecond  // time from an event to the next decision, which batches events
+	maxReportDelay = time.Second            // the scheduler learns of an end after a uniform delay up to this
+	checkpointTime = 200 * time.Millisecond // time that a task takes to checkpoint
+	failureTime    = 20 * time.Millisecond  // time until a task on a failing worker fails
 )
 
-// A Policy is what one policy reached.
+// A Policy holds the measurements of one placement policy.
 type Policy struct {
 	Name        string                     `json:"name"`
 	WaitMS      map[string]event.Quantiles `json:"wait_ms"`
@@ -45,7 +45,7 @@
 	Unstarted   int                        `json:"unstarted"`
 }
 
-// A Result is a whole measurement.
+// A Result holds the measurements of all policies.
 type Result struct {
 	Seed     uint64   `json:"seed"`
 	Workers  int      `json:"workers"`
@@ -55,7 +55,7 @@
 	Policies []Policy `json:"policies"`
 }
 
-// Run measures all policies on the same input.
+// Run simulates all policies on the same input.
 func Run(c Config) Result {
 	in, backlog := makeInput(c), makeBacklog(c)
 	out := Result{
@@ -80,7 +80,7 @@
 		{
 			name: "naive-first-fit",
 			make: func(w []spoolsill.Worker) policy {
-				return &plain{
+				return &naiveScheduler{
 					scheduler: naive.NewScheduler(naive.FirstFit, w),
 				}
 			},
@@ -88,14 +88,14 @@
 		{
 			name: "naive-least-loaded",
 			make: func(w []spoolsill.Worker) policy {
-				return &plain{
+				return &naiveScheduler{
 					scheduler: naive.NewScheduler(naive.LeastLoaded, w),
 				}
 			},
 		},
 		{
 			name: "spoolsill",
-			make: func(w []spoolsill.Worker) policy { return newOurs(place.Config{}, w) },
+			make: func(w []spoolsill.Worker) policy { return newPlaceScheduler(place.Config{}, w) },
 		},
 	} {
 		r := simulate(in, p.make(in.workers), 1)
@@ -103,92 +103,92 @@
 		r.Name = p.name
 		out.Policies = append(out.Policies, r)
 	}
-	out.Policies = append(out.Policies, boundOf(in, backlog, bound))
+	out.Policies = append(out.Policies, upperBound(in, backlog, bound))
 	return out
 }
 
-// boundOf returns what one worker as large as all together reaches, which
-// sees every end at once and, for each kind of work, runs nothing but that
-// kind: no scheduler can wait less.
-func boundOf(in, backlog input, one []spoolsill.Worker) Policy {
+// upperBound returns a bound that no scheduler can beat: a single worker with the total
+// capacity, where ends are reported without delay, simulated separately for each kind of
+// work.
+func upperBound(in, backlog input, single []spoolsill.Worker) Policy {
 	p := Policy{
 		Name:   "bound",
 		WaitMS: map[string]event.Quantiles{},
 	}
-	for _, k := range names() {
+	for _, k := range kindNames() {
 		only := input{
-			workers: one,
+			workers: single,
 			end:     in.end,
 		}
 		for _, a := range in.arrivals {
-			if kindOf(a.job) == k {
+			if workKindName(a.job) == k {
 				only.arrivals = append(only.arrivals, a)
 			}
 		}
-		r := simulate(only, &plain{
-			scheduler: naive.NewScheduler(naive.LeastLoaded, one),
+		r := simulate(only, &naiveScheduler{
+			scheduler: naive.NewScheduler(naive.LeastLoaded, single),
 		}, 0)
 		p.WaitMS[k] = r.WaitMS[k]
 	}
-	backlog.workers = one
-	p.Packing = simulate(backlog, &plain{
-		scheduler: naive.NewScheduler(naive.LeastLoaded, one),
+	backlog.workers = single
+	p.Packing = simulate(backlog, &naiveScheduler{
+		scheduler: naive.NewScheduler(naive.LeastLoaded, single),
 	}, 0).Packing
 	p.WorthInTime = 1
 	return p
 }
 
-// simulate drives one policy. lag scales how late ends are seen.
-func simulate(in input, p policy, lag float64) Policy {
+// simulate runs one policy. delayFactor scales the delay with which ends are reported.
+func simulate(in input, p policy, delayFactor float64) Policy {
 	s := &sim{
-		in:      in,
-		policy:  p,
-		lag:     lag,
-		jobs:    map[spoolsill.JobID]*arrival{},
-		running: map[spoolsill.TaskID]*run{},
-		first:   map[spoolsill.TaskID]time.Duration{},
-		lost:    map[spoolsill.TaskID]int{},
-		used:    map[spoolsill.WorkerID]spoolsill.Resources{},
-		waits:   map[string][]time.Duration{},
+		in:          in,
+		policy:      p,
+		delayFactor: delayFactor,
+		jobs:        map[spoolsill.JobID]*arrival{},
+		running:     map[spoolsill.TaskID]*run{},
+		firstStart:  map[spoolsill.TaskID]time.Duration{},
+		failures:    map[spoolsill.TaskID]int{},
+		used:        map[spoolsill.WorkerID]spoolsill.Resources{},
+		waits:       map[string][]time.Duration{},
 	}
 	for _, w := range in.workers {
 		s.total = s.total.Add(w.Capacity)
 	}
 	for _, a := range in.arrivals {
-		// A checkpoint changes what is left to run.
-		a.runtime = append([]time.Duration(nil), a.runtime...)
+		// Copied since a checkpoint reduces the remaining run time.
+		a.runtimes = append([]time.Duration(nil), a.runtimes...)
 		s.loop.After(a.at, func() { s.arrive(&a) })
 	}
 	s.loop.Run(in.end)
 	return s.result()
 }
 
-// A sim is one policy on fake workers.
+// A sim is the simulation of one policy.
 type sim struct {
-	in      input
-	policy  policy
-	lag     float64
-	loop    event.Loop
-	jobs    map[spoolsill.JobID]*arrival
-	running map[spoolsill.TaskID]*run
-	first   map[spoolsill.TaskID]time.Duration // when a task first started
-	lost    map[spoolsill.TaskID]int           // tries at failing workers
-	used    map[spoolsill.WorkerID]spoolsill.Resources
-	total   spoolsill.Resources
-	waits   map[string][]time.Duration
-	took    []time.Duration
-	pending bool
-	report  Policy
+	in            input
+	policy        policy
+	delayFactor   float64
+	loop          event.Loop
+	jobs          map[spoolsill.JobID]*arrival
+	running       map[spoolsill.TaskID]*run
+	firstStart    map[spoolsill.TaskID]time.Duration // time of the first start
+	failures      map[spoolsill.TaskID]int           // attempts on failing workers
+	used          map[spoolsill.WorkerID]spoolsill.Resources
+	total         spoolsill.Resources
+	waits         map[string][]time.Duration
+	decisionTimes []time.Duration
+	decidePending bool
+	report        Policy
 
-	worth, worthInTime float64
-	coreTime           float64 // cores x seconds in use while work waited
-	busyTime           float64
-	lastChange         time.Duration
-	inUse              spoolsill.Millicores
-	waiting            int
+	totalWorth, worthInTime float64
+	backlogCoreTime         float64 // processor time in use while there was a backlog
+	backlogTime             float64
+	lastChange              time.Duration
+	processorsInUse         spoolsill.Millicores
+	waiting                 int
 }
 
-// A run is one start of a task.
+// A run is one attempt of a task.
 type run struct {
 	start start
 	began time.Duration
@@ -196,15 +196,15 @@
 }
 
 func (s *sim) arrive(a *arrival) {
-	s.account()
+	s.accountUsage()
 	s.jobs[a.job.ID] = a
 	s.waiting += a.job.Tasks
-	s.worth += float64(a.job.Worth)
+	s.totalWorth += float64(a.job.Worth)
 	s.policy.submit(s.loop.Time(), a.job)
-	if a.cancel > 0 {
-		s.loop.After(a.cancel, func() { s.cancel(a) })
+	if a.cancelAfter > 0 {
+		s.loop.After(a.cancelAfter, func() { s.cancel(a) })
 	}
-	s.decideSoon()
+	s.scheduleDecide()
 }
 
 func (s *sim) cancel(a *arrival) {
@@ -214,45 +214,45 @@
 			Job:   a.job.ID,
 			Index: i,
 		}
-		if _, ok := s.first[id]; !ok {
+		if _, ok := s.firstStart[id]; !ok {
 			s.waiting--
 		}
 		if r := s.running[id]; r != nil {
-			s.end(r, place.Stopped)
+			s.endRun(r, place.Stopped)
 		}
 	}
-	s.decideSoon()
+	s.scheduleDecide()
 }
 
-func (s *sim) decideSoon() {
-	if s.pending {
+func (s *sim) scheduleDecide() {
+	if s.decidePending {
 		return
 	}
-	s.pending = true
-	s.loop.After(group, s.decide)
+	s.decidePending = true
+	s.loop.After(batchInterval, s.decide)
 }
 
 func (s *sim) decide() {
-	s.pending = false
-	s.account()
+	s.decidePending = false
+	s.accountUsage()
 	began := time.Now()
-	starts, leave := s.policy.decide(s.loop.Time())
+	starts, preempted := s.policy.decide(s.loop.Time())
 	if took := time.Since(began); len(starts) > 0 {
 		s.report.Decisions += len(starts)
-		s.took = append(s.took, took/time.Duration(len(starts)))
+		s.decisionTimes = append(s.decisionTimes, took/time.Duration(len(starts)))
 	}
-	for _, id := range leave {
+	for _, id := range preempted {
 		if r := s.running[id]; r != nil {
-			s.loop.After(checkpoint, func() { s.checkpointed(r) })
+			s.loop.After(checkpointTime, func() { s.checkpointed(r) })
 		}
 	}
 	for _, x := range starts {
-		s.begin(x)
+		s.startRun(x)
 	}
-	s.loop.After(time.Second, s.decideSoon)
+	s.loop.After(time.Second, s.scheduleDecide)
 }
 
-func (s *sim) begin(x start) {
+func (s *sim) startRun(x start) {
 	a := s.jobs[x.task.Job]
 	if old := s.running[x.task]; old != nil {
 		s.report.Violations++
@@ -263,14 +263,14 @@
 	}
 	s.running[x.task] = r
 	s.used[x.worker] = s.used[x.worker].Add(a.job.Shape)
-	s.inUse += a.job.Shape.Processors
+	s.processorsInUse += a.job.Shape.Processors
 	if w, ok := s.capacity(x.worker); !ok || !s.used[x.worker].FitsIn(w) {
 		s.report.Violations++
 	}
-	if _, ok := s.first[x.task]; !ok {
-		s.first[x.task] = s.loop.Now()
+	if _, ok := s.firstStart[x.task]; !ok {
+		s.firstStart[x.task] = s.loop.Now()
 		s.waiting--
-		s.waits[kindOf(a.job)] = append(s.waits[kindOf(a.job)], s.loop.Now()-a.at)
+		s.waits[workKindName(a.job)] = append(s.waits[workKindName(a.job)], s.loop.Now()-a.at)
 	}
 	s.policy.report(s.loop.Time(), place.Report{
 		Task:    x.task,
@@ -278,11 +278,11 @@
 		Outcome: place.Started,
 	})
 	if s.in.failing[x.worker] {
-		s.lost[x.task]++
-		s.loop.After(failTime, func() { s.end(r, place.Failed) })
+		s.failures[x.task]++
+		s.loop.After(failureTime, func() { s.endRun(r, place.Failed) })
 		return
 	}
-	s.loop.After(a.runtime[x.task.Index], func() { s.end(r, place.Exited) })
+	s.loop.After(a.runtimes[x.task.Index], func() { s.endRun(r, place.Exited) })
 }
 
 func (s *sim) capacity(id spoolsill.WorkerID) (spoolsill.Resources, bool) {
@@ -298,23 +298,23 @@
 		return
 	}
 	cores := float64(s.jobs[r.start.task.Job].job.Shape.Processors) / float64(spoolsill.Core)
-	s.report.Preempted += cores * checkpoint.Seconds()
-	// A checkpoint keeps the work done so far.
+	s.report.Preempted += cores * checkpointTime.Seconds()
+	// The work done so far is preserved.
 	a := s.jobs[r.start.task.Job]
-	a.runtime[r.start.task.Index] = max(a.runtime[r.start.task.Index]-(s.loop.Now()-r.began), 50*time.Millisecond)
-	s.end(r, place.Checkpointed)
+	a.runtimes[r.start.task.Index] = max(a.runtimes[r.start.task.Index]-(s.loop.Now()-r.began), 50*time.Millisecond)
+	s.endRun(r, place.Checkpointed)
 }
 
-// end ends a run on its worker; the policy learns of it later.
-func (s *sim) end(r *run, f place.Outcome) {
+// endRun ends a run on its worker and reports it to the policy after a delay.
+func (s *sim) endRun(r *run, f place.Outcome) {
 	if r.ended {
 		return
 	}
-	s.account()
+	s.accountUsage()
 	r.ended = true
 	a := s.jobs[r.start.task.Job]
 	s.used[r.start.worker] = s.used[r.start.worker].Sub(a.job.Shape)
-	s.inUse -= a.job.Shape.Processors
+	s.processorsInUse -= a.job.Shape.Processors
 	delete(s.running, r.start.task)
 	if f == place.Exited {
 		s.creditWorth(a, r)
@@ -325,47 +325,49 @@
 			Attempt: r.start.attempt,
 			Outcome: f,
 		})
-		s.decideSoon()
+		s.scheduleDecide()
 	})
 }
 
-// reportDelay spreads evenly, by the start's number, over a second.
+// reportDelay returns the delay with which the end of a run is reported. The delays are
+// deterministic and spread evenly up to maxReportDelay, by multiples of the golden ratio.
 func (s *sim) reportDelay(r *run) time.Duration {
 	const golden = 0.6180339887
 	x := golden * float64(r.start.task.Index+int(r.began/time.Millisecond))
-	return time.Duration(float64(reportLag) * s.lag * (x - float64(int(x))))
+	return time.Duration(float64(maxReportDelay) * s.delayFactor * (x - float64(int(x))))
 }
 
-// inTime is how long after its arrival a job's task may end to count, beyond
-// its run time.
-const inTime = 10 * time.Second
+// completionSlack is the maximum time from arrival to end, beyond the run time, for a
+// task to count as in time. Tasks of patient jobs have no limit.
+const completionSlack = 10 * time.Second
 
 func (s *sim) creditWorth(a *arrival, r *run) {
 	i := r.start.task.Index
 	share := float64(a.job.Worth) / float64(a.job.Tasks)
-	late := s.loop.Now() - a.at - a.runtime[i]
-	if a.job.Class == spoolsill.ClassPatient || late <= inTime {
+	late := s.loop.Now() - a.at - a.runtimes[i]
+	if a.job.Class == spoolsill.ClassPatient || late <= completionSlack {
 		s.worthInTime += share
 	}
 }
 
-// account adds up the processors in use while work waits.
-func (s *sim) account() {
+// accountUsage accumulates the processors in use since the last call if there was a
+// backlog: more waiting tasks than a quarter of the workers, or any for the bound.
+func (s *sim) accountUsage() {
 	d := (s.loop.Now() - s.lastChange).Seconds()
 	s.lastChange = s.loop.Now()
 	if s.waiting > len(s.in.workers)/4 || len(s.in.workers) == 1 && s.waiting > 0 {
-		s.coreTime += d * float64(s.inUse)
-		s.busyTime += d
+		s.backlogCoreTime += d * float64(s.processorsInUse)
+		s.backlogTime += d
 	}
 }
 
 func (s *sim) result() Policy {
 	p := s.report
 	p.WaitMS = map[string]event.Quantiles{}
-	for _, k := range names() {
+	for _, k := range kindNames() {
 		p.WaitMS[k] = event.QuantilesOf(s.waits[k])
 	}
-	q := event.QuantilesOf(s.took)
+	q := event.QuantilesOf(s.decisionTimes)
 	p.DecisionUS = event.Quantiles{
 		Count: q.Count,
 		P50:   q.P50 * 1000,
@@ -373,36 +375,36 @@
 		P999:  q.P999 * 1000,
 	}
 	var sum time.Duration
-	for _, t := range s.took {
+	for _, t := range s.decisionTimes {
 		sum += t
 	}
 	if sum > 0 {
-		p.PerSecond = float64(len(s.took)) / sum.Seconds()
+		p.PerSecond = float64(len(s.decisionTimes)) / sum.Seconds()
 	}
-	if s.busyTime > 0 {
-		p.Packing = s.coreTime / s.busyTime / float64(s.total.Processors)
+	if s.backlogTime > 0 {
+		p.Packing = s.backlogCoreTime / s.backlogTime / float64(s.total.Processors)
 	}
-	if s.worth > 0 {
-		p.WorthInTime = s.worthInTime / s.worth
+	if s.totalWorth > 0 {
+		p.WorthInTime = s.worthInTime / s.totalWorth
 	}
 	p.Unstarted = s.waiting
-	p.LostTwice = s.lostTwice()
+	p.LostTwice = s.failedTwice()
 	return p
 }
 
-// lostTwice returns the share of tasks that lost more than one try to failing
-// workers.
-func (s *sim) lostTwice() float64 {
+// failedTwice returns the fraction of started tasks with more than one attempt on a
+// failing worker.
+func (s *sim) failedTwice() float64 {
 	n := 0
-	for _, k := range s.lost {
+	for _, k := range s.failures {
 		if k > 1 {
 			n++
 		}
 	}
-	return float64(n) / float64(max(len(s.first), 1))
+	return float64(n) / float64(max(len(s.firstStart), 1))
 }
 
-// String returns a policy in one line.
+// String returns the name and wait times on one line.
 func (p Policy) String() string {
 	return fmt.Sprintf("%s %v", p.Name, p.WaitMS)
 }
--- a/internal/bench/placebench/run_test.go
+++ b/internal/bench/placebench/run_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/internal/bench/placebench"
 )
 
-// figures returns a result without what depends on the machine.
+// figures returns a result as JSON, without the fields that depend on the machine's speed.
 func figures(t *testing.T) string {
 	r := placebench.Run(placebench.Config{
 		Seed:     3,
@@ -29,6 +29,6 @@
 	return string(b)
 }
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	qt.Assert(t, figures(t), qt.Equals, figures(t))
 }
--- a/internal/bench/routebench/doc.go
+++ b/internal/bench/routebench/doc.go
@@ -1,4 +1,4 @@
-// Package routebench measures routing: it drives package route on several
-// hosts, the plain routers and one shared queue through the same requests on
-// the same fake runners on virtual time.
+// Package routebench compares routing policies in a discrete-event simulation. Package
+// route on several hosts, two baseline routers and one shared queue, which is the upper
+// bound, serve the same requests on the same simulated runners.
 package routebench
--- a/internal/bench/routebench/run.go
+++ b/internal/bench/routebench/run.go
@@ -11,25 +11,25 @@
 	"github.com/spoolsill/spoolsill/route"
 )
 
-// A Config describes a measurement.
+// A Config describes a simulation.
 type Config struct {
 	Seed    uint64
 	Hosts   int
 	Runners int
 	Slots   int
-	// Load is the share of the slots' time that is asked for.
+	// Load is the offered load as a fraction of the total slot time.
 	Load float64
-	// Failing is the share of runners that fail everything at once.
+	// Failing is the fraction of runners that fail every request shortly after its start.
 	Failing  float64
 	Requests int
 }
 
-// A Policy is what one policy reached.
+// A Policy holds the measurements of one routing policy.
 type Policy struct {
 	Name        string                     `json:"name"`
 	WaitMS      map[string]event.Quantiles `json:"wait_ms"`
 	WorthInTime float64                    `json:"worth_in_time"`
-	Packing     float64                    `json:"packing"` // share of the slots' time in use
+	Packing     float64                    `json:"packing"` // fraction of the slot time in use
 	Violations  int                        `json:"violations"`
 	NotRun      int                        `json:"not_run"`
 	Unknown     int                        `json:"unknown"`
@@ -37,7 +37,7 @@
 	Messages    float64                    `json:"messages_per_request"`
 }
 
-// A Result is a whole measurement.
+// A Result holds the measurements of all policies.
 type Result struct {
 	Seed     uint64   `json:"seed"`
 	Hosts    int      `json:"hosts"`
@@ -47,46 +47,48 @@
 	Policies []Policy `json:"policies"`
 }
 
-// Times of the requests and the network.
+// Durations of the simulated runners and network.
 const (
-	meanService = 20 * time.Millisecond
-	sigma       = 1.3 // of the log-normal service time
-	oneWay      = 500 * time.Microsecond
-	failAfter   = time.Millisecond
+	meanServiceTime  = 20 * time.Millisecond
+	serviceTimeSigma = 1.3 // of the log-normal distribution of service times
+	networkDelay     = 500 * time.Microsecond
+	failureDelay     = time.Millisecond
 )
 
-// A request of the input.
+// A request is one request of the generated load.
 type request struct {
-	at      time.Duration
-	host    int
-	service time.Duration
-	worth   int
-	within  time.Duration
-	caller  int
+	arrival     time.Duration
+	host        int
+	serviceTime time.Duration
+	worth       int
+	timeout     time.Duration
+	caller      int
 }
 
-func makeInput(c Config) []request {
+// generateRequests draws the arrival times, service times and other properties of the
+// requests from the seed.
+func generateRequests(c Config) []request {
 	r := rand.New(rand.NewPCG(c.Seed, 23))
-	gap := float64(meanService) / (float64(c.Runners*c.Slots) * c.Load)
+	gap := float64(meanServiceTime) / (float64(c.Runners*c.Slots) * c.Load)
 	var out []request
 	at := 0.0
 	for range c.Requests {
 		at += r.ExpFloat64() * gap
 		out = append(out, request{
-			at:      time.Duration(at),
-			host:    r.IntN(c.Hosts),
-			service: time.Duration(float64(meanService) * math.Exp(sigma*r.NormFloat64()-sigma*sigma/2)),
-			worth:   1 + int(math.Exp(2*r.NormFloat64())),
-			within:  time.Duration(200+r.IntN(800)) * time.Millisecond,
-			caller:  int(math.Abs(r.NormFloat64()) * 20),
+			arrival:     time.Duration(at),
+			host:        r.IntN(c.Hosts),
+			serviceTime: time.Duration(float64(meanServiceTime) * math.Exp(serviceTimeSigma*r.NormFloat64()-serviceTimeSigma*serviceTimeSigma/2)),
+			worth:       1 + int(math.Exp(2*r.NormFloat64())),
+			timeout:     time.Duration(200+r.IntN(800)) * time.Millisecond,
+			caller:      int(math.Abs(r.NormFloat64()) * 20),
 		})
 	}
 	return out
 }
 
-// Run measures all policies on the same input.
+// Run simulates all policies on the same requests.
 func Run(c Config) Result {
-	in := makeInput(c)
+	in := generateRequests(c)
 	out := Result{
 		Seed:    c.Seed,
 		Hosts:   c.Hosts,
@@ -100,20 +102,20 @@
 	}{
 		{
 			name: "naive-round-robin",
-			run:  func(s *sim) { s.runPlain(false) },
+			run:  func(s *sim) { s.runBaseline(false) },
 		},
 		{
 			name: "naive-least-outstanding",
-			run:  func(s *sim) { s.runPlain(true) },
+			run:  func(s *sim) { s.runBaseline(true) },
 		},
 		{
 			name: "spoolsill",
-			run:  func(s *sim) { s.runOurs(route.Config{}) },
+			run:  func(s *sim) { s.runSpoolsill(route.Config{}) },
 		},
 		{
 			name: "spoolsill-no-loans",
 			run: func(s *sim) {
-				s.runOurs(route.Config{
+				s.runSpoolsill(route.Config{
 					NoLoans: true,
 				})
 			},
@@ -121,7 +123,7 @@
 		{
 			name: "spoolsill-fill-first",
 			run: func(s *sim) {
-				s.runOurs(route.Config{
+				s.runSpoolsill(route.Config{
 					FillFirst: true,
 				})
 			},
@@ -140,22 +142,23 @@
 	return out
 }
 
-// A sim is one policy on fake runners.
+// A sim is the simulation of one policy.
 type sim struct {
-	config  Config
-	in      []request
-	loop    event.Loop
-	runners []*runner
-	waits   []time.Duration
-	lost    map[int]int
-	worth   float64
-	inTime  float64
-	busy    time.Duration
-	msgs    int
-	report  Policy
+	config      Config
+	requests    []request
+	loop        event.Loop
+	runners     []*runner
+	waits       []time.Duration
+	failures    map[int]int
+	totalWorth  float64
+	worthInTime float64
+	busyTime    time.Duration
+	messages    int
+	report      Policy
 }
 
-// A runner serves up to its slots at once; the plain routers queue there.
+// A runner serves as many requests at once as it has slots. The queue is used by the
+// baseline routers only.
 type runner struct {
 	busy    int
 	failing bool
@@ -164,9 +167,9 @@
 
 func newSim(c Config, in []request) *sim {
 	s := &sim{
-		config: c,
-		in:     in,
-		lost:   map[int]int{},
+		config:   c,
+		requests: in,
+		failures: map[int]int{},
 	}
 	for i := range c.Runners {
 		s.runners = append(s.runners, &runner{
@@ -174,36 +177,36 @@
 		})
 	}
 	for _, r := range in {
-		s.worth += float64(r.worth)
+		s.totalWorth += float64(r.worth)
 	}
 	return s
 }
 
-// begin has a runner start on a request; then is called at its end with
-// whether it failed.
-func (s *sim) begin(i, at int, then func(failed bool)) {
+// start starts request i on runner at and calls done when it ends, with whether it
+// failed.
+func (s *sim) start(i, at int, done func(failed bool)) {
 	r := s.runners[at]
 	r.busy++
 	if r.busy > s.config.Slots {
 		s.report.Violations++
 	}
-	q := s.in[i]
+	q := s.requests[i]
 	if r.failing {
-		s.lost[i]++
-		s.loop.After(failAfter, func() {
+		s.failures[i]++
+		s.loop.After(failureDelay, func() {
 			r.busy--
-			then(true)
+			done(true)
 		})
 		return
 	}
-	s.waits = append(s.waits, s.loop.Now()-q.at)
-	s.loop.After(q.service, func() {
+	s.waits = append(s.waits, s.loop.Now()-q.arrival)
+	s.loop.After(q.serviceTime, func() {
 		r.busy--
-		s.busy += q.service
-		if s.loop.Now()-q.at <= q.within {
-			s.inTime += float64(q.worth)
+		s.busyTime += q.serviceTime
+		if s.loop.Now()-q.arrival <= q.timeout {
+			s.worthInTime += float64(q.worth)
 		}
-		then(false)
+		done(false)
 	})
 }
 
@@ -213,76 +216,78 @@
 	p.WaitMS = map[string]event.Quantiles{
 		"request": q,
 	}
-	p.WorthInTime = s.inTime / s.worth
-	p.Packing = float64(s.busy) / (float64(s.in[len(s.in)-1].at) * float64(len(s.runners)*s.config.Slots))
+	p.WorthInTime = s.worthInTime / s.totalWorth
+	p.Packing = float64(s.busyTime) / (float64(s.requests[len(s.requests)-1].arrival) * float64(len(s.runners)*s.config.Slots))
 	n := 0
-	for _, k := range s.lost {
+	for _, k := range s.failures {
 		if k > 1 {
 			n++
 		}
 	}
-	p.LostTwice = float64(n) / float64(len(s.in))
-	p.Messages = float64(s.msgs) / float64(len(s.in))
+	p.LostTwice = float64(n) / float64(len(s.requests))
+	p.Messages = float64(s.messages) / float64(len(s.requests))
 	return p
 }
 
-// runPlain routes each request to a runner at once, by turns or to the one
-// with the fewest of the host's own; it waits there. One that failed is sent
-// again, up to three times.
-func (s *sim) runPlain(least bool) {
+// runBaseline routes each request on arrival, round-robin or to the runner with the
+// fewest outstanding requests of the host, and queues it at that runner. A failed
+// request is sent again, up to three times.
+func (s *sim) runBaseline(leastOutstanding bool) {
 	next := make([]int, s.config.Hosts)
-	own := make([][]int, s.config.Hosts)
-	for h := range own {
-		own[h] = make([]int, len(s.runners))
+	outstanding := make([][]int, s.config.Hosts)
+	for h := range outstanding {
+		outstanding[h] = make([]int, len(s.runners))
 		next[h] = h * 7
 	}
 	var send func(i, try int)
-	var pump func(at int)
-	tries := make([]int, len(s.in))
-	pump = func(at int) {
+	var startQueued func(at int)
+	tries := make([]int, len(s.requests))
+	startQueued = func(at int) {
 		r := s.runners[at]
 		for r.busy < s.config.Slots && len(r.queue) > 0 {
 			i := r.queue[0]
 			r.queue = r.queue[1:]
-			s.begin(i, at, func(failed bool) {
-				own[s.in[i].host][at]--
+			s.start(i, at, func(failed bool) {
+				outstanding[s.requests[i].host][at]--
 				if failed && tries[i] < 3 {
 					tries[i]++
 					send(i, tries[i])
 				}
-				pump(at)
+				startQueued(at)
 			})
 		}
 	}
 	send = func(i, _ int) {
-		h := s.in[i].host
+		h := s.requests[i].host
 		next[h]++
 		at := next[h] % len(s.runners)
-		if least {
+		if leastOutstanding {
 			for k := range s.runners {
 				x := (at + k) % len(s.runners)
-				if own[h][x] < own[h][at] {
+				if outstanding[h][x] < outstanding[h][at] {
 					at = x
 				}
 			}
 		}
-		own[h][at]++
+		outstanding[h][at]++
 		s.runners[at].queue = append(s.runners[at].queue, i)
-		pump(at)
+		startQueued(at)
 	}
-	for i, q := range s.in {
-		s.loop.After(q.at, func() { send(i, 0) })
+	for i, q := range s.requests {
+		s.loop.After(q.arrival, func() { send(i, 0) })
 	}
-	s.drain()
+	s.runToEnd()
 }
 
-func (s *sim) drain() {
-	s.loop.Run(s.in[len(s.in)-1].at + time.Minute)
+// runToEnd runs the simulation until one minute after the last arrival.
+func (s *sim) runToEnd() {
+	s.loop.Run(s.requests[len(s.requests)-1].arrival + time.Minute)
 }
 
-// runBound serves one shared queue: in order of arrival while there is room
-// for all, and with perfect knowledge the most worth for its time first, left
-// out when it can't be in time, when there is not. A failing runner is known.
+// runBound computes the upper bound: one queue shared by all hosts, with service times
+// known in advance and failing runners excluded. Requests are served in order of arrival
+// while capacity suffices. Otherwise the request with the most worth per service time
+// goes first, and requests that can't meet their deadline are dropped.
 func (s *sim) runBound() {
 	var queue []int
 	slots := 0
@@ -292,45 +297,46 @@
 		}
 	}
 	free := slots
-	var pump func()
-	pump = func() {
+	var startQueued func()
+	startQueued = func() {
 		for free > 0 && len(queue) > 0 {
-			i, k := s.bestOf(queue, slots)
+			i, k := s.selectNext(queue, slots)
 			if k < 0 {
 				queue = nil
 				return
 			}
 			queue = append(queue[:k], queue[k+1:]...)
 			free--
-			at := s.anyFree()
-			s.begin(i, at, func(bool) {
+			at := s.freeRunner()
+			s.start(i, at, func(bool) {
 				free++
-				pump()
+				startQueued()
 			})
 		}
 	}
-	for i, q := range s.in {
-		s.loop.After(q.at, func() {
+	for i, q := range s.requests {
+		s.loop.After(q.arrival, func() {
 			queue = append(queue, i)
-			pump()
+			startQueued()
 		})
 	}
-	s.drain()
+	s.runToEnd()
 }
 
-// bestOf picks from the queue of the bound; k is -1 when nothing is worth it.
-func (s *sim) bestOf(queue []int, slots int) (i, k int) {
+// selectNext returns the request to serve next and its index in queue. The index is -1
+// if no queued request can meet its deadline.
+func (s *sim) selectNext(queue []int, slots int) (i, k int) {
 	if s.config.Load < 1 || len(queue) < slots/8 {
 		return queue[0], 0
 	}
 	best := -1.0
 	k = -1
 	for x, i := range queue {
-		q := s.in[i]
-		if s.loop.Now()+q.service > q.at+q.within {
+		q := s.requests[i]
+		if s.loop.Now()+q.serviceTime > q.arrival+q.timeout {
 			continue
 		}
-		if d := float64(q.worth) / float64(q.service); d > best {
+		if d := float64(q.worth) / float64(q.serviceTime); d > best {
 			best, k = d, x
 		}
 	}
@@ -340,7 +346,7 @@
 	return queue[k], k
 }
 
-func (s *sim) anyFree() int {
+func (s *sim) freeRunner() int {
 	for i, r := range s.runners {
 		if !r.failing && r.busy < s.config.Slots {
 			return i
@@ -349,15 +355,16 @@
 	panic("routebench: no free runner")
 }
 
-// ours drives package route on one host.
-type ours struct {
-	s     *sim
-	index int
-	state *route.State
-	timer uint64
+// A routeHost simulates one host that runs package route.
+type routeHost struct {
+	s        *sim
+	index    int
+	state    *route.State
+	timerSeq uint64
 }
 
-func (s *sim) runOurs(c route.Config) {
+// runSpoolsill simulates package route on all hosts.
+func (s *sim) runSpoolsill(c route.Config) {
 	var ids []spoolsill.HostID
 	for h := range s.config.Hosts {
 		ids = append(ids, spoolsill.HostID(fmt.Sprintf("h%d", h)))
@@ -368,41 +375,41 @@
 			ID: spoolsill.RunnerID(fmt.Sprintf("r%03d", i)),
 		})
 	}
-	hosts := make([]*ours, len(ids))
+	hosts := make([]*routeHost, len(ids))
 	for h := range ids {
 		c.Host = ids[h]
 		c.Hosts = ids
 		c.Slots = s.config.Slots
-		hosts[h] = &ours{
+		hosts[h] = &routeHost{
 			s:     s,
 			index: h,
 			state: route.NewState(c),
 		}
 	}
 	for _, o := range hosts {
-		o.do(o.state.SetRunners(s.loop.Time(), list), hosts)
+		o.perform(o.state.SetRunners(s.loop.Time(), list), hosts)
 	}
-	for i, q := range s.in {
-		s.loop.After(q.at, func() {
+	for i, q := range s.requests {
+		s.loop.After(q.arrival, func() {
 			o := hosts[q.host]
 			now := s.loop.Time()
-			o.do(o.state.Arrive(now, route.Arrival{
+			o.perform(o.state.Arrive(now, route.Arrival{
 				Ticket: route.Ticket(i + 1),
 				Request: spoolsill.Request{
 					Caller:   spoolsill.CallerID(fmt.Sprintf("c%d", q.caller)),
 					Class:    spoolsill.ClassNormal,
-					Deadline: now.Add(q.within),
+					Deadline: now.Add(q.timeout),
 					Worth:    q.worth,
 				},
 			}), hosts)
 		})
 	}
-	s.drain()
+	s.runToEnd()
 }
 
-func (o *ours) do(acts []route.Action, hosts []*ours) {
+func (o *routeHost) perform(actions []route.Action, hosts []*routeHost) {
 	s := o.s
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a.Kind {
 		case route.Dispatch:
 			o.dispatch(a, hosts)
@@ -415,67 +422,67 @@
 		case route.Borrow:
 			o.borrow(a.Count, 1, s.loop.Time(), hosts)
 		case route.Return:
-			s.msgs++
+			s.messages++
 			to := hosts[int(a.To[1]-'0')]
-			s.loop.After(oneWay, func() { to.do(to.state.LoansReturned(s.loop.Time(), a.Loans), hosts) })
+			s.loop.After(networkDelay, func() { to.perform(to.state.LoansReturned(s.loop.Time(), a.Loans), hosts) })
 		}
 	}
-	o.schedule(hosts)
+	o.scheduleTick(hosts)
 }
 
-// borrow asks the other hosts one after another until one lends.
-func (o *ours) borrow(n, step int, asked time.Time, hosts []*ours) {
+// borrow asks the other hosts for slots, one after another, until one grants a loan.
+func (o *routeHost) borrow(n, step int, asked time.Time, hosts []*routeHost) {
 	s := o.s
 	if step == len(hosts) {
-		o.do(o.state.LoansGranted(s.loop.Time(), asked, nil), hosts)
+		o.perform(o.state.LoansGranted(s.loop.Time(), asked, nil), hosts)
 		return
 	}
-	s.msgs += 2
+	s.messages += 2
 	to := hosts[(o.index+step)%len(hosts)]
-	s.loop.After(oneWay, func() {
+	s.loop.After(networkDelay, func() {
 		loans := to.state.Lend(s.loop.Time(), n)
-		s.loop.After(oneWay, func() {
+		s.loop.After(networkDelay, func() {
 			if len(loans) == 0 {
 				o.borrow(n, step+1, s.loop.Time(), hosts)
 				return
 			}
-			o.do(o.state.LoansGranted(s.loop.Time(), asked, loans), hosts)
+			o.perform(o.state.LoansGranted(s.loop.Time(), asked, loans), hosts)
 		})
 	})
 }
 
-func (o *ours) dispatch(a route.Action, hosts []*ours) {
+func (o *routeHost) dispatch(a route.Action, hosts []*routeHost) {
 	var at int
 	_, _ = fmt.Sscanf(string(a.Runner), "r%d", &at)
-	o.s.begin(int(a.Ticket)-1, at, func(failed bool) {
+	o.s.start(int(a.Ticket)-1, at, func(failed bool) {
 		res := route.Answered
 		if failed {
 			res = route.Failed
 		}
-		o.do(o.state.Finish(o.s.loop.Time(), a.Ticket, res), hosts)
+		o.perform(o.state.Finish(o.s.loop.Time(), a.Ticket, res), hosts)
 	})
 }
 
-// schedule has the state ticked when something falls due.
-func (o *ours) schedule(hosts []*ours) {
+// scheduleTick schedules the next call of Tick for when the state reports it due.
+func (o *routeHost) scheduleTick(hosts []*routeHost) {
 	if o.state.Waiting() == 0 {
 		return
 	}
-	o.timer++
-	mine := o.timer
+	o.timerSeq++
+	seq := o.timerSeq
 	now := o.s.loop.Time()
-	acts, due := o.state.Tick(now)
-	if len(acts) > 0 {
-		o.do(acts, hosts)
+	actions, due := o.state.Tick(now)
+	if len(actions) > 0 {
+		o.perform(actions, hosts)
 		return
 	}
 	if due.IsZero() {
 		return
 	}
 	o.s.loop.After(max(due.Sub(now), time.Millisecond), func() {
-		if mine == o.timer {
-			acts, _ := o.state.Tick(o.s.loop.Time())
-			o.do(acts, hosts)
+		if seq == o.timerSeq {
+			actions, _ := o.state.Tick(o.s.loop.Time())
+			o.perform(actions, hosts)
 		}
 	})
 }
--- a/internal/bench/routebench/run_test.go
+++ b/internal/bench/routebench/run_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	for _, load := range []float64{0.9, 2} {
 		r := run(load)
 		qt.Check(t, r, qt.DeepEquals, run(load))
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -1,5 +1,6 @@
-// Package storebench measures what placement asks of the platform's table: the
-// real hosts of several halls on virtual time, with a table that takes 5 ms.
+// Package storebench measures the load that placement puts on the platform's table. It
+// runs the real hosts of several halls on virtual time against a table with a fixed
+// latency.
 package storebench
 
 import (
@@ -22,15 +23,15 @@
 // A Config describes a measurement.
 type Config struct {
 	Halls int
-	// Rate is the placements a second asked of each hall.
+	// Rate is the number of tasks submitted to each hall per second.
 	Rate int
-	// Store is how long the table takes for a call.
+	// Store is the latency of a call of the table.
 	Store time.Duration
-	// Duration is the virtual time measured.
+	// Duration is the virtual time that is measured.
 	Duration time.Duration
 }
 
-// A Result is what the table had to do.
+// A Result holds the load on the table and the latency of job confirmations.
 type Result struct {
 	Halls             int             `json:"halls"`
 	PlacementsPerS    float64         `json:"placements_per_s"`
@@ -43,14 +44,14 @@
 
 const workersPerHall = 60
 
-// Run measures. It is called in [bubble.Main].
+// Run runs the measurement. It must be called in [bubble.Main].
 func Run(c Config) (r Result, err error) {
 	bubble.Run(func() { r, err = run(c) })
 	return r, err
 }
 
 func run(c Config) (Result, error) {
-	// Calls of the table that are under way end by themselves.
+	// Table calls in flight need this time to complete.
 	defer pause.For(context.Background(), time.Second)
 	var halls []spoolsill.HallID
 	for i := range c.Halls {
@@ -96,12 +97,12 @@
 		return Result{}, err
 	}
 	cell.Platform.Fault.SetSlow(c.Store)
-	return measure(ctx, c, cell, f, halls)
+	return measureLoad(ctx, c, cell, f, halls)
 }
 
-// measure has every hall asked for placements, in jobs of a tenth of a second
-// each, and counts what the table does meanwhile.
-func measure(ctx context.Context, c Config, cell *standin.Cell, f *fleet.Fleet, halls []spoolsill.HallID) (Result, error) {
+// measureLoad submits jobs to every hall, ten a second, for c.Duration and counts the
+// calls of the table in that time.
+func measureLoad(ctx context.Context, c Config, cell *standin.Cell, f *fleet.Fleet, halls []spoolsill.HallID) (Result, error) {
 	client := f.Client()
 	defer client.HTTPClient.CloseIdleConnections()
 	writes, reads := cell.Platform.Table.Counts()
@@ -144,7 +145,7 @@
 	}, failed
 }
 
-// submit adds a job and returns how long its confirmation took.
+// submit plans and confirms a job and returns the latency of the confirmation.
 func submit(ctx context.Context, c *api.Client, h spoolsill.HallID, n, tasks int) (time.Duration, error) {
 	p, err := c.Plan(ctx, api.PlanRequest{
 		Hall:   h,
