--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -23,23 +23,24 @@
 
 // A Point is one measurement of a hall.
 type Point struct {
-	Workers int     `json:"workers"`
-	Hosts   int     `json:"hosts"`
-	Starts  float64 `json:"starts_per_s"`
-	Tasks   int     `json:"tasks"`
+	Workers         int     `json:"workers"`
+	Hosts           int     `json:"hosts"`
+	StartsPerSecond float64 `json:"starts_per_s"`
+	Tasks           int     `json:"tasks"`
 
-	// CPU is the processor time per second and host. It is an upper bound: it includes the
+	// CPUShare is the processor time per second and host. It is an upper bound: it includes the
 	// stand-ins, which run in the same process.
-	CPU float64 `json:"cpu"`
-	// Peer is the number of bytes per second that a host sends to other hosts.
-	Peer float64 `json:"peer_bytes_per_s"`
-	// Writes and Reads are the calls of the table per second of the whole hall.
-	Writes float64 `json:"table_writes_per_s"`
-	Reads  float64 `json:"table_reads_per_s"`
-	// Calls is the number of calls to workers per second.
-	Calls float64 `json:"worker_calls_per_s"`
-	// Heap is the allocated heap of the process divided by the number of hosts.
-	Heap float64 `json:"heap_bytes"`
+	CPUShare float64 `json:"cpu"`
+	// PeerBytesPerSecond is the number of bytes per second that a host sends to other hosts.
+	PeerBytesPerSecond float64 `json:"peer_bytes_per_s"`
+	// TableWritesPerSecond and TableReadsPerSecond are the calls of the table by all hosts
+	// of the hall.
+	TableWritesPerSecond float64 `json:"table_writes_per_s"`
+	TableReadsPerSecond  float64 `json:"table_reads_per_s"`
+	// WorkerCallsPerSecond is the number of calls to the hall's workers per second.
+	WorkerCallsPerSecond float64 `json:"worker_calls_per_s"`
+	// HeapBytes is the allocated heap of the process divided by the number of hosts.
+	HeapBytes float64 `json:"heap_bytes"`
 }
 
 // A Slope is a linear fit of a cost over points.
@@ -47,9 +48,9 @@
 	Cost  string  `json:"cost"`
 	Per   string  `json:"per"`
 	Value float64 `json:"value"`
-	// Rest is the intercept of the fit, Error the largest absolute residual.
-	Rest  float64 `json:"rest"`
-	Error float64 `json:"error"`
+	// Intercept is the fitted cost at zero, MaxError the largest absolute residual.
+	Intercept float64 `json:"rest"`
+	MaxError  float64 `json:"error"`
 }
 
 // A Result holds the measured points and the fitted costs.
@@ -96,18 +97,18 @@
 		r.ByHosts = append(r.ByHosts, p)
 	}
 	workers := func(p Point) float64 { return float64(p.Workers) }
-	starts := func(p Point) float64 { return p.Starts }
+	starts := func(p Point) float64 { return p.StartsPerSecond }
 	r.Slopes = []Slope{
-		fit("processor seconds a second of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.CPU }),
-		fit("heap bytes of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.Heap }),
-		fit("calls of workers a second", "worker", r.AtRest, workers, func(p Point) float64 { return p.Calls }),
-		fit("table reads a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.Reads }),
-		fit("table writes a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.Writes }),
-		fit("bytes a second a host sends to others", "worker", r.AtRest, workers, func(p Point) float64 { return p.Peer }),
-		fit("processor seconds a second of a host, stand-ins included", "start a second", r.Loaded, starts, func(p Point) float64 { return p.CPU }),
-		fit("table writes a second of a hall", "start a second", r.Loaded, starts, func(p Point) float64 { return p.Writes }),
-		fit("table reads a second of a hall", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.Reads }),
-		fit("bytes a second a host sends to others", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.Peer }),
+		fit("processor seconds a second of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.CPUShare }),
+		fit("heap bytes of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.HeapBytes }),
+		fit("calls of workers a second", "worker", r.AtRest, workers, func(p Point) float64 { return p.WorkerCallsPerSecond }),
+		fit("table reads a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.TableReadsPerSecond }),
+		fit("table writes a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.TableWritesPerSecond }),
+		fit("bytes a second a host sends to others", "worker", r.AtRest, workers, func(p Point) float64 { return p.PeerBytesPerSecond }),
+		fit("processor seconds a second of a host, stand-ins included", "start a second", r.Loaded, starts, func(p Point) float64 { return p.CPUShare }),
+		fit("table writes a second of a hall", "start a second", r.Loaded, starts, func(p Point) float64 { return p.TableWritesPerSecond }),
+		fit("table reads a second of a hall", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.TableReadsPerSecond }),
+		fit("bytes a second a host sends to others", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.PeerBytesPerSecond }),
 	}
 	return r, nil
 }
@@ -127,9 +128,9 @@
 		Per:  per,
 	}
 	s.Value = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	s.Rest = (sy - s.Value*sx) / n
+	s.Intercept = (sy - s.Value*sx) / n
 	for _, p := range points {
-		s.Error = max(s.Error, math.Abs(s.Rest+s.Value*x(p)-y(p)))
+		s.MaxError = max(s.MaxError, math.Abs(s.Intercept+s.Value*x(p)-y(p)))
 	}
 	return s
 }
@@ -193,9 +194,9 @@
 	c := f.Client()
 	defer c.HTTPClient.CloseIdleConnections()
 	return observe(ctx, cell, f, c, Point{
-		Workers: workers,
-		Hosts:   perHall,
-		Starts:  float64(starts),
+		Workers:         workers,
+		Hosts:           perHall,
+		StartsPerSecond: float64(starts),
 	})
 }
 
@@ -205,9 +206,9 @@
 	n := 0
 	load := func(d time.Duration) error {
 		for end := time.Now().Add(d); time.Now().Before(end); {
-			if p.Starts > 0 {
+			if p.StartsPerSecond > 0 {
 				n++
-				if err := submit(ctx, c, n, int(p.Starts)); err != nil {
+				if err := submit(ctx, c, n, int(p.StartsPerSecond)); err != nil {
 					return err
 				}
 			}
@@ -227,12 +228,12 @@
 	}
 	s, hosts := window.Seconds(), float64(p.Hosts)
 	w, r := cell.Platform.Table.Counts()
-	p.CPU = (processorTime() - cpu).Seconds() / s / hosts
-	p.Writes = float64(w-writes) / s
-	p.Reads = float64(r-reads) / s
-	p.Peer = float64(bytesSent(f)-sent) / s / hosts
-	p.Calls = float64(cell.Calls()-calls) / s
-	p.Heap = float64(heapBytes()) / hosts
+	p.CPUShare = (processorTime() - cpu).Seconds() / s / hosts
+	p.TableWritesPerSecond = float64(w-writes) / s
+	p.TableReadsPerSecond = float64(r-reads) / s
+	p.PeerBytesPerSecond = float64(bytesSent(f)-sent) / s / hosts
+	p.WorkerCallsPerSecond = float64(cell.Calls()-calls) / s
+	p.HeapBytes = float64(heapBytes()) / hosts
 	return p, nil
 }
 
--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -301,7 +301,7 @@
 		id:        order.Run,
 		worker:    w,
 		totalWork: a.work[order.Run.Task.Stage.Step][order.Run.Task.Index],
-		willFail:  x.rand.Float64() < a.kind.Fails,
+		willFail:  x.rand.Float64() < a.kind.FailureRate,
 	}
 	if order.Saved != "" {
 		ms, _ := strconv.Atoi(order.Saved)
--- a/internal/bench/cellbench/input.go
+++ b/internal/bench/cellbench/input.go
@@ -10,47 +10,47 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A Spread is a log-normal distribution, capped at Most unless that is zero.
-type Spread struct {
+// A LogNormal is a log-normal distribution, capped at Max unless that is zero.
+type LogNormal struct {
 	Mean  float64
 	Sigma float64
-	Most  float64
+	Max   float64
 }
 
-func (s Spread) sample(r *rand.Rand) float64 {
+func (s LogNormal) sample(r *rand.Rand) float64 {
 	x := s.Mean * math.Exp(s.Sigma*r.NormFloat64()-s.Sigma*s.Sigma/2)
-	if s.Most > 0 {
-		x = min(x, s.Most)
+	if s.Max > 0 {
+		x = min(x, s.Max)
 	}
 	return x
 }
 
-// A Kind describes the jobs of one queue.
-type Kind struct {
+// A JobKind describes the jobs of one queue.
+type JobKind struct {
 	Queue sched.Queue
-	// Rate is the number of jobs that arrive per second.
-	Rate float64
+	// JobsPerSecond is the number of jobs that arrive per second.
+	JobsPerSecond float64
 	// Steps is the number of steps, which run in sequence; Tasks is the number of tasks of
 	// a step.
-	Steps Spread
-	Tasks Spread
+	Steps LogNormal
+	Tasks LogNormal
 	// Work is the mean run time of the tasks of a step, in seconds.
-	Work Spread
+	Work LogNormal
 	// Cores and Memory, in GiB, are the needs of a task. Accelerators lists the numbers of
 	// accelerators to choose from; nil means none.
-	Cores        Spread
-	Memory       Spread
+	Cores        LogNormal
+	Memory       LogNormal
 	Accelerators []int
-	// Gang is the fraction of jobs that are gangs.
-	Gang float64
+	// GangShare is the fraction of jobs that are gangs.
+	GangShare float64
 	// Saves is the fraction of jobs whose progress is checkpointed.
 	Saves float64
 	// EstimateOff is the maximum relative error of run time estimates.
 	EstimateOff float64
 	// Good is the fraction of workers that the advisor allows.
 	Good float64
-	// Fails is the fraction of runs that fail.
-	Fails float64
+	// FailureRate is the fraction of runs that fail.
+	FailureRate float64
 	// Worth is the worth of a job of mean load that ends in time.
 	Worth float64
 }
@@ -67,7 +67,7 @@
 // An arrival is a job with its arrival time and the actual run time of each task.
 type arrival struct {
 	at   time.Duration
-	kind *Kind
+	kind *JobKind
 	job  sched.Job
 	work [][]time.Duration
 	// load is the job's work in core seconds, with an accelerator counted as
@@ -83,7 +83,7 @@
 	for i := range c.Kinds {
 		k := &c.Kinds[i]
 		for at := 0.0; ; {
-			at += r.ExpFloat64() / k.Rate
+			at += r.ExpFloat64() / k.JobsPerSecond
 			if at > c.Duration.Seconds() {
 				break
 			}
@@ -93,7 +93,7 @@
 	return out
 }
 
-func (k *Kind) arrival(r *rand.Rand, at time.Duration, n int) arrival {
+func (k *JobKind) arrival(r *rand.Rand, at time.Duration, n int) arrival {
 	a := arrival{
 		at:   at,
 		kind: k,
@@ -102,7 +102,7 @@
 			Queue: k.Queue.ID,
 		},
 	}
-	gang := r.Float64() < k.Gang
+	gang := r.Float64() < k.GangShare
 	saves := r.Float64() < k.Saves
 	need := k.need(r)
 	for i := range atLeastOne(k.Steps.sample(r)) {
@@ -132,7 +132,7 @@
 // of its step.
 const taskTimeVariation = 0.3
 
-func (k *Kind) need(r *rand.Rand) spoolsill.Resources {
+func (k *JobKind) need(r *rand.Rand) spoolsill.Resources {
 	n := spoolsill.Resources{
 		Processors: spoolsill.Millicores(k.Cores.sample(r) * float64(spoolsill.Core)),
 		Memory:     spoolsill.Bytes(k.Memory.sample(r) * float64(spoolsill.GiB)),
--- a/internal/bench/cellbench/mixes.go
+++ b/internal/bench/cellbench/mixes.go
@@ -26,7 +26,7 @@
 				Speeds: []float64{0.8, 1, 1.25},
 			},
 		},
-		Kinds: []Kind{
+		Kinds: []JobKind{
 			largeKind(load),
 			singleKind(load),
 		},
@@ -50,7 +50,7 @@
 				},
 			},
 		},
-		Kinds: []Kind{
+		Kinds: []JobKind{
 			gangKind(load),
 			patientKind(load),
 			urgentKind(load),
@@ -87,8 +87,8 @@
 
 // largeKind returns tasks that need half of a worker's cores and a quarter to all of its
 // accelerators.
-func largeKind(load float64) Kind {
-	return Kind{
+func largeKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "large",
 			Service:     "render",
@@ -98,24 +98,24 @@
 			Goal:        time.Second,
 			Advisor:     advisor(490*time.Millisecond, 7*time.Millisecond),
 		},
-		Rate:         1.84 * load,
-		Steps:        Spread{Mean: 1},
-		Tasks:        Spread{Mean: 1.5, Sigma: 0.8, Most: 9},
-		Work:         Spread{Mean: 3.6, Sigma: 0.5, Most: 9},
-		Cores:        Spread{Mean: 31},
-		Memory:       Spread{Mean: 45},
-		Accelerators: []int{2, 4, 8, 8},
-		Saves:        0.9,
-		EstimateOff:  0.2,
-		Good:         0.3,
-		Fails:        0.005,
-		Worth:        3.25,
+		JobsPerSecond: 1.84 * load,
+		Steps:         LogNormal{Mean: 1},
+		Tasks:         LogNormal{Mean: 1.5, Sigma: 0.8, Max: 9},
+		Work:          LogNormal{Mean: 3.6, Sigma: 0.5, Max: 9},
+		Cores:         LogNormal{Mean: 31},
+		Memory:        LogNormal{Mean: 45},
+		Accelerators:  []int{2, 4, 8, 8},
+		Saves:         0.9,
+		EstimateOff:   0.2,
+		Good:          0.3,
+		FailureRate:   0.005,
+		Worth:         3.25,
 	}
 }
 
 // singleKind returns many tasks that need one accelerator each.
-func singleKind(load float64) Kind {
-	return Kind{
+func singleKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "single",
 			Service:     "render",
@@ -125,24 +125,24 @@
 			Goal:        time.Second,
 			Advisor:     advisor(140*time.Millisecond, 2*time.Millisecond),
 		},
-		Rate:         1.9 * load,
-		Steps:        Spread{Mean: 1},
-		Tasks:        Spread{Mean: 4.1, Sigma: 0.6, Most: 20},
-		Work:         Spread{Mean: 3.8, Sigma: 0.5, Most: 9.4},
-		Cores:        Spread{Mean: 5.6},
-		Memory:       Spread{Mean: 11},
-		Accelerators: []int{1},
-		Saves:        0.8,
-		EstimateOff:  0.2,
-		Good:         0.45,
-		Fails:        0.005,
-		Worth:        1.97,
+		JobsPerSecond: 1.9 * load,
+		Steps:         LogNormal{Mean: 1},
+		Tasks:         LogNormal{Mean: 4.1, Sigma: 0.6, Max: 20},
+		Work:          LogNormal{Mean: 3.8, Sigma: 0.5, Max: 9.4},
+		Cores:         LogNormal{Mean: 5.6},
+		Memory:        LogNormal{Mean: 11},
+		Accelerators:  []int{1},
+		Saves:         0.8,
+		EstimateOff:   0.2,
+		Good:          0.45,
+		FailureRate:   0.005,
+		Worth:         1.97,
 	}
 }
 
 // gangKind returns gangs that use most of the cell.
-func gangKind(load float64) Kind {
-	return Kind{
+func gangKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "gang",
 			Service:     "quiz",
@@ -152,24 +152,24 @@
 			Goal:        time.Second,
 			Advisor:     advisor(560*time.Millisecond, 8*time.Millisecond),
 		},
-		Rate:        1.16 * load,
-		Steps:       Spread{Mean: 1.2, Sigma: 0.4, Most: 3},
-		Tasks:       Spread{Mean: 8, Sigma: 0.8, Most: 48},
-		Work:        Spread{Mean: 6.2, Sigma: 0.5, Most: 16},
-		Cores:       Spread{Mean: 18, Sigma: 0.4, Most: 30},
-		Memory:      Spread{Mean: 26, Sigma: 0.5, Most: 52},
-		Gang:        1,
-		Saves:       0.5,
-		EstimateOff: 0.9,
-		Good:        0.25,
-		Fails:       0.005,
-		Worth:       20,
+		JobsPerSecond: 1.16 * load,
+		Steps:         LogNormal{Mean: 1.2, Sigma: 0.4, Max: 3},
+		Tasks:         LogNormal{Mean: 8, Sigma: 0.8, Max: 48},
+		Work:          LogNormal{Mean: 6.2, Sigma: 0.5, Max: 16},
+		Cores:         LogNormal{Mean: 18, Sigma: 0.4, Max: 30},
+		Memory:        LogNormal{Mean: 26, Sigma: 0.5, Max: 52},
+		GangShare:     1,
+		Saves:         0.5,
+		EstimateOff:   0.9,
+		Good:          0.25,
+		FailureRate:   0.005,
+		Worth:         20,
 	}
 }
 
 // patientKind returns jobs with many tasks and generous objectives.
-func patientKind(load float64) Kind {
-	return Kind{
+func patientKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "patient",
 			Service:     "quiz",
@@ -179,23 +179,23 @@
 			Goal:        time.Second,
 			Advisor:     advisor(46*time.Millisecond, 660*time.Microsecond),
 		},
-		Rate:        6.83 * load,
-		Steps:       Spread{Mean: 1.5, Sigma: 0.4, Most: 3.8},
-		Tasks:       Spread{Mean: 10, Sigma: 0.8, Most: 60},
-		Work:        Spread{Mean: 2.2, Sigma: 0.5, Most: 5.4},
-		Cores:       Spread{Mean: 3.9, Sigma: 0.45, Most: 12},
-		Memory:      Spread{Mean: 7.2, Sigma: 0.6, Most: 22},
-		Saves:       0.8,
-		EstimateOff: 0.2,
-		Good:        0.45,
-		Fails:       0.005,
-		Worth:       2.13,
+		JobsPerSecond: 6.83 * load,
+		Steps:         LogNormal{Mean: 1.5, Sigma: 0.4, Max: 3.8},
+		Tasks:         LogNormal{Mean: 10, Sigma: 0.8, Max: 60},
+		Work:          LogNormal{Mean: 2.2, Sigma: 0.5, Max: 5.4},
+		Cores:         LogNormal{Mean: 3.9, Sigma: 0.45, Max: 12},
+		Memory:        LogNormal{Mean: 7.2, Sigma: 0.6, Max: 22},
+		Saves:         0.8,
+		EstimateOff:   0.2,
+		Good:          0.45,
+		FailureRate:   0.005,
+		Worth:         2.13,
 	}
 }
 
 // urgentKind returns small jobs with tight objectives.
-func urgentKind(load float64) Kind {
-	return Kind{
+func urgentKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "urgent",
 			Service:     "quiz",
@@ -205,16 +205,16 @@
 			Goal:        300 * time.Millisecond,
 			Advisor:     advisor(6500*time.Microsecond, 93*time.Microsecond),
 		},
-		Rate:        48 * load,
-		Steps:       Spread{Mean: 1},
-		Tasks:       Spread{Mean: 2, Sigma: 0.8, Most: 12},
-		Work:        Spread{Mean: 0.64, Sigma: 0.5, Most: 1.6},
-		Cores:       Spread{Mean: 5.6, Sigma: 0.45, Most: 17},
-		Memory:      Spread{Mean: 10, Sigma: 0.6, Most: 31},
-		Gang:        0.3,
-		EstimateOff: 0.5,
-		Good:        0.7,
-		Fails:       0.005,
-		Worth:       0.42,
+		JobsPerSecond: 48 * load,
+		Steps:         LogNormal{Mean: 1},
+		Tasks:         LogNormal{Mean: 2, Sigma: 0.8, Max: 12},
+		Work:          LogNormal{Mean: 0.64, Sigma: 0.5, Max: 1.6},
+		Cores:         LogNormal{Mean: 5.6, Sigma: 0.45, Max: 17},
+		Memory:        LogNormal{Mean: 10, Sigma: 0.6, Max: 31},
+		GangShare:     0.3,
+		EstimateOff:   0.5,
+		Good:          0.7,
+		FailureRate:   0.005,
+		Worth:         0.42,
 	}
 }
--- a/internal/bench/cellbench/run.go
+++ b/internal/bench/cellbench/run.go
@@ -18,7 +18,7 @@
 	// time.
 	Hosts int
 	Pools []Pool
-	Kinds []Kind
+	Kinds []JobKind
 }
 
 // A KindResult holds the outcomes of the jobs of one kind.
@@ -26,12 +26,12 @@
 	Name string `json:"name"`
 	Jobs int    `json:"jobs"`
 	// Worth is the earned fraction of the total worth of the jobs. InTime, Late and
-	// Unserved are fractions of the jobs.
-	Worth    float64         `json:"worth"`
-	InTime   float64         `json:"in_time"`
-	Late     float64         `json:"late"`
-	Unserved float64         `json:"unserved"`
-	TookMS   event.Quantiles `json:"took_ms"`
+	// NotServed are fractions of the jobs.
+	Worth     float64         `json:"worth"`
+	InTime    float64         `json:"in_time"`
+	Late      float64         `json:"late"`
+	NotServed float64         `json:"unserved"`
+	TookMS    event.Quantiles `json:"took_ms"`
 }
 
 // A Result holds the outcomes of a simulation.
@@ -40,10 +40,10 @@
 	Seed  uint64       `json:"seed"`
 	Kinds []KindResult `json:"kinds"`
 	// Worth is the earned fraction of the total worth of all jobs.
-	Worth  float64  `json:"worth"`
-	Starts int      `json:"starts"`
-	Stops  int      `json:"stops"`
-	Broken []string `json:"broken"`
+	Worth      float64  `json:"worth"`
+	Starts     int      `json:"starts"`
+	Stops      int      `json:"stops"`
+	Violations []string `json:"broken"`
 }
 
 // Run runs a simulation. It is deterministic.
@@ -56,7 +56,7 @@
 	r.Seed = c.Seed
 	r.Starts = x.starts
 	r.Stops = x.stops
-	r.Broken = x.violations
+	r.Violations = x.violations
 	return r
 }
 
@@ -145,7 +145,7 @@
 			Late:   float64(t.late[q]) / n,
 			TookMS: event.QuantilesOf(t.took[q]),
 		}
-		x.Unserved = 1 - x.InTime - x.Late
+		x.NotServed = 1 - x.InTime - x.Late
 		r.Kinds = append(r.Kinds, x)
 		possible += t.possibleWorth[q]
 		earned += t.earnedWorth[q]
--- a/internal/bench/cellbench/run_test.go
+++ b/internal/bench/cellbench/run_test.go
@@ -12,7 +12,7 @@
 
 func figures(t *testing.T, c cellbench.Config) string {
 	r := cellbench.Run(c)
-	qt.Check(t, r.Broken, qt.HasLen, 0)
+	qt.Check(t, r.Violations, qt.HasLen, 0)
 	b, err := json.Marshal(r)
 	qt.Assert(t, err, qt.IsNil)
 	return string(b)
--- a/internal/bench/faultbench/run.go
+++ b/internal/bench/faultbench/run.go
@@ -22,8 +22,8 @@
 	// is the number of sequences.
 	Seed uint64
 	Runs int
-	// Break names a safety mechanism to disable. It is empty if all are enabled.
-	Break string
+	// DisabledMechanism names a safety mechanism to disable. It is empty if all are enabled.
+	DisabledMechanism string
 	// Schedule, if it has steps, is run by each sequence, with each time moved randomly by
 	// up to Move. Otherwise each sequence generates a schedule from its seed.
 	Schedule fault.Schedule
@@ -37,23 +37,23 @@
 	Seed uint64 `json:"seed"`
 	// Runs is the number of completed sequences, less than requested if the run was
 	// interrupted.
-	Runs         int                        `json:"runs"`
-	Failed       int                        `json:"failed"`
-	Break        string                     `json:"break,omitempty"`
-	Faults       map[string]int             `json:"faults"`
-	Violations   map[standin.Promise]int    `json:"violations"`
-	Cases        []string                   `json:"cases,omitempty"`
-	Schedules    []string                   `json:"schedules,omitempty"` // of the first failed sequences
-	UnknownShare float64                    `json:"unknown_share"`
-	NotRunShare  float64                    `json:"not_run_share"`
-	Requests     int64                      `json:"requests"`
-	LostWithHall int                        `json:"jobs_lost_with_all_hosts_of_a_hall"`
-	RecoveryMS   map[string]event.Quantiles `json:"recovery_ms"`
-	Unfinished   int                        `json:"unfinished"`
+	Runs              int                        `json:"runs"`
+	Failed            int                        `json:"failed"`
+	DisabledMechanism string                     `json:"break,omitempty"`
+	Faults            map[string]int             `json:"faults"`
+	Violations        map[standin.Promise]int    `json:"violations"`
+	Cases             []string                   `json:"cases,omitempty"`
+	Schedules         []string                   `json:"schedules,omitempty"` // of the first failed sequences
+	UnknownShare      float64                    `json:"unknown_share"`
+	NotRunShare       float64                    `json:"not_run_share"`
+	Requests          int64                      `json:"requests"`
+	LostWithHall      int                        `json:"jobs_lost_with_all_hosts_of_a_hall"`
+	RecoveryMS        map[string]event.Quantiles `json:"recovery_ms"`
+	Unfinished        int                        `json:"unfinished"`
 }
 
-// Broken returns the number of promise violations and unfinished sequences.
-func (r Result) Broken() int {
+// ViolationCount returns the number of promise violations and unfinished sequences.
+func (r Result) ViolationCount() int {
 	n := r.Unfinished
 	for _, k := range r.Violations {
 		n += k
@@ -100,9 +100,9 @@
 // in [bubble.Main]. When ctx ends, it starts no further sequence and returns the results
 // of those that have completed.
 func Run(ctx context.Context, c Config) (Result, error) {
-	b, ok := breaksByMechanism[c.Break]
+	b, ok := breaksByMechanism[c.DisabledMechanism]
 	if !ok {
-		return Result{}, fmt.Errorf("mechanism %q is not known: want promise, fence, settle, record, lapse, claim or drain", c.Break)
+		return Result{}, fmt.Errorf("mechanism %q is not known: want promise, fence, settle, record, lapse, claim or drain", c.DisabledMechanism)
 	}
 	var mu sync.Mutex
 	s := aggregator{
@@ -192,7 +192,7 @@
 func (s *aggregator) result() Result {
 	r := s.out
 	r.Seed = s.config.Seed
-	r.Break = s.config.Break
+	r.DisabledMechanism = s.config.DisabledMechanism
 	r.RecoveryMS = map[string]event.Quantiles{}
 	for k, d := range s.recovery {
 		r.RecoveryMS[k] = event.QuantilesOf(d)
--- a/internal/bench/placebench/run.go
+++ b/internal/bench/placebench/run.go
@@ -30,29 +30,29 @@
 	failureTime    = 20 * time.Millisecond  // time until a task on a failing worker fails
 )
 
-// A Policy holds the measurements of one placement policy.
-type Policy struct {
-	Name        string                     `json:"name"`
-	WaitMS      map[string]event.Quantiles `json:"wait_ms"`
-	WorthInTime float64                    `json:"worth_in_time"`
-	Packing     float64                    `json:"packing"`
-	Violations  int                        `json:"violations"`
-	DecisionUS  event.Quantiles            `json:"decision_us"`
-	Decisions   int                        `json:"decisions"`
-	PerSecond   float64                    `json:"decisions_per_s"`
-	Preempted   float64                    `json:"preempted_core_s"`
-	LostTwice   float64                    `json:"lost_more_than_first_try"`
-	Unstarted   int                        `json:"unstarted"`
+// A PolicyResult holds the measurements of one placement policy.
+type PolicyResult struct {
+	Name                 string                     `json:"name"`
+	WaitMS               map[string]event.Quantiles `json:"wait_ms"`
+	WorthInTime          float64                    `json:"worth_in_time"`
+	Utilization          float64                    `json:"packing"`
+	Violations           int                        `json:"violations"`
+	DecisionUS           event.Quantiles            `json:"decision_us"`
+	Decisions            int                        `json:"decisions"`
+	DecisionsPerSecond   float64                    `json:"decisions_per_s"`
+	PreemptedCoreSeconds float64                    `json:"preempted_core_s"`
+	FailedTwice          float64                    `json:"lost_more_than_first_try"`
+	Unstarted            int                        `json:"unstarted"`
 }
 
 // A Result holds the measurements of all policies.
 type Result struct {
-	Seed     uint64   `json:"seed"`
-	Workers  int      `json:"workers"`
-	Load     float64  `json:"load"`
-	Failing  float64  `json:"failing"`
-	Starts   float64  `json:"starts_per_s"`
-	Policies []Policy `json:"policies"`
+	Seed            uint64         `json:"seed"`
+	Workers         int            `json:"workers"`
+	Load            float64        `json:"load"`
+	Failing         float64        `json:"failing"`
+	StartsPerSecond float64        `json:"starts_per_s"`
+	Policies        []PolicyResult `json:"policies"`
 }
 
 // Run simulates all policies on the same input.
@@ -68,7 +68,7 @@
 	for _, a := range in.arrivals {
 		tasks += a.job.Tasks
 	}
-	out.Starts = float64(tasks) / c.Duration.Seconds()
+	out.StartsPerSecond = float64(tasks) / c.Duration.Seconds()
 	bound := []spoolsill.Worker{{
 		ID:       "bound",
 		Capacity: workerCapacity.Times(c.Workers),
@@ -99,7 +99,7 @@
 		},
 	} {
 		r := simulate(in, p.make(in.workers), 1)
-		r.Packing = simulate(backlog, p.make(backlog.workers), 1).Packing
+		r.Utilization = simulate(backlog, p.make(backlog.workers), 1).Utilization
 		r.Name = p.name
 		out.Policies = append(out.Policies, r)
 	}
@@ -110,8 +110,8 @@
 // upperBound returns a bound that no scheduler can beat: a single worker with the total
 // capacity, where ends are reported without delay, simulated separately for each kind of
 // work.
-func upperBound(in, backlog input, single []spoolsill.Worker) Policy {
-	p := Policy{
+func upperBound(in, backlog input, single []spoolsill.Worker) PolicyResult {
+	p := PolicyResult{
 		Name:   "bound",
 		WaitMS: map[string]event.Quantiles{},
 	}
@@ -131,15 +131,15 @@
 		p.WaitMS[k] = r.WaitMS[k]
 	}
 	backlog.workers = single
-	p.Packing = simulate(backlog, &naiveScheduler{
+	p.Utilization = simulate(backlog, &naiveScheduler{
 		scheduler: naive.NewScheduler(naive.LeastLoaded, single),
-	}, 0).Packing
+	}, 0).Utilization
 	p.WorthInTime = 1
 	return p
 }
 
 // simulate runs one policy. delayFactor scales the delay with which ends are reported.
-func simulate(in input, p policy, delayFactor float64) Policy {
+func simulate(in input, p policy, delayFactor float64) PolicyResult {
 	s := &sim{
 		in:          in,
 		policy:      p,
@@ -178,7 +178,7 @@
 	waits         map[string][]time.Duration
 	decisionTimes []time.Duration
 	decidePending bool
-	report        Policy
+	report        PolicyResult
 
 	totalWorth, worthInTime float64
 	backlogCoreTime         float64 // processor time in use while there was a backlog
@@ -298,7 +298,7 @@
 		return
 	}
 	cores := float64(s.jobs[r.start.task.Job].job.Shape.Processors) / float64(spoolsill.Core)
-	s.report.Preempted += cores * checkpointTime.Seconds()
+	s.report.PreemptedCoreSeconds += cores * checkpointTime.Seconds()
 	// The work done so far is preserved.
 	a := s.jobs[r.start.task.Job]
 	a.runtimes[r.start.task.Index] = max(a.runtimes[r.start.task.Index]-(s.loop.Now()-r.began), 50*time.Millisecond)
@@ -361,7 +361,7 @@
 	}
 }
 
-func (s *sim) result() Policy {
+func (s *sim) result() PolicyResult {
 	p := s.report
 	p.WaitMS = map[string]event.Quantiles{}
 	for _, k := range kindNames() {
@@ -379,16 +379,16 @@
 		sum += t
 	}
 	if sum > 0 {
-		p.PerSecond = float64(len(s.decisionTimes)) / sum.Seconds()
+		p.DecisionsPerSecond = float64(len(s.decisionTimes)) / sum.Seconds()
 	}
 	if s.backlogTime > 0 {
-		p.Packing = s.backlogCoreTime / s.backlogTime / float64(s.total.Processors)
+		p.Utilization = s.backlogCoreTime / s.backlogTime / float64(s.total.Processors)
 	}
 	if s.totalWorth > 0 {
 		p.WorthInTime = s.worthInTime / s.totalWorth
 	}
 	p.Unstarted = s.waiting
-	p.LostTwice = s.failedTwice()
+	p.FailedTwice = s.failedTwice()
 	return p
 }
 
@@ -405,6 +405,6 @@
 }
 
 // String returns the name and wait times on one line.
-func (p Policy) String() string {
+func (p PolicyResult) String() string {
 	return fmt.Sprintf("%s %v", p.Name, p.WaitMS)
 }
--- a/internal/bench/placebench/run_test.go
+++ b/internal/bench/placebench/run_test.go
@@ -22,7 +22,7 @@
 	for i := range r.Policies {
 		p := &r.Policies[i]
 		qt.Check(t, p.Violations, qt.Equals, 0, qt.Commentf("%s", p.Name))
-		p.DecisionUS.P50, p.DecisionUS.P99, p.DecisionUS.P999, p.PerSecond = 0, 0, 0, 0
+		p.DecisionUS.P50, p.DecisionUS.P99, p.DecisionUS.P999, p.DecisionsPerSecond = 0, 0, 0, 0
 	}
 	b, err := json.Marshal(r)
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/bench/routebench/run.go
+++ b/internal/bench/routebench/run.go
@@ -24,27 +24,27 @@
 	Requests int
 }
 
-// A Policy holds the measurements of one routing policy.
-type Policy struct {
-	Name        string                     `json:"name"`
-	WaitMS      map[string]event.Quantiles `json:"wait_ms"`
-	WorthInTime float64                    `json:"worth_in_time"`
-	Packing     float64                    `json:"packing"` // fraction of the slot time in use
-	Violations  int                        `json:"violations"`
-	NotRun      int                        `json:"not_run"`
-	Unknown     int                        `json:"unknown"`
-	LostTwice   float64                    `json:"lost_more_than_first_try"`
-	Messages    float64                    `json:"messages_per_request"`
+// A PolicyResult holds the measurements of one routing policy.
+type PolicyResult struct {
+	Name               string                     `json:"name"`
+	WaitMS             map[string]event.Quantiles `json:"wait_ms"`
+	WorthInTime        float64                    `json:"worth_in_time"`
+	Utilization        float64                    `json:"packing"` // fraction of the slot time in use
+	Violations         int                        `json:"violations"`
+	NotRun             int                        `json:"not_run"`
+	Unknown            int                        `json:"unknown"`
+	FailedTwice        float64                    `json:"lost_more_than_first_try"`
+	MessagesPerRequest float64                    `json:"messages_per_request"`
 }
 
 // A Result holds the measurements of all policies.
 type Result struct {
-	Seed     uint64   `json:"seed"`
-	Hosts    int      `json:"hosts"`
-	Runners  int      `json:"runners"`
-	Load     float64  `json:"load"`
-	Failing  float64  `json:"failing"`
-	Policies []Policy `json:"policies"`
+	Seed     uint64         `json:"seed"`
+	Hosts    int            `json:"hosts"`
+	Runners  int            `json:"runners"`
+	Load     float64        `json:"load"`
+	Failing  float64        `json:"failing"`
+	Policies []PolicyResult `json:"policies"`
 }
 
 // Durations of the simulated runners and network.
@@ -154,7 +154,7 @@
 	worthInTime float64
 	busyTime    time.Duration
 	messages    int
-	report      Policy
+	report      PolicyResult
 }
 
 // A runner serves as many requests at once as it has slots. The queue is used by the
@@ -210,22 +210,22 @@
 	})
 }
 
-func (s *sim) result() Policy {
+func (s *sim) result() PolicyResult {
 	p := s.report
 	q := event.QuantilesOf(s.waits)
 	p.WaitMS = map[string]event.Quantiles{
 		"request": q,
 	}
 	p.WorthInTime = s.worthInTime / s.totalWorth
-	p.Packing = float64(s.busyTime) / (float64(s.requests[len(s.requests)-1].arrival) * float64(len(s.runners)*s.config.Slots))
+	p.Utilization = float64(s.busyTime) / (float64(s.requests[len(s.requests)-1].arrival) * float64(len(s.runners)*s.config.Slots))
 	n := 0
 	for _, k := range s.failures {
 		if k > 1 {
 			n++
 		}
 	}
-	p.LostTwice = float64(n) / float64(len(s.requests))
-	p.Messages = float64(s.messages) / float64(len(s.requests))
+	p.FailedTwice = float64(n) / float64(len(s.requests))
+	p.MessagesPerRequest = float64(s.messages) / float64(len(s.requests))
 	return p
 }
 
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -33,13 +33,13 @@
 
 // A Result holds the load on the table and the latency of job confirmations.
 type Result struct {
-	Halls             int             `json:"halls"`
-	PlacementsPerS    float64         `json:"placements_per_s"`
-	WritesPerS        float64         `json:"writes_per_s"`
-	ReadsPerS         float64         `json:"reads_per_s"`
-	CommitMS          event.Quantiles `json:"commit_ms"`
-	BytesPerPlacement float64         `json:"bytes_per_placement"`
-	Broken            int             `json:"broken"`
+	Halls               int             `json:"halls"`
+	PlacementsPerSecond float64         `json:"placements_per_s"`
+	WritesPerSecond     float64         `json:"writes_per_s"`
+	ReadsPerSecond      float64         `json:"reads_per_s"`
+	CommitMS            event.Quantiles `json:"commit_ms"`
+	BytesPerPlacement   float64         `json:"bytes_per_placement"`
+	Violations          int             `json:"broken"`
 }
 
 const workersPerHall = 60
@@ -135,13 +135,13 @@
 	w, r := cell.Platform.Table.Counts()
 	starts := cell.Begun()
 	return Result{
-		Halls:             c.Halls,
-		PlacementsPerS:    float64(starts) / s,
-		WritesPerS:        float64(w-writes) / s,
-		ReadsPerS:         float64(r-reads) / s,
-		CommitMS:          event.QuantilesOf(commits),
-		BytesPerPlacement: float64(cell.Platform.Table.Written()-bytes) / float64(max(starts, 1)),
-		Broken:            cell.Truth.Total(),
+		Halls:               c.Halls,
+		PlacementsPerSecond: float64(starts) / s,
+		WritesPerSecond:     float64(w-writes) / s,
+		ReadsPerSecond:      float64(r-reads) / s,
+		CommitMS:            event.QuantilesOf(commits),
+		BytesPerPlacement:   float64(cell.Platform.Table.Written()-bytes) / float64(max(starts, 1)),
+		Violations:          cell.Truth.Total(),
 	}, failed
 }
 
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -49,7 +49,7 @@
 		t := newTable(w, "policy", "wait p50 ms", "p99 ms", "p999 ms", "worth in time", "slots in use", "violations", "not run", "unknown", "lost twice", "messages/request")
 		for _, p := range r.Policies {
 			q := p.WaitMS["request"]
-			t.addRow(p.Name, fmt.Sprintf("%.2f", q.P50), fmt.Sprintf("%.2f", q.P99), fmt.Sprintf("%.2f", q.P999), fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Packing), fmt.Sprint(p.Violations), fmt.Sprint(p.NotRun), fmt.Sprint(p.Unknown), fmt.Sprintf("%.4f", p.LostTwice), fmt.Sprintf("%.2f", p.Messages))
+			t.addRow(p.Name, fmt.Sprintf("%.2f", q.P50), fmt.Sprintf("%.2f", q.P99), fmt.Sprintf("%.2f", q.P999), fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Utilization), fmt.Sprint(p.Violations), fmt.Sprint(p.NotRun), fmt.Sprint(p.Unknown), fmt.Sprintf("%.4f", p.FailedTwice), fmt.Sprintf("%.2f", p.MessagesPerRequest))
 		}
 		t.flush()
 	})
@@ -73,7 +73,7 @@
 		Duration: c.Duration,
 	})
 	return s.print(r, func(w io.Writer) {
-		fmt.Fprintf(w, "seed %d, %d workers, load %.2f, %.1f starts a second, %.0f%% of the workers fail everything\n\n", r.Seed, r.Workers, r.Load, r.Starts, 100*r.Failing)
+		fmt.Fprintf(w, "seed %d, %d workers, load %.2f, %.1f starts a second, %.0f%% of the workers fail everything\n\n", r.Seed, r.Workers, r.Load, r.StartsPerSecond, 100*r.Failing)
 		t := newTable(w, "policy", "work", "starts", "wait p50 ms", "p99 ms", "p999 ms")
 		for _, p := range r.Policies {
 			addWaitRows(t, p.Name, p.WaitMS)
@@ -82,7 +82,7 @@
 		fmt.Fprintln(w)
 		t = newTable(w, "policy", "worth in time", "packing", "violations", "lost twice", "preempted core s", "unstarted", "decision p50 us", "p99 us", "decisions/s")
 		for _, p := range r.Policies {
-			t.addRow(p.Name, fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Packing), fmt.Sprint(p.Violations), fmt.Sprintf("%.4f", p.LostTwice), fmt.Sprintf("%.1f", p.Preempted), fmt.Sprint(p.Unstarted), fmt.Sprintf("%.1f", p.DecisionUS.P50), fmt.Sprintf("%.1f", p.DecisionUS.P99), fmt.Sprintf("%.0f", p.PerSecond))
+			t.addRow(p.Name, fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Utilization), fmt.Sprint(p.Violations), fmt.Sprintf("%.4f", p.FailedTwice), fmt.Sprintf("%.1f", p.PreemptedCoreSeconds), fmt.Sprint(p.Unstarted), fmt.Sprintf("%.1f", p.DecisionUS.P50), fmt.Sprintf("%.1f", p.DecisionUS.P99), fmt.Sprintf("%.0f", p.DecisionsPerSecond))
 		}
 		t.flush()
 	})
@@ -134,12 +134,12 @@
 		return exitErrorf(ExitUsage, "%w", err)
 	}
 	r, err := faultbench.Run(s.ctx(), faultbench.Config{
-		Seed:     c.Seed,
-		Runs:     c.Runs,
-		Break:    c.Break,
-		Schedule: schedule,
-		Move:     c.Move,
-		Progress: c.progressReporter(s),
+		Seed:              c.Seed,
+		Runs:              c.Runs,
+		DisabledMechanism: c.Break,
+		Schedule:          schedule,
+		Move:              c.Move,
+		Progress:          c.progressReporter(s),
 	})
 	if err != nil {
 		return exitErrorf(ExitUsage, "%w", err)
@@ -161,7 +161,7 @@
 			fmt.Fprintln(w, x)
 		}
 	})
-	if err == nil && r.Broken() > 0 {
+	if err == nil && r.ViolationCount() > 0 {
 		return exitErrorf(ExitFailed, "a promise was broken")
 	}
 	return err
@@ -211,7 +211,7 @@
 	}
 	return s.print(r, func(w io.Writer) {
 		t := newTable(w, "halls", "placements/s", "table writes/s", "table reads/s", "confirm p50 ms", "p99 ms", "bytes/placement", "broken")
-		t.addRow(fmt.Sprint(r.Halls), fmt.Sprintf("%.0f", r.PlacementsPerS), fmt.Sprintf("%.1f", r.WritesPerS), fmt.Sprintf("%.1f", r.ReadsPerS), fmt.Sprintf("%.1f", r.CommitMS.P50), fmt.Sprintf("%.1f", r.CommitMS.P99), fmt.Sprintf("%.0f", r.BytesPerPlacement), fmt.Sprint(r.Broken))
+		t.addRow(fmt.Sprint(r.Halls), fmt.Sprintf("%.0f", r.PlacementsPerSecond), fmt.Sprintf("%.1f", r.WritesPerSecond), fmt.Sprintf("%.1f", r.ReadsPerSecond), fmt.Sprintf("%.1f", r.CommitMS.P50), fmt.Sprintf("%.1f", r.CommitMS.P99), fmt.Sprintf("%.0f", r.BytesPerPlacement), fmt.Sprint(r.Violations))
 		t.flush()
 	})
 }
@@ -251,14 +251,14 @@
 			row("workers", "hosts", "starts/s", "cpu share a host", "peer B/s a host", "table writes/s", "table reads/s", "worker calls/s", "heap MB a host")
 			row("--:", "--:", "--:", "--:", "--:", "--:", "--:", "--:", "--:")
 			for _, p := range section.points {
-				row(fmt.Sprint(p.Workers), fmt.Sprint(p.Hosts), fmt.Sprintf("%.0f", p.Starts), fmt.Sprintf("%.4f", p.CPU), fmt.Sprintf("%.0f", p.Peer), fmt.Sprintf("%.2f", p.Writes), fmt.Sprintf("%.2f", p.Reads), fmt.Sprintf("%.1f", p.Calls), fmt.Sprintf("%.1f", p.Heap/1e6))
+				row(fmt.Sprint(p.Workers), fmt.Sprint(p.Hosts), fmt.Sprintf("%.0f", p.StartsPerSecond), fmt.Sprintf("%.4f", p.CPUShare), fmt.Sprintf("%.0f", p.PeerBytesPerSecond), fmt.Sprintf("%.2f", p.TableWritesPerSecond), fmt.Sprintf("%.2f", p.TableReadsPerSecond), fmt.Sprintf("%.1f", p.WorkerCallsPerSecond), fmt.Sprintf("%.1f", p.HeapBytes/1e6))
 			}
 		}
 		fmt.Fprint(w, "\nslopes\n\n")
 		row("cost", "for each", "slope", "without any", "largest miss")
 		row("---", "---", "--:", "--:", "--:")
 		for _, x := range r.Slopes {
-			row(x.Cost, x.Per, fmt.Sprintf("%.4g", x.Value), fmt.Sprintf("%.4g", x.Rest), fmt.Sprintf("%.2g", x.Error))
+			row(x.Cost, x.Per, fmt.Sprintf("%.4g", x.Value), fmt.Sprintf("%.4g", x.Intercept), fmt.Sprintf("%.2g", x.MaxError))
 		}
 	})
 }
--- a/internal/cli/benchcell.go
+++ b/internal/cli/benchcell.go
@@ -29,7 +29,7 @@
 		t := newTable(w, "mix", "seed", "queue", "jobs", "worth", "in time", "late", "not served", "took p50 ms", "p99 ms")
 		for _, r := range results {
 			for _, k := range r.Kinds {
-				t.addRow(r.Mix, fmt.Sprint(r.Seed), k.Name, fmt.Sprint(k.Jobs), fmt.Sprintf("%.3f", k.Worth), fmt.Sprintf("%.3f", k.InTime), fmt.Sprintf("%.3f", k.Late), fmt.Sprintf("%.3f", k.Unserved), fmt.Sprintf("%.0f", k.TookMS.P50), fmt.Sprintf("%.0f", k.TookMS.P99))
+				t.addRow(r.Mix, fmt.Sprint(r.Seed), k.Name, fmt.Sprint(k.Jobs), fmt.Sprintf("%.3f", k.Worth), fmt.Sprintf("%.3f", k.InTime), fmt.Sprintf("%.3f", k.Late), fmt.Sprintf("%.3f", k.NotServed), fmt.Sprintf("%.0f", k.TookMS.P50), fmt.Sprintf("%.0f", k.TookMS.P99))
 			}
 			t.addRow(r.Mix, fmt.Sprint(r.Seed), "all", "", fmt.Sprintf("%.3f", r.Worth), "", "", fmt.Sprintf("%d stops", r.Stops), "", "")
 		}
