--- a/cmd/spoolsill/main.go
+++ b/cmd/spoolsill/main.go
@@ -1,5 +1,5 @@
-// Command spoolsill is the command line of callers and operators of
-// Spoolsill. See docs/OPERATIONS.md.
+// Command spoolsill is the Spoolsill command line for callers and operators. See
+// docs/OPERATIONS.md.
 package main
 
 import (
--- a/cmd/spoolsilld/main.go
+++ b/cmd/spoolsilld/main.go
@@ -1,4 +1,4 @@
-// Command spoolsilld is the entry host of Spoolsill. See docs/OPERATIONS.md.
+// Command spoolsilld runs an entry host of Spoolsill. See docs/OPERATIONS.md.
 package main
 
 import (
@@ -17,12 +17,12 @@
 	"github.com/spoolsill/spoolsill/settings"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitOK       = 0
-	exitRun      = 1 // it could not listen, or the stop was not clean
-	exitSettings = 2 // the settings can't be accepted
-	exitForced   = 3 // a second signal ended it at once
+	exitOK              = 0
+	exitFailure         = 1 // the host could not listen, or did not stop cleanly
+	exitInvalidSettings = 2 // the settings are invalid
+	exitForced          = 3 // a second signal ended the process during a stop
 )
 
 type flags struct {
@@ -44,7 +44,7 @@
 	s, err := settings.Load(f.Settings, f.Host)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSettings
+		return exitInvalidSettings
 	}
 	if f.Check {
 		fmt.Printf("%s: host %s in hall %s, %d halls, %d services\n", f.Settings, s.Host.ID, s.OwnHall().ID, len(s.Halls), len(s.Services))
@@ -53,35 +53,37 @@
 	return serve(s)
 }
 
+// serve runs the host until it fails or a signal stops it, and returns the exit code.
 func serve(s settings.Settings) int {
 	log := newLog(s.Log.Level)
-	h := entry.New(entry.Config{
+	host := entry.New(entry.Config{
 		Settings: s,
 		Log:      log,
 	})
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	done := make(chan error, 1)
-	go func() { done <- h.Run(context.Background()) }()
+	go func() { done <- host.Run(context.Background()) }()
 	select {
 	case err := <-done:
 		log.WithError(err).Error("host ended")
-		return exitRun
+		return exitFailure
 	case <-signals:
 	}
-	return stop(h, s, signals)
+	return stop(host, s, signals)
 }
 
-// stop ends the host as planned. A second signal ends it at once.
-func stop(h *entry.Host, s settings.Settings, signals <-chan os.Signal) int {
+// stop stops the host gracefully and returns the exit code. It returns early on a second
+// signal.
+func stop(host *entry.Host, s settings.Settings, signals <-chan os.Signal) int {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.Host.StopTimeout))
 	defer cancel()
 	clean := make(chan bool, 1)
-	go func() { clean <- h.Stop(ctx) }()
+	go func() { clean <- host.Stop(ctx) }()
 	select {
 	case ok := <-clean:
 		if !ok {
-			return exitRun
+			return exitFailure
 		}
 		return exitOK
 	case <-signals:
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs small stand-ins for a platform, workers and runners on
-// loopback, so that entry hosts can be tried by hand. See README.md.
+// Command standin runs stand-ins for a platform, workers and runners on the loopback
+// interface, for trying entry hosts by hand. See README.md.
 package main
 
 import (
@@ -40,6 +40,7 @@
 	k.FatalIfErrorf(run(f))
 }
 
+// run runs the stand-ins until a signal arrives, then prints the violated promises.
 func run(f flags) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -47,7 +48,7 @@
 	for _, h := range strings.Split(f.Halls, ",") {
 		halls = append(halls, spoolsill.HallID(strings.TrimSpace(h)))
 	}
-	c, err := standin.NewCell(standin.CellConfig{
+	cell, err := standin.NewCell(standin.CellConfig{
 		Halls:    halls,
 		Workers:  f.Workers,
 		RackSize: f.Rack,
@@ -66,10 +67,10 @@
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	fmt.Printf("platform at %s, %d workers and %d runners in %s\n", c.URL, f.Workers, f.Runners, f.Halls)
-	c.Wait(ctx)
-	counts, cases := c.Truth.Broken()
+	defer cell.Close()
+	fmt.Printf("platform at %s, %d workers and %d runners in %s\n", cell.URL, f.Workers, f.Runners, f.Halls)
+	cell.Wait(ctx)
+	counts, cases := cell.Truth.Broken()
 	n := 0
 	for _, k := range counts {
 		n += k
