--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -1,6 +1,6 @@
-// Package capacity measures what each role of an entry host costs, with the
-// real hosts on virtual time at several sizes, and fits the cost of one more
-// worker, host, task start or request.
+// Package capacity measures the resource use of entry hosts. It runs the real hosts on
+// virtual time at several sizes and fits the marginal cost of a worker, of a task start
+// per second and of a host.
 package capacity
 
 import (
@@ -21,38 +21,39 @@
 	"github.com/spoolsill/spoolsill/settings"
 )
 
-// A Point is one measurement of a hall, for each host of it.
+// A Point is one measurement of a hall.
 type Point struct {
-	Workers int     `json:"workers"`
-	Hosts   int     `json:"hosts"`
-	Starts  float64 `json:"starts_per_s"`
-	Tasks   int     `json:"tasks"`
+	Workers         int     `json:"workers"`
+	Hosts           int     `json:"hosts"`
+	StartsPerSecond float64 `json:"starts_per_s"`
+	Tasks           int     `json:"tasks"`
 
-	// CPU is processor seconds a second of the whole process, stand-ins and
-	// all hosts included, for each host: an upper bound.
-	CPU float64 `json:"cpu"`
-	// Peer is bytes a second that a host sends to other hosts.
-	Peer float64 `json:"peer_bytes_per_s"`
-	// Writes and Reads are the hall's calls of the table a second.
-	Writes float64 `json:"table_writes_per_s"`
-	Reads  float64 `json:"table_reads_per_s"`
-	// Calls is the holder's calls of workers a second.
-	Calls float64 `json:"worker_calls_per_s"`
-	// Heap is bytes in use in the whole process, for each host.
-	Heap float64 `json:"heap_bytes"`
+	// CPUShare is the processor time per second and host. It is an upper bound: it includes the
+	// stand-ins, which run in the same process.
+	CPUShare float64 `json:"cpu"`
+	// PeerBytesPerSecond is the number of bytes per second that a host sends to other hosts.
+	PeerBytesPerSecond float64 `json:"peer_bytes_per_s"`
+	// TableWritesPerSecond and TableReadsPerSecond are the calls of the table by all hosts
+	// of the hall.
+	TableWritesPerSecond float64 `json:"table_writes_per_s"`
+	TableReadsPerSecond  float64 `json:"table_reads_per_s"`
+	// WorkerCallsPerSecond is the number of calls to the hall's workers per second.
+	WorkerCallsPerSecond float64 `json:"worker_calls_per_s"`
+	// HeapBytes is the allocated heap of the process divided by the number of hosts.
+	HeapBytes float64 `json:"heap_bytes"`
 }
 
-// A Slope is a cost fitted over points.
+// A Slope is a linear fit of a cost over points.
 type Slope struct {
 	Cost  string  `json:"cost"`
 	Per   string  `json:"per"`
 	Value float64 `json:"value"`
-	// Rest is the cost without any, Error the largest miss of the fit.
-	Rest  float64 `json:"rest"`
-	Error float64 `json:"error"`
+	// Intercept is the fitted cost at zero, MaxError the largest absolute residual.
+	Intercept float64 `json:"rest"`
+	MaxError  float64 `json:"error"`
 }
 
-// A Result is a whole measurement.
+// A Result holds the measured points and the fitted costs.
 type Result struct {
 	AtRest  []Point `json:"at_rest"`
 	Loaded  []Point `json:"loaded"`
@@ -60,58 +61,59 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// The sizes measured.
+// The measured values of each parameter.
 var (
-	sizes = []int{10, 50, 110, 220}
-	rates = []int{0, 5, 10, 20}
-	hosts = []int{1, 2, 3}
+	workerCounts = []int{10, 50, 110, 220}
+	startRates   = []int{0, 5, 10, 20}
+	hostCounts   = []int{1, 2, 3}
 )
 
-// hallWorkers is how many workers a hall has at the size to come: 2,100 by 19.
+// hallWorkers is the number of workers of a hall at the planned size, 2,100 workers in
+// 19 halls.
 const hallWorkers = 110
 
-// Run measures at all sizes. It is called in [bubble.Main].
+// Run measures at all sizes. It must be called in [bubble.Main].
 func Run() (Result, error) {
 	var r Result
-	for _, n := range sizes {
-		p, err := measure(n, 2, 0)
+	for _, n := range workerCounts {
+		p, err := measurePoint(n, 2, 0)
 		if err != nil {
 			return r, err
 		}
 		r.AtRest = append(r.AtRest, p)
 	}
-	for _, n := range rates {
-		p, err := measure(hallWorkers, 2, n)
+	for _, n := range startRates {
+		p, err := measurePoint(hallWorkers, 2, n)
 		if err != nil {
 			return r, err
 		}
 		r.Loaded = append(r.Loaded, p)
 	}
-	for _, n := range hosts {
-		p, err := measure(hallWorkers, n, 0)
+	for _, n := range hostCounts {
+		p, err := measurePoint(hallWorkers, n, 0)
 		if err != nil {
 			return r, err
 		}
 		r.ByHosts = append(r.ByHosts, p)
 	}
 	workers := func(p Point) float64 { return float64(p.Workers) }
-	starts := func(p Point) float64 { return p.Starts }
+	starts := func(p Point) float64 { return p.StartsPerSecond }
 	r.Slopes = []Slope{
-		fit("processor seconds a second of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.CPU }),
-		fit("heap bytes of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.Heap }),
-		fit("calls of workers a second", "worker", r.AtRest, workers, func(p Point) float64 { return p.Calls }),
-		fit("table reads a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.Reads }),
-		fit("table writes a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.Writes }),
-		fit("bytes a second a host sends to others", "worker", r.AtRest, workers, func(p Point) float64 { return p.Peer }),
-		fit("processor seconds a second of a host, stand-ins included", "start a second", r.Loaded, starts, func(p Point) float64 { return p.CPU }),
-		fit("table writes a second of a hall", "start a second", r.Loaded, starts, func(p Point) float64 { return p.Writes }),
-		fit("table reads a second of a hall", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.Reads }),
-		fit("bytes a second a host sends to others", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.Peer }),
+		fit("processor seconds a second of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.CPUShare }),
+		fit("heap bytes of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.HeapBytes }),
+		fit("calls of workers a second", "worker", r.AtRest, workers, func(p Point) float64 { return p.WorkerCallsPerSecond }),
+		fit("table reads a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.TableReadsPerSecond }),
+		fit("table writes a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.TableWritesPerSecond }),
+		fit("bytes a second a host sends to others", "worker", r.AtRest, workers, func(p Point) float64 { return p.PeerBytesPerSecond }),
+		fit("processor seconds a second of a host, stand-ins included", "start a second", r.Loaded, starts, func(p Point) float64 { return p.CPUShare }),
+		fit("table writes a second of a hall", "start a second", r.Loaded, starts, func(p Point) float64 { return p.TableWritesPerSecond }),
+		fit("table reads a second of a hall", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.TableReadsPerSecond }),
+		fit("bytes a second a host sends to others", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.PeerBytesPerSecond }),
 	}
 	return r, nil
 }
 
-// fit fits a straight line by least squares.
+// fit fits a line to points by least squares.
 func fit(cost, per string, points []Point, x, y func(Point) float64) Slope {
 	var sx, sy, sxx, sxy float64
 	n := float64(len(points))
@@ -126,28 +128,29 @@
 		Per:  per,
 	}
 	s.Value = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	s.Rest = (sy - s.Value*sx) / n
+	s.Intercept = (sy - s.Value*sx) / n
 	for _, p := range points {
-		s.Error = max(s.Error, math.Abs(s.Rest+s.Value*x(p)-y(p)))
+		s.MaxError = max(s.MaxError, math.Abs(s.Intercept+s.Value*x(p)-y(p)))
 	}
 	return s
 }
 
-// warm and window are the virtual times before and of a measurement.
+// warmUp is the virtual time before a measurement, window the virtual time that is
+// measured.
 const (
-	warm   = 5 * time.Second
+	warmUp = 5 * time.Second
 	window = 30 * time.Second
 )
 
-// measure runs one hall.
-func measure(workers, perHall, starts int) (Point, error) {
+// measurePoint measures one hall on a virtual clock of its own.
+func measurePoint(workers, perHall, starts int) (Point, error) {
 	var p Point
 	var err error
-	bubble.Run(func() { p, err = hall(workers, perHall, starts) })
+	bubble.Run(func() { p, err = measureHall(workers, perHall, starts) })
 	return p, err
 }
 
-func hall(workers, perHall, starts int) (Point, error) {
+func measureHall(workers, perHall, starts int) (Point, error) {
 	halls := []spoolsill.HallID{"hall"}
 	cell, err := standin.NewCell(standin.CellConfig{
 		Halls:    halls,
@@ -191,20 +194,21 @@
 	c := f.Client()
 	defer c.HTTPClient.CloseIdleConnections()
 	return observe(ctx, cell, f, c, Point{
-		Workers: workers,
-		Hosts:   perHall,
-		Starts:  float64(starts),
+		Workers:         workers,
+		Hosts:           perHall,
+		StartsPerSecond: float64(starts),
 	})
 }
 
-// observe counts what the hosts do in a window of virtual time.
+// observe submits load through the warm-up and the measurement window and returns p with
+// the resource use in the window.
 func observe(ctx context.Context, cell *standin.Cell, f *fleet.Fleet, c *api.Client, p Point) (Point, error) {
 	n := 0
 	load := func(d time.Duration) error {
 		for end := time.Now().Add(d); time.Now().Before(end); {
-			if p.Starts > 0 {
+			if p.StartsPerSecond > 0 {
 				n++
-				if err := submit(ctx, c, n, int(p.Starts)); err != nil {
+				if err := submit(ctx, c, n, int(p.StartsPerSecond)); err != nil {
 					return err
 				}
 			}
@@ -212,11 +216,11 @@
 		}
 		return nil
 	}
-	if err := load(warm); err != nil {
+	if err := load(warmUp); err != nil {
 		return p, err
 	}
 	writes, reads := cell.Platform.Table.Counts()
-	sent := traffic(f)
+	sent := bytesSent(f)
 	calls := cell.Calls()
 	cpu := processorTime()
 	if err := load(window); err != nil {
@@ -224,16 +228,16 @@
 	}
 	s, hosts := window.Seconds(), float64(p.Hosts)
 	w, r := cell.Platform.Table.Counts()
-	p.CPU = (processorTime() - cpu).Seconds() / s / hosts
-	p.Writes = float64(w-writes) / s
-	p.Reads = float64(r-reads) / s
-	p.Peer = float64(traffic(f)-sent) / s / hosts
-	p.Calls = float64(cell.Calls()-calls) / s
-	p.Heap = float64(heap()) / hosts
+	p.CPUShare = (processorTime() - cpu).Seconds() / s / hosts
+	p.TableWritesPerSecond = float64(w-writes) / s
+	p.TableReadsPerSecond = float64(r-reads) / s
+	p.PeerBytesPerSecond = float64(bytesSent(f)-sent) / s / hosts
+	p.WorkerCallsPerSecond = float64(cell.Calls()-calls) / s
+	p.HeapBytes = float64(heapBytes()) / hosts
 	return p, nil
 }
 
-// submit adds a batch of so many short tasks.
+// submit plans and confirms a batch job with the given number of tasks.
 func submit(ctx context.Context, c *api.Client, n, tasks int) error {
 	plan, err := c.Plan(ctx, api.PlanRequest{
 		Submit: fmt.Sprintf("id = \"load-%d\"\nteam = \"t%d\"\nkind = \"batch\"\ntasks = %d\nprocessors = \"2\"\nmemory = \"1GiB\"\nruntime = \"20s\"\n", n, n%20, tasks),
@@ -244,7 +248,7 @@
 	return c.Confirm(ctx, plan.Hall, plan.ID)
 }
 
-func traffic(f *fleet.Fleet) uint64 {
+func bytesSent(f *fleet.Fleet) uint64 {
 	var n uint64
 	for i := range f.Len() {
 		n += f.Host(i).BytesSent()
@@ -252,7 +256,7 @@
 	return n
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/bench/cellbench/mixes.go
+++ b/internal/bench/cellbench/mixes.go
@@ -7,8 +7,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Accelerated is a pool of few workers with accelerators, asked for by single
-// tasks that take a quarter to all of a worker's and by many that take one.
+// Accelerated returns a pool of a few workers with accelerators, with load from large
+// tasks that need a quarter to all of a worker's accelerators and from many that need one.
 func Accelerated(seed uint64, d time.Duration, load float64) Config {
 	return Config{
 		Seed:     seed,
@@ -26,15 +26,15 @@
 				Speeds: []float64{0.8, 1, 1.25},
 			},
 		},
-		Kinds: []Kind{
+		Kinds: []JobKind{
 			largeKind(load),
 			singleKind(load),
 		},
 	}
 }
 
-// Gangs is a pool of workers most of whose load are gangs, beside patient and
-// urgent work.
+// Gangs returns a pool of workers whose load is mostly gangs, with patient and urgent
+// work besides.
 func Gangs(seed uint64, d time.Duration, load float64) Config {
 	return Config{
 		Seed:     seed,
@@ -50,7 +50,7 @@
 				},
 			},
 		},
-		Kinds: []Kind{
+		Kinds: []JobKind{
 			gangKind(load),
 			patientKind(load),
 			urgentKind(load),
@@ -58,13 +58,13 @@
 	}
 }
 
-// A Mix is a named input; load scales how many jobs come.
+// A Mix is a named workload mix. The load parameter of Config scales the arrival rates.
 type Mix struct {
 	Name   string
 	Config func(seed uint64, d time.Duration, load float64) Config
 }
 
-// Mixes returns all inputs.
+// Mixes returns all workload mixes.
 func Mixes() []Mix {
 	return []Mix{
 		{
@@ -85,9 +85,10 @@
 	}
 }
 
-// largeKind is tasks of half of a worker's cores and a quarter to all of its accelerators.
-func largeKind(load float64) Kind {
-	return Kind{
+// largeKind returns tasks that need half of a worker's cores and a quarter to all of its
+// accelerators.
+func largeKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "large",
 			Service:     "render",
@@ -97,24 +98,24 @@
 			Goal:        time.Second,
 			Advisor:     advisor(490*time.Millisecond, 7*time.Millisecond),
 		},
-		Rate:         1.84 * load,
-		Steps:        Spread{Mean: 1},
-		Tasks:        Spread{Mean: 1.5, Sigma: 0.8, Most: 9},
-		Work:         Spread{Mean: 3.6, Sigma: 0.5, Most: 9},
-		Cores:        Spread{Mean: 31},
-		Memory:       Spread{Mean: 45},
-		Accelerators: []int{2, 4, 8, 8},
-		Saves:        0.9,
-		EstimateOff:  0.2,
-		Good:         0.3,
-		Fails:        0.005,
-		Worth:        3.25,
+		JobsPerSecond: 1.84 * load,
+		Steps:         LogNormal{Mean: 1},
+		Tasks:         LogNormal{Mean: 1.5, Sigma: 0.8, Max: 9},
+		Work:          LogNormal{Mean: 3.6, Sigma: 0.5, Max: 9},
+		Cores:         LogNormal{Mean: 31},
+		Memory:        LogNormal{Mean: 45},
+		Accelerators:  []int{2, 4, 8, 8},
+		Saves:         0.9,
+		EstimateOff:   0.2,
+		Good:          0.3,
+		FailureRate:   0.005,
+		Worth:         3.25,
 	}
 }
 
-// singleKind is many tasks of one accelerator.
-func singleKind(load float64) Kind {
-	return Kind{
+// singleKind returns many tasks that need one accelerator each.
+func singleKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "single",
 			Service:     "render",
@@ -124,24 +125,24 @@
 			Goal:        time.Second,
 			Advisor:     advisor(140*time.Millisecond, 2*time.Millisecond),
 		},
-		Rate:         1.9 * load,
-		Steps:        Spread{Mean: 1},
-		Tasks:        Spread{Mean: 4.1, Sigma: 0.6, Most: 20},
-		Work:         Spread{Mean: 3.8, Sigma: 0.5, Most: 9.4},
-		Cores:        Spread{Mean: 5.6},
-		Memory:       Spread{Mean: 11},
-		Accelerators: []int{1},
-		Saves:        0.8,
-		EstimateOff:  0.2,
-		Good:         0.45,
-		Fails:        0.005,
-		Worth:        1.97,
+		JobsPerSecond: 1.9 * load,
+		Steps:         LogNormal{Mean: 1},
+		Tasks:         LogNormal{Mean: 4.1, Sigma: 0.6, Max: 20},
+		Work:          LogNormal{Mean: 3.8, Sigma: 0.5, Max: 9.4},
+		Cores:         LogNormal{Mean: 5.6},
+		Memory:        LogNormal{Mean: 11},
+		Accelerators:  []int{1},
+		Saves:         0.8,
+		EstimateOff:   0.2,
+		Good:          0.45,
+		FailureRate:   0.005,
+		Worth:         1.97,
 	}
 }
 
-// gangKind is gangs that take most of the cell.
-func gangKind(load float64) Kind {
-	return Kind{
+// gangKind returns gangs that use most of the cell.
+func gangKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "gang",
 			Service:     "quiz",
@@ -151,24 +152,24 @@
 			Goal:        time.Second,
 			Advisor:     advisor(560*time.Millisecond, 8*time.Millisecond),
 		},
-		Rate:        1.16 * load,
-		Steps:       Spread{Mean: 1.2, Sigma: 0.4, Most: 3},
-		Tasks:       Spread{Mean: 8, Sigma: 0.8, Most: 48},
-		Work:        Spread{Mean: 6.2, Sigma: 0.5, Most: 16},
-		Cores:       Spread{Mean: 18, Sigma: 0.4, Most: 30},
-		Memory:      Spread{Mean: 26, Sigma: 0.5, Most: 52},
-		Gang:        1,
-		Saves:       0.5,
-		EstimateOff: 0.9,
-		Good:        0.25,
-		Fails:       0.005,
-		Worth:       20,
+		JobsPerSecond: 1.16 * load,
+		Steps:         LogNormal{Mean: 1.2, Sigma: 0.4, Max: 3},
+		Tasks:         LogNormal{Mean: 8, Sigma: 0.8, Max: 48},
+		Work:          LogNormal{Mean: 6.2, Sigma: 0.5, Max: 16},
+		Cores:         LogNormal{Mean: 18, Sigma: 0.4, Max: 30},
+		Memory:        LogNormal{Mean: 26, Sigma: 0.5, Max: 52},
+		GangShare:     1,
+		Saves:         0.5,
+		EstimateOff:   0.9,
+		Good:          0.25,
+		FailureRate:   0.005,
+		Worth:         20,
 	}
 }
 
-// patientKind is wide jobs that have time.
-func patientKind(load float64) Kind {
-	return Kind{
+// patientKind returns jobs with many tasks and generous objectives.
+func patientKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "patient",
 			Service:     "quiz",
@@ -178,23 +179,23 @@
 			Goal:        time.Second,
 			Advisor:     advisor(46*time.Millisecond, 660*time.Microsecond),
 		},
-		Rate:        6.83 * load,
-		Steps:       Spread{Mean: 1.5, Sigma: 0.4, Most: 3.8},
-		Tasks:       Spread{Mean: 10, Sigma: 0.8, Most: 60},
-		Work:        Spread{Mean: 2.2, Sigma: 0.5, Most: 5.4},
-		Cores:       Spread{Mean: 3.9, Sigma: 0.45, Most: 12},
-		Memory:      Spread{Mean: 7.2, Sigma: 0.6, Most: 22},
-		Saves:       0.8,
-		EstimateOff: 0.2,
-		Good:        0.45,
-		Fails:       0.005,
-		Worth:       2.13,
+		JobsPerSecond: 6.83 * load,
+		Steps:         LogNormal{Mean: 1.5, Sigma: 0.4, Max: 3.8},
+		Tasks:         LogNormal{Mean: 10, Sigma: 0.8, Max: 60},
+		Work:          LogNormal{Mean: 2.2, Sigma: 0.5, Max: 5.4},
+		Cores:         LogNormal{Mean: 3.9, Sigma: 0.45, Max: 12},
+		Memory:        LogNormal{Mean: 7.2, Sigma: 0.6, Max: 22},
+		Saves:         0.8,
+		EstimateOff:   0.2,
+		Good:          0.45,
+		FailureRate:   0.005,
+		Worth:         2.13,
 	}
 }
 
-// urgentKind is small jobs that have none.
-func urgentKind(load float64) Kind {
-	return Kind{
+// urgentKind returns small jobs with tight objectives.
+func urgentKind(load float64) JobKind {
+	return JobKind{
 		Queue: sched.Queue{
 			ID:          "urgent",
 			Service:     "quiz",
@@ -204,16 +205,16 @@
 			Goal:        300 * time.Millisecond,
 			Advisor:     advisor(6500*time.Microsecond, 93*time.Microsecond),
 		},
-		Rate:        48 * load,
-		Steps:       Spread{Mean: 1},
-		Tasks:       Spread{Mean: 2, Sigma: 0.8, Most: 12},
-		Work:        Spread{Mean: 0.64, Sigma: 0.5, Most: 1.6},
-		Cores:       Spread{Mean: 5.6, Sigma: 0.45, Most: 17},
-		Memory:      Spread{Mean: 10, Sigma: 0.6, Most: 31},
-		Gang:        0.3,
-		EstimateOff: 0.5,
-		Good:        0.7,
-		Fails:       0.005,
-		Worth:       0.42,
+		JobsPerSecond: 48 * load,
+		Steps:         LogNormal{Mean: 1},
+		Tasks:         LogNormal{Mean: 2, Sigma: 0.8, Max: 12},
+		Work:          LogNormal{Mean: 0.64, Sigma: 0.5, Max: 1.6},
+		Cores:         LogNormal{Mean: 5.6, Sigma: 0.45, Max: 17},
+		Memory:        LogNormal{Mean: 10, Sigma: 0.6, Max: 31},
+		GangShare:     0.3,
+		EstimateOff:   0.5,
+		Good:          0.7,
+		FailureRate:   0.005,
+		Worth:         0.42,
 	}
 }
--- a/internal/bench/placebench/run_test.go
+++ b/internal/bench/placebench/run_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/internal/bench/placebench"
 )
 
-// figures returns a result without what depends on the machine.
+// figures returns a result as JSON, without the fields that depend on the machine's speed.
 func figures(t *testing.T) string {
 	r := placebench.Run(placebench.Config{
 		Seed:     3,
@@ -22,13 +22,13 @@
 	for i := range r.Policies {
 		p := &r.Policies[i]
 		qt.Check(t, p.Violations, qt.Equals, 0, qt.Commentf("%s", p.Name))
-		p.DecisionUS.P50, p.DecisionUS.P99, p.DecisionUS.P999, p.PerSecond = 0, 0, 0, 0
+		p.DecisionUS.P50, p.DecisionUS.P99, p.DecisionUS.P999, p.DecisionsPerSecond = 0, 0, 0, 0
 	}
 	b, err := json.Marshal(r)
 	qt.Assert(t, err, qt.IsNil)
 	return string(b)
 }
 
-func TestTheSameSeedGivesTheSameFigures(t *testing.T) {
+func TestDeterministic(t *testing.T) {
 	qt.Assert(t, figures(t), qt.Equals, figures(t))
 }
