--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -35,7 +35,7 @@
 }
 
 // A Result is the result of a claimed request. Body is set only for
-// [spoolsill.Done], and only if it is no longer than [MaxBody].
+// [spoolsill.OutcomeDone], and only if it is no longer than [MaxBody].
 type Result struct {
 	Outcome spoolsill.Outcome `msgpack:"o"`
 	Status  int               `msgpack:"s"`
--- a/node/config.go
+++ b/node/config.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// Config implements [platform.Jobs].
+// Config implements [platform.JobService].
 func (n *Node) Config() (*platform.Config, bool) {
 	k := n.configs.get()
 	return k.config, k.config != nil
@@ -152,7 +152,7 @@
 	return v == c.latest.version && c.newestKnown <= v && !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) <= within
 }
 
-// ConfigIsCurrent implements [platform.Jobs].
+// ConfigIsCurrent implements [platform.JobService].
 func (n *Node) ConfigIsCurrent(v spoolsill.Version) bool {
 	return n.configs.isCurrent(v, n.clock.Now(), cmp.Or(n.settings.Bounds.ConfigInForce, defaultConfigInForce))
 }
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -52,12 +52,12 @@
 	retryAfter = time.Second
 )
 
-// RetryAfter implements [platform.Jobs].
+// RetryAfter implements [platform.JobService].
 func (n *Node) RetryAfter() time.Duration {
 	return retryAfter
 }
 
-// Submit implements [platform.Jobs]. It stores a job, or forwards it to the leader when
+// Submit implements [platform.JobService]. It stores a job, or forwards it to the leader when
 // this host cannot write to the store.
 func (n *Node) Submit(ctx context.Context, j sched.Job) (platform.Outcome, error) {
 	if err := n.checkAdmission(); err != nil {
@@ -228,7 +228,7 @@
 // errTooManyLookups is returned when too many store lookups are in progress.
 var errTooManyLookups = errors.New("node: too many job lookups in the store")
 
-// State implements [platform.Jobs]. It queries the leader, and the store if the leader
+// State implements [platform.JobService]. It queries the leader, and the store if the leader
 // does not know or does not respond.
 func (n *Node) State(ctx context.Context, id spoolsill.JobID) (sched.JobStatus, platform.Outcome, error) {
 	if r, err := n.queryLeaderState(ctx, id); err == nil && (r.Known || r.Sure) {
@@ -284,7 +284,7 @@
 	return r, err
 }
 
-// Cancel implements [platform.Jobs].
+// Cancel implements [platform.JobService].
 func (n *Node) Cancel(ctx context.Context, c platform.Caller, id spoolsill.JobID) (platform.Outcome, error) {
 	var last error
 	for ctx.Err() == nil {
@@ -358,7 +358,7 @@
 	return platform.Done, nil
 }
 
-// Waiting implements [platform.Jobs].
+// CountWaiting implements [platform.JobService].
 func (n *Node) CountWaiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
 	if l := n.localLeader(); l != nil {
 		w, ok := l.WaitingJobs(q)
