--- a/id.go
+++ b/id.go
@@ -15,25 +15,25 @@
 // WorkerID identifies a worker, a machine that runs tasks.
 type WorkerID string
 
-// A Birth is the start time of a worker process, in milliseconds since the Unix epoch on the
+// A StartTime is the start time of a worker process, in milliseconds since the Unix epoch on the
 // worker's own wall clock. It distinguishes the lives of one id but does not order them,
 // since a wall clock may be set back. Zero means that it is unknown.
-type Birth uint64
+type StartTime uint64
 
-// A Life identifies a worker from one start to the next. A worker that restarts may keep its
+// A WorkerIncarnation identifies a worker from one start to the next. A worker that restarts may keep its
 // id but not its state, so nothing known about its previous life applies to it.
-type Life struct {
+type WorkerIncarnation struct {
 	Worker WorkerID
-	Born   Birth
+	Born   StartTime
 }
 
 // Matches reports whether b may be l's birth. An unknown birth matches any.
-func (l Life) Matches(b Birth) bool {
+func (l WorkerIncarnation) Matches(b StartTime) bool {
 	return l.Born == 0 || b == 0 || l.Born == b
 }
 
 // String returns the worker's id, followed by its birth if that is known.
-func (l Life) String() string {
+func (l WorkerIncarnation) String() string {
 	if l.Born == 0 {
 		return string(l.Worker)
 	}
--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -172,7 +172,7 @@
 	now := x.loop.Time()
 	x.looked = x.loop.Now()
 	x.state.Decide(now)
-	if err := x.state.CheckRoom(); err != nil {
+	if err := x.state.CheckCapacity(); err != nil {
 		x.broken = append(x.broken, err.Error())
 	}
 	for _, o := range x.state.Stops() {
@@ -287,8 +287,8 @@
 	a := x.jobs[o.Run.Task.Stage.Job]
 	x.starts++
 	x.state.StartAnswered(x.loop.Time(), sched.StartAnswer{
-		Life: o.Life,
-		Run:  o.Run,
+		WorkerIncarnation: o.WorkerIncarnation,
+		Run:               o.Run,
 	})
 	if a == nil {
 		return
@@ -423,9 +423,9 @@
 
 func (x *cell) answer(w *worker) {
 	now := x.loop.Time()
-	x.state.LeaseRequested(w.Life(), sched.LeaseEnd(now, lease))
+	x.state.LeaseRequested(w.Incarnation(), sched.LeaseEnd(now, lease))
 	h := sched.Heartbeat{
-		Life: spoolsill.Life{
+		WorkerIncarnation: spoolsill.WorkerIncarnation{
 			Worker: w.ID,
 		},
 		Sent:  now.Add(-callTime),
--- a/internal/cellfake/crash.go
+++ b/internal/cellfake/crash.go
@@ -70,7 +70,7 @@
 // Restart has a worker that crashed start again under its id, at its address. It knows
 // nothing of before; its counts and its clock start anew. Orders for the former life that
 // are still on their way reach it.
-func (f *Workers) Restart(id spoolsill.WorkerID) spoolsill.Life {
+func (f *Workers) Restart(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	former := f.workers[id]
@@ -83,7 +83,7 @@
 }
 
 // LifeOf returns the life of a worker that is its latest.
-func (f *Workers) LifeOf(id spoolsill.WorkerID) spoolsill.Life {
+func (f *Workers) LifeOf(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[id].life()
@@ -122,7 +122,7 @@
 // otherLife is what the address of a worker that was replaced answers.
 func otherLife() leader.Reply {
 	return leader.Reply{
-		Kind: leader.OtherLife,
+		Kind: leader.OtherIncarnation,
 		Err:  errors.New("cellfake: the address answers for another life"),
 	}
 }
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -56,7 +56,7 @@
 	Ordered func(o sched.StartOrder)
 	// Began is told of each run that begins, and of what is special in that, while the
 	// worker is locked; nil means that nobody is.
-	Began func(l spoolsill.Life, r sched.RunID, remark string)
+	Began func(l spoolsill.WorkerIncarnation, r sched.RunID, remark string)
 	// Room is how many runs a worker has room for; more are a broken promise.
 	// 0 means that this is not judged.
 	Room int
@@ -80,7 +80,7 @@
 
 type worker struct {
 	id       spoolsill.WorkerID
-	born     spoolsill.Birth
+	born     spoolsill.StartTime
 	began    time.Time
 	cut      bool
 	room     movingRoom
@@ -126,7 +126,7 @@
 	now := time.Now()
 	return &worker{
 		id:      id,
-		born:    spoolsill.Birth(now.UnixMilli()),
+		born:    spoolsill.StartTime(now.UnixMilli()),
 		began:   now.Add(-clock),
 		running: map[sched.RunID]progress{},
 		highest: map[sched.TaskID]sched.RunNumber{},
@@ -134,8 +134,8 @@
 	}
 }
 
-func (w *worker) life() spoolsill.Life {
-	return spoolsill.Life{
+func (w *worker) life() spoolsill.WorkerIncarnation {
+	return spoolsill.WorkerIncarnation{
 		Worker: w.id,
 		Born:   w.born,
 	}
@@ -363,10 +363,10 @@
 	}
 	f.lapse(w)
 	h := sched.Heartbeat{
-		Life:  w.life(),
-		Sent:  sent,
-		Clock: w.clock(),
-		Ended: append([]sched.End(nil), w.ended...),
+		WorkerIncarnation: w.life(),
+		Sent:              sent,
+		Clock:             w.clock(),
+		Ended:             append([]sched.End(nil), w.ended...),
 	}
 	for x, p := range w.running {
 		h.Running = append(h.Running, sched.RunningTask{
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -20,7 +20,7 @@
 // A WorkerEntry is what a worker says about itself.
 type WorkerEntry struct {
 	ID       spoolsill.WorkerID
-	Born     spoolsill.Birth // zero leaves it out
+	Born     spoolsill.StartTime // zero leaves it out
 	Address  string
 	Machine  string
 	Rack     string
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -37,7 +37,7 @@
 // Worker serves the orders of one worker.
 func Worker(f *cellfake.Workers, id spoolsill.WorkerID) http.Handler {
 	t := leader.Target{
-		Life: spoolsill.Life{
+		WorkerIncarnation: spoolsill.WorkerIncarnation{
 			Worker: id,
 		},
 	}
@@ -113,11 +113,11 @@
 }
 
 var conflicts = map[leader.ReplyKind]string{
-	leader.Fenced:   "fence",
-	leader.RunEnded: "old",
-	leader.TooLate:  "late",
-	leader.NoRoom:   "room",
-	leader.NoTicket: "ticket",
+	leader.Fenced:     "fence",
+	leader.RunEnded:   "old",
+	leader.TooLate:    "late",
+	leader.NoCapacity: "room",
+	leader.NoTicket:   "ticket",
 }
 
 func reply(w http.ResponseWriter, r leader.Reply) {
--- a/leader/advice.go
+++ b/leader/advice.go
@@ -212,7 +212,7 @@
 		begun := l.config.Clock.Now()
 		tickets, valid, err := l.config.Advisor.Ask(c, h, o.Stage, workerIDs(o.Workers))
 		took := l.config.Clock.Since(begun)
-		l.config.Observer.Asked(outcome(err), took)
+		l.config.Observer.RecordAdvice(outcome(err), took)
 		if err != nil {
 			l.config.Log.WithError(err).WithField("host", string(h)).WithField("stage", o.Stage.String()).Warn("question to the advisor failed")
 		}
@@ -236,7 +236,7 @@
 }
 
 // workerIDs returns the ids of the workers.
-func workerIDs(lives []spoolsill.Life) []spoolsill.WorkerID {
+func workerIDs(lives []spoolsill.WorkerIncarnation) []spoolsill.WorkerID {
 	ids := make([]spoolsill.WorkerID, len(lives))
 	for i, l := range lives {
 		ids[i] = l.Worker
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -344,7 +344,7 @@
 		"rejected when sent again": {
 			step: step(1, 1),
 			until: func(x *lateCell) {
-				x.late.update(func(w *lateWorkers) { w.retryReply = leader.NoRoom })
+				x.late.update(func(w *lateWorkers) { w.retryReply = leader.NoCapacity })
 				x.cancelAndForget()
 			},
 		},
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -73,17 +73,17 @@
 
 // An Observer receives the events of a leader, for metrics.
 type Observer interface {
-	Note(n sched.Note)
-	Asked(outcome string, took time.Duration)
-	TookOver(took time.Duration)
+	RecordEvent(n sched.Note)
+	RecordAdvice(outcome string, took time.Duration)
+	RecordTakeover(took time.Duration)
 }
 
 // discardObserver is an [Observer] that ignores all events.
 type discardObserver struct{}
 
-func (discardObserver) Note(sched.Note)             {}
-func (discardObserver) Asked(string, time.Duration) {}
-func (discardObserver) TookOver(time.Duration)      {}
+func (discardObserver) RecordEvent(sched.Note)             {}
+func (discardObserver) RecordAdvice(string, time.Duration) {}
+func (discardObserver) RecordTakeover(time.Duration)       {}
 
 // A Leader leads the cell for one epoch.
 type Leader struct {
@@ -96,8 +96,8 @@
 	pendingWrite sync.WaitGroup
 	ctx          context.Context //nolint:containedctx // calls outlive the functions that start them, but not the leadership
 
-	renewers       map[spoolsill.Life]*renewer
-	wanted         map[spoolsill.Life]bool // reused by reconcileRenewers
+	renewers       map[spoolsill.WorkerIncarnation]*renewer
+	wanted         map[spoolsill.WorkerIncarnation]bool // reused by reconcileRenewers
 	advice         *adviceDispatcher
 	sweeper        *sweeper
 	losses         lossEstimator
@@ -153,11 +153,11 @@
 	jobsCaughtUp      struct{ sent time.Time }
 	workersCaughtUp   struct{ sent time.Time }
 	heartbeatReceived struct{ heartbeat sched.Heartbeat }
-	workerReplaced    struct{ life spoolsill.Life }
-	workerConnRefused struct{ life spoolsill.Life }
-	workerSilent      struct{ life spoolsill.Life }
+	workerReplaced    struct{ life spoolsill.WorkerIncarnation }
+	workerConnRefused struct{ life spoolsill.WorkerIncarnation }
+	workerSilent      struct{ life spoolsill.WorkerIncarnation }
 	leaseRequested    struct {
-		life  spoolsill.Life
+		life  spoolsill.WorkerIncarnation
 		until time.Time
 	}
 	startAnswered  struct{ answer sched.StartAnswer }
@@ -180,8 +180,8 @@
 		config:          c,
 		pace:            store.NewReadLimiter(c.ReadBytes),
 		events:          make(chan event, eventBuffer),
-		renewers:        map[spoolsill.Life]*renewer{},
-		wanted:          map[spoolsill.Life]bool{},
+		renewers:        map[spoolsill.WorkerIncarnation]*renewer{},
+		wanted:          map[spoolsill.WorkerIncarnation]bool{},
 		invalidEntries:  map[spoolsill.WorkerID]bool{},
 		statuses:        map[spoolsill.JobID]sched.JobStatus{},
 		waiting:         map[sched.QueueID]int{},
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -234,9 +234,9 @@
 // slowObserver is an observer that delays the loop, as on a host with too little processor.
 type slowObserver struct{}
 
-func (slowObserver) Note(sched.Note)             { pause.For(context.Background(), 400*time.Millisecond) }
-func (slowObserver) Asked(string, time.Duration) {}
-func (slowObserver) TookOver(time.Duration)      {}
+func (slowObserver) RecordEvent(sched.Note)             { pause.For(context.Background(), 400*time.Millisecond) }
+func (slowObserver) RecordAdvice(string, time.Duration) {}
+func (slowObserver) RecordTakeover(time.Duration)       {}
 
 // A leader that can't keep up releases the leadership, so that a larger host takes over.
 func TestLeaderThatCannotKeepUpResigns(t *testing.T) {
--- a/leader/load.go
+++ b/leader/load.go
@@ -122,7 +122,7 @@
 	}
 	l.progressRows = nil
 	took := now.Sub(l.config.Sched.TakenOver)
-	l.config.Observer.TookOver(took)
+	l.config.Observer.RecordTakeover(took)
 	l.config.Log.WithField("jobs", len(l.state.Jobs())).WithField("took_ms", took.Milliseconds()).Info("jobs loaded")
 	// All states were read from the store, so they are stored.
 	l.publish(l.lastWrite, l.state.Jobs())
--- a/leader/log.go
+++ b/leader/log.go
@@ -88,7 +88,7 @@
 
 func (l *Leader) logNotes() {
 	for _, n := range l.state.Notes() {
-		l.config.Observer.Note(n)
+		l.config.Observer.RecordEvent(n)
 		f := logrus.Fields{
 			"epoch":  uint64(l.Epoch()),
 			"reason": n.Reason,
--- a/leader/lostresponse_test.go
+++ b/leader/lostresponse_test.go
@@ -22,7 +22,7 @@
 	took   []time.Duration
 }
 
-func (s *taskTimer) Note(n sched.Note) {
+func (s *taskTimer) RecordEvent(n sched.Note) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch n.Kind {
@@ -33,8 +33,8 @@
 	}
 }
 
-func (s *taskTimer) Asked(string, time.Duration) {}
-func (s *taskTimer) TookOver(time.Duration)      {}
+func (s *taskTimer) RecordAdvice(string, time.Duration) {}
+func (s *taskTimer) RecordTakeover(time.Duration)       {}
 
 // With one response in three lost, starts are retried and ends asked for again soon, so that
 // ten tasks of one second in sequence take little more than ten seconds. In the worst case each
--- a/leader/order.go
+++ b/leader/order.go
@@ -27,12 +27,12 @@
 // sendStart sends a start order, and retries it unchanged while it is unanswered: orders are
 // idempotent, and a run that exists is not started twice.
 func (l *Leader) sendStart(o sched.StartOrder) {
-	h := l.renewers[o.Life]
+	h := l.renewers[o.WorkerIncarnation]
 	if h == nil {
 		l.state.StartAnswered(l.config.Clock.Now(), sched.StartAnswer{
-			Life:    o.Life,
-			Run:     o.Run,
-			Outcome: sched.StartRejected,
+			WorkerIncarnation: o.WorkerIncarnation,
+			Run:               o.Run,
+			Outcome:           sched.StartRejected,
 		})
 		return
 	}
@@ -48,9 +48,9 @@
 
 func (h *renewer) start(ctx context.Context, o sched.StartOrder, keeper string) sched.StartAnswer {
 	a := sched.StartAnswer{
-		Life:    o.Life,
-		Run:     o.Run,
-		Outcome: sched.StartUnknown,
+		WorkerIncarnation: o.WorkerIncarnation,
+		Run:               o.Run,
+		Outcome:           sched.StartUnknown,
 	}
 	h.beginStart(o.Run)
 	defer h.endStart(o.Run)
@@ -97,7 +97,7 @@
 func (h *renewer) reportNoResponse(since time.Time) {
 	if _, _, at := h.read(); at.Before(since) {
 		h.leader.send(workerSilent{
-			life: h.target.Life,
+			life: h.target.WorkerIncarnation,
 		})
 	}
 }
@@ -123,14 +123,14 @@
 	switch k {
 	case Accepted:
 		return sched.StartTaken
-	case NoRoom:
-		return sched.StartNoRoom
+	case NoCapacity:
+		return sched.StartNoCapacity
 	case NoTicket:
 		return sched.StartNoTicket
 	case Unhealthy:
 		return sched.StartUnhealthy
-	case OtherLife:
-		return sched.StartOtherLife
+	case OtherIncarnation:
+		return sched.StartOtherIncarnation
 	default:
 		return sched.StartRejected
 	}
@@ -139,7 +139,7 @@
 // sendStop sends a stop order, and retries it while it is unanswered and tries are left. It
 // reports the outcome in any case.
 func (l *Leader) sendStop(ctx context.Context, o sched.StopOrder) {
-	h := l.renewers[o.Life]
+	h := l.renewers[o.WorkerIncarnation]
 	if h == nil {
 		l.state.StopAnswered(l.config.Clock.Now(), sched.StopAnswer{
 			Order:  o,
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -82,16 +82,16 @@
 	}
 }
 
-func (l *Leader) startRenewer(ctx context.Context, life spoolsill.Life) {
+func (l *Leader) startRenewer(ctx context.Context, life spoolsill.WorkerIncarnation) {
 	ctx, cancel := context.WithCancel(ctx)
 	h := &renewer{
 		leader: l,
 		fence:  l.config.Chain.Fence(l.state.Restarts(life.Worker)),
 		done:   ctx.Done(),
 		target: Target{
-			Life:    life,
-			Address: l.state.Address(life.Worker),
-			Hall:    l.state.Hall(life.Worker),
+			WorkerIncarnation: life,
+			Address:           l.state.Address(life.Worker),
+			Hall:              l.state.Hall(life.Worker),
 		},
 		cancel:   cancel,
 		wake:     make(chan struct{}, 1),
@@ -180,14 +180,14 @@
 		case Fenced:
 			h.handleFenced()
 			return
-		case OtherLife:
+		case OtherIncarnation:
 			h.leader.send(workerReplaced{
-				life: h.target.Life,
+				life: h.target.WorkerIncarnation,
 			})
 			return
 		case ConnectionRefused:
 			h.leader.send(workerConnRefused{
-				life: h.target.Life,
+				life: h.target.WorkerIncarnation,
 			})
 			pause.For(ctx, renewRetry)
 		default:
@@ -298,7 +298,7 @@
 		Wait:      wait,
 		Timeout:   h.leader.responses.heartbeatTimeout(unanswered),
 	})
-	b.Asked = h.target.Life
+	b.Asked = h.target.WorkerIncarnation
 	now := h.leader.config.Clock.Now()
 	h.setClock(r.Clock, now)
 	if r.Kind == Accepted && (wait == 0 || len(b.Ended) == 0) {
@@ -358,7 +358,7 @@
 		return 0
 	}
 	h.leader.send(leaseRequested{
-		life:  h.target.Life,
+		life:  h.target.WorkerIncarnation,
 		until: sched.LeaseEnd(now, left),
 	})
 	return c + sched.ClockMillis(left.Milliseconds())
--- a/leader/restartmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -51,7 +51,7 @@
 	}
 	x.logs = &m.log
 	x.workers.Fault = m.fault
-	x.workers.Began = func(l spoolsill.Life, r sched.RunID, remark string) {
+	x.workers.Began = func(l spoolsill.WorkerIncarnation, r sched.RunID, remark string) {
 		m.log.add(fmt.Sprint("BEGAN ", l, " ", r.Task, "#", r.Number, " ", remark))
 	}
 	x.workers.LateBy = time.Duration(2+m.random.IntN(10)) * time.Second
--- a/leader/stop_test.go
+++ b/leader/stop_test.go
@@ -19,7 +19,7 @@
 	notes map[sched.NoteKind]int
 }
 
-func (c *counter) Note(n sched.Note) {
+func (c *counter) RecordEvent(n sched.Note) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.notes == nil {
@@ -28,8 +28,8 @@
 	c.notes[n.Kind]++
 }
 
-func (c *counter) Asked(string, time.Duration) {}
-func (c *counter) TookOver(time.Duration)      {}
+func (c *counter) RecordAdvice(string, time.Duration) {}
+func (c *counter) RecordTakeover(time.Duration)       {}
 
 func (c *counter) of(k sched.NoteKind) int {
 	c.mu.Lock()
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -11,7 +11,7 @@
 // A Target is one incarnation of a worker and its address. A call carries only the id of the
 // worker, so the next incarnation under that id takes it as addressed to itself.
 type Target struct {
-	spoolsill.Life
+	spoolsill.WorkerIncarnation
 	Address string
 	Hall    spoolsill.HallID
 }
@@ -64,12 +64,12 @@
 	Accepted          ReplyKind = iota // carried out, now or by an earlier try
 	Rejected                           // the request is invalid
 	Fenced                             // the worker has seen a higher fence
-	NoRoom                             // the worker lacks capacity
+	NoCapacity                         // the worker lacks capacity
 	NoTicket                           // the ticket is not valid
 	TooLate                            // the order's deadline has passed
 	RunEnded                           // this run or a later one of the task has ended on the worker
 	Unhealthy                          // the worker accepts nothing at the moment
-	OtherLife                          // another worker, or another incarnation, answers at the address
+	OtherIncarnation                   // another worker, or another incarnation, answers at the address
 	Unreachable                        // the request was not sent
 	ConnectionRefused                  // the request was not sent: nothing listens at the address
 	NoAnswer                           // no response; the request may have been carried out, or may be later
--- a/leader/write.go
+++ b/leader/write.go
@@ -76,7 +76,7 @@
 	l.sweeper.enqueue(e.batch.Ended)
 	l.forget(e.batch.Forgotten)
 	for _, a := range e.batch.Acks {
-		if h := l.renewers[a.Life]; h != nil {
+		if h := l.renewers[a.WorkerIncarnation]; h != nil {
 			h.ack(a.Sequence)
 		}
 	}
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -132,7 +132,7 @@
 		r.Renew.Reply = noAnswerReply(err)
 	}
 	d.recordReply(l.Worker, r.Renew.Reply.Kind)
-	answered := spoolsill.Life{
+	answered := spoolsill.WorkerIncarnation{
 		Worker: l.Worker,
 		Born:   r.Born,
 	}
--- a/node/delegatewire.go
+++ b/node/delegatewire.go
@@ -30,7 +30,7 @@
 
 func (t wireTarget) target() leader.Target {
 	return leader.Target{
-		Life: spoolsill.Life{
+		WorkerIncarnation: spoolsill.WorkerIncarnation{
 			Worker: t.Worker,
 		},
 		Address: t.Address,
@@ -132,7 +132,7 @@
 		Fence:    q.Target.Fence,
 		Deadline: q.Deadline,
 		Order: sched.StartOrder{
-			Life: spoolsill.Life{
+			WorkerIncarnation: spoolsill.WorkerIncarnation{
 				Worker: q.Target.Worker,
 			},
 			Run:    q.Run.run(),
@@ -256,18 +256,18 @@
 type renewLifeReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
-	Born  spoolsill.Birth
+	Born  spoolsill.StartTime
 	Renew renewReply
 }
 
 // heartbeat returns the heartbeat that a worker's life sent in response to a call made
 // at the given time.
-func (r renewReply) heartbeat(l spoolsill.Life, sent time.Time) sched.Heartbeat {
+func (r renewReply) heartbeat(l spoolsill.WorkerIncarnation, sent time.Time) sched.Heartbeat {
 	h := sched.Heartbeat{
-		Life:    l,
-		Sent:    sent,
-		Clock:   r.Reply.Clock,
-		Partial: r.Partial,
+		WorkerIncarnation: l,
+		Sent:              sent,
+		Clock:             r.Reply.Clock,
+		Partial:           r.Partial,
 	}
 	for _, t := range r.Running {
 		h.Running = append(h.Running, sched.RunningTask{
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -73,7 +73,7 @@
 }
 
 // ask queues a question to the advisor about workers.
-func (s *State) ask(g *stage, q *Queue, workers []spoolsill.Life, p Purpose) {
+func (s *State) ask(g *stage, q *Queue, workers []spoolsill.WorkerIncarnation, p Purpose) {
 	if len(workers) == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 
 // askAboutMore asks about workers that are not known yet. A gang needs many workers, so
 // its question is split over the hosts that are free to ask.
-func (d *decider) askAboutMore(g *stage, q *Queue, workers []spoolsill.Life) {
+func (d *decider) askAboutMore(g *stage, q *Queue, workers []spoolsill.WorkerIncarnation) {
 	parts := 1
 	if g.step.Gang {
 		width := q.Advisor.questionSize()
@@ -134,7 +134,7 @@
 // unasked returns workers that g may use now and that the advisor was not asked about
 // for g, those with the most free processors first. Only ready workers qualify: an
 // unreachable worker has the most free processors as far as is known, but can't be used.
-func (d *decider) unasked(g *stage, q *Queue) []spoolsill.Life {
+func (d *decider) unasked(g *stage, q *Queue) []spoolsill.WorkerIncarnation {
 	r := d.ready[q.Service]
 	if r == nil {
 		return nil
@@ -143,7 +143,7 @@
 	if !g.step.Gang {
 		most = q.Advisor.questionSize()
 	}
-	var lives []spoolsill.Life
+	var lives []spoolsill.WorkerIncarnation
 	for _, w := range r.freest() {
 		if len(lives) == most {
 			break
@@ -290,7 +290,7 @@
 		return
 	}
 	var ready []*worker
-	var lives []spoolsill.Life
+	var lives []spoolsill.WorkerIncarnation
 	for _, w := range a.allowed {
 		if w.ready && len(ready) < maxQuestionWorkers {
 			ready = append(ready, w)
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -110,7 +110,7 @@
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 0)
-	x.c.Assert(x.state.CheckRoom(), qt.IsNil)
+	x.c.Assert(x.state.CheckCapacity(), qt.IsNil)
 }
 
 // The outstanding questions are bounded by the hosts that can ask. Urgent ones are
@@ -169,7 +169,7 @@
 	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
-	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("busy")})
+	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("busy")})
 }
 
 // Guards against room that stands idle until the advisor has answered: the tickets of a
@@ -237,7 +237,7 @@
 	x.state.CancelJob(x.now, "big")
 	x.step()
 	q := x.question()
-	x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+	x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("w")})
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
--- a/sched/batch.go
+++ b/sched/batch.go
@@ -104,8 +104,8 @@
 	var acks []Ack
 	for l, n := range s.acks {
 		acks = append(acks, Ack{
-			Life:     l,
-			Sequence: n,
+			WorkerIncarnation: l,
+			Sequence:          n,
 		})
 	}
 	slices.SortFunc(acks, func(a, b Ack) int { return strings.Compare(string(a.Worker), string(b.Worker)) })
@@ -139,7 +139,7 @@
 
 // recordedRun returns the run of an order that has been recorded but not sent, or nil.
 func (s *State) recordedRun(o StartOrder) *run {
-	w := s.workerOf(o.Life)
+	w := s.workerOf(o.WorkerIncarnation)
 	if w == nil {
 		return nil
 	}
@@ -156,7 +156,7 @@
 	r.phase = phaseSent
 	r.startedAt = s.now
 	// A start order also renews the worker's lease.
-	s.LeaseRequested(o.Life, LeaseEnd(s.now, s.config.StartLease))
+	s.LeaseRequested(o.WorkerIncarnation, LeaseEnd(s.now, s.config.StartLease))
 	o.Ticket = r.task.stage.advice.tickets[r.worker].text
 	return o
 }
@@ -173,8 +173,8 @@
 // that are relevant, and unlisted ones that may still have runs, known or not. An
 // unanswered start may be carried out at a worker whose entry has gone. With a lease of 6 s
 // such a run went on for 5.6 s without heartbeats and for 0.12 s with them.
-func (s *State) HeartbeatTargets() []spoolsill.Life {
-	lives := make([]spoolsill.Life, 0, len(s.workerList))
+func (s *State) HeartbeatTargets() []spoolsill.WorkerIncarnation {
+	lives := make([]spoolsill.WorkerIncarnation, 0, len(s.workerList))
 	for _, w := range s.workerList {
 		if w.dead || w.Address == "" || !s.isRelevant(w) {
 			continue
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -37,9 +37,9 @@
 		})
 		s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
 		s.Heartbeat(now, sched.Heartbeat{
-			Life:  lifeOf(id),
-			Sent:  now,
-			Clock: 1,
+			WorkerIncarnation: lifeOf(id),
+			Sent:              now,
+			Clock:             1,
 		})
 	}
 	for i := range n {
@@ -82,8 +82,8 @@
 	for b.Loop() {
 		n++
 		s.Heartbeat(now, sched.Heartbeat{
-			Life: lifeOf(id),
-			Sent: now,
+			WorkerIncarnation: lifeOf(id),
+			Sent:              now,
 		})
 		s.AddJob(now, job(spoolsill.JobID(fmt.Sprintf("job-%d", n)), "q", tasks(2, 1)), sched.Progress{})
 		s.Decide(now)
@@ -93,13 +93,13 @@
 		}
 		for _, o := range s.BatchWritten(now, x) {
 			s.StartAnswered(now, sched.StartAnswer{
-				Life: o.Life,
-				Run:  o.Run,
+				WorkerIncarnation: o.WorkerIncarnation,
+				Run:               o.Run,
 			})
 			sequence++
 			s.Heartbeat(now, sched.Heartbeat{
-				Life: lifeOf(o.Worker),
-				Sent: now,
+				WorkerIncarnation: lifeOf(o.Worker),
+				Sent:              now,
 				Ended: []sched.End{
 					{
 						Sequence: sequence,
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -63,7 +63,7 @@
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.now = x.now.Add(3 * time.Second)
-				x.state.WorkerDied(x.now, o.Life)
+				x.state.WorkerDied(x.now, o.WorkerIncarnation)
 			},
 			counts: true,
 		},
@@ -74,7 +74,7 @@
 				x.now = x.now.Add(3 * time.Second)
 				x.state.WorkerUnlisted(x.now, o.Worker)
 				x.listWorker(o.Worker+"x", false)
-				x.state.WorkerDied(x.now, o.Life)
+				x.state.WorkerDied(x.now, o.WorkerIncarnation)
 			},
 			counts: true,
 		},
@@ -102,13 +102,13 @@
 				x.now = x.now.Add(3 * time.Second)
 				x.renewLease(o.Worker, o.Run)
 				x.state.WorkerUnlisted(x.now, o.Worker)
-				x.state.WorkerRefused(x.now, o.Life)
+				x.state.WorkerRefused(x.now, o.WorkerIncarnation)
 			},
 		},
 		{
 			name: "the order is for another life",
 			end: func(x *cell, o sched.StartOrder) {
-				x.answerStart(o, sched.StartOtherLife)
+				x.answerStart(o, sched.StartOtherIncarnation)
 			},
 		},
 		{
@@ -207,7 +207,7 @@
 		x.renewLease(o.Worker, o.Run)
 	}
 	x.now = x.now.Add(3 * time.Second)
-	x.state.WorkerDied(x.now, o.Life)
+	x.state.WorkerDied(x.now, o.WorkerIncarnation)
 }
 
 // Three workers that crash soon after the start of a task are enough for its job to
@@ -281,7 +281,7 @@
 		x.acceptStarts(o)
 		x.now = x.now.Add(3 * time.Second)
 		x.renewLease(o[1].Worker, o[1].Run)
-		x.state.WorkerDied(x.now, o[0].Life)
+		x.state.WorkerDied(x.now, o[0].WorkerIncarnation)
 		x.endRun(o[1], sched.EndStopped)
 		x.renewLease(o[1].Worker)
 		v, err := x.jobRow()
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -229,8 +229,8 @@
 			}
 			delete(f.runs[id], r)
 			f.x.endRun(sched.StartOrder{
-				Life: lifeOf(id),
-				Run:  r,
+				WorkerIncarnation: lifeOf(id),
+				Run:               r,
 			}, sched.EndDone)
 		}
 		f.x.renewLease(id, running...)
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -217,7 +217,7 @@
 // placeEach starts the waiting tasks independently of each other.
 func (d *decider) placeEach(g *stage, q *Queue) {
 	ws := d.candidates(g, q)
-	var renew []spoolsill.Life
+	var renew []spoolsill.WorkerIncarnation
 	waiting := 0
 	for _, t := range g.tasks {
 		if t.done || t.run != nil {
@@ -327,11 +327,11 @@
 	t.lastRun = number
 	r.phase = phaseRecorded
 	g.job.starts = append(g.job.starts, StartOrder{
-		Life:   r.worker.life(),
-		Run:    r.id,
-		Spec:   g.job.Spec,
-		Saved:  t.lastCheckpoint(),
-		Ticket: g.advice.tickets[r.worker].text,
+		WorkerIncarnation: r.worker.life(),
+		Run:               r.id,
+		Spec:              g.job.Spec,
+		Saved:             t.lastCheckpoint(),
+		Ticket:            g.advice.tickets[r.worker].text,
 	})
 	s.markDirty(g.job)
 	s.note(Note{
--- a/sched/deferred.go
+++ b/sched/deferred.go
@@ -31,7 +31,7 @@
 // the tickets with one query per stage.
 func (s *State) deferOrders(orders []StartOrder) {
 	var stages []*stage
-	lives := map[*stage][]spoolsill.Life{}
+	lives := map[*stage][]spoolsill.WorkerIncarnation{}
 	for _, o := range orders {
 		r := s.recordedRun(o)
 		if r == nil {
@@ -42,8 +42,8 @@
 		if lives[g] == nil {
 			stages = append(stages, g)
 		}
-		if !slices.Contains(lives[g], o.Life) {
-			lives[g] = append(lives[g], o.Life)
+		if !slices.Contains(lives[g], o.WorkerIncarnation) {
+			lives[g] = append(lives[g], o.WorkerIncarnation)
 		}
 	}
 	for _, g := range stages {
@@ -55,7 +55,7 @@
 // orders of g that the answer covers, or drops them if no answer came or it has no valid
 // ticket. The orders of a gang are sent all together or not at all.
 func (s *State) dispatchDeferred(g *stage, a Advice) {
-	covered := func(o StartOrder) bool { return slices.Contains(a.Order.Workers, o.Life) }
+	covered := func(o StartOrder) bool { return slices.Contains(a.Order.Workers, o.WorkerIncarnation) }
 	var orders, rest []StartOrder
 	for _, o := range g.deferred {
 		if covered(o) {
--- a/sched/deferred_test.go
+++ b/sched/deferred_test.go
@@ -37,7 +37,7 @@
 		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0, qt.Commentf("%s", name))
 		q := x.question()
 		x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
-		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("w")})
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.renewLease("w")
 		x.advise(q, "w")
@@ -46,7 +46,7 @@
 		x.c.Assert(o[0].Ticket, qt.Equals, "ticket-w")
 		x.acceptStarts(o)
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
-		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
+		x.c.Assert(x.state.CheckCapacity(), qt.IsNil)
 	}
 }
 
@@ -67,7 +67,7 @@
 			Lost:     lost,
 		})
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
-		x.c.Assert(x.state.CheckRoom(), qt.IsNil)
+		x.c.Assert(x.state.CheckCapacity(), qt.IsNil)
 		x.now = x.now.Add(100 * time.Millisecond) // longer than the delay after a lost query
 		x.renewLease("w")
 		x.step()
@@ -88,7 +88,7 @@
 	x.state.CancelJob(x.now, "j")
 	x.advise(q, "w")
 	x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
-	x.c.Assert(x.state.CheckRoom(), qt.IsNil)
+	x.c.Assert(x.state.CheckCapacity(), qt.IsNil)
 	s, _ := x.state.Job("j")
 	x.c.Assert(s.State, qt.Equals, sched.Cancelled)
 }
--- a/sched/event.go
+++ b/sched/event.go
@@ -9,7 +9,7 @@
 // A Worker is the platform's entry for one life of a machine that runs tasks.
 type Worker struct {
 	ID       spoolsill.WorkerID
-	Born     spoolsill.Birth
+	Born     spoolsill.StartTime
 	Machine  string
 	Service  spoolsill.ServiceID
 	Hall     spoolsill.HallID
@@ -22,9 +22,9 @@
 	Remaining time.Duration
 }
 
-// Life returns the life that the entry is for.
-func (w Worker) Life() spoolsill.Life {
-	return spoolsill.Life{
+// Incarnation returns the life that the entry is for.
+func (w Worker) Incarnation() spoolsill.WorkerIncarnation {
+	return spoolsill.WorkerIncarnation{
 		Worker: w.ID,
 		Born:   w.Born,
 	}
@@ -76,8 +76,8 @@
 type Heartbeat struct {
 	// Life is the life that answered, as it reported itself; Asked is the life that the
 	// call was for, whose fence it carried.
-	spoolsill.Life
-	Asked spoolsill.Life
+	spoolsill.WorkerIncarnation
+	Asked spoolsill.WorkerIncarnation
 	// Sent is when the call was sent. A run that the answer does not list was not at the
 	// worker at that time, and is not there later unless another start order is carried
 	// out.
@@ -94,13 +94,13 @@
 
 // The outcomes of a start order.
 const (
-	StartTaken     StartOutcome = iota // the worker has the run
-	StartRejected                      // the worker did not start it, for another reason
-	StartNoRoom                        // rejected: no room at the worker
-	StartNoTicket                      // rejected: the advisor's ticket was not valid
-	StartUnhealthy                     // the worker accepts no starts at the moment
-	StartOtherLife                     // this life of the worker has ended
-	StartUnknown                       // no answer: the order may be carried out until its deadline
+	StartTaken            StartOutcome = iota // the worker has the run
+	StartRejected                             // the worker did not start it, for another reason
+	StartNoCapacity                           // rejected: no room at the worker
+	StartNoTicket                             // rejected: the advisor's ticket was not valid
+	StartUnhealthy                            // the worker accepts no starts at the moment
+	StartOtherIncarnation                     // this life of the worker has ended
+	StartUnknown                              // no answer: the order may be carried out until its deadline
 )
 
 var startOutcomeNames = [...]string{"taken", "rejected", "no-room", "no-ticket", "unhealthy", "other-life", "unknown"}
@@ -116,7 +116,7 @@
 // A StartAnswer reports the result of a start order. Life is the one that the order was
 // for; which life carried the order out is known only from its list of runs.
 type StartAnswer struct {
-	spoolsill.Life
+	spoolsill.WorkerIncarnation
 	Run     RunID
 	Outcome StartOutcome
 	// Doubt is set when an earlier try of the same order was not answered.
@@ -128,7 +128,7 @@
 
 // A StartOrder tells a worker to start a run.
 type StartOrder struct {
-	spoolsill.Life
+	spoolsill.WorkerIncarnation
 	Run    RunID
 	Spec   string
 	Saved  string
@@ -137,7 +137,7 @@
 
 // A StopOrder tells a worker to stop a run.
 type StopOrder struct {
-	spoolsill.Life
+	spoolsill.WorkerIncarnation
 	Run RunID
 }
 
@@ -153,7 +153,7 @@
 // An AdviceOrder asks the advisor which workers may run a stage.
 type AdviceOrder struct {
 	Stage    StageID
-	Workers  []spoolsill.Life
+	Workers  []spoolsill.WorkerIncarnation
 	Priority int
 	// Urgent is set when the stage has the highest priority and can still end in time.
 	Urgent  bool
@@ -205,7 +205,7 @@
 // An Ack acknowledges the ends of a worker's life up to Sequence: their effect is
 // stored.
 type Ack struct {
-	spoolsill.Life
+	spoolsill.WorkerIncarnation
 	Sequence uint64
 }
 
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -38,7 +38,7 @@
 	Worker spoolsill.WorkerID
 	// Born identifies the life of the worker that was lost. It is stored in
 	// [Progress.Births].
-	Born spoolsill.Birth `msgpack:"-"`
+	Born spoolsill.StartTime `msgpack:"-"`
 	// Begun is set when the worker is known to have had the run.
 	Begun bool
 	// Over is set when the worker's life is known to have ended without an announcement;
@@ -47,7 +47,7 @@
 }
 
 // matches reports whether the loss is of the life x.
-func (l Loss) matches(x spoolsill.Life) bool {
+func (l Loss) matches(x spoolsill.WorkerIncarnation) bool {
 	return l.Worker == x.Worker && x.Matches(l.Born)
 }
 
@@ -111,7 +111,7 @@
 
 // retract drops the losses of a life that has answered since, and reports whether there
 // were any. An answer of a later life of the same worker retracts nothing.
-func (e *evidence) retract(x spoolsill.Life) bool {
+func (e *evidence) retract(x spoolsill.WorkerIncarnation) bool {
 	n := len(e.losses)
 	e.losses = slices.DeleteFunc(e.losses, func(l Loss) bool { return l.matches(x) && !l.Over })
 	if len(e.losses) == 0 {
@@ -122,7 +122,7 @@
 
 // confirm records that a life that was unreachable has crashed, and reports whether that
 // changes anything.
-func (e *evidence) confirm(x spoolsill.Life) bool {
+func (e *evidence) confirm(x spoolsill.WorkerIncarnation) bool {
 	changed := false
 	for i, l := range e.losses {
 		if l.matches(x) && !l.Over {
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -121,9 +121,9 @@
 // heartbeat has a worker answer without a lease renewal.
 func (x *cell) heartbeat(id spoolsill.WorkerID, running ...sched.RunID) {
 	h := sched.Heartbeat{
-		Life:  lifeOf(id),
-		Sent:  x.now,
-		Clock: sched.ClockMillis(x.now.UnixMilli()),
+		WorkerIncarnation: lifeOf(id),
+		Sent:              x.now,
+		Clock:             sched.ClockMillis(x.now.UnixMilli()),
 	}
 	for _, r := range running {
 		h.Running = append(h.Running, sched.RunningTask{
@@ -137,8 +137,8 @@
 func (x *cell) endRun(o sched.StartOrder, k sched.EndKind) {
 	x.ends[o.Worker]++
 	x.state.Heartbeat(x.now, sched.Heartbeat{
-		Life: lifeOf(o.Worker),
-		Sent: x.now,
+		WorkerIncarnation: lifeOf(o.Worker),
+		Sent:              x.now,
 		Ended: []sched.End{
 			{
 				Sequence: x.ends[o.Worker],
@@ -154,7 +154,7 @@
 func (x *cell) step() []sched.StartOrder {
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
-	x.c.Assert(x.state.CheckRoom(), qt.IsNil)
+	x.c.Assert(x.state.CheckCapacity(), qt.IsNil)
 	b, any, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	if !any {
@@ -174,11 +174,11 @@
 
 func (x *cell) answerStart(o sched.StartOrder, k sched.StartOutcome) {
 	x.state.StartAnswered(x.now, sched.StartAnswer{
-		Life:     o.Life,
-		Run:      o.Run,
-		Outcome:  k,
-		Doubt:    k == sched.StartUnknown,
-		Deadline: sched.ClockMillis(x.now.Add(time.Second).UnixMilli()),
+		WorkerIncarnation: o.WorkerIncarnation,
+		Run:               o.Run,
+		Outcome:           k,
+		Doubt:             k == sched.StartUnknown,
+		Deadline:          sched.ClockMillis(x.now.Add(time.Second).UnixMilli()),
 	})
 }
 
@@ -238,8 +238,8 @@
 }
 
 // lifeOf returns the life of a worker whose platform reports no births.
-func lifeOf(id spoolsill.WorkerID) spoolsill.Life {
-	return spoolsill.Life{
+func lifeOf(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
+	return spoolsill.WorkerIncarnation{
 		Worker: id,
 	}
 }
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -98,11 +98,11 @@
 
 // ticketsToRenew returns the lives of the assigned workers if one of their tickets must
 // be renewed before the gang can start, and nil otherwise.
-func (d *decider) ticketsToRenew(g *stage, q *Queue, workers []*worker) []spoolsill.Life {
+func (d *decider) ticketsToRenew(g *stage, q *Queue, workers []*worker) []spoolsill.WorkerIncarnation {
 	if q.Advisor == nil {
 		return nil
 	}
-	var lives []spoolsill.Life
+	var lives []spoolsill.WorkerIncarnation
 	fresh := true
 	for _, w := range workers {
 		if !slices.Contains(lives, w.life()) {
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -100,8 +100,8 @@
 	x.endRun(g[0], sched.EndFailed)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
-			Life: lifeOf("w"),
-			Run:  g[1].Run,
+			WorkerIncarnation: lifeOf("w"),
+			Run:               g[1].Run,
 		},
 	})
 	x.c.Assert(x.step(), qt.HasLen, 0)
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -193,11 +193,11 @@
 		epoch:    x.epoch,
 	})
 	x.state.StartAnswered(x.now, sched.StartAnswer{
-		Life:     o.Life,
-		Run:      o.Run,
-		Outcome:  sched.StartUnknown,
-		Doubt:    true,
-		Deadline: sched.ClockMillis(x.now.Add(startLease).UnixMilli()),
+		WorkerIncarnation: o.WorkerIncarnation,
+		Run:               o.Run,
+		Outcome:           sched.StartUnknown,
+		Doubt:             true,
+		Deadline:          sched.ClockMillis(x.now.Add(startLease).UnixMilli()),
 	})
 }
 
@@ -376,7 +376,7 @@
 	x.addWorker("w")
 	x.state.WorkerUnlisted(x.now, "w")
 	x.advance(lease-time.Second, nil)
-	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("w")})
 	x.advance(2*time.Second, nil)
 	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
@@ -399,8 +399,8 @@
 	x.renewLease("w", o[1].Run)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
-			Life: lifeOf("w"),
-			Run:  o[1].Run,
+			WorkerIncarnation: lifeOf("w"),
+			Run:               o[1].Run,
 		},
 	})
 }
--- a/sched/lives.go
+++ b/sched/lives.go
@@ -21,8 +21,8 @@
 // of an older life would have been delayed for as long as that many lives lasted.
 const maxFormerLives = 16
 
-func (w *worker) life() spoolsill.Life {
-	return spoolsill.Life{
+func (w *worker) life() spoolsill.WorkerIncarnation {
+	return spoolsill.WorkerIncarnation{
 		Worker: w.id,
 		Born:   w.born,
 	}
@@ -31,7 +31,7 @@
 // workerOf returns the state of a life, or nil when its worker has another life now. An
 // unknown birth matches the latest life: platforms that report no births give each life
 // its own id.
-func (s *State) workerOf(l spoolsill.Life) *worker {
+func (s *State) workerOf(l spoolsill.WorkerIncarnation) *worker {
 	w := s.workers[l.Worker]
 	if w == nil || !w.life().Matches(l.Born) {
 		return nil
@@ -43,7 +43,7 @@
 // when that is a former life. A life that is not known becomes the worker's latest.
 // Births are only compared for equality, since the clock of the next life may be behind.
 // The source of the report is for the log.
-func (s *State) observeLife(l spoolsill.Life, source string) *worker {
+func (s *State) observeLife(l spoolsill.WorkerIncarnation, source string) *worker {
 	w := s.worker(l.Worker)
 	switch {
 	case l.Born == 0 || l.Born == w.born:
@@ -64,11 +64,11 @@
 // beginNextLife creates the state of a worker's next life, which replaces that of the
 // former one. Until its entry is seen, its properties are taken to be those of the
 // former life.
-func (s *State) beginNextLife(old *worker, b spoolsill.Birth, source string) *worker {
+func (s *State) beginNextLife(old *worker, b spoolsill.StartTime, source string) *worker {
 	w := newWorker(old.id)
 	w.born = b
 	w.restarts = old.restarts + 1
-	known := slices.Concat(old.former, []spoolsill.Birth{old.born})
+	known := slices.Concat(old.former, []spoolsill.StartTime{old.born})
 	w.former = known[max(len(known)-maxFormerLives, 0):]
 	w.Worker = old.Worker
 	w.Draining = false
--- a/sched/lives_test.go
+++ b/sched/lives_test.go
@@ -12,15 +12,15 @@
 )
 
 // bornIn returns a life of the worker "w".
-func bornIn(b spoolsill.Birth) spoolsill.Life {
-	return spoolsill.Life{
+func bornIn(b spoolsill.StartTime) spoolsill.WorkerIncarnation {
+	return spoolsill.WorkerIncarnation{
 		Worker: "w",
 		Born:   b,
 	}
 }
 
 // listBorn lists a life of a worker with ten cores.
-func (x *cell) listBorn(l spoolsill.Life) {
+func (x *cell) listBorn(l spoolsill.WorkerIncarnation) {
 	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       l.Worker,
 		Born:     l.Born,
@@ -92,7 +92,7 @@
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteRunGone))
 	x.listBorn(bornIn(1000))
 	x.answerBorn(bornIn(1000), bornIn(1000), o[0].Run)
-	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{bornIn(7000)})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{bornIn(7000)})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.answerBorn(bornIn(7000), bornIn(7000))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
@@ -101,13 +101,13 @@
 
 // answerBorn has a life answer a call that was for the life asked, with the runs that it
 // has.
-func (x *cell) answerBorn(l, asked spoolsill.Life, running ...sched.RunID) {
+func (x *cell) answerBorn(l, asked spoolsill.WorkerIncarnation, running ...sched.RunID) {
 	x.state.LeaseRequested(asked, sched.LeaseEnd(x.now, lease))
 	h := sched.Heartbeat{
-		Life:  l,
-		Asked: asked,
-		Sent:  x.now,
-		Clock: sched.ClockMillis(x.now.UnixMilli()),
+		WorkerIncarnation: l,
+		Asked:             asked,
+		Sent:              x.now,
+		Clock:             sched.ClockMillis(x.now.UnixMilli()),
 	}
 	for _, r := range running {
 		h.Running = append(h.Running, sched.RunningTask{
@@ -131,5 +131,5 @@
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
-	x.c.Assert(o[0].Life, qt.Equals, bornIn(7000))
+	x.c.Assert(o[0].WorkerIncarnation, qt.Equals, bornIn(7000))
 }
--- a/sched/pending_test.go
+++ b/sched/pending_test.go
@@ -34,8 +34,8 @@
 		"it has failed": {
 			hear: func(x *cell, r sched.RunID) {
 				x.endRun(sched.StartOrder{
-					Life: lifeOf("w"),
-					Run:  r,
+					WorkerIncarnation: lifeOf("w"),
+					Run:               r,
 				}, sched.EndFailed)
 			},
 			state: sched.Running,
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -24,15 +24,15 @@
 	// Team is the owner of the job. The job's row has it too, but is deleted when the job
 	// has ended. It is stored after Crashes and omitted if empty.
 	Team spoolsill.TeamID `msgpack:"-"`
-	// Births has the births of the lives that Stages and Crashes name, in the order of
+	// StartTimes has the births of the lives that Stages and Crashes name, in the order of
 	// eachBirth, or is empty if none is known. It is stored after Team. Programs that
 	// don't know it identify lives by worker id alone, and so are rows without it read.
-	Births []spoolsill.Birth `msgpack:"-"`
+	StartTimes []spoolsill.StartTime `msgpack:"-"`
 }
 
 // eachBirth calls visit for the births of the lives that p names, in the order in which
 // they are stored.
-func (p *Progress) eachBirth(visit func(b *spoolsill.Birth)) {
+func (p *Progress) eachBirth(visit func(b *spoolsill.StartTime)) {
 	for i := range p.Stages {
 		for j := range p.Stages[i].Tasks {
 			if t := &p.Stages[i].Tasks[j]; t.Worker != "" {
@@ -48,10 +48,10 @@
 }
 
 // collectBirths returns the births of the lives that p names, or nil if none is known.
-func (p *Progress) collectBirths() []spoolsill.Birth {
-	var all []spoolsill.Birth
+func (p *Progress) collectBirths() []spoolsill.StartTime {
+	var all []spoolsill.StartTime
 	known := false
-	p.eachBirth(func(b *spoolsill.Birth) {
+	p.eachBirth(func(b *spoolsill.StartTime) {
 		all = append(all, *b)
 		known = known || *b != 0
 	})
@@ -62,9 +62,9 @@
 }
 
 // setBirths assigns stored births to the lives that p names.
-func (p *Progress) setBirths(all []spoolsill.Birth) error {
+func (p *Progress) setBirths(all []spoolsill.StartTime) error {
 	n := 0
-	p.eachBirth(func(b *spoolsill.Birth) {
+	p.eachBirth(func(b *spoolsill.StartTime) {
 		if n < len(all) {
 			*b = all[n]
 		}
@@ -113,7 +113,7 @@
 	Saved  string
 	// Born is the birth of the worker's life that the latest run was ordered for. It is
 	// stored in Births.
-	Born spoolsill.Birth `msgpack:"-"`
+	Born spoolsill.StartTime `msgpack:"-"`
 }
 
 // EncodeProgress returns p in its stored form.
@@ -161,10 +161,10 @@
 	if err != nil || len(rest) == 0 {
 		return p, err
 	}
-	if _, err = packed.Decode(rest, &p.Births); err != nil {
+	if _, err = packed.Decode(rest, &p.StartTimes); err != nil {
 		return p, err
 	}
-	return p, p.setBirths(p.Births)
+	return p, p.setBirths(p.StartTimes)
 }
 
 const (
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -100,7 +100,7 @@
 		{"run at a worker that has died", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartTaken)
 			x.state.CancelJob(x.now, "j")
-			x.state.WorkerDied(x.now, o.Life)
+			x.state.WorkerDied(x.now, o.WorkerIncarnation)
 		}, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -124,11 +124,11 @@
 	if lost && rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 		until := m.x.now.Add(lateStartDelay)
 		m.x.state.StartAnswered(m.x.now, sched.StartAnswer{
-			Life:     o.Life,
-			Run:      o.Run,
-			Outcome:  sched.StartUnknown,
-			Doubt:    true,
-			Deadline: sched.ClockMillis(until.UnixMilli()),
+			WorkerIncarnation: o.WorkerIncarnation,
+			Run:               o.Run,
+			Outcome:           sched.StartUnknown,
+			Doubt:             true,
+			Deadline:          sched.ClockMillis(until.UnixMilli()),
 		})
 		m.lateStarts = append(m.lateStarts, pendingStart{
 			StartOrder: o,
@@ -155,8 +155,8 @@
 func (m *quotaModel) finishRun(w spoolsill.WorkerID, r sched.RunID, k sched.EndKind) {
 	delete(m.runs[w], r)
 	m.x.endRun(sched.StartOrder{
-		Life: lifeOf(w),
-		Run:  r,
+		WorkerIncarnation: lifeOf(w),
+		Run:               r,
 	}, k)
 }
 
--- a/sched/room_test.go
+++ b/sched/room_test.go
@@ -256,8 +256,8 @@
 			delete(m.runs[w], r)
 			kind := rapid.SampledFrom([]sched.EndKind{sched.EndDone, sched.EndStopped, sched.EndFailed}).Draw(t, "kind")
 			m.x.endRun(sched.StartOrder{
-				Life: lifeOf(w),
-				Run:  r,
+				WorkerIncarnation: lifeOf(w),
+				Run:               r,
 			}, kind)
 			return
 		}
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -106,12 +106,12 @@
 		return
 	}
 	r := w.runs[a.Run]
-	if a.Outcome == StartOtherLife {
+	if a.Outcome == StartOtherIncarnation {
 		if r != nil && !a.Doubt {
 			// The run never began there, so that it can't have ended that life.
 			s.dropRun(r, "start order: "+a.Outcome.String())
 		}
-		s.WorkerDied(now, a.Life)
+		s.WorkerDied(now, a.WorkerIncarnation)
 		return
 	}
 	if r == nil {
@@ -186,7 +186,7 @@
 	if s.workers[h.Worker] == nil {
 		return
 	}
-	w := s.observeLife(h.Life, "its answer")
+	w := s.observeLife(h.WorkerIncarnation, "its answer")
 	if w == nil || w.dead {
 		return
 	}
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -58,7 +58,7 @@
 	p.Stages[0].Tasks[0].Fails = 1
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), p)
 	x.endRun(sched.StartOrder{
-		Life: lifeOf("w"),
+		WorkerIncarnation: lifeOf("w"),
 		Run: sched.RunID{
 			Task: sched.TaskID{
 				Stage: sched.StageID{
@@ -106,8 +106,8 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.DeepEquals, []sched.Ack{
 		{
-			Life:     lifeOf("w"),
-			Sequence: 1,
+			WorkerIncarnation: lifeOf("w"),
+			Sequence:          1,
 		},
 	})
 	x.c.Assert(b.Rows, qt.HasLen, 1)
@@ -326,8 +326,8 @@
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.Heartbeat(x.now, sched.Heartbeat{
-		Life: lifeOf("a"),
-		Sent: x.now,
+		WorkerIncarnation: lifeOf("a"),
+		Sent:              x.now,
 		Ended: []sched.End{
 			{
 				Sequence: 1,
@@ -369,8 +369,8 @@
 		x.now = x.now.Add(500 * time.Millisecond)
 		x.state.LeaseRequested(lifeOf("a"), sched.LeaseEnd(x.now, lease))
 		x.state.Heartbeat(x.now, sched.Heartbeat{
-			Life: lifeOf("a"),
-			Sent: x.now,
+			WorkerIncarnation: lifeOf("a"),
+			Sent:              x.now,
 			Running: []sched.RunningTask{
 				{
 					Run:     o[0].Run,
@@ -386,8 +386,8 @@
 	}
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
-			Life: lifeOf("a"),
-			Run:  o[1].Run,
+			WorkerIncarnation: lifeOf("a"),
+			Run:               o[1].Run,
 		},
 	})
 	x.addWorker("b")
--- a/sched/state.go
+++ b/sched/state.go
@@ -60,7 +60,7 @@
 	teams       map[spoolsill.TeamID]*teamState
 
 	dirty []*job
-	acks  map[spoolsill.Life]uint64
+	acks  map[spoolsill.WorkerIncarnation]uint64
 	stops []StopOrder
 	// stoppingRuns are the runs that have been ordered to stop and may still be there.
 	stoppingRuns []*run
@@ -97,7 +97,7 @@
 		lives:    map[string][]*worker{},
 		runTimes: map[QueueID]*runTimeEstimate{},
 		teams:    map[spoolsill.TeamID]*teamState{},
-		acks:     map[spoolsill.Life]uint64{},
+		acks:     map[spoolsill.WorkerIncarnation]uint64{},
 
 		crashedAt:   map[string]time.Time{},
 		pendingJobs: map[QueueID]int{},
@@ -170,7 +170,7 @@
 	run      *run
 	// failedOn has the workers where the task failed. Trying another one shows whether the
 	// task or the worker is at fault.
-	failedOn []spoolsill.Life
+	failedOn []spoolsill.WorkerIncarnation
 	// evidence is the evidence that the task crashes its workers.
 	evidence evidence
 	// preemptions counts the runs that were stopped to make room for others.
@@ -197,7 +197,7 @@
 	worker *worker
 	// born is the birth of the life that the order was for. Another life of the same
 	// worker may have carried it out.
-	born         spoolsill.Birth
+	born         spoolsill.StartTime
 	need         spoolsill.Resources
 	phase        phase
 	confirmedAt  time.Time   // when the worker confirmed the run
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -37,8 +37,8 @@
 	}
 	r.nextStopAt = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
-		Life: r.worker.life(),
-		Run:  r.id,
+		WorkerIncarnation: r.worker.life(),
+		Run:               r.id,
 	})
 	s.note(Note{
 		Kind:   NoteStop,
@@ -73,8 +73,8 @@
 	}
 	w.unknownRuns[id] = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
-		Life: w.life(),
-		Run:  id,
+		WorkerIncarnation: w.life(),
+		Run:               id,
 	})
 	s.note(Note{
 		Kind:   NoteUnknownRun,
@@ -100,7 +100,7 @@
 // StopAnswered handles the result of a stop order.
 func (s *State) StopAnswered(now time.Time, a StopAnswer) {
 	s.now = now
-	w := s.workerOf(a.Order.Life)
+	w := s.workerOf(a.Order.WorkerIncarnation)
 	if w == nil {
 		return
 	}
--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -114,8 +114,8 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.DeepEquals, []sched.Ack{
 		{
-			Life:     lifeOf("w"),
-			Sequence: 1,
+			WorkerIncarnation: lifeOf("w"),
+			Sequence:          1,
 		},
 	})
 }
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -36,8 +36,8 @@
 	id spoolsill.WorkerID
 	// born is the birth of this life, zero until it is known; former are the births of
 	// earlier lives.
-	born   spoolsill.Birth
-	former []spoolsill.Birth
+	born   spoolsill.StartTime
+	former []spoolsill.StartTime
 	// crashed is set when the life before this one ended otherwise than announced.
 	crashed bool
 	// restarts counts the known earlier lives.
@@ -119,7 +119,7 @@
 // WorkerListed handles a worker's entry in the platform's table.
 func (s *State) WorkerListed(now time.Time, l Worker) {
 	s.now = now
-	w := s.observeLife(l.Life(), "its entry")
+	w := s.observeLife(l.Incarnation(), "its entry")
 	if w == nil || w.dead {
 		return
 	}
@@ -204,7 +204,7 @@
 
 // WorkerDied records proof that a life of a worker has ended: its address answers for
 // another life.
-func (s *State) WorkerDied(now time.Time, l spoolsill.Life) {
+func (s *State) WorkerDied(now time.Time, l spoolsill.WorkerIncarnation) {
 	s.now = now
 	if w := s.workerOf(l); w != nil && !w.dead {
 		s.declareDead(w, "its address answers for another life")
@@ -214,7 +214,7 @@
 // WorkerRefused records that connections to a worker's address are refused. That alone
 // proves nothing, since a network partition may look the same; but a worker that was
 // draining and is no longer listed has exited.
-func (s *State) WorkerRefused(now time.Time, l spoolsill.Life) {
+func (s *State) WorkerRefused(now time.Time, l spoolsill.WorkerIncarnation) {
 	s.now = now
 	w := s.workerOf(l)
 	if w != nil && !w.dead && w.Draining && !w.listed {
@@ -225,7 +225,7 @@
 // WorkerUnresponsive records that an order to a worker had no answer, and that it has
 // answered nothing since. Nothing new is started there until it answers: otherwise every
 // start in a hall that is cut off would be in doubt until a lease has expired.
-func (s *State) WorkerUnresponsive(now time.Time, l spoolsill.Life) {
+func (s *State) WorkerUnresponsive(now time.Time, l spoolsill.WorkerIncarnation) {
 	s.now = now
 	w := s.workerOf(l)
 	if w == nil || w.unresponsive || w.dead {
@@ -296,7 +296,7 @@
 
 // LeaseRequested records that a call may extend the lease of a worker's life until at most
 // the given time by our clock. A call for a former life may reach the next one.
-func (s *State) LeaseRequested(l spoolsill.Life, until time.Time) {
+func (s *State) LeaseRequested(l spoolsill.WorkerIncarnation, until time.Time) {
 	w := s.workers[l.Worker]
 	if w == nil {
 		return
@@ -413,9 +413,9 @@
 	return w.Capacity.Sub(w.used)
 }
 
-// CheckRoom returns an error when the runs of a worker exceed its capacity, or the sum
+// CheckCapacity returns an error when the runs of a worker exceed its capacity, or the sum
 // of their needs is wrong. It is meant for tests.
-func (s *State) CheckRoom() error {
+func (s *State) CheckCapacity() error {
 	for _, w := range s.workerList {
 		var sum spoolsill.Resources
 		for _, r := range w.runs {
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -21,7 +21,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Note(n)
+		m.RecordEvent(n)
 	}
 }
 
@@ -31,7 +31,7 @@
 	for _, outcome := range []string{"200", "404", "502", "504"} {
 		m.RecordCall("post", outcome, time.Millisecond)
 		m.RecordStoreWrite(outcome, time.Millisecond)
-		m.Asked(outcome, time.Millisecond)
+		m.RecordAdvice(outcome, time.Millisecond)
 	}
 	h := m.Handler()
 	b.ReportAllocs()
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -135,24 +135,24 @@
 	m.storeWriteDuration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Asked records a request to the advisor.
-func (m *Metrics) Asked(outcome string, took time.Duration) {
+// RecordAdvice records a request to the advisor.
+func (m *Metrics) RecordAdvice(outcome string, took time.Duration) {
 	if m == nil {
 		return
 	}
 	m.adviceDuration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// TookOver records how long a new leader took to load all jobs.
-func (m *Metrics) TookOver(took time.Duration) {
+// RecordTakeover records how long a new leader took to load all jobs.
+func (m *Metrics) RecordTakeover(took time.Duration) {
 	if m == nil {
 		return
 	}
 	m.takeoverDuration.Record(context.Background(), took.Seconds())
 }
 
-// Note records an event of the leader: a decision or a change in its view of the cell.
-func (m *Metrics) Note(n sched.Note) {
+// RecordEvent records an event of the leader: a decision or a change in its view of the cell.
+func (m *Metrics) RecordEvent(n sched.Note) {
 	if m == nil {
 		return
 	}
