--- a/id.go
+++ b/id.go
@@ -15,29 +15,31 @@
 // WorkerID identifies a worker, a machine that runs tasks.
 type WorkerID string
 
-// A StartTime is the start time of a worker process, in milliseconds since the Unix epoch on the
-// worker's own wall clock. It distinguishes the lives of one id but does not order them,
-// since a wall clock may be set back. Zero means that it is unknown.
+// A StartTime is the start time of a worker process, in milliseconds since the Unix epoch on
+// the worker's own wall clock. It distinguishes the incarnations of one id but does not
+// order them, since a wall clock may be set back. Zero means that it is unknown.
 type StartTime uint64
 
-// A WorkerIncarnation identifies a worker from one start to the next. A worker that restarts may keep its
-// id but not its state, so nothing known about its previous life applies to it.
+// A WorkerIncarnation identifies a worker from one start to the next. A worker that restarts
+// may keep its id but not its state, so nothing known about its previous incarnation applies
+// to it.
 type WorkerIncarnation struct {
 	Worker WorkerID
-	Born   StartTime
+	// Born is when the worker process started.
+	Born StartTime
 }
 
-// Matches reports whether b may be l's birth. An unknown birth matches any.
-func (l WorkerIncarnation) Matches(b StartTime) bool {
-	return l.Born == 0 || b == 0 || l.Born == b
+// Matches reports whether t may be i's start time. An unknown start time matches any.
+func (i WorkerIncarnation) Matches(t StartTime) bool {
+	return i.Born == 0 || t == 0 || i.Born == t
 }
 
-// String returns the worker's id, followed by its birth if that is known.
-func (l WorkerIncarnation) String() string {
-	if l.Born == 0 {
-		return string(l.Worker)
+// String returns the worker's id, followed by its start time if that is known.
+func (i WorkerIncarnation) String() string {
+	if i.Born == 0 {
+		return string(i.Worker)
 	}
-	return string(l.Worker) + "@" + strconv.FormatUint(uint64(l.Born), 10)
+	return string(i.Worker) + "@" + strconv.FormatUint(uint64(i.Born), 10)
 }
 
 // RunnerID identifies a runner, an upstream process that serves requests.
--- a/leader/advice.go
+++ b/leader/advice.go
@@ -164,8 +164,8 @@
 	return available
 }
 
-// compareQuestions orders urgent questions first, then those with reserved room, then those
-// for gangs that wait.
+// compareQuestions orders urgent questions first, then those with reserved capacity, then
+// those for gangs that wait.
 func compareQuestions(a, b sched.AdviceOrder) int {
 	return cmp.Or(
 		-compareBools(a.Urgent, b.Urgent),
@@ -236,9 +236,9 @@
 }
 
 // workerIDs returns the ids of the workers.
-func workerIDs(lives []spoolsill.WorkerIncarnation) []spoolsill.WorkerID {
-	ids := make([]spoolsill.WorkerID, len(lives))
-	for i, l := range lives {
+func workerIDs(incarnations []spoolsill.WorkerIncarnation) []spoolsill.WorkerID {
+	ids := make([]spoolsill.WorkerID, len(incarnations))
+	for i, l := range incarnations {
 		ids[i] = l.Worker
 	}
 	return ids
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -27,19 +27,19 @@
 type machines struct {
 	*cell
 
-	mu    sync.Mutex
-	lives map[string]int
+	mu           sync.Mutex
+	incarnations map[string]int
 }
 
 // newMachines makes the machines of a cell come back after each crash, as other workers at the
 // same address.
 func newMachines(x *cell) *machines {
 	m := &machines{
-		cell:  x,
-		lives: map[string]int{},
+		cell:         x,
+		incarnations: map[string]int{},
 	}
 	for i, id := range x.ids {
-		m.listLife(id, fmt.Sprintf("m%d", i))
+		m.listIncarnation(id, fmt.Sprintf("m%d", i))
 	}
 	x.workers.Crashed = m.crashed
 	return m
@@ -47,8 +47,8 @@
 
 // machineOf returns the machine of a worker, by its id.
 func (m *machines) machineOf(id spoolsill.WorkerID) string {
-	var i, life int
-	if _, err := fmt.Sscanf(string(id), "w%d/%d", &i, &life); err == nil {
+	var i, incarnation int
+	if _, err := fmt.Sscanf(string(id), "w%d/%d", &i, &incarnation); err == nil {
 		return fmt.Sprintf("m%d", i)
 	}
 	_, err := fmt.Sscanf(string(id), "w%d", &i)
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("m%d", i)
 }
 
-func (m *machines) listLife(id spoolsill.WorkerID, machine string) {
+func (m *machines) listIncarnation(id spoolsill.WorkerID, machine string) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
 		Born:    m.workers.LifeOf(id).Born,
@@ -78,12 +78,12 @@
 	time.AfterFunc(backAfter, func() {
 		machine := m.machineOf(id)
 		m.mu.Lock()
-		m.lives[machine]++
-		next := spoolsill.WorkerID(fmt.Sprintf("w%s/%d", machine[1:], m.lives[machine]))
+		m.incarnations[machine]++
+		next := spoolsill.WorkerID(fmt.Sprintf("w%s/%d", machine[1:], m.incarnations[machine]))
 		m.mu.Unlock()
 		m.workers.Replace(id, next)
 		m.store.Delete(workerKey(id))
-		m.listLife(next, machine)
+		m.listIncarnation(next, machine)
 	})
 }
 
@@ -92,7 +92,7 @@
 	m.workers.Crashed = func(id spoolsill.WorkerID, _ []sched.RunID) {
 		time.AfterFunc(back, func() {
 			m.workers.Restart(id)
-			m.listLife(id, m.machineOf(id))
+			m.listIncarnation(id, m.machineOf(id))
 		})
 	}
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -153,12 +153,12 @@
 	jobsCaughtUp      struct{ sent time.Time }
 	workersCaughtUp   struct{ sent time.Time }
 	heartbeatReceived struct{ heartbeat sched.Heartbeat }
-	workerReplaced    struct{ life spoolsill.WorkerIncarnation }
-	workerConnRefused struct{ life spoolsill.WorkerIncarnation }
-	workerSilent      struct{ life spoolsill.WorkerIncarnation }
+	workerReplaced    struct{ incarnation spoolsill.WorkerIncarnation }
+	workerConnRefused struct{ incarnation spoolsill.WorkerIncarnation }
+	workerSilent      struct{ incarnation spoolsill.WorkerIncarnation }
 	leaseRequested    struct {
-		life  spoolsill.WorkerIncarnation
-		until time.Time
+		incarnation spoolsill.WorkerIncarnation
+		until       time.Time
 	}
 	startAnswered  struct{ answer sched.StartAnswer }
 	stopAnswered   struct{ answer sched.StopAnswer }
@@ -423,13 +423,13 @@
 	case heartbeatReceived:
 		l.state.Heartbeat(now, e.heartbeat)
 	case workerReplaced:
-		l.state.WorkerDied(now, e.life)
+		l.state.WorkerDied(now, e.incarnation)
 	case workerConnRefused:
-		l.state.WorkerRefused(now, e.life)
+		l.state.WorkerRefused(now, e.incarnation)
 	case workerSilent:
-		l.state.WorkerUnresponsive(now, e.life)
+		l.state.WorkerUnresponsive(now, e.incarnation)
 	case leaseRequested:
-		l.state.LeaseRequested(e.life, e.until)
+		l.state.LeaseRequested(e.incarnation, e.until)
 	case startAnswered:
 		l.state.StartAnswered(now, e.answer)
 	case stopAnswered:
--- a/leader/order.go
+++ b/leader/order.go
@@ -97,7 +97,7 @@
 func (h *renewer) reportNoResponse(since time.Time) {
 	if _, _, at := h.read(); at.Before(since) {
 		h.leader.send(workerSilent{
-			life: h.target.WorkerIncarnation,
+			incarnation: h.target.WorkerIncarnation,
 		})
 	}
 }
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -63,41 +63,41 @@
 	l.state.SetMaxQuestions(len(l.config.Advisor.Hosts()) * l.advice.depth())
 	wanted := l.wanted
 	clear(wanted)
-	lives := l.state.HeartbeatTargets()
-	for _, life := range lives {
-		wanted[life] = true
+	incarnations := l.state.HeartbeatTargets()
+	for _, incarnation := range incarnations {
+		wanted[incarnation] = true
 	}
 	l.renewing.Store(int64(len(wanted)))
 	// Ends come first, so that a former incarnation is no longer called once its successor is.
-	for life, h := range l.renewers {
-		if !wanted[life] {
+	for incarnation, h := range l.renewers {
+		if !wanted[incarnation] {
 			h.cancel()
-			delete(l.renewers, life)
+			delete(l.renewers, incarnation)
 		}
 	}
-	for _, life := range lives {
-		if l.renewers[life] == nil {
-			l.startRenewer(ctx, life)
+	for _, incarnation := range incarnations {
+		if l.renewers[incarnation] == nil {
+			l.startRenewer(ctx, incarnation)
 		}
 	}
 }
 
-func (l *Leader) startRenewer(ctx context.Context, life spoolsill.WorkerIncarnation) {
+func (l *Leader) startRenewer(ctx context.Context, incarnation spoolsill.WorkerIncarnation) {
 	ctx, cancel := context.WithCancel(ctx)
 	h := &renewer{
 		leader: l,
-		fence:  l.config.Chain.Fence(l.state.Restarts(life.Worker)),
+		fence:  l.config.Chain.Fence(l.state.Restarts(incarnation.Worker)),
 		done:   ctx.Done(),
 		target: Target{
-			WorkerIncarnation: life,
-			Address:           l.state.Address(life.Worker),
-			Hall:              l.state.Hall(life.Worker),
+			WorkerIncarnation: incarnation,
+			Address:           l.state.Address(incarnation.Worker),
+			Hall:              l.state.Hall(incarnation.Worker),
 		},
 		cancel:   cancel,
 		wake:     make(chan struct{}, 1),
 		starting: map[sched.RunID]bool{},
 	}
-	l.renewers[life] = h
+	l.renewers[incarnation] = h
 	l.spawn(func() { h.run(ctx) })
 }
 
@@ -156,8 +156,8 @@
 		unanswered++
 		if r.Kind == Accepted && !h.target.Matches(b.Born) {
 			// The response is from another incarnation: from the next one, or a delayed one
-			// from an earlier one. The event loop handles it by its birth, and the renewer of
-			// the next incarnation starts from scratch.
+			// from an earlier one. The event loop handles it by its start time, and the
+			// renewer of the next incarnation starts from scratch.
 			h.leader.send(heartbeatReceived{
 				heartbeat: b,
 			})
@@ -182,12 +182,12 @@
 			return
 		case OtherIncarnation:
 			h.leader.send(workerReplaced{
-				life: h.target.WorkerIncarnation,
+				incarnation: h.target.WorkerIncarnation,
 			})
 			return
 		case ConnectionRefused:
 			h.leader.send(workerConnRefused{
-				life: h.target.WorkerIncarnation,
+				incarnation: h.target.WorkerIncarnation,
 			})
 			pause.For(ctx, renewRetry)
 		default:
@@ -358,8 +358,8 @@
 		return 0
 	}
 	h.leader.send(leaseRequested{
-		life:  h.target.WorkerIncarnation,
-		until: sched.LeaseEnd(now, left),
+		incarnation: h.target.WorkerIncarnation,
+		until:       sched.LeaseEnd(now, left),
 	})
 	return c + sched.ClockMillis(left.Milliseconds())
 }
--- a/leader/restart_test.go
+++ b/leader/restart_test.go
@@ -112,9 +112,10 @@
 	}
 }
 
-// An order for a former incarnation is delivered late to the next one, which knows of no fence
-// and no stop, and by whose clock the order is in time. Its task must not run elsewhere by then.
-func TestLateStartForAFormerLifeRunsBesideNoOther(t *testing.T) {
+// An order for a former incarnation is delivered late to the next one, which knows of no
+// fence and no stop, and by whose clock the order is in time. Its task must not run
+// elsewhere by then.
+func TestLateStartForAFormerIncarnationRunsBesideNoOther(t *testing.T) {
 	for _, by := range []time.Duration{2 * time.Second, 5 * time.Second, 11 * time.Second} {
 		t.Run(by.String(), func(t *testing.T) { testLateStart(t, by) })
 	}
@@ -158,7 +159,7 @@
 // answered for another worker, which proves that the incarnation is over. The leader treated
 // the id as dead instead, so that late entries would not revive it, and ignored the entries of
 // the next incarnation: two jobs of one core stayed pending with a worker of ten cores idle.
-func TestWorkerThatWasTakenForDeadIsUsedAgainInItsNextLife(t *testing.T) {
+func TestWorkerDeclaredDeadIsUsedAgainInItsNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -179,11 +180,12 @@
 	return ids
 }
 
-// Guards against ends that are lost. A worker crashed while a start was in flight, and the next
-// try, 40 ms later, was accepted by its next incarnation, which had ended the run before it was
-// first asked for its runs. That first call acknowledged the 12 ends of the former incarnation,
-// so that the worker discarded its only end unread, as an acknowledged one.
-func TestNextLifeIsNotToldToForgetEndsThatNobodyRead(t *testing.T) {
+// Guards against ends that are lost. A worker crashed while a start was in flight, and the
+// next try, 40 ms later, was accepted by its next incarnation, which had ended the run
+// before it was first asked for its runs. That first call acknowledged the 12 ends of the
+// former incarnation, so that the worker discarded its only end unread, as an acknowledged
+// one.
+func TestEndsNotReceivedAreNotAcknowledgedToTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
--- a/leader/restartmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -19,9 +19,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-var livesSeeds = flag.Int("lives.seeds", 40, "number of restart sequences to run, from -lives.first on")
+var restartSeeds = flag.Int("lives.seeds", 40, "number of restart sequences to run, from -lives.first on")
 
-var livesFirst = flag.Int("lives.first", 0, "seed of the first sequence")
+var restartFirst = flag.Int("lives.first", 0, "seed of the first sequence")
 
 const (
 	// restartsFor is how long workers crash and restart in a sequence. restartsEnd is how long
@@ -96,9 +96,9 @@
 		entry := []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond}[m.random.IntN(3)]
 		m.hosts.Go(func() {
 			pause.For(m.ctx, back)
-			born := m.workers.Restart(id)
+			restarted := m.workers.Restart(id)
 			pause.For(m.ctx, entry)
-			if m.workers.LifeOf(id) == born {
+			if m.workers.LifeOf(id) == restarted {
 				m.list(id)
 			}
 		})
@@ -185,7 +185,7 @@
 
 // runRestartSequences runs the sequences selected by the flags.
 func runRestartSequences(t *testing.T, lateAtOnce bool) {
-	for seed := *livesFirst; seed < *livesFirst+*livesSeeds; seed++ {
+	for seed := *restartFirst; seed < *restartFirst+*restartSeeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -139,16 +139,16 @@
 	return r.Renew.heartbeat(answered, sent), r.Renew.Reply.reply()
 }
 
-// renewViaDelegate renews a lease through a delegate. A delegate that does not report
-// which life answered can only be used for workers that do not report their births: the
-// answer might come from the worker's next life and be attributed to this one.
-func (d *delegatedWorkers) renewViaDelegate(ctx context.Context, l leader.Renewal) (r renewLifeReply, made bool, err error) {
+// renewViaDelegate renews a lease through a delegate. A delegate that does not report which
+// incarnation answered can only be used for workers that do not report their start times:
+// the answer might come from the worker's next incarnation and be attributed to this one.
+func (d *delegatedWorkers) renewViaDelegate(ctx context.Context, l leader.Renewal) (r renewIncarnationReply, made bool, err error) {
 	h, ok := d.delegateOf(l.Target)
 	switch {
 	case !ok:
 		return r, false, nil
-	case d.node.hosts.reportsLives(h):
-		return callDelegate[renewLifeReply](ctx, d, h, l.Target, methodRenewLife, renewRequestOf(l))
+	case d.node.hosts.reportsIncarnations(h):
+		return callDelegate[renewIncarnationReply](ctx, d, h, l.Target, methodRenewIncarnation, renewRequestOf(l))
 	case l.Born != 0:
 		return r, false, nil
 	default:
@@ -215,9 +215,9 @@
 	return renewReplyOf(h, r), nil
 }
 
-func (n *Node) handleRenewLife(ctx context.Context, _ peer.Caller, q renewRequest) (renewLifeReply, error) {
+func (n *Node) handleRenewIncarnation(ctx context.Context, _ peer.Caller, q renewRequest) (renewIncarnationReply, error) {
 	h, r := n.workers.Renew(ctx, q.renewal())
-	return renewLifeReply{
+	return renewIncarnationReply{
 		Born:  h.Born,
 		Renew: renewReplyOf(h, r),
 	}, nil
--- a/node/delegated_test.go
+++ b/node/delegated_test.go
@@ -105,7 +105,7 @@
 // Hosts, including the leader, are randomly paused or cut off from the store, from
 // workers and from each other, while orders are lost or delayed. No task may run in two
 // places or start after its end was acknowledged, no worker may receive more than it
-// has room for, and all jobs must be completed in the end.
+// has capacity for, and all jobs must be completed in the end.
 func TestNoDuplicateRunsWhileDelegatesFail(t *testing.T) {
 	for s := range uint64(12) {
 		t.Run(fmt.Sprint(s), func(t *testing.T) { testFailingDelegates(t, s) })
@@ -223,10 +223,10 @@
 	}
 }
 
-// Workers restart under the same ids while delegates make all calls to them. Delegates
-// must report which life answered: without its birth, the leader would mistake ends
-// reported by the new life for those that it has already counted.
-func TestDelegatesReportWorkerLife(t *testing.T) {
+// Workers restart under the same ids while delegates make all calls to them. Delegates must
+// report which incarnation answered: without its start time, the leader would mistake ends
+// reported by the new incarnation for those that it has already counted.
+func TestDelegatesReportWorkerIncarnation(t *testing.T) {
 	const workers = 3
 	run(t, 4, workers, func(x *cell) {
 		x.cutLeaderFromWorkers(workers)
--- a/node/delegatewire.go
+++ b/node/delegatewire.go
@@ -250,17 +250,17 @@
 	return x
 }
 
-// A renewLifeReply is a renewReply with the birth of the life that answered. It is a
-// separate type because hosts of earlier releases only decode arrays of the length that
-// they know.
-type renewLifeReply struct {
+// A renewIncarnationReply is a renewReply with the start time of the incarnation that
+// answered. It is a separate type because hosts of earlier releases only decode arrays of
+// the length that they know.
+type renewIncarnationReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	Born  spoolsill.StartTime
 	Renew renewReply
 }
 
-// heartbeat returns the heartbeat that a worker's life sent in response to a call made
+// heartbeat returns the heartbeat that a worker's incarnation sent in response to a call made
 // at the given time.
 func (r renewReply) heartbeat(l spoolsill.WorkerIncarnation, sent time.Time) sched.Heartbeat {
 	h := sched.Heartbeat{
--- a/node/leaderconfig.go
+++ b/node/leaderconfig.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// orderMargin is how long an order may be in flight since the worker's room was last
-// read: two attempts of a start under normal conditions.
+// orderMargin is how long an order may be in flight since the worker's free capacity was
+// last read: two attempts of a start under normal conditions.
 const orderMargin = 500 * time.Millisecond
 
 const (
--- a/node/peers.go
+++ b/node/peers.go
@@ -20,21 +20,21 @@
 
 // The names of the methods that hosts call on each other.
 const (
-	methodHeartbeat = "greet"
-	methodState     = "state"
-	methodWaiting   = "waiting"
-	methodAdvise    = "advise"
-	methodSubmit    = "submit"
-	methodCancel    = "cancel"
-	methodNotify    = "tell"
-	methodPeerInfo  = "news"
-	methodPiece     = "piece"
-	methodRenew     = "renew"
-	methodRenewLife = "renewlife"
-	methodStart     = "start"
-	methodStop      = "stop"
-	methodStartOf   = "startof"
-	methodSpec      = "spec"
+	methodHeartbeat        = "greet"
+	methodState            = "state"
+	methodWaiting          = "waiting"
+	methodAdvise           = "advise"
+	methodSubmit           = "submit"
+	methodCancel           = "cancel"
+	methodNotify           = "tell"
+	methodPeerInfo         = "news"
+	methodPiece            = "piece"
+	methodRenew            = "renew"
+	methodRenewIncarnation = "renewlife"
+	methodStart            = "start"
+	methodStop             = "stop"
+	methodStartOf          = "startof"
+	methodSpec             = "spec"
 )
 
 // hostSilenceTimeout is how recently a host must have sent a heartbeat for the leader
@@ -65,7 +65,7 @@
 	// StoredSpecs is set if the caller, as a delegate, reads specs from the store that
 	// no host has cached. Hosts of earlier releases do not.
 	StoredSpecs bool
-	// Lives is set if the caller, as a delegate, reports which life of a worker
+	// Lives is set if the caller, as a delegate, reports which incarnation of a worker
 	// answered. Hosts of earlier releases do not.
 	Lives bool
 	// MayLead is set if the caller could take over the leadership now. Link is its link
@@ -165,7 +165,7 @@
 	peer.Handle(n.peers, methodPeerInfo, n.handlePeerInfo)
 	peer.Handle(n.peers, methodPiece, n.handlePiece)
 	peer.Handle(n.peers, methodRenew, n.handleRenew)
-	peer.Handle(n.peers, methodRenewLife, n.handleRenewLife)
+	peer.Handle(n.peers, methodRenewIncarnation, n.handleRenewIncarnation)
 	peer.Handle(n.peers, methodStart, n.handleStart)
 	peer.Handle(n.peers, methodStop, n.handleStop)
 	peer.Handle(n.peers, methodStartOf, n.handleStartOf)
@@ -182,7 +182,7 @@
 		delegate:      q.Delegate,
 		specs:         q.Specs,
 		storedSpecs:   q.StoredSpecs,
-		lives:         q.Lives,
+		incarnations:  q.Lives,
 		address:       q.Address,
 	})
 	n.configs.recordOffer(c.Host, q.Held, now)
@@ -338,7 +338,7 @@
 	delegate      bool
 	specs         bool
 	storedSpecs   bool
-	lives         bool
+	incarnations  bool
 	address       string
 }
 
@@ -393,12 +393,12 @@
 	return l.seen[h].storedSpecs
 }
 
-// reportsLives reports whether a host, as a delegate, reports which life of a worker
-// answered.
-func (l *hostList) reportsLives(h spoolsill.HostID) bool {
+// reportsIncarnations reports whether a host, as a delegate, reports which incarnation of a
+// worker answered.
+func (l *hostList) reportsIncarnations(h spoolsill.HostID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[h].lives
+	return l.seen[h].incarnations
 }
 
 func (l *hostList) count() int {
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -30,15 +30,15 @@
 	// answer. A host that is cut off from the advisor sees its calls fail within
 	// milliseconds, and would otherwise ask hundreds of times a second.
 	lostRetryDelay = 40 * time.Millisecond
-	// askMoreAfter is how long a stage waits for room at the workers that it may use before
+	// askMoreAfter is how long a stage waits for capacity at the workers that it may use before
 	// it asks about others.
 	askMoreAfter = 250 * time.Millisecond
 )
 
 // advice holds what the advisor has told about the workers that may run a stage.
 type advice struct {
-	// asked and tickets are keyed by worker life, since an answer of the advisor holds
-	// for one life only.
+	// asked and tickets are keyed by worker incarnation, since an answer of the advisor holds
+	// for one incarnation only.
 	asked   map[*worker]bool // with an answer: a ticket, or never allowed
 	tickets map[*worker]ticket
 	allowed []*worker // workers with a ticket, valid or expired
@@ -143,16 +143,16 @@
 	if !g.step.Gang {
 		most = q.Advisor.questionSize()
 	}
-	var lives []spoolsill.WorkerIncarnation
+	var incarnations []spoolsill.WorkerIncarnation
 	for _, w := range r.freest() {
-		if len(lives) == most {
+		if len(incarnations) == most {
 			break
 		}
 		if g.labelMatches(w) && !g.advice.asked[w] {
-			lives = append(lives, w.life())
+			incarnations = append(incarnations, w.incarnation())
 		}
 	}
-	return lives
+	return incarnations
 }
 
 // AdviceReceived handles an answer of the advisor.
@@ -231,9 +231,9 @@
 	}
 }
 
-// commitPlan records the planned runs whose tickets are valid now and releases the room
+// commitPlan records the planned runs whose tickets are valid now and releases the capacity
 // of the others. A gang's runs are recorded all or none. Runs whose worker was lost in
-// the meantime are skipped, since they no longer take room.
+// the meantime are skipped, since they no longer use capacity.
 func (s *State) commitPlan(g *stage) {
 	plan := g.planned
 	g.planned = nil
@@ -253,21 +253,21 @@
 }
 
 func (s *State) startable(r *run) bool {
-	return r.worker.acceptsStarts(s.now) && r.worker.hasRoom() && !r.task.stage.job.team.overQuota() && r.task.stage.advice.valid(r.worker, s.now)
+	return r.worker.acceptsStarts(s.now) && r.worker.hasCapacity() && !r.task.stage.job.team.overQuota() && r.task.stage.advice.valid(r.worker, s.now)
 }
 
-// plan reserves room for a run while its ticket is renewed.
+// plan reserves capacity for a run while its ticket is renewed.
 func (s *State) plan(t *task, w *worker) {
 	r := &run{
 		id: RunID{
 			Task:   t.id(),
 			Number: t.lastRun + 1,
 		},
-		task:   t,
-		worker: w,
-		born:   w.born,
-		need:   t.stage.step.demand(),
-		phase:  phasePlanned,
+		task:            t,
+		worker:          w,
+		workerStartTime: w.startTime,
+		need:            t.stage.step.demand(),
+		phase:           phasePlanned,
 	}
 	s.addRun(r)
 	t.stage.planned = append(t.stage.planned, r)
@@ -281,8 +281,8 @@
 	r.task.run = nil
 }
 
-// keepWarm renews the tickets of a gang that waits for room before they expire, so that
-// the gang starts as soon as there is room, instead of holding the room until the
+// keepWarm renews the tickets of a gang that waits for capacity before they expire, so
+// that the gang starts as soon as there is capacity, instead of holding it until the
 // advisor has answered.
 func (d *decider) keepWarm(g *stage, q *Queue) {
 	a := &g.advice
@@ -290,16 +290,16 @@
 		return
 	}
 	var ready []*worker
-	var lives []spoolsill.WorkerIncarnation
+	var incarnations []spoolsill.WorkerIncarnation
 	for _, w := range a.allowed {
 		if w.ready && len(ready) < maxQuestionWorkers {
 			ready = append(ready, w)
-			lives = append(lives, w.life())
+			incarnations = append(incarnations, w.incarnation())
 		}
 	}
 	soon := d.now.Add(q.Advisor.queryTime(len(ready)) + ticketMargin)
 	if slices.ContainsFunc(ready, func(w *worker) bool { return !a.valid(w, soon) }) {
-		d.ask(g, q, lives, PurposeWarm)
+		d.ask(g, q, incarnations, PurposeWarm)
 	}
 }
 
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -48,9 +48,9 @@
 	x.c.Assert(o[0].Ticket, qt.Equals, "ticket-b")
 }
 
-// Guards against room that another task takes while a ticket is renewed, and against
+// Guards against capacity that another task takes while a ticket is renewed, and against
 // repeated questions: those that no stage waits for any more would overload the advisor.
-func TestExpiredTicketIsRenewedWithRoomHeld(t *testing.T) {
+func TestExpiredTicketIsRenewedWithCapacityHeld(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("big", "q", tasks(1, 10)), sched.Progress{})
@@ -93,7 +93,7 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
-func TestLostQuestionReleasesTheRoom(t *testing.T) {
+func TestLostQuestionReleasesTheCapacity(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
@@ -169,11 +169,11 @@
 	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
-	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("busy")})
+	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("busy")})
 }
 
-// Guards against room that stands idle until the advisor has answered: the tickets of a
-// gang that waits for room are renewed in advance.
+// Guards against capacity that stays idle until the advisor has answered: the tickets of a
+// gang that waits for capacity are renewed in advance.
 func TestTicketsOfAWaitingGangAreKeptValid(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -237,7 +237,7 @@
 	x.state.CancelJob(x.now, "big")
 	x.step()
 	q := x.question()
-	x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("w")})
+	x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("w")})
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
--- a/sched/batch.go
+++ b/sched/batch.go
@@ -165,25 +165,25 @@
 func (s *State) canDispatch(r *run) bool {
 	g := r.task.stage
 	return !r.task.done && !g.job.state.Final() && !r.stopping &&
-		s.entriesFresh() && r.worker.hasRoom() && !g.job.team.overQuota() &&
+		s.entriesFresh() && r.worker.hasCapacity() && !g.job.team.overQuota() &&
 		r.worker.present(s.now) && !r.worker.entryInvalid && !r.worker.Draining
 }
 
-// HeartbeatTargets returns the lives of the workers to send heartbeats to: the listed ones
-// that are relevant, and unlisted ones that may still have runs, known or not. An
+// HeartbeatTargets returns the incarnations of the workers to send heartbeats to: the listed
+// ones that are relevant, and unlisted ones that may still have runs, known or not. An
 // unanswered start may be carried out at a worker whose entry has gone. With a lease of 6 s
 // such a run went on for 5.6 s without heartbeats and for 0.12 s with them.
 func (s *State) HeartbeatTargets() []spoolsill.WorkerIncarnation {
-	lives := make([]spoolsill.WorkerIncarnation, 0, len(s.workerList))
+	incarnations := make([]spoolsill.WorkerIncarnation, 0, len(s.workerList))
 	for _, w := range s.workerList {
 		if w.dead || w.Address == "" || !s.isRelevant(w) {
 			continue
 		}
 		if w.present(s.now) || len(w.runs) > 0 || s.now.Sub(w.unlistedAt) < lateStartWindow {
-			lives = append(lives, w.life())
+			incarnations = append(incarnations, w.incarnation())
 		}
 	}
-	return lives
+	return incarnations
 }
 
 // ListedWorkers returns the ids of the workers that the platform lists.
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -35,9 +35,9 @@
 			Address:  string(id),
 			Capacity: cores(64),
 		})
-		s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
+		s.LeaseRequested(incarnationOf(id), sched.LeaseEnd(now, lease))
 		s.Heartbeat(now, sched.Heartbeat{
-			WorkerIncarnation: lifeOf(id),
+			WorkerIncarnation: incarnationOf(id),
 			Sent:              now,
 			Clock:             1,
 		})
@@ -75,14 +75,14 @@
 		Address:  "fast",
 		Capacity: cores(64),
 	})
-	s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
+	s.LeaseRequested(incarnationOf(id), sched.LeaseEnd(now, lease))
 	var sequence uint64
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
 		s.Heartbeat(now, sched.Heartbeat{
-			WorkerIncarnation: lifeOf(id),
+			WorkerIncarnation: incarnationOf(id),
 			Sent:              now,
 		})
 		s.AddJob(now, job(spoolsill.JobID(fmt.Sprintf("job-%d", n)), "q", tasks(2, 1)), sched.Progress{})
@@ -98,7 +98,7 @@
 			})
 			sequence++
 			s.Heartbeat(now, sched.Heartbeat{
-				WorkerIncarnation: lifeOf(o.Worker),
+				WorkerIncarnation: incarnationOf(o.Worker),
 				Sent:              now,
 				Ended: []sched.End{
 					{
--- a/sched/room.go
+++ b/sched/capacity.go
@@ -17,9 +17,9 @@
 	return s.config.EntriesAge == 0 || s.now.Sub(s.entriesAsOf) <= s.config.EntriesAge
 }
 
-// hasRoom reports whether all runs that are counted at a worker fit its capacity,
+// hasCapacity reports whether all runs that are counted at a worker fit its capacity,
 // including those being stopped and those that may still start. The capacity may have
 // been reduced since they were placed.
-func (w *worker) hasRoom() bool {
+func (w *worker) hasCapacity() bool {
 	return !w.free().Negative()
 }
--- a/sched/room_test.go
+++ b/sched/capacity_test.go
@@ -46,7 +46,7 @@
 
 // A worker whose capacity was reduced gets nothing new until its runs, including those
 // being stopped, fit again. Added capacity is used at the next decision.
-func TestRoomFollowsTheEntry(t *testing.T) {
+func TestCapacityFollowsTheEntry(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 4)), sched.Progress{})
@@ -108,9 +108,9 @@
 	x.c.Assert(x.step(), qt.HasLen, 2)
 }
 
-// Room that is held for a task while its ticket is renewed is lost in the meantime: the
+// Capacity that is held for a task while its ticket is renewed is lost in the meantime: the
 // start is not recorded.
-func TestRoomLostDuringTicketRenewal(t *testing.T) {
+func TestCapacityLostDuringTicketRenewal(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 8)), sched.Progress{})
@@ -130,14 +130,14 @@
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
-// A roomModel simulates workers whose capacity changes and who do not check it: they
+// A capacityModel simulates workers whose capacity changes and who do not check it: they
 // start what they are told to, and the model compares their runs with their capacity.
-type roomModel struct {
-	x       *cell
-	room    map[spoolsill.WorkerID]int
-	runs    map[spoolsill.WorkerID]map[sched.RunID]int
-	pending []pendingStart // carried out later or never, without an answer
-	need    map[spoolsill.JobID]int
+type capacityModel struct {
+	x        *cell
+	capacity map[spoolsill.WorkerID]int
+	runs     map[spoolsill.WorkerID]map[sched.RunID]int
+	pending  []pendingStart // carried out later or never, without an answer
+	need     map[spoolsill.JobID]int
 }
 
 // A pendingStart is an order that is carried out before until, or not at all.
@@ -146,7 +146,7 @@
 	until time.Time
 }
 
-func (m *roomModel) used(w spoolsill.WorkerID) int {
+func (m *capacityModel) used(w spoolsill.WorkerID) int {
 	n := 0
 	for _, c := range m.runs[w] {
 		n += c
@@ -154,17 +154,17 @@
 	return n
 }
 
-func (m *roomModel) begin(t *rapid.T, o sched.StartOrder) {
+func (m *capacityModel) begin(t *rapid.T, o sched.StartOrder) {
 	c := m.need[o.Run.Task.Stage.Job]
 	m.runs[o.Worker][o.Run] = c
-	if n := m.used(o.Worker); n > m.room[o.Worker] {
-		t.Fatalf("%s#%d brings %s to %d cores of %d", o.Run.Task, o.Run.Number, o.Worker, n, m.room[o.Worker])
+	if n := m.used(o.Worker); n > m.capacity[o.Worker] {
+		t.Fatalf("%s#%d brings %s to %d cores of %d", o.Run.Task, o.Run.Number, o.Worker, n, m.capacity[o.Worker])
 	}
 }
 
 // round has the workers answer, makes and writes decisions, and has the orders carried
 // out. It calls recording while the decisions are being written.
-func (m *roomModel) round(t *rapid.T, recording func()) {
+func (m *capacityModel) round(t *rapid.T, recording func()) {
 	for w, runs := range m.runs {
 		var ids []sched.RunID
 		for r := range runs {
@@ -194,24 +194,24 @@
 
 // Checks for any sequence of capacity changes, late or unanswered orders and ends of
 // runs that no order that is sent brings a worker over the capacity of its entry.
-func TestNoStartBringsAWorkerOverItsRoom(t *testing.T) {
+func TestNoStartBringsAWorkerOverItsCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &roomModel{
-			x:    newCell(t),
-			room: map[spoolsill.WorkerID]int{},
-			runs: map[spoolsill.WorkerID]map[sched.RunID]int{},
-			need: map[spoolsill.JobID]int{},
+		m := &capacityModel{
+			x:        newCell(t),
+			capacity: map[spoolsill.WorkerID]int{},
+			runs:     map[spoolsill.WorkerID]map[sched.RunID]int{},
+			need:     map[spoolsill.JobID]int{},
 		}
 		ids := []spoolsill.WorkerID{"a", "b", "c"}
 		for _, w := range ids {
-			m.room[w] = 10
+			m.capacity[w] = 10
 			m.runs[w] = map[sched.RunID]int{}
 			m.x.listWith(w, 10)
 		}
 		move := func() {
 			w := rapid.SampledFrom(ids).Draw(rt, "worker")
-			m.room[w] = rapid.IntRange(0, 12).Draw(rt, "cores")
-			m.x.listWith(w, m.room[w])
+			m.capacity[w] = rapid.IntRange(0, 12).Draw(rt, "cores")
+			m.x.listWith(w, m.capacity[w])
 		}
 		for i := range rapid.IntRange(10, 60).Draw(rt, "moves") {
 			switch rapid.IntRange(0, 4).Draw(rt, "move") {
@@ -237,7 +237,7 @@
 	})
 }
 
-func (m *roomModel) submit(t *rapid.T, i int) {
+func (m *capacityModel) submit(t *rapid.T, i int) {
 	id := spoolsill.JobID(fmt.Sprint("j", i))
 	c := rapid.IntRange(1, 6).Draw(t, "need")
 	m.need[id] = c
@@ -247,7 +247,7 @@
 }
 
 // endOne has a worker report the end of a run.
-func (m *roomModel) endOne(t *rapid.T) {
+func (m *capacityModel) endOne(t *rapid.T) {
 	for _, w := range slices.Sorted(maps.Keys(m.runs)) {
 		runs := slices.SortedFunc(maps.Keys(m.runs[w]), func(a, b sched.RunID) int {
 			return strings.Compare(a.Task.String(), b.Task.String())
@@ -256,7 +256,7 @@
 			delete(m.runs[w], r)
 			kind := rapid.SampledFrom([]sched.EndKind{sched.EndDone, sched.EndStopped, sched.EndFailed}).Draw(t, "kind")
 			m.x.endRun(sched.StartOrder{
-				WorkerIncarnation: lifeOf(w),
+				WorkerIncarnation: incarnationOf(w),
 				Run:               r,
 			}, kind)
 			return
@@ -265,8 +265,8 @@
 }
 
 // carryOutLate has unanswered orders carried out. They are not checked against the
-// capacity, but they take room.
-func (m *roomModel) carryOutLate(t *rapid.T) {
+// capacity, but they use it.
+func (m *capacityModel) carryOutLate(t *rapid.T) {
 	for _, o := range m.pending {
 		if m.x.now.Before(o.until) && !rapid.Bool().Draw(t, "dropped") {
 			m.runs[o.Worker][o.Run] = m.need[o.Run.Task.Stage.Job]
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -30,13 +30,13 @@
 )
 
 // machineKey identifies the machine of a worker. Where the platform names no machine it
-// is the address, which successive lives of a machine share.
+// is the address, which successive incarnations of a machine share.
 func (w *worker) machineKey() string {
 	return cmp.Or(w.Machine, w.Address)
 }
 
-// leftAsAnnounced reports whether a worker whose life has ended was draining and did not
-// end before the time that it had announced.
+// leftAsAnnounced reports whether a worker whose incarnation has ended was draining and did
+// not end before the time that it had announced.
 func (w *worker) leftAsAnnounced() bool {
 	return w.Draining && !w.answeredAt.Add(maxAnswerAge).Before(w.earliestExit)
 }
@@ -61,7 +61,7 @@
 }
 
 // addLosses counts the loss of a worker against the tasks of its runs. Each loss names
-// the life that the run was ordered for.
+// the incarnation that the run was ordered for.
 func (s *State) addLosses(w *worker, rs []*run, over bool, reason string) {
 	var affected []*run
 	for _, r := range rs {
@@ -70,7 +70,7 @@
 		}
 		r.task.evidence.add(Loss{
 			Worker: w.id,
-			Born:   r.born,
+			Born:   r.workerStartTime,
 			Begun:  r.phase == phaseConfirmed,
 			Over:   over,
 		})
@@ -113,7 +113,7 @@
 // again.
 func (s *State) retractLosses(w *worker) {
 	for _, t := range s.suspects {
-		if t.evidence.retract(w.life()) {
+		if t.evidence.retract(w.incarnation()) {
 			s.markDirty(t.stage.job)
 		}
 	}
@@ -122,7 +122,7 @@
 // confirmLosses records that a worker that was unreachable has crashed.
 func (s *State) confirmLosses(w *worker) {
 	for _, t := range slices.Clone(s.suspects) {
-		if t.evidence.confirm(w.life()) {
+		if t.evidence.confirm(w.incarnation()) {
 			s.markDirty(t.stage.job)
 			s.failCrashing(t.stage)
 		}
@@ -186,7 +186,7 @@
 	if len(r.task.evidence.losses) == 0 {
 		return
 	}
-	if r.phase == phaseConfirmed && !r.forFormerLife() && w.answeredAt.After(r.startedAt) {
+	if r.phase == phaseConfirmed && !r.forFormerIncarnation() && w.answeredAt.After(r.startedAt) {
 		r.task.evidence.lived += w.answeredAt.Sub(r.startedAt)
 	}
 }
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -12,15 +12,15 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// life returns the id of a life of a machine.
-func life(machine, n int) spoolsill.WorkerID {
+// incarnationID returns the id of an incarnation of a machine.
+func incarnationID(machine, n int) spoolsill.WorkerID {
 	return spoolsill.WorkerID(fmt.Sprintf("m%d-%d", machine, n))
 }
 
-// listLife lists a life of a machine of ten cores and renews its lease. As on some
-// platforms, entries do not name the machine; its lives share an address.
-func (x *cell) listLife(machine, n int) spoolsill.WorkerID {
-	id := life(machine, n)
+// listIncarnation lists an incarnation of a machine of ten cores and renews its lease. As on
+// some platforms, entries do not name the machine; its incarnations share an address.
+func (x *cell) listIncarnation(machine, n int) spoolsill.WorkerID {
+	id := incarnationID(machine, n)
 	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       id,
 		Service:  "work",
@@ -59,7 +59,7 @@
 	}
 	return []lossCase{
 		{
-			name: "its address answers for another life",
+			name: "its address answers for another incarnation",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.now = x.now.Add(3 * time.Second)
@@ -68,7 +68,7 @@
 			counts: true,
 		},
 		{
-			name: "its entry is deleted, then its machine has a new life",
+			name: "its entry is deleted, then its machine has a new incarnation",
 			end: func(x *cell, o sched.StartOrder) {
 				confirm(x, o)
 				x.now = x.now.Add(3 * time.Second)
@@ -106,7 +106,7 @@
 			},
 		},
 		{
-			name: "the order is for another life",
+			name: "the order is for another incarnation",
 			end: func(x *cell, o sched.StartOrder) {
 				x.answerStart(o, sched.StartOtherIncarnation)
 			},
@@ -127,14 +127,14 @@
 	for _, e := range lossCases() {
 		t.Run(e.name, func(t *testing.T) {
 			x := newCell(t)
-			x.listLife(0, 0)
+			x.listIncarnation(0, 0)
 			x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 			o := x.step()
 			x.c.Assert(o, qt.HasLen, 1)
 			e.end(x, o[0])
-			x.listLife(1, 0)
+			x.listIncarnation(1, 0)
 			x.now = x.now.Add(time.Second)
-			x.renewLease(life(1, 0))
+			x.renewLease(incarnationID(1, 0))
 			b, err := x.jobRow()
 			x.c.Assert(err, qt.IsNil)
 			p, err := sched.DecodeProgress(b)
@@ -147,14 +147,14 @@
 // A worker that is lost before the order is sent does not count against the task.
 func TestLossBeforeTheOrderIsSentDoesNotCount(t *testing.T) {
 	x := newCell(t)
-	x.listLife(0, 0)
+	x.listIncarnation(0, 0)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.state.Decide(x.now)
 	b, _, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Starts, qt.HasLen, 1)
-	x.state.WorkerDied(x.now, lifeOf(life(0, 0)))
-	x.listLife(1, 0)
+	x.state.WorkerDied(x.now, incarnationOf(incarnationID(0, 0)))
+	x.listIncarnation(1, 0)
 	v, err := x.jobRow()
 	x.c.Assert(err, qt.IsNil)
 	p, err := sched.DecodeProgress(v)
@@ -181,7 +181,7 @@
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	starts := 0
 	for i := range 8 {
-		id := x.listLife(i, 0)
+		id := x.listIncarnation(i, 0)
 		o := x.step()
 		if len(o) == 0 {
 			break
@@ -192,7 +192,7 @@
 		x.now = x.now.Add(50 * time.Millisecond)
 		x.renewLease(id, o[0].Run)
 		x.now = x.now.Add(time.Second)
-		x.state.WorkerDied(x.now, lifeOf(id))
+		x.state.WorkerDied(x.now, incarnationOf(id))
 	}
 	x.c.Assert(starts, qt.Equals, 5)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
@@ -217,7 +217,7 @@
 		x := newCell(t)
 		x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 		for i := range 10 {
-			x.listLife(i, 0)
+			x.listIncarnation(i, 0)
 			o := x.step()
 			if len(o) == 0 {
 				x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
@@ -238,28 +238,28 @@
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	for i := range 3 {
-		x.listLife(i, 0)
+		x.listIncarnation(i, 0)
 		o := x.step()
 		x.c.Assert(o, qt.HasLen, 1)
 		x.acceptStarts(o)
-		x.renewLease(life(i, 0), o[0].Run)
+		x.renewLease(incarnationID(i, 0), o[0].Run)
 		x.advance(lease+2*time.Second, nil)
 	}
 	for i := range 3 {
-		x.state.WorkerDied(x.now, lifeOf(life(i, 0)))
+		x.state.WorkerDied(x.now, incarnationOf(incarnationID(i, 0)))
 	}
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
 // Guards against failing a lasting task because it loses a worker now and then
-// throughout its life.
+// throughout its lifetime.
 func TestLastingTaskSurvivesOccasionalLosses(t *testing.T) {
 	x := newCell(t)
 	p := tasks(1, 1)
 	p.Lasting = true
 	x.state.AddJob(x.now, job("j", "q", p), sched.Progress{})
 	for i := range 12 {
-		x.listLife(i, 0)
+		x.listIncarnation(i, 0)
 		o := x.step()
 		x.c.Assert(o, qt.HasLen, 1)
 		x.crash(o[0], time.Duration(5+70*(i%2))*time.Second)
@@ -273,8 +273,8 @@
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", gang(2, 6)), sched.Progress{})
 	for i := range 3 {
-		x.listLife(2*i, 0)
-		x.listLife(2*i+1, 0)
+		x.listIncarnation(2*i, 0)
+		x.listIncarnation(2*i+1, 0)
 		o := x.step()
 		x.c.Assert(o, qt.HasLen, 2)
 		x.c.Assert(o[0].Worker, qt.Not(qt.Equals), o[1].Worker)
@@ -293,7 +293,7 @@
 			x.c.Assert(c.Losses, qt.HasLen, i+1)
 		}
 		// Both workers drain, so that the next run is on others.
-		for _, w := range []spoolsill.WorkerID{life(2*i, 0), life(2*i+1, 0)} {
+		for _, w := range []spoolsill.WorkerID{incarnationID(2*i, 0), incarnationID(2*i+1, 0)} {
 			x.listWorker(w, true)
 		}
 	}
@@ -305,7 +305,7 @@
 // caused it.
 func TestSuspectsAreTriedApart(t *testing.T) {
 	x := newCell(t)
-	x.listLife(0, 0)
+	x.listIncarnation(0, 0)
 	for i := range 4 {
 		x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint("j", i)), "q", tasks(1, 1)), sched.Progress{})
 	}
@@ -314,14 +314,14 @@
 	x.acceptStarts(o)
 	x.now = x.now.Add(3 * time.Second)
 	for i := 1; i < 4; i++ {
-		w := x.listLife(i, 0)
+		w := x.listIncarnation(i, 0)
 		x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint("k", i)), "q", tasks(1, 6)), sched.Progress{})
 		k := x.step()
 		x.c.Assert(k[0].Worker, qt.Equals, w)
 		x.acceptStarts(k)
 	}
-	x.listLife(4, 0)
-	x.state.WorkerDied(x.now, lifeOf(life(0, 0)))
+	x.listIncarnation(4, 0)
+	x.state.WorkerDied(x.now, incarnationOf(incarnationID(0, 0)))
 	at := map[spoolsill.WorkerID]int{}
 	for _, o := range x.step() {
 		at[o.Worker]++
@@ -338,12 +338,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newCell(t)
-			x.listLife(0, 0)
+			x.listIncarnation(0, 0)
 			x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 			x.crash(startOf(x.c, "j", x.step()), 10*time.Millisecond)
-			tried := x.listLife(1, 0)
+			tried := x.listIncarnation(1, 0)
 			x.c.Assert(startOf(x.c, "j", x.step()).Worker, qt.Equals, tried)
-			other := x.listLife(2, 0)
+			other := x.listIncarnation(2, 0)
 			x.state.AddJob(x.now, job("k", "q", step), sched.Progress{})
 			o := x.step()
 			x.c.Assert(o, qt.HasLen, 2)
@@ -360,10 +360,10 @@
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	for i := range 2 {
-		x.listLife(i, 0)
+		x.listIncarnation(i, 0)
 		x.crash(startOf(x.c, "j", x.step()), 10*time.Millisecond)
 	}
-	w := x.listLife(2, 0)
+	w := x.listIncarnation(2, 0)
 	o := x.step()
 	x.acceptStarts(o)
 	x.state.AddJob(x.now, job("other", "q", tasks(1, 1)), sched.Progress{})
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -73,19 +73,19 @@
 
 // A crashLoad is a load on a cell whose machines go down for various reasons.
 type crashLoad struct {
-	x           *cell
-	r           *rand.Rand
-	lives       []int
-	down        map[int]time.Time // when they are to come up again
-	machine     map[spoolsill.WorkerID]int
-	runs        map[spoolsill.WorkerID]map[sched.RunID]time.Time
-	jobs        map[spoolsill.JobID]bool
-	crashers    map[spoolsill.JobID]int // jobs that crash their workers, and how often they were started
-	flapping    int
-	crashes     int
-	busy        bool    // jobs are being submitted
-	utilization float64 // share of the cores in use while busy, summed over steps
-	steps       int
+	x            *cell
+	r            *rand.Rand
+	incarnations []int
+	down         map[int]time.Time // when they are to come up again
+	machine      map[spoolsill.WorkerID]int
+	runs         map[spoolsill.WorkerID]map[sched.RunID]time.Time
+	jobs         map[spoolsill.JobID]bool
+	crashers     map[spoolsill.JobID]int // jobs that crash their workers, and how often they were started
+	flapping     int
+	crashes      int
+	busy         bool    // jobs are being submitted
+	utilization  float64 // share of the cores in use while busy, summed over steps
+	steps        int
 }
 
 const (
@@ -96,50 +96,50 @@
 
 func newCrashLoad(t *testing.T, seed uint64, machines int) *crashLoad {
 	f := &crashLoad{
-		x:        newCell(t),
-		r:        rand.New(rand.NewPCG(seed, 3)),
-		lives:    make([]int, machines),
-		down:     map[int]time.Time{},
-		machine:  map[spoolsill.WorkerID]int{},
-		runs:     map[spoolsill.WorkerID]map[sched.RunID]time.Time{},
-		jobs:     map[spoolsill.JobID]bool{},
-		crashers: map[spoolsill.JobID]int{},
+		x:            newCell(t),
+		r:            rand.New(rand.NewPCG(seed, 3)),
+		incarnations: make([]int, machines),
+		down:         map[int]time.Time{},
+		machine:      map[spoolsill.WorkerID]int{},
+		runs:         map[spoolsill.WorkerID]map[sched.RunID]time.Time{},
+		jobs:         map[spoolsill.JobID]bool{},
+		crashers:     map[spoolsill.JobID]int{},
 	}
-	for m := range f.lives {
+	for m := range f.incarnations {
 		f.start(m)
 	}
 	return f
 }
 
 func (f *crashLoad) start(m int) {
-	f.lives[m]++
-	w := f.x.listLife(m, f.lives[m])
+	f.incarnations[m]++
+	w := f.x.listIncarnation(m, f.incarnations[m])
 	f.machine[w] = m
 	f.runs[w] = map[sched.RunID]time.Time{}
 }
 
-// takeDown ends a machine's life and keeps it down for d.
+// takeDown ends a machine's incarnation and keeps it down for d.
 func (f *crashLoad) takeDown(m int, d time.Duration) {
 	if _, down := f.down[m]; down {
 		return
 	}
 	f.crashes++
 	f.down[m] = f.x.now.Add(d)
-	delete(f.runs, life(m, f.lives[m]))
+	delete(f.runs, incarnationID(m, f.incarnations[m]))
 }
 
 // restartDue starts the machines whose time has come.
 func (f *crashLoad) restartDue() {
-	for m := range f.lives {
+	for m := range f.incarnations {
 		until, down := f.down[m]
 		if !down || f.x.now.Before(until) {
 			continue
 		}
-		old := life(m, f.lives[m])
+		old := incarnationID(m, f.incarnations[m])
 		delete(f.down, m)
 		f.x.state.WorkerUnlisted(f.x.now, old)
 		f.start(m)
-		f.x.state.WorkerDied(f.x.now, lifeOf(old))
+		f.x.state.WorkerDied(f.x.now, incarnationOf(old))
 	}
 }
 
@@ -154,7 +154,7 @@
 
 // loseRacks takes the last n machines down for good.
 func (f *crashLoad) loseRacks(n int) {
-	for m := len(f.lives) - n; m < len(f.lives); m++ {
+	for m := len(f.incarnations) - n; m < len(f.incarnations); m++ {
 		f.takeDown(m, lostForever)
 	}
 }
@@ -213,13 +213,13 @@
 
 // answer has the running workers end the work that is done, and answer.
 func (f *crashLoad) answer() {
-	used, room := 0, 0
-	for m, n := range f.lives {
-		id := life(m, n)
+	used, capacity := 0, 0
+	for m, n := range f.incarnations {
+		id := incarnationID(m, n)
 		if f.runs[id] == nil {
 			continue
 		}
-		room += 10
+		capacity += 10
 		var running []sched.RunID
 		for _, r := range slices.SortedFunc(maps.Keys(f.runs[id]), compareRunIDs) {
 			if f.x.now.Before(f.runs[id][r]) {
@@ -229,14 +229,14 @@
 			}
 			delete(f.runs[id], r)
 			f.x.endRun(sched.StartOrder{
-				WorkerIncarnation: lifeOf(id),
+				WorkerIncarnation: incarnationOf(id),
 				Run:               r,
 			}, sched.EndDone)
 		}
 		f.x.renewLease(id, running...)
 	}
 	if f.busy {
-		f.utilization += float64(used) / float64(max(room, 1))
+		f.utilization += float64(used) / float64(max(capacity, 1))
 		f.steps++
 	}
 }
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -25,7 +25,7 @@
 }
 
 func (m *crashModel) add() {
-	m.workers = append(m.workers, m.x.listLife(m.next, 0))
+	m.workers = append(m.workers, m.x.listIncarnation(m.next, 0))
 	m.next++
 }
 
@@ -82,7 +82,7 @@
 		m.x.state.WorkerUnlisted(m.x.now, w)
 	}
 	if rapid.Bool().Draw(t, "heard") {
-		m.x.state.WorkerDied(m.x.now, lifeOf(w))
+		m.x.state.WorkerDied(m.x.now, incarnationOf(w))
 	}
 	m.add()
 }
--- a/sched/crashrow_test.go
+++ b/sched/crashrow_test.go
@@ -69,9 +69,10 @@
 	c.Assert(got.Crashes, qt.HasLen, 0)
 }
 
-// A row stores the births of the lives that have runs or were lost with tasks. Releases
-// that do not know of births read such a row as before, and their rows have none.
-func TestBirthsLastInARow(t *testing.T) {
+// A row stores the start times of the incarnations that have runs or were lost with tasks.
+// Releases that do not know of start times read such a row as before, and their rows have
+// none.
+func TestRowStoresStartTimes(t *testing.T) {
 	c := qt.New(t)
 	p := running("kept")
 	plain, err := sched.EncodeProgress(p)
@@ -102,7 +103,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.StartTimes, qt.HasLen, 0)
 	c.Assert(got.Stages[0].Tasks[0].Born, qt.Equals, spoolsill.StartTime(0))
-	// A row with more births than lives is rejected.
+	// A row with more start times than incarnations is rejected.
 	_, err = sched.DecodeProgress(append(append([]byte(nil), plain...), 0xc0, 0xa0, 0x92, 1, 2))
 	c.Assert(err, qt.IsNotNil)
 }
@@ -114,13 +115,13 @@
 	j := job("j", "q", tasks(1000, 0))
 	x.state.AddJob(x.now, j, sched.Progress{})
 	for i := range 2 {
-		x.listLife(i, 0)
+		x.listIncarnation(i, 0)
 		o := x.step()
 		x.acceptStarts(o)
 		x.now = x.now.Add(3 * time.Second)
-		x.state.WorkerDied(x.now, lifeOf(life(i, 0)))
+		x.state.WorkerDied(x.now, incarnationOf(incarnationID(i, 0)))
 	}
-	x.listLife(2, 0)
+	x.listIncarnation(2, 0)
 	b, err := x.jobRow()
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(len(b) < sched.MaxProgressBytes(j), qt.IsTrue)
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -19,7 +19,7 @@
 	s.stopStuck()
 	s.repeatStops()
 	s.pruneSuspects()
-	s.sumStrayUsage()
+	s.sumUnknownUsage()
 	s.stopUncertainOverQuota()
 	s.openDue()
 	if s.now.Sub(s.firstAnswerAt) < s.config.SettleTime || !s.entriesFresh() {
@@ -236,8 +236,8 @@
 			continue
 		}
 		d.plan(t, w)
-		if !slices.Contains(renew, w.life()) {
-			renew = append(renew, w.life())
+		if !slices.Contains(renew, w.incarnation()) {
+			renew = append(renew, w.incarnation())
 		}
 	}
 	if len(renew) > 0 {
@@ -273,7 +273,7 @@
 			continue
 		}
 		c := d.placementCost(g, w, free.Sub(need)) + d.trialCost(t, w)
-		if slices.Contains(t.failedOn, w.life()) {
+		if slices.Contains(t.failedOn, w.incarnation()) {
 			c += failedWorkerCost
 		}
 		if c < lowest {
@@ -327,7 +327,7 @@
 	t.lastRun = number
 	r.phase = phaseRecorded
 	g.job.starts = append(g.job.starts, StartOrder{
-		WorkerIncarnation: r.worker.life(),
+		WorkerIncarnation: r.worker.incarnation(),
 		Run:               r.id,
 		Spec:              g.job.Spec,
 		Saved:             t.lastCheckpoint(),
--- a/sched/deferred.go
+++ b/sched/deferred.go
@@ -31,7 +31,7 @@
 // the tickets with one query per stage.
 func (s *State) deferOrders(orders []StartOrder) {
 	var stages []*stage
-	lives := map[*stage][]spoolsill.WorkerIncarnation{}
+	incarnations := map[*stage][]spoolsill.WorkerIncarnation{}
 	for _, o := range orders {
 		r := s.recordedRun(o)
 		if r == nil {
@@ -39,15 +39,15 @@
 		}
 		g := r.task.stage
 		g.deferred = append(g.deferred, o)
-		if lives[g] == nil {
+		if incarnations[g] == nil {
 			stages = append(stages, g)
 		}
-		if !slices.Contains(lives[g], o.WorkerIncarnation) {
-			lives[g] = append(lives[g], o.WorkerIncarnation)
+		if !slices.Contains(incarnations[g], o.WorkerIncarnation) {
+			incarnations[g] = append(incarnations[g], o.WorkerIncarnation)
 		}
 	}
 	for _, g := range stages {
-		s.ask(g, s.queue(g.job), lives[g], PurposeRenew)
+		s.ask(g, s.queue(g.job), incarnations[g], PurposeRenew)
 	}
 }
 
--- a/sched/deferred_test.go
+++ b/sched/deferred_test.go
@@ -37,7 +37,7 @@
 		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0, qt.Commentf("%s", name))
 		q := x.question()
 		x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
-		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("w")})
+		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("w")})
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
 		x.renewLease("w")
 		x.advise(q, "w")
--- a/sched/event.go
+++ b/sched/event.go
@@ -6,7 +6,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Worker is the platform's entry for one life of a machine that runs tasks.
+// A Worker is the platform's entry for one incarnation of a machine that runs tasks.
 type Worker struct {
 	ID       spoolsill.WorkerID
 	Born     spoolsill.StartTime
@@ -22,7 +22,7 @@
 	Remaining time.Duration
 }
 
-// Incarnation returns the life that the entry is for.
+// Incarnation returns the incarnation that the entry is for.
 func (w Worker) Incarnation() spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
 		Worker: w.ID,
@@ -54,7 +54,7 @@
 }
 
 // An End is a worker's report that a run has ended. Sequence numbers the ends of one
-// life of the worker.
+// incarnation of the worker.
 type End struct {
 	Sequence uint64
 	Run      RunID
@@ -74,8 +74,8 @@
 
 // A Heartbeat is a worker's answer to a lease renewal.
 type Heartbeat struct {
-	// Life is the life that answered, as it reported itself; Asked is the life that the
-	// call was for, whose fence it carried.
+	// WorkerIncarnation is the incarnation that answered, as it reported itself; Asked is
+	// the incarnation that the call was for, whose fence it carried.
 	spoolsill.WorkerIncarnation
 	Asked spoolsill.WorkerIncarnation
 	// Sent is when the call was sent. A run that the answer does not list was not at the
@@ -96,10 +96,10 @@
 const (
 	StartTaken            StartOutcome = iota // the worker has the run
 	StartRejected                             // the worker did not start it, for another reason
-	StartNoCapacity                           // rejected: no room at the worker
+	StartNoCapacity                           // rejected: not enough free capacity at the worker
 	StartNoTicket                             // rejected: the advisor's ticket was not valid
 	StartUnhealthy                            // the worker accepts no starts at the moment
-	StartOtherIncarnation                     // this life of the worker has ended
+	StartOtherIncarnation                     // this incarnation of the worker has ended
 	StartUnknown                              // no answer: the order may be carried out until its deadline
 )
 
@@ -113,8 +113,9 @@
 	return startOutcomeNames[o]
 }
 
-// A StartAnswer reports the result of a start order. Life is the one that the order was
-// for; which life carried the order out is known only from its list of runs.
+// A StartAnswer reports the result of a start order. WorkerIncarnation is the one that the
+// order was for; which incarnation carried the order out is known only from its list of
+// runs.
 type StartAnswer struct {
 	spoolsill.WorkerIncarnation
 	Run     RunID
@@ -171,7 +172,7 @@
 const (
 	PurposeLearn Purpose = iota // which additional workers may run the stage
 	PurposeWarm                 // keeps the tickets of a waiting gang valid
-	PurposeRenew                // renews tickets while room is held for their runs
+	PurposeRenew                // renews tickets while capacity is held for their runs
 )
 
 var purposeNames = [...]string{"learn", "keep warm", "renew"}
@@ -202,7 +203,7 @@
 	Lost bool
 }
 
-// An Ack acknowledges the ends of a worker's life up to Sequence: their effect is
+// An Ack acknowledges the ends of a worker's incarnation up to Sequence: their effect is
 // stored.
 type Ack struct {
 	spoolsill.WorkerIncarnation
@@ -279,7 +280,7 @@
 	// Objective is the time within which the job should have ended.
 	Objective time.Duration
 	// Advice, Room and Quota are the times that the job's stages waited for the advisor,
-	// for room at a worker, and for their team to fall below its quota, added up.
+	// for capacity at a worker, and for their team to fall below its quota, added up.
 	Advice time.Duration
 	Room   time.Duration
 	Quota  time.Duration
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -36,17 +36,18 @@
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	Worker spoolsill.WorkerID
-	// Born identifies the life of the worker that was lost. It is stored in
-	// [Progress.Births].
+	// Born identifies the incarnation of the worker that was lost. It is stored in
+	// [Progress.StartTimes].
 	Born spoolsill.StartTime `msgpack:"-"`
 	// Begun is set when the worker is known to have had the run.
 	Begun bool
-	// Over is set when the worker's life is known to have ended without an announcement;
-	// otherwise the worker may only be unreachable, or may have been decommissioned.
+	// Over is set when the worker's incarnation is known to have ended without an
+	// announcement; otherwise the worker may only be unreachable, or may have been
+	// decommissioned.
 	Over bool
 }
 
-// matches reports whether the loss is of the life x.
+// matches reports whether the loss is of the incarnation x.
 func (l Loss) matches(x spoolsill.WorkerIncarnation) bool {
 	return l.Worker == x.Worker && x.Matches(l.Born)
 }
@@ -109,8 +110,8 @@
 	return len(e.losses) > 0 && age > min(max(2*e.lived, minClearTime), maxClearTime)
 }
 
-// retract drops the losses of a life that has answered since, and reports whether there
-// were any. An answer of a later life of the same worker retracts nothing.
+// retract drops the losses of an incarnation that has answered since, and reports whether
+// there were any. An answer of a later incarnation of the same worker retracts nothing.
 func (e *evidence) retract(x spoolsill.WorkerIncarnation) bool {
 	n := len(e.losses)
 	e.losses = slices.DeleteFunc(e.losses, func(l Loss) bool { return l.matches(x) && !l.Over })
@@ -120,8 +121,8 @@
 	return len(e.losses) != n
 }
 
-// confirm records that a life that was unreachable has crashed, and reports whether that
-// changes anything.
+// confirm records that an incarnation that was unreachable has crashed, and reports whether
+// that changes anything.
 func (e *evidence) confirm(x spoolsill.WorkerIncarnation) bool {
 	changed := false
 	for i, l := range e.losses {
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -114,14 +114,14 @@
 
 // renewLease renews a worker's lease; the worker answers with its running tasks.
 func (x *cell) renewLease(id spoolsill.WorkerID, running ...sched.RunID) {
-	x.state.LeaseRequested(lifeOf(id), sched.LeaseEnd(x.now, lease))
+	x.state.LeaseRequested(incarnationOf(id), sched.LeaseEnd(x.now, lease))
 	x.heartbeat(id, running...)
 }
 
 // heartbeat has a worker answer without a lease renewal.
 func (x *cell) heartbeat(id spoolsill.WorkerID, running ...sched.RunID) {
 	h := sched.Heartbeat{
-		WorkerIncarnation: lifeOf(id),
+		WorkerIncarnation: incarnationOf(id),
 		Sent:              x.now,
 		Clock:             sched.ClockMillis(x.now.UnixMilli()),
 	}
@@ -137,7 +137,7 @@
 func (x *cell) endRun(o sched.StartOrder, k sched.EndKind) {
 	x.ends[o.Worker]++
 	x.state.Heartbeat(x.now, sched.Heartbeat{
-		WorkerIncarnation: lifeOf(o.Worker),
+		WorkerIncarnation: incarnationOf(o.Worker),
 		Sent:              x.now,
 		Ended: []sched.End{
 			{
@@ -237,8 +237,8 @@
 	return names
 }
 
-// lifeOf returns the life of a worker whose platform reports no births.
-func lifeOf(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
+// incarnationOf returns the incarnation of a worker whose platform reports no start times.
+func incarnationOf(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
 		Worker: id,
 	}
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -96,24 +96,24 @@
 	return slots >= len(g.tasks)
 }
 
-// ticketsToRenew returns the lives of the assigned workers if one of their tickets must
+// ticketsToRenew returns the incarnations of the assigned workers if one of their tickets must
 // be renewed before the gang can start, and nil otherwise.
 func (d *decider) ticketsToRenew(g *stage, q *Queue, workers []*worker) []spoolsill.WorkerIncarnation {
 	if q.Advisor == nil {
 		return nil
 	}
-	var lives []spoolsill.WorkerIncarnation
+	var incarnations []spoolsill.WorkerIncarnation
 	fresh := true
 	for _, w := range workers {
-		if !slices.Contains(lives, w.life()) {
-			lives = append(lives, w.life())
+		if !slices.Contains(incarnations, w.incarnation()) {
+			incarnations = append(incarnations, w.incarnation())
 		}
 		fresh = fresh && g.advice.valid(w, d.now)
 	}
 	if fresh {
 		return nil
 	}
-	return lives
+	return incarnations
 }
 
 // assignGang returns a worker for each task of a gang, or nil if they don't all fit. A
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -13,7 +13,7 @@
 
 // A waiting gang reserves only some of the workers it may use. If it reserved all of them,
 // capacity would be idle until the last run ends.
-func TestWaitingGangLeavesRoomToOthers(t *testing.T) {
+func TestWaitingGangLeavesCapacityToOthers(t *testing.T) {
 	x := newCell(t)
 	var big []sched.StartOrder
 	for i := range 10 {
@@ -100,7 +100,7 @@
 	x.endRun(g[0], sched.EndFailed)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
-			WorkerIncarnation: lifeOf("w"),
+			WorkerIncarnation: incarnationOf("w"),
 			Run:               g[1].Run,
 		},
 	})
--- a/sched/lives_test.go
+++ b/sched/incarnations_test.go
@@ -11,16 +11,16 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// bornIn returns a life of the worker "w".
-func bornIn(b spoolsill.StartTime) spoolsill.WorkerIncarnation {
+// incarnationAt returns an incarnation of the worker "w".
+func incarnationAt(b spoolsill.StartTime) spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
 		Worker: "w",
 		Born:   b,
 	}
 }
 
-// listBorn lists a life of a worker with ten cores.
-func (x *cell) listBorn(l spoolsill.WorkerIncarnation) {
+// listWorkerIncarnation lists an incarnation of a worker with ten cores.
+func (x *cell) listWorkerIncarnation(l spoolsill.WorkerIncarnation) {
 	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       l.Worker,
 		Born:     l.Born,
@@ -39,18 +39,18 @@
 	return strings.Join(all, "\n")
 }
 
-// A restart of a worker under the same id is logged once, with both births.
-func TestNextLifeIsLoggedOnce(t *testing.T) {
+// A restart of a worker under the same id is logged once, with both start times.
+func TestNextIncarnationIsLoggedOnce(t *testing.T) {
 	x := newCell(t)
-	x.listBorn(bornIn(1000))
-	x.listBorn(bornIn(1000))
+	x.listWorkerIncarnation(incarnationAt(1000))
+	x.listWorkerIncarnation(incarnationAt(1000))
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), "1000")
 	x.now = x.now.Add(time.Second)
-	x.listBorn(bornIn(7000))
-	told := x.reasons()
-	x.c.Assert(told, qt.Contains, "7000")
-	x.c.Assert(told, qt.Contains, "1000")
-	x.listBorn(bornIn(7000))
+	x.listWorkerIncarnation(incarnationAt(7000))
+	logged := x.reasons()
+	x.c.Assert(logged, qt.Contains, "7000")
+	x.c.Assert(logged, qt.Contains, "1000")
+	x.listWorkerIncarnation(incarnationAt(7000))
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), "7000")
 }
 
@@ -74,34 +74,34 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 }
 
-// A run of a former life is gone once the next life has answered a call of its own,
-// whose fence invalidates the order. An answer to a call for the former life proves
-// nothing, and late reports of the former life are ignored.
-func TestRunOfAFormerLifeIsDroppedAfterACallForTheNext(t *testing.T) {
+// A run of a former incarnation is gone once the next incarnation has answered a call of its
+// own, whose fence invalidates the order. An answer to a call for the former incarnation
+// proves nothing, and late reports of the former incarnation are ignored.
+func TestRunOfAFormerIncarnationIsDroppedAfterACallForTheNext(t *testing.T) {
 	x := newCell(t)
-	x.listBorn(bornIn(1000))
-	x.answerBorn(bornIn(1000), bornIn(1000))
+	x.listWorkerIncarnation(incarnationAt(1000))
+	x.answerFrom(incarnationAt(1000), incarnationAt(1000))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
 	x.acceptStarts(o)
 	x.now = x.now.Add(time.Second)
-	x.answerBorn(bornIn(7000), bornIn(1000))
-	x.listBorn(bornIn(7000))
+	x.answerFrom(incarnationAt(7000), incarnationAt(1000))
+	x.listWorkerIncarnation(incarnationAt(7000))
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.c.Assert(x.reasons(), qt.Not(qt.Contains), string(sched.NoteRunGone))
-	x.listBorn(bornIn(1000))
-	x.answerBorn(bornIn(1000), bornIn(1000), o[0].Run)
-	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{bornIn(7000)})
+	x.listWorkerIncarnation(incarnationAt(1000))
+	x.answerFrom(incarnationAt(1000), incarnationAt(1000), o[0].Run)
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationAt(7000)})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.answerBorn(bornIn(7000), bornIn(7000))
+	x.answerFrom(incarnationAt(7000), incarnationAt(7000))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 	x.c.Assert(x.state.Restarts("w"), qt.Equals, 1)
 }
 
-// answerBorn has a life answer a call that was for the life asked, with the runs that it
-// has.
-func (x *cell) answerBorn(l, asked spoolsill.WorkerIncarnation, running ...sched.RunID) {
+// answerFrom has an incarnation answer a call that was for the incarnation asked, with the
+// runs that it has.
+func (x *cell) answerFrom(l, asked spoolsill.WorkerIncarnation, running ...sched.RunID) {
 	x.state.LeaseRequested(asked, sched.LeaseEnd(x.now, lease))
 	h := sched.Heartbeat{
 		WorkerIncarnation: l,
@@ -117,19 +117,19 @@
 	x.state.Heartbeat(x.now, h)
 }
 
-// Guards against answers for a former life being applied to the next one: proof that the
-// former life has ended would end the new one.
-func TestAnswersForAFormerLifeSayNothingOfTheNext(t *testing.T) {
+// Guards against answers for a former incarnation being applied to the next one: proof that
+// the former incarnation has ended would end the new one.
+func TestAnswersForAFormerIncarnationDoNotApplyToTheNext(t *testing.T) {
 	x := newCell(t)
-	x.listBorn(bornIn(1000))
-	x.answerBorn(bornIn(1000), bornIn(1000))
+	x.listWorkerIncarnation(incarnationAt(1000))
+	x.answerFrom(incarnationAt(1000), incarnationAt(1000))
 	x.now = x.now.Add(time.Second)
-	x.listBorn(bornIn(7000))
-	x.answerBorn(bornIn(7000), bornIn(7000))
-	x.state.WorkerDied(x.now, bornIn(1000))
-	x.state.WorkerUnresponsive(x.now, bornIn(1000))
+	x.listWorkerIncarnation(incarnationAt(7000))
+	x.answerFrom(incarnationAt(7000), incarnationAt(7000))
+	x.state.WorkerDied(x.now, incarnationAt(1000))
+	x.state.WorkerUnresponsive(x.now, incarnationAt(1000))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	o := x.step()
 	x.c.Assert(o, qt.HasLen, 1)
-	x.c.Assert(o[0].WorkerIncarnation, qt.Equals, bornIn(7000))
+	x.c.Assert(o[0].WorkerIncarnation, qt.Equals, incarnationAt(7000))
 }
--- a/sched/invalidentry_test.go
+++ b/sched/invalidentry_test.go
@@ -25,7 +25,7 @@
 		x.renewLease("w", o[0].Run)
 		x.c.Assert(x.step(), qt.HasLen, 0)
 	}
-	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("w")})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("w")})
 	x.endRun(o[0], sched.EndDone)
 	x.c.Assert(x.jobState(), qt.Equals, sched.Completed)
 	x.addWorker("w")
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -172,11 +172,11 @@
 			Task:   t.id(),
 			Number: p.Run,
 		},
-		task:   t,
-		worker: w,
-		born:   p.Born,
-		need:   t.stage.step.demand(),
-		phase:  phaseInherited,
+		task:            t,
+		worker:          w,
+		workerStartTime: p.Born,
+		need:            t.stage.step.demand(),
+		phase:           phaseInherited,
 	}
 	s.addRun(r)
 }
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -153,7 +153,7 @@
 	for _, o := range x.state.Stops() {
 		x.answerStop(o, w.stop(o.Run, x.epoch))
 	}
-	if slices.Contains(x.state.HeartbeatTargets(), lifeOf("w")) {
+	if slices.Contains(x.state.HeartbeatTargets(), incarnationOf("w")) {
 		x.answerRenewal()
 	}
 }
@@ -210,7 +210,7 @@
 	}
 	w.lastHeartbeat = x.now
 	if w.answered {
-		x.state.LeaseRequested(lifeOf("w"), sched.LeaseEnd(x.now, lease))
+		x.state.LeaseRequested(incarnationOf("w"), sched.LeaseEnd(x.now, lease))
 	}
 	f := w.nextFault()
 	if f != faultOrderLost {
@@ -376,7 +376,7 @@
 	x.addWorker("w")
 	x.state.WorkerUnlisted(x.now, "w")
 	x.advance(lease-time.Second, nil)
-	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{lifeOf("w")})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("w")})
 	x.advance(2*time.Second, nil)
 	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
@@ -399,7 +399,7 @@
 	x.renewLease("w", o[1].Run)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
-			WorkerIncarnation: lifeOf("w"),
+			WorkerIncarnation: incarnationOf("w"),
 			Run:               o[1].Run,
 		},
 	})
--- a/sched/pending_test.go
+++ b/sched/pending_test.go
@@ -34,7 +34,7 @@
 		"it has failed": {
 			hear: func(x *cell, r sched.RunID) {
 				x.endRun(sched.StartOrder{
-					WorkerIncarnation: lifeOf("w"),
+					WorkerIncarnation: incarnationOf("w"),
 					Run:               r,
 				}, sched.EndFailed)
 			},
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -24,15 +24,16 @@
 	// Team is the owner of the job. The job's row has it too, but is deleted when the job
 	// has ended. It is stored after Crashes and omitted if empty.
 	Team spoolsill.TeamID `msgpack:"-"`
-	// StartTimes has the births of the lives that Stages and Crashes name, in the order of
-	// eachBirth, or is empty if none is known. It is stored after Team. Programs that
-	// don't know it identify lives by worker id alone, and so are rows without it read.
+	// StartTimes has the start times of the incarnations that Stages and Crashes name, in
+	// the order of eachStartTime, or is empty if none is known. It is stored after Team.
+	// Programs that don't know it identify incarnations by worker id alone, and so are rows
+	// without it read.
 	StartTimes []spoolsill.StartTime `msgpack:"-"`
 }
 
-// eachBirth calls visit for the births of the lives that p names, in the order in which
-// they are stored.
-func (p *Progress) eachBirth(visit func(b *spoolsill.StartTime)) {
+// eachStartTime calls visit for the start times of the incarnations that p names, in the
+// order in which they are stored.
+func (p *Progress) eachStartTime(visit func(b *spoolsill.StartTime)) {
 	for i := range p.Stages {
 		for j := range p.Stages[i].Tasks {
 			if t := &p.Stages[i].Tasks[j]; t.Worker != "" {
@@ -47,11 +48,12 @@
 	}
 }
 
-// collectBirths returns the births of the lives that p names, or nil if none is known.
-func (p *Progress) collectBirths() []spoolsill.StartTime {
+// collectStartTimes returns the start times of the incarnations that p names, or nil if none
+// is known.
+func (p *Progress) collectStartTimes() []spoolsill.StartTime {
 	var all []spoolsill.StartTime
 	known := false
-	p.eachBirth(func(b *spoolsill.StartTime) {
+	p.eachStartTime(func(b *spoolsill.StartTime) {
 		all = append(all, *b)
 		known = known || *b != 0
 	})
@@ -61,17 +63,17 @@
 	return all
 }
 
-// setBirths assigns stored births to the lives that p names.
-func (p *Progress) setBirths(all []spoolsill.StartTime) error {
+// setStartTimes assigns stored start times to the incarnations that p names.
+func (p *Progress) setStartTimes(all []spoolsill.StartTime) error {
 	n := 0
-	p.eachBirth(func(b *spoolsill.StartTime) {
+	p.eachStartTime(func(b *spoolsill.StartTime) {
 		if n < len(all) {
 			*b = all[n]
 		}
 		n++
 	})
 	if n != len(all) {
-		return fmt.Errorf("sched: progress names %d lives but has %d births", n, len(all))
+		return fmt.Errorf("sched: progress names %d incarnations but has %d start times", n, len(all))
 	}
 	return nil
 }
@@ -111,18 +113,18 @@
 	// Worker is where the latest run may be; empty once it has ended.
 	Worker spoolsill.WorkerID
 	Saved  string
-	// Born is the birth of the worker's life that the latest run was ordered for. It is
-	// stored in Births.
+	// Born is the start time of the worker's incarnation that the latest run was ordered
+	// for. It is stored in StartTimes.
 	Born spoolsill.StartTime `msgpack:"-"`
 }
 
 // EncodeProgress returns p in its stored form.
 func EncodeProgress(p Progress) ([]byte, error) {
 	values := []any{&p}
-	births := p.collectBirths()
+	startTimes := p.collectStartTimes()
 	switch {
-	case births != nil:
-		values = append(values, p.Crashes, p.Team, births)
+	case startTimes != nil:
+		values = append(values, p.Crashes, p.Team, startTimes)
 	case p.Team != "":
 		// Crashes is written even if empty: readers that don't know Team expect it first.
 		values = append(values, p.Crashes, p.Team)
@@ -164,7 +166,7 @@
 	if _, err = packed.Decode(rest, &p.StartTimes); err != nil {
 		return p, err
 	}
-	return p, p.setBirths(p.StartTimes)
+	return p, p.setStartTimes(p.StartTimes)
 }
 
 const (
@@ -178,9 +180,10 @@
 	// its task, the task.
 	maxLosses    = 64
 	maxLossBytes = 48
-	// maxBirthBytes is the maximum size of a birth, maxListBytes that of the list's header.
-	maxBirthBytes = 9
-	maxListBytes  = 5
+	// maxStartTimeBytes is the maximum size of a start time, maxListBytes that of the list's
+	// header.
+	maxStartTimeBytes = 9
+	maxListBytes      = 5
 	// maxTeamBytes is the maximum overhead of the team in addition to its id.
 	maxTeamBytes = 8
 )
@@ -189,9 +192,9 @@
 func MaxProgressBytes(j Job) int {
 	n := 0
 	for i := range j.Steps {
-		n += maxStageBytes + j.Steps[i].Tasks*(maxTaskBytes+maxBirthBytes)
+		n += maxStageBytes + j.Steps[i].Tasks*(maxTaskBytes+maxStartTimeBytes)
 	}
-	return n*j.rounds() + maxLosses*(maxLossBytes+maxBirthBytes) + maxListBytes + maxTeamBytes + len(j.Team)
+	return n*j.rounds() + maxLosses*(maxLossBytes+maxStartTimeBytes) + maxListBytes + maxTeamBytes + len(j.Team)
 }
 
 // progress returns the progress to store for j.
@@ -268,7 +271,7 @@
 		}
 		if t.run != nil && t.run.phase != phasePlanned {
 			p.Tasks[i].Worker = t.run.worker.id
-			p.Tasks[i].Born = t.run.born
+			p.Tasks[i].Born = t.run.workerStartTime
 		}
 	}
 	return p
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -24,15 +24,15 @@
 	share shareTracker
 	// configured means that a configuration has named the team.
 	configured bool
-	// used is the total of the recorded runs, strayUsage that of runs at workers that
-	// no record names, as of the current pass.
-	used       spoolsill.Resources
-	strayUsage spoolsill.Resources
+	// used is the total of the recorded runs, unknownUsage that of unknown runs, as of the
+	// current pass.
+	used         spoolsill.Resources
+	unknownUsage spoolsill.Resources
 }
 
 // allows reports whether the team may use need in addition to its current usage.
 func (t *teamState) allows(need spoolsill.Resources) bool {
-	after := t.used.Add(t.strayUsage).Add(need)
+	after := t.used.Add(t.unknownUsage).Add(need)
 	return withinLimit(int64(after.Processors), int64(t.Most.Processors)) &&
 		withinLimit(int64(after.Memory), int64(t.Most.Memory)) &&
 		withinLimit(int64(after.Accelerators), int64(t.Most.Accelerators))
@@ -95,12 +95,12 @@
 	return s.quotaKnown(g.job) && g.job.team.allows(need)
 }
 
-// sumStrayUsage updates the usage of runs that no record names but that belong to known
-// jobs. They have been ordered to stop and still use resources.
+// sumUnknownUsage updates the usage of the unknown runs that belong to known jobs. They
+// have been ordered to stop and still use resources.
 // Cost: O(workers) if there are none.
-func (s *State) sumStrayUsage() {
+func (s *State) sumUnknownUsage() {
 	for _, t := range s.teams {
-		t.strayUsage = spoolsill.Resources{}
+		t.unknownUsage = spoolsill.Resources{}
 	}
 	for _, w := range s.workerList {
 		for id := range w.unknownRuns {
@@ -109,7 +109,7 @@
 				continue
 			}
 			if g := j.stage(id.Task.Stage.Round, id.Task.Stage.Step); g != nil {
-				j.team.strayUsage = j.team.strayUsage.Add(g.step.demand())
+				j.team.unknownUsage = j.team.unknownUsage.Add(g.step.demand())
 			}
 		}
 	}
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -155,7 +155,7 @@
 func (m *quotaModel) finishRun(w spoolsill.WorkerID, r sched.RunID, k sched.EndKind) {
 	delete(m.runs[w], r)
 	m.x.endRun(sched.StartOrder{
-		WorkerIncarnation: lifeOf(w),
+		WorkerIncarnation: incarnationOf(w),
 		Run:               r,
 	}, k)
 }
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -38,7 +38,7 @@
 		return true
 	}
 	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !keep(w) })
-	for _, w := range d.byRoomAt(g, q, r) {
+	for _, w := range d.byCapacityAt(g, q, r) {
 		if keep(w) {
 			g.reserved = append(g.reserved, w)
 		}
@@ -57,9 +57,9 @@
 	return g.labelMatches(w) && need.FitsIn(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
 }
 
-// byRoomAt returns the workers that can be reserved for large tasks of g, sorted by when
+// byCapacityAt returns the workers that can be reserved for large tasks of g, sorted by when
 // capacity is expected.
-func (d *decider) byRoomAt(g *stage, q *Queue, r *readyWorkers) []*worker {
+func (d *decider) byCapacityAt(g *stage, q *Queue, r *readyWorkers) []*worker {
 	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
@@ -68,7 +68,7 @@
 	var ws []*worker
 	for _, w := range from {
 		if w.ready && d.reservedFor[w] == nil && d.isLarge(g, w) {
-			at[w] = d.roomAt(g, w)
+			at[w] = d.capacityAt(g, w)
 			ws = append(ws, w)
 		}
 	}
@@ -76,8 +76,8 @@
 	return ws
 }
 
-// roomAt returns when w is expected to have capacity for a task of g.
-func (d *decider) roomAt(g *stage, w *worker) time.Time {
+// capacityAt returns when w is expected to have capacity for a task of g.
+func (d *decider) capacityAt(g *stage, w *worker) time.Time {
 	need := g.step.demand()
 	free := w.free()
 	if need.FitsIn(free) {
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -108,7 +108,7 @@
 	r := w.runs[a.Run]
 	if a.Outcome == StartOtherIncarnation {
 		if r != nil && !a.Doubt {
-			// The run never began there, so that it can't have ended that life.
+			// The run never began there, so that it can't have ended that incarnation.
 			s.dropRun(r, "start order: "+a.Outcome.String())
 		}
 		s.WorkerDied(now, a.WorkerIncarnation)
@@ -127,7 +127,7 @@
 	default:
 		s.dropRejected(r, a.Outcome)
 	}
-	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.life().Matches(a.Born) {
+	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.incarnation().Matches(a.Born) {
 		w.backoffUntil = now.Add(rejectBackoff)
 		w.health.recordRejection(now)
 	}
@@ -186,7 +186,7 @@
 	if s.workers[h.Worker] == nil {
 		return
 	}
-	w := s.observeLife(h.WorkerIncarnation, "its answer")
+	w := s.observeIncarnation(h.WorkerIncarnation, "its answer")
 	if w == nil || w.dead {
 		return
 	}
@@ -231,10 +231,10 @@
 // provenAbsent reports whether a heartbeat that does not list r proves that the worker
 // neither has it nor may still start it.
 func (r *run) provenAbsent(h Heartbeat) bool {
-	if r.forFormerLife() {
-		// The order and its deadline are for a former life. A life that has answered
-		// a call of its own refuses them, as its fence is higher.
-		return h.Asked == r.worker.life()
+	if r.forFormerIncarnation() {
+		// The order and its deadline are for a former incarnation. An incarnation that has
+		// answered a call of its own refuses them, as its fence is higher.
+		return h.Asked == r.worker.incarnation()
 	}
 	if !r.stopTakenAt.IsZero() && h.Sent.After(r.stopTakenAt) {
 		return true
@@ -259,10 +259,10 @@
 	if r.phase != phaseRecorded && r.phase != phasePlanned {
 		s.confirm(r)
 	}
-	if r.startedAt.IsZero() || r.forFormerLife() {
+	if r.startedAt.IsZero() || r.forFormerIncarnation() {
 		r.startedAt = s.now
 	}
-	r.born = w.born
+	r.workerStartTime = w.startTime
 	if x.Saved != "" {
 		r.task.saved = x.Saved
 	}
@@ -280,12 +280,12 @@
 func (s *State) handleEnd(w *worker, e End) {
 	if e.Sequence <= w.lastEndSeen {
 		// The worker still lists it, so it has not received the acknowledgement.
-		s.acks[w.life()] = w.lastEndSeen
+		s.acks[w.incarnation()] = w.lastEndSeen
 		s.noteUncounted(w, e)
 		return
 	}
 	w.lastEndSeen = e.Sequence
-	s.acks[w.life()] = e.Sequence
+	s.acks[w.incarnation()] = e.Sequence
 	r := w.runs[e.Run]
 	s.note(Note{
 		Kind:   NoteEnded,
@@ -386,7 +386,7 @@
 	}
 	s.markDirty(g.job)
 	g.job.account.Failed++
-	t.failedOn = append(t.failedOn, r.worker.life())
+	t.failedOn = append(t.failedOn, r.worker.incarnation())
 	switch {
 	case !g.step.Gang:
 		t.failures++
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -58,7 +58,7 @@
 	p.Stages[0].Tasks[0].Fails = 1
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), p)
 	x.endRun(sched.StartOrder{
-		WorkerIncarnation: lifeOf("w"),
+		WorkerIncarnation: incarnationOf("w"),
 		Run: sched.RunID{
 			Task: sched.TaskID{
 				Stage: sched.StageID{
@@ -106,7 +106,7 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.DeepEquals, []sched.Ack{
 		{
-			WorkerIncarnation: lifeOf("w"),
+			WorkerIncarnation: incarnationOf("w"),
 			Sequence:          1,
 		},
 	})
@@ -250,7 +250,7 @@
 func TestUnknownRunIsStoppedAndKeepsTheWorkerFromNewWork(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	stray := sched.RunID{
+	unknown := sched.RunID{
 		Task: sched.TaskID{
 			Stage: sched.StageID{
 				Job: "other",
@@ -258,7 +258,7 @@
 		},
 		Number: 1,
 	}
-	x.renewLease("w", stray)
+	x.renewLease("w", unknown)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
@@ -302,12 +302,12 @@
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.acceptStarts(x.step())
 	x.addWorker("b")
-	x.state.WorkerRefused(x.now, lifeOf("a"))
+	x.state.WorkerRefused(x.now, incarnationOf("a"))
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.listWorker("a", true)
 	x.state.WorkerUnlisted(x.now, "a")
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.state.WorkerRefused(x.now, lifeOf("a"))
+	x.state.WorkerRefused(x.now, incarnationOf("a"))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
@@ -326,7 +326,7 @@
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.Heartbeat(x.now, sched.Heartbeat{
-		WorkerIncarnation: lifeOf("a"),
+		WorkerIncarnation: incarnationOf("a"),
 		Sent:              x.now,
 		Ended: []sched.End{
 			{
@@ -367,9 +367,9 @@
 	x.acceptStarts(o)
 	for i := range 6 {
 		x.now = x.now.Add(500 * time.Millisecond)
-		x.state.LeaseRequested(lifeOf("a"), sched.LeaseEnd(x.now, lease))
+		x.state.LeaseRequested(incarnationOf("a"), sched.LeaseEnd(x.now, lease))
 		x.state.Heartbeat(x.now, sched.Heartbeat{
-			WorkerIncarnation: lifeOf("a"),
+			WorkerIncarnation: incarnationOf("a"),
 			Sent:              x.now,
 			Running: []sched.RunningTask{
 				{
@@ -386,7 +386,7 @@
 	}
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
-			WorkerIncarnation: lifeOf("a"),
+			WorkerIncarnation: incarnationOf("a"),
 			Run:               o[1].Run,
 		},
 	})
--- a/sched/state.go
+++ b/sched/state.go
@@ -49,15 +49,15 @@
 	now    time.Time
 	queues map[QueueID]*Queue
 	jobs   map[spoolsill.JobID]*job
-	// workers has the latest life of each worker.
+	// workers has the latest incarnation of each worker.
 	workers    map[spoolsill.WorkerID]*worker
 	workerList []*worker // in the order of first appearance, for deterministic placement
-	// lives has the lives of each machine that are not known to be dead.
-	lives       map[string][]*worker
-	openStages  []*stage // may have tasks to place
-	timedStages []*stage // wait for their due time
-	runTimes    map[QueueID]*runTimeEstimate
-	teams       map[spoolsill.TeamID]*teamState
+	// incarnations has the incarnations of each machine that are not known to be dead.
+	incarnations map[string][]*worker
+	openStages   []*stage // may have tasks to place
+	timedStages  []*stage // wait for their due time
+	runTimes     map[QueueID]*runTimeEstimate
+	teams        map[spoolsill.TeamID]*teamState
 
 	dirty []*job
 	acks  map[spoolsill.WorkerIncarnation]uint64
@@ -90,14 +90,14 @@
 // New returns an empty State.
 func New(c Config) *State {
 	return &State{
-		config:   c,
-		queues:   map[QueueID]*Queue{},
-		jobs:     map[spoolsill.JobID]*job{},
-		workers:  map[spoolsill.WorkerID]*worker{},
-		lives:    map[string][]*worker{},
-		runTimes: map[QueueID]*runTimeEstimate{},
-		teams:    map[spoolsill.TeamID]*teamState{},
-		acks:     map[spoolsill.WorkerIncarnation]uint64{},
+		config:       c,
+		queues:       map[QueueID]*Queue{},
+		jobs:         map[spoolsill.JobID]*job{},
+		workers:      map[spoolsill.WorkerID]*worker{},
+		incarnations: map[string][]*worker{},
+		runTimes:     map[QueueID]*runTimeEstimate{},
+		teams:        map[spoolsill.TeamID]*teamState{},
+		acks:         map[spoolsill.WorkerIncarnation]uint64{},
 
 		crashedAt:   map[string]time.Time{},
 		pendingJobs: map[QueueID]int{},
@@ -173,7 +173,7 @@
 	failedOn []spoolsill.WorkerIncarnation
 	// evidence is the evidence that the task crashes its workers.
 	evidence evidence
-	// preemptions counts the runs that were stopped to make room for others.
+	// preemptions counts the runs that were stopped to free capacity for others.
 	preemptions int
 }
 
@@ -195,19 +195,19 @@
 	id     RunID
 	task   *task
 	worker *worker
-	// born is the birth of the life that the order was for. Another life of the same
-	// worker may have carried it out.
-	born         spoolsill.StartTime
-	need         spoolsill.Resources
-	phase        phase
-	confirmedAt  time.Time   // when the worker confirmed the run
-	deadline     ClockMillis // of the latest attempt, for phaseUncertain
-	startedAt    time.Time
-	percent      int
-	progressedAt time.Time // when percent last changed
-	stopping     bool
-	stopTakenAt  time.Time // when the worker first accepted a stop
-	nextStopAt   time.Time // when to repeat the stop order
+	// workerStartTime is the start time of the incarnation that the order was for. Another
+	// incarnation of the same worker may have carried it out.
+	workerStartTime spoolsill.StartTime
+	need            spoolsill.Resources
+	phase           phase
+	confirmedAt     time.Time   // when the worker confirmed the run
+	deadline        ClockMillis // of the latest attempt, for phaseUncertain
+	startedAt       time.Time
+	percent         int
+	progressedAt    time.Time // when percent last changed
+	stopping        bool
+	stopTakenAt     time.Time // when the worker first accepted a stop
+	nextStopAt      time.Time // when to repeat the stop order
 }
 
 // SetQueues applies the queues of the latest configuration. Queues that it lacks are kept
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -37,7 +37,7 @@
 	}
 	r.nextStopAt = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
-		WorkerIncarnation: r.worker.life(),
+		WorkerIncarnation: r.worker.incarnation(),
 		Run:               r.id,
 	})
 	s.note(Note{
@@ -73,7 +73,7 @@
 	}
 	w.unknownRuns[id] = s.nextStopAfterOrder()
 	s.stops = append(s.stops, StopOrder{
-		WorkerIncarnation: w.life(),
+		WorkerIncarnation: w.incarnation(),
 		Run:               id,
 	})
 	s.note(Note{
--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -114,7 +114,7 @@
 	x.c.Assert(err, qt.IsNil)
 	x.c.Assert(b.Acks, qt.DeepEquals, []sched.Ack{
 		{
-			WorkerIncarnation: lifeOf("w"),
+			WorkerIncarnation: incarnationOf("w"),
 			Sequence:          1,
 		},
 	})
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -48,6 +48,6 @@
 // stopAsStuck stops a run and counts it as a failure of its worker.
 func (s *State) stopAsStuck(r *run) {
 	s.stop(r, "no progress")
-	r.task.failedOn = append(r.task.failedOn, r.worker.life())
+	r.task.failedOn = append(r.task.failedOn, r.worker.incarnation())
 	r.worker.health.recordFailure(s.now)
 }
--- a/sched/unknown.go
+++ b/sched/unknown.go
@@ -38,12 +38,12 @@
 // adoptRun makes a run that a worker lists the current run of its task.
 func (s *State) adoptRun(w *worker, t *task, x RunningTask) {
 	r := &run{
-		id:     x.Run,
-		task:   t,
-		worker: w,
-		born:   w.born,
-		need:   t.stage.step.demand(),
-		phase:  phaseSent,
+		id:              x.Run,
+		task:            t,
+		worker:          w,
+		workerStartTime: w.startTime,
+		need:            t.stage.step.demand(),
+		phase:           phaseSent,
 	}
 	delete(w.unknownRuns, x.Run)
 	s.addRun(r)
--- a/sched/unresponsive_test.go
+++ b/sched/unresponsive_test.go
@@ -14,7 +14,7 @@
 func TestUnresponsiveWorkerGetsNothingNewUntilItAnswers(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	x.state.WorkerUnresponsive(x.now, lifeOf("w"))
+	x.state.WorkerUnresponsive(x.now, incarnationOf("w"))
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.renewLease("w")
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -7,7 +7,7 @@
 	Stage StageID
 	// Waited is the time since the stage was opened.
 	Waited time.Duration
-	// For is the cause: advice, room, quota or nothing known.
+	// For is the cause: "advice", "room" (no free capacity), "quota" or "nothing known".
 	For string
 	// Usable counts the workers that the stage may use as far as is known, Ready those of
 	// them that accept new tasks, Fitting those of the ready ones with capacity for a
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -30,17 +30,17 @@
 	rejectBackoff = 700 * time.Millisecond
 )
 
-// A worker is the state of one life of a worker and of its runs.
+// A worker is the state of one incarnation of a worker and of its runs.
 type worker struct {
 	Worker
 	id spoolsill.WorkerID
-	// born is the birth of this life, zero until it is known; former are the births of
-	// earlier lives.
-	born   spoolsill.StartTime
-	former []spoolsill.StartTime
-	// crashed is set when the life before this one ended otherwise than announced.
+	// startTime is the start time of this incarnation, zero until it is known; former are
+	// the start times of earlier incarnations.
+	startTime spoolsill.StartTime
+	former    []spoolsill.StartTime
+	// crashed is set when the incarnation before this one ended otherwise than announced.
 	crashed bool
-	// restarts counts the known earlier lives.
+	// restarts counts the known earlier incarnations.
 	restarts int
 	listed   bool
 	dead     bool
@@ -49,9 +49,9 @@
 	closed bool
 	used   spoolsill.Resources
 	runs   map[RunID]*run
-	// lastEndSeen is the highest sequence of the ends received from this life. It does
-	// not apply to the next life, which counts from 1 again: its ends would be taken for
-	// duplicates.
+	// lastEndSeen is the highest sequence of the ends received from this incarnation. It
+	// does not apply to the next incarnation, which counts from 1 again: its ends would be
+	// taken for duplicates.
 	lastEndSeen uint64
 	// answeredAt is when the latest heartbeat was received under this leadership.
 	answeredAt time.Time
@@ -84,7 +84,8 @@
 	trials []*run
 }
 
-// worker returns the state of a worker's latest life, which is created if there is none.
+// worker returns the state of a worker's latest incarnation, which is created if there is
+// none.
 func (s *State) worker(id spoolsill.WorkerID) *worker {
 	w := s.workers[id]
 	if w != nil {
@@ -107,7 +108,7 @@
 }
 
 // reopen adds a worker that is back to the order again. Its state is kept: the advisor's
-// answers for this life and its health still apply.
+// answers for this incarnation and its health still apply.
 func (s *State) reopen(w *worker) {
 	if !w.closed {
 		return
@@ -119,7 +120,7 @@
 // WorkerListed handles a worker's entry in the platform's table.
 func (s *State) WorkerListed(now time.Time, l Worker) {
 	s.now = now
-	w := s.observeLife(l.Incarnation(), "its entry")
+	w := s.observeIncarnation(l.Incarnation(), "its entry")
 	if w == nil || w.dead {
 		return
 	}
@@ -137,7 +138,7 @@
 	w.entryInvalid = false
 	w.graceUntil = time.Time{}
 	w.Worker = l
-	s.declareOlderLivesDead(w)
+	s.declareOlderIncarnationsDead(w)
 }
 
 // WorkerEntryInvalid records that a worker's entry can't be decoded, for example because
@@ -152,29 +153,29 @@
 	s.noteWorker(w, "its entry can't be decoded", now.Sub(w.answeredAt))
 }
 
-// declareOlderLivesDead declares the unlisted other lives of a machine dead: a machine
-// has one life at a time, and this one was listed later.
-func (s *State) declareOlderLivesDead(w *worker) {
+// declareOlderIncarnationsDead declares the unlisted other incarnations of a machine dead: a
+// machine has one incarnation at a time, and this one was listed later.
+func (s *State) declareOlderIncarnationsDead(w *worker) {
 	if w.Machine == "" {
 		return
 	}
-	lives := s.lives[w.Machine]
-	if !slices.Contains(lives, w) {
-		s.lives[w.Machine] = append(lives, w)
+	incarnations := s.incarnations[w.Machine]
+	if !slices.Contains(incarnations, w) {
+		s.incarnations[w.Machine] = append(incarnations, w)
 	}
-	for _, o := range slices.Clone(lives) {
+	for _, o := range slices.Clone(incarnations) {
 		if o != w && !o.listed {
 			s.declareDead(o, "machine has a new life")
 		}
 	}
 }
 
-// removeLife removes a dead life from the list of its machine.
-func (s *State) removeLife(w *worker) {
-	lives := slices.DeleteFunc(s.lives[w.Machine], func(o *worker) bool { return o == w })
-	s.lives[w.Machine] = lives
-	if len(lives) == 0 {
-		delete(s.lives, w.Machine)
+// removeIncarnation removes a dead incarnation from the list of its machine.
+func (s *State) removeIncarnation(w *worker) {
+	incarnations := slices.DeleteFunc(s.incarnations[w.Machine], func(o *worker) bool { return o == w })
+	s.incarnations[w.Machine] = incarnations
+	if len(incarnations) == 0 {
+		delete(s.incarnations, w.Machine)
 	}
 }
 
@@ -193,7 +194,7 @@
 		w.earliestExit = now.Add(s.config.DrainTime)
 		s.startOutageGrace(w)
 	}
-	for _, o := range s.lives[w.Machine] {
+	for _, o := range s.incarnations[w.Machine] {
 		if o != w && o.listed {
 			s.declareDead(w, "machine has a new life")
 			return
@@ -202,8 +203,8 @@
 	s.closeWorker(w)
 }
 
-// WorkerDied records proof that a life of a worker has ended: its address answers for
-// another life.
+// WorkerDied records proof that an incarnation of a worker has ended: its address answers for
+// another incarnation.
 func (s *State) WorkerDied(now time.Time, l spoolsill.WorkerIncarnation) {
 	s.now = now
 	if w := s.workerOf(l); w != nil && !w.dead {
@@ -294,14 +295,14 @@
 // checkpointMargin is the time for sending a stop order and receiving the end.
 const checkpointMargin = 400 * time.Millisecond
 
-// LeaseRequested records that a call may extend the lease of a worker's life until at most
-// the given time by our clock. A call for a former life may reach the next one.
+// LeaseRequested records that a call may extend the lease of a worker's incarnation until at
+// most the given time by our clock. A call for a former incarnation may reach the next one.
 func (s *State) LeaseRequested(l spoolsill.WorkerIncarnation, until time.Time) {
 	w := s.workers[l.Worker]
 	if w == nil {
 		return
 	}
-	if until.After(w.renewedUntil) && w.life().Matches(l.Born) {
+	if until.After(w.renewedUntil) && w.incarnation().Matches(l.Born) {
 		w.renewedUntil = until
 	}
 	if until.After(w.leaseUntil) {
@@ -329,7 +330,7 @@
 	crashed := !w.mayBeDecommissioned()
 	w.dead = true
 	w.listed = false
-	s.removeLife(w)
+	s.removeIncarnation(w)
 	s.noteWorker(w, "dead: "+reason, s.now.Sub(w.answeredAt))
 	if crashed {
 		s.confirmLosses(w)
@@ -424,7 +425,7 @@
 		if sum != w.used {
 			return fmt.Errorf("worker %s: %v counted as used, its runs need %v", w.id, w.used, sum)
 		}
-		if w.present(s.now) && !w.hasRoom() {
+		if w.present(s.now) && !w.hasCapacity() {
 			return fmt.Errorf("worker %s: %v used of %v", w.id, w.used, w.Capacity)
 		}
 	}
