--- a/leader/latency.go
+++ b/leader/latency.go
@@ -72,7 +72,7 @@
 	return a.average
 }
 
-// AnswerLatency returns a moving average of the response latency of workers.
-func (l *Leader) AnswerLatency() time.Duration {
+// ResponseLatency returns a moving average of the response latency of workers.
+func (l *Leader) ResponseLatency() time.Duration {
 	return l.responses.latency()
 }
--- a/leader/log.go
+++ b/leader/log.go
@@ -32,7 +32,7 @@
 		"questions":     x.Asking,
 		"suspects":      x.Suspects,
 		"crashed":       x.Crashed,
-		"answers_ms":    l.AnswerLatency().Milliseconds(),
+		"answers_ms":    l.ResponseLatency().Milliseconds(),
 	}).Info("load of the cell")
 	l.logWait(now)
 }
--- a/leader/order.go
+++ b/leader/order.go
@@ -64,7 +64,7 @@
 		if h.isListed(o.Run) {
 			// The order was carried out. A retry could reach a later incarnation, which
 			// does not know of the run and would start it again.
-			a.Outcome = sched.StartTaken
+			a.Outcome = sched.StartAccepted
 			return a
 		}
 		if timeout <= 0 || h.isDone() {
@@ -122,7 +122,7 @@
 func startOutcome(k ReplyKind) sched.StartOutcome {
 	switch k {
 	case Accepted:
-		return sched.StartTaken
+		return sched.StartAccepted
 	case NoCapacity:
 		return sched.StartNoCapacity
 	case NoTicket:
--- a/node/admission.go
+++ b/node/admission.go
@@ -44,7 +44,7 @@
 
 // measuredShedLocked is measuredShed with the lock held.
 func (n *Node) measuredShedLocked(now time.Time, l *leader.Leader) shedStatus {
-	latency := l.AnswerLatency()
+	latency := l.ResponseLatency()
 	return shedStatus{
 		share:      1 - n.admission.Update(now, latency, maxWorkerLatency),
 		latency:    latency,
--- a/sched/capacity_test.go
+++ b/sched/capacity_test.go
@@ -188,7 +188,7 @@
 			continue
 		}
 		m.begin(t, o)
-		m.x.answerStart(o, sched.StartTaken)
+		m.x.answerStart(o, sched.StartAccepted)
 	}
 }
 
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -178,7 +178,7 @@
 		return
 	}
 	runs[o.Run] = f.x.now.Add(f.runtime(o.Run))
-	f.x.answerStart(o, sched.StartTaken)
+	f.x.answerStart(o, sched.StartAccepted)
 	if _, ok := f.crashers[o.Run.Task.Stage.Job]; ok {
 		f.crashers[o.Run.Task.Stage.Job]++
 		f.takeDown(f.machine[o.Worker], downFor)
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -56,7 +56,7 @@
 }
 
 func (m *crashModel) begin(t *rapid.T, o sched.StartOrder) {
-	answer := rapid.SampledFrom([]sched.StartOutcome{sched.StartTaken, sched.StartUnknown}).Draw(t, "answer")
+	answer := rapid.SampledFrom([]sched.StartOutcome{sched.StartAccepted, sched.StartUnknown}).Draw(t, "answer")
 	if m.crashes >= 3 {
 		m.startsAfter++
 	}
--- a/sched/event.go
+++ b/sched/event.go
@@ -94,7 +94,7 @@
 
 // The outcomes of a start order.
 const (
-	StartTaken            StartOutcome = iota // the worker has the run
+	StartAccepted         StartOutcome = iota // the worker has the run
 	StartRejected                             // the worker did not start it, for another reason
 	StartNoCapacity                           // rejected: not enough free capacity at the worker
 	StartNoTicket                             // rejected: the advisor's ticket was not valid
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -168,7 +168,7 @@
 // acceptStarts has the workers accept start orders.
 func (x *cell) acceptStarts(orders []sched.StartOrder) {
 	for _, o := range orders {
-		x.answerStart(o, sched.StartTaken)
+		x.answerStart(o, sched.StartAccepted)
 	}
 }
 
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -183,7 +183,7 @@
 	if late == 0 && !x.worker.partitioned {
 		x.worker.extend(x.now.Add(startLease))
 		x.worker.start(x.now, o.Run)
-		x.answerStart(o, sched.StartTaken)
+		x.answerStart(o, sched.StartAccepted)
 		return
 	}
 	x.worker.delayed = append(x.worker.delayed, delayedStart{
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -84,21 +84,21 @@
 		{"order under way", func(*cell, sched.StartOrder) {}, 4},
 		{"order without an answer", func(x *cell, o sched.StartOrder) { x.answerStart(o, sched.StartUnknown) }, 4},
 		{"order that was rejected", func(x *cell, o sched.StartOrder) { x.answerStart(o, sched.StartRejected) }, 10},
-		{"run", func(x *cell, o sched.StartOrder) { x.answerStart(o, sched.StartTaken) }, 4},
+		{"run", func(x *cell, o sched.StartOrder) { x.answerStart(o, sched.StartAccepted) }, 4},
 		{"run that is being stopped", func(x *cell, o sched.StartOrder) {
-			x.answerStart(o, sched.StartTaken)
+			x.answerStart(o, sched.StartAccepted)
 			x.state.CancelJob(x.now, "j")
 		}, 4},
 		{"run that has ended", func(x *cell, o sched.StartOrder) {
-			x.answerStart(o, sched.StartTaken)
+			x.answerStart(o, sched.StartAccepted)
 			x.endRun(o, sched.EndDone)
 		}, 10},
 		{"run at a worker that is silent", func(x *cell, o sched.StartOrder) {
-			x.answerStart(o, sched.StartTaken)
+			x.answerStart(o, sched.StartAccepted)
 			x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{"other": nil})
 		}, 4},
 		{"run at a worker that has died", func(x *cell, o sched.StartOrder) {
-			x.answerStart(o, sched.StartTaken)
+			x.answerStart(o, sched.StartAccepted)
 			x.state.CancelJob(x.now, "j")
 			x.state.WorkerDied(x.now, o.WorkerIncarnation)
 		}, 10},
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -137,7 +137,7 @@
 		return
 	}
 	m.startRun(t, o)
-	m.x.answerStart(o, sched.StartTaken)
+	m.x.answerStart(o, sched.StartAccepted)
 }
 
 // deliverStop has a worker carry out a stop, including for runs that have not arrived yet.
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -119,7 +119,7 @@
 	}
 	s.noteStart(r, a)
 	switch {
-	case a.Outcome == StartTaken:
+	case a.Outcome == StartAccepted:
 		s.confirm(r)
 	case a.Outcome == StartUnknown || a.Doubt:
 		r.phase = phaseUncertain
@@ -135,7 +135,7 @@
 
 func (s *State) noteStart(r *run, a StartAnswer) {
 	k := NoteStarted
-	if a.Outcome != StartTaken {
+	if a.Outcome != StartAccepted {
 		k = NoteNotStarted
 	}
 	s.note(Note{
