--- a/leader/advice_test.go
+++ b/leader/advice_test.go
@@ -69,7 +69,7 @@
 				})
 			}
 		}
-		tell := func() {
+		submitAll := func() {
 			x.submit(jobs...)
 			for _, j := range jobs {
 				r, err := jobstore.JobRow("host", j)
@@ -79,13 +79,13 @@
 			jobs = nil
 		}
 		add("later", "advised", later)
-		tell()
+		submitAll()
 		pause.For(x.ctx, 80*time.Millisecond) // two questions are in flight, two wait
 		mu.Lock()
 		before := len(asked)
 		mu.Unlock()
 		add("urgent", "advised-urgent", urgent)
-		tell()
+		submitAll()
 		pause.For(x.ctx, 8*time.Second)
 		mu.Lock()
 		first := asked[before : before+urgent]
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -288,9 +288,9 @@
 // loading. Rows that hosts report meanwhile don't block them.
 func TestLeaderStaysWhileItLoads(t *testing.T) {
 	const (
-		load      = 3 * time.Second
-		unchanged = 350 * time.Millisecond // others take over after it
-		told      = 5000
+		load          = 3 * time.Second
+		unchanged     = 350 * time.Millisecond // others take over after it
+		notifications = 5000
 	)
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -331,10 +331,10 @@
 		x.store.SlowLists(jobstore.ProgressTable, load)
 		l = x.lead("b")
 		begun = time.Now()
-		for range told {
+		for range notifications {
 			l.NotifyRow(row)
 		}
-		x.c.Check(time.Since(begun) < load/2, qt.IsTrue, qt.Commentf("telling took %s", time.Since(begun)))
+		x.c.Check(time.Since(begun) < load/2, qt.IsTrue, qt.Commentf("%s for the notifications", time.Since(begun)))
 		x.store.SlowLists(jobstore.ProgressTable, 0)
 		pause.For(x.ctx, 5*time.Second)
 		x.assertCompleted(l, ids)
--- a/leader/stalefeed_test.go
+++ b/leader/stalefeed_test.go
@@ -57,12 +57,12 @@
 		x.list("w0")
 		x.store.Forget() // makes the feed list the table again
 		pause.For(x.ctx, 20*time.Second)
-		x.c.Check(o.count(workersTable) > 5, qt.IsTrue, qt.Commentf("told %d times", o.count(workersTable)))
+		x.c.Check(o.count(workersTable) > 5, qt.IsTrue, qt.Commentf("logged %d times", o.count(workersTable)))
 		x.c.Check(o.count("jobs"), qt.Equals, 0)
 		x.store.SlowLists(workersTable, 0)
 		pause.For(x.ctx, time.Minute)
-		told := o.count(workersTable)
+		logged := o.count(workersTable)
 		pause.For(x.ctx, 20*time.Second)
-		x.c.Check(o.count(workersTable), qt.Equals, told)
+		x.c.Check(o.count(workersTable), qt.Equals, logged)
 	})
 }
--- a/node/admission_test.go
+++ b/node/admission_test.go
@@ -14,12 +14,12 @@
 
 // submitFor submits jobs at a host, twenty a second, and returns how many were accepted
 // and how many were refused for now. Other outcomes fail the test.
-func (x *cell) submitFor(d time.Duration, host, first int) (taken, refused int) {
+func (x *cell) submitFor(d time.Duration, host, first int) (accepted, refused int) {
 	for i := range int(d / (50 * time.Millisecond)) {
 		r := x.call(host, http.MethodPost, "/q/"+jobID(first+i), body)
 		switch r.status {
 		case http.StatusOK:
-			taken++
+			accepted++
 		case http.StatusBadGateway:
 			refused++
 		default:
@@ -27,7 +27,7 @@
 		}
 		pause.For(x.ctx, 50*time.Millisecond)
 	}
-	return taken, refused
+	return accepted, refused
 }
 
 // Hosts refuse a share of the jobs while all workers respond late, as over a saturated
@@ -46,8 +46,8 @@
 		x.c.Check(refused, qt.Equals, 0)
 		late.Store(true)
 		x.submitFor(4*time.Second, host, 100)
-		taken, refused := x.submitFor(2*time.Second, host, 200)
-		x.c.Check(refused > taken, qt.IsTrue, qt.Commentf("%d taken, %d refused while answers were late", taken, refused))
+		accepted, refused := x.submitFor(2*time.Second, host, 200)
+		x.c.Check(refused > accepted, qt.IsTrue, qt.Commentf("%d accepted, %d refused while responses were late", accepted, refused))
 		late.Store(false)
 		pause.For(x.ctx, 10*time.Second)
 		_, refused = x.submitFor(2*time.Second, host, 300)
--- a/node/election.go
+++ b/node/election.go
@@ -241,7 +241,7 @@
 		return backoff(electionTimeoutGone, h)
 	}
 	base := electionTimeout
-	if probe.last.answers && n.health.losingAnswers(n.clock.Now()) {
+	if probe.last.responds && n.health.losingResponses(n.clock.Now()) {
 		base = electionTimeoutLossy
 	}
 	return backoff(base, h) + max(electionTimeoutWrites*n.health.averageWrite(), electionTimeoutReads*read, n.leaderLatency.allowance())
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -129,8 +129,8 @@
 type probeResult struct {
 	healthy bool
 	gone    bool
-	// answers is set if the leader responds and leads, whether or not it is healthy.
-	answers bool
+	// responds is set if the leader responds and leads, whether or not it is healthy.
+	responds bool
 	// refusedByStore is set if it also reports that the store refuses its writes.
 	refusedByStore bool
 }
@@ -161,11 +161,11 @@
 
 func (n *Node) probeLeader(ctx context.Context, h leader.Head) probeResult {
 	r, err := n.sendHeartbeat(ctx, h, n.leaderLatency.timeout(heartbeatTimeout))
-	answers := err == nil && r.Leads && r.Epoch == h.Epoch
+	responds := err == nil && r.Leads && r.Epoch == h.Epoch
 	return probeResult{
 		healthy:        err == nil && r.confirmsLeader(h),
 		gone:           isConnRefused(err) || err == nil && !r.Leads,
-		answers:        answers,
-		refusedByStore: answers && r.refusedByStore(),
+		responds:       responds,
+		refusedByStore: responds && r.refusedByStore(),
 	}
 }
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -146,7 +146,7 @@
 // outcome.
 func (n *Node) submitFailed(ctx context.Context, j sched.Job, mayBeStored bool, tries int, begun time.Time, err error) (platform.Outcome, error) {
 	now := n.clock.Now()
-	leader, answers := n.reachableLeader()
+	leader, responds := n.reachableLeader()
 	n.log.WithError(err).WithFields(logrus.Fields{
 		"request":          platform.RequestID(ctx),
 		"job":              string(j.ID),
@@ -155,7 +155,7 @@
 		"waited_ms":        now.Sub(begun).Milliseconds(),
 		"store_failing_ms": n.health.failingFor(now).Milliseconds(),
 		"leader":           string(leader),
-		"leader_answers":   answers,
+		"leader_answers":   responds,
 	}).Warn("job not kept")
 	return failedOutcome(mayBeStored), err
 }
--- a/node/storehealth.go
+++ b/node/storehealth.go
@@ -25,11 +25,11 @@
 	// slow; clients wait three seconds in total.
 	minWriteTimeout = 350 * time.Millisecond
 	maxWriteTimeout = 1200 * time.Millisecond
-	// answerLossThreshold is the excess of the average wait for a write over the
+	// responseLossThreshold is the excess of the average wait for a write over the
 	// average duration of answered writes that indicates that responses are being lost.
 	// One lost response adds at least a quarter of minWriteTimeout, and a few
 	// successful writes reduce it again.
-	answerLossThreshold = 30 * time.Millisecond
+	responseLossThreshold = 30 * time.Millisecond
 	// writeTimeoutFactor times the average wait is the time after which a write was
 	// most likely lost.
 	writeTimeoutFactor = 4
@@ -116,9 +116,9 @@
 	return h.averageAnswered
 }
 
-// losingAnswers reports whether responses to writes have been lost recently, or one is
+// losingResponses reports whether responses to writes have been lost recently, or one is
 // overdue.
-func (h *storeHealth) losingAnswers(now time.Time) bool {
+func (h *storeHealth) losingResponses(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, at := range h.pending {
@@ -126,7 +126,7 @@
 			return true
 		}
 	}
-	return h.averageWait-h.averageAnswered > answerLossThreshold
+	return h.averageWait-h.averageAnswered > responseLossThreshold
 }
 
 // writeTimeout returns the timeout for a write.
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -35,7 +35,7 @@
 	askMoreAfter = 250 * time.Millisecond
 )
 
-// advice holds what the advisor has told about the workers that may run a stage.
+// advice holds the answers of the advisor about the workers that may run a stage.
 type advice struct {
 	// asked and tickets are keyed by worker incarnation, since an answer of the advisor holds
 	// for one incarnation only.
--- a/sched/incarnations.go
+++ b/sched/incarnations.go
@@ -142,7 +142,7 @@
 		r.worker = w
 		s.addRun(r)
 		// A stop that the former incarnation accepted does not apply to the next one.
-		r.stopTakenAt = time.Time{}
+		r.stopAcceptedAt = time.Time{}
 		r.nextStopAt = s.now
 	}
 }
--- a/sched/pending_test.go
+++ b/sched/pending_test.go
@@ -13,26 +13,26 @@
 // until a worker reports a run of it.
 func TestRecordedStartIsPendingUntilTheWorkerReportsIt(t *testing.T) {
 	for name, c := range map[string]struct {
-		hear    func(x *cell, r sched.RunID)
+		report  func(x *cell, r sched.RunID)
 		waiting int
 		state   sched.JobState
 	}{
-		"nothing heard": {
-			hear:    func(*cell, sched.RunID) {},
+		"nothing reported": {
+			report:  func(*cell, sched.RunID) {},
 			waiting: 1,
 			state:   sched.Pending,
 		},
 		"it is not there": {
-			hear:    func(x *cell, _ sched.RunID) { x.renewLease("w") },
+			report:  func(x *cell, _ sched.RunID) { x.renewLease("w") },
 			waiting: 1,
 			state:   sched.Pending,
 		},
 		"it runs": {
-			hear:  func(x *cell, r sched.RunID) { x.renewLease("w", r) },
-			state: sched.Running,
+			report: func(x *cell, r sched.RunID) { x.renewLease("w", r) },
+			state:  sched.Running,
 		},
 		"it has failed": {
-			hear: func(x *cell, r sched.RunID) {
+			report: func(x *cell, r sched.RunID) {
 				x.endRun(sched.StartOrder{
 					WorkerIncarnation: incarnationOf("w"),
 					Run:               r,
@@ -45,7 +45,7 @@
 			x := newCell(t)
 			x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), running("w"))
 			x.listWorker("w", false)
-			c.hear(x, sched.RunID{
+			c.report(x, sched.RunID{
 				Task: sched.TaskID{
 					Stage: sched.StageID{
 						Job: "j",
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -236,7 +236,7 @@
 		// answered a call of its own refuses them, as its fence is higher.
 		return h.Asked == r.worker.incarnation()
 	}
-	if !r.stopTakenAt.IsZero() && h.Sent.After(r.stopTakenAt) {
+	if !r.stopAcceptedAt.IsZero() && h.Sent.After(r.stopAcceptedAt) {
 		return true
 	}
 	switch r.phase {
--- a/sched/state.go
+++ b/sched/state.go
@@ -206,7 +206,7 @@
 	percent         int
 	progressedAt    time.Time // when percent last changed
 	stopping        bool
-	stopTakenAt     time.Time // when the worker first accepted a stop
+	stopAcceptedAt  time.Time // when the worker first accepted a stop
 	nextStopAt      time.Time // when to repeat the stop order
 }
 
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -124,8 +124,8 @@
 		})
 		return
 	}
-	if r.stopTakenAt.IsZero() {
-		r.stopTakenAt = now
+	if r.stopAcceptedAt.IsZero() {
+		r.stopAcceptedAt = now
 	}
 }
 
--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -25,10 +25,10 @@
 	return x, stops[0]
 }
 
-func (x *cell) answerStop(o sched.StopOrder, taken bool) {
+func (x *cell) answerStop(o sched.StopOrder, accepted bool) {
 	x.state.StopAnswered(x.now, sched.StopAnswer{
 		Order: o,
-		Taken: taken,
+		Taken: accepted,
 	})
 }
 
