--- a/node/jobs.go
+++ b/node/jobs.go
@@ -358,7 +358,7 @@
 	return platform.Done, nil
 }
 
-// Waiting implements [platform.Jobs].
+// CountWaiting implements [platform.Jobs].
 func (n *Node) CountWaiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
 	if l := n.localLeader(); l != nil {
 		w, ok := l.WaitingJobs(q)
