--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -174,7 +174,7 @@
 	now := x.loop.Time()
 	x.lastDecide = x.loop.Now()
 	x.state.Decide(now)
-	if err := x.state.CheckRoom(); err != nil {
+	if err := x.state.CheckCapacity(); err != nil {
 		x.violations = append(x.violations, err.Error())
 	}
 	for _, o := range x.state.Stops() {
@@ -291,8 +291,8 @@
 	a := x.jobs[order.Run.Task.Stage.Job]
 	x.starts++
 	x.state.StartAnswered(x.loop.Time(), sched.StartAnswer{
-		Life: order.Life,
-		Run:  order.Run,
+		WorkerIncarnation: order.WorkerIncarnation,
+		Run:               order.Run,
 	})
 	if a == nil {
 		return
@@ -431,9 +431,9 @@
 // sendHeartbeat renews the worker's lease and reports its running and ended tasks.
 func (x *cell) sendHeartbeat(w *worker) {
 	now := x.loop.Time()
-	x.state.LeaseRequested(w.Life(), sched.LeaseEnd(now, lease))
+	x.state.LeaseRequested(w.Incarnation(), sched.LeaseEnd(now, lease))
 	h := sched.Heartbeat{
-		Life: spoolsill.Life{
+		WorkerIncarnation: spoolsill.WorkerIncarnation{
 			Worker: w.ID,
 		},
 		Sent:  now.Add(-callDelay),
--- a/leader/advice.go
+++ b/leader/advice.go
@@ -164,8 +164,8 @@
 	return available
 }
 
-// compareQuestions orders urgent questions first, then those with reserved room, then those
-// for gangs that wait.
+// compareQuestions orders urgent questions first, then those with reserved capacity, then
+// those for gangs that wait.
 func compareQuestions(a, b sched.AdviceOrder) int {
 	return cmp.Or(
 		-compareBools(a.Urgent, b.Urgent),
@@ -212,7 +212,7 @@
 		begun := l.config.Clock.Now()
 		tickets, valid, err := l.config.Advisor.Ask(c, h, o.Stage, workerIDs(o.Workers))
 		took := l.config.Clock.Since(begun)
-		l.config.Observer.Asked(outcome(err), took)
+		l.config.Observer.RecordAdvice(outcome(err), took)
 		if err != nil {
 			l.config.Log.WithError(err).WithField("host", string(h)).WithField("stage", o.Stage.String()).Warn("question to the advisor failed")
 		}
@@ -236,9 +236,9 @@
 }
 
 // workerIDs returns the ids of the workers.
-func workerIDs(lives []spoolsill.Life) []spoolsill.WorkerID {
-	ids := make([]spoolsill.WorkerID, len(lives))
-	for i, l := range lives {
+func workerIDs(incarnations []spoolsill.WorkerIncarnation) []spoolsill.WorkerID {
+	ids := make([]spoolsill.WorkerID, len(incarnations))
+	for i, l := range incarnations {
 		ids[i] = l.Worker
 	}
 	return ids
--- a/leader/log.go
+++ b/leader/log.go
@@ -32,7 +32,7 @@
 		"questions":     x.Asking,
 		"suspects":      x.Suspects,
 		"crashed":       x.Crashed,
-		"answers_ms":    l.AnswerLatency().Milliseconds(),
+		"answers_ms":    l.ResponseLatency().Milliseconds(),
 	}).Info("load of the cell")
 	l.logWait(now)
 }
@@ -88,7 +88,7 @@
 
 func (l *Leader) logNotes() {
 	for _, n := range l.state.Notes() {
-		l.config.Observer.Note(n)
+		l.config.Observer.RecordEvent(n)
 		f := logrus.Fields{
 			"epoch":  uint64(l.Epoch()),
 			"reason": n.Reason,
--- a/leader/order.go
+++ b/leader/order.go
@@ -27,12 +27,12 @@
 // sendStart sends a start order, and retries it unchanged while it is unanswered: orders are
 // idempotent, and a run that exists is not started twice.
 func (l *Leader) sendStart(o sched.StartOrder) {
-	h := l.renewers[o.Life]
+	h := l.renewers[o.WorkerIncarnation]
 	if h == nil {
 		l.state.StartAnswered(l.config.Clock.Now(), sched.StartAnswer{
-			Life:    o.Life,
-			Run:     o.Run,
-			Outcome: sched.StartRejected,
+			WorkerIncarnation: o.WorkerIncarnation,
+			Run:               o.Run,
+			Outcome:           sched.StartRejected,
 		})
 		return
 	}
@@ -48,9 +48,9 @@
 
 func (h *renewer) start(ctx context.Context, o sched.StartOrder, keeper string) sched.StartAnswer {
 	a := sched.StartAnswer{
-		Life:    o.Life,
-		Run:     o.Run,
-		Outcome: sched.StartUnknown,
+		WorkerIncarnation: o.WorkerIncarnation,
+		Run:               o.Run,
+		Outcome:           sched.StartUnknown,
 	}
 	h.beginStart(o.Run)
 	defer h.endStart(o.Run)
@@ -64,7 +64,7 @@
 		if h.isListed(o.Run) {
 			// The order was carried out. A retry could reach a later incarnation, which
 			// does not know of the run and would start it again.
-			a.Outcome = sched.StartTaken
+			a.Outcome = sched.StartAccepted
 			return a
 		}
 		if timeout <= 0 || h.isDone() {
@@ -97,7 +97,7 @@
 func (h *renewer) reportNoResponse(since time.Time) {
 	if _, _, at := h.read(); at.Before(since) {
 		h.leader.send(workerSilent{
-			life: h.target.Life,
+			incarnation: h.target.WorkerIncarnation,
 		})
 	}
 }
@@ -122,15 +122,15 @@
 func startOutcome(k ReplyKind) sched.StartOutcome {
 	switch k {
 	case Accepted:
-		return sched.StartTaken
-	case NoRoom:
-		return sched.StartNoRoom
+		return sched.StartAccepted
+	case NoCapacity:
+		return sched.StartNoCapacity
 	case NoTicket:
 		return sched.StartNoTicket
 	case Unhealthy:
 		return sched.StartUnhealthy
-	case OtherLife:
-		return sched.StartOtherLife
+	case OtherIncarnation:
+		return sched.StartOtherIncarnation
 	default:
 		return sched.StartRejected
 	}
@@ -139,7 +139,7 @@
 // sendStop sends a stop order, and retries it while it is unanswered and tries are left. It
 // reports the outcome in any case.
 func (l *Leader) sendStop(ctx context.Context, o sched.StopOrder) {
-	h := l.renewers[o.Life]
+	h := l.renewers[o.WorkerIncarnation]
 	if h == nil {
 		l.state.StopAnswered(l.config.Clock.Now(), sched.StopAnswer{
 			Order:  o,
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -35,11 +35,11 @@
 			Address:  string(id),
 			Capacity: cores(64),
 		})
-		s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
+		s.LeaseRequested(incarnationOf(id), sched.LeaseEnd(now, lease))
 		s.Heartbeat(now, sched.Heartbeat{
-			Life:  lifeOf(id),
-			Sent:  now,
-			Clock: 1,
+			WorkerIncarnation: incarnationOf(id),
+			Sent:              now,
+			Clock:             1,
 		})
 	}
 	for i := range n {
@@ -75,15 +75,15 @@
 		Address:  "fast",
 		Capacity: cores(64),
 	})
-	s.LeaseRequested(lifeOf(id), sched.LeaseEnd(now, lease))
+	s.LeaseRequested(incarnationOf(id), sched.LeaseEnd(now, lease))
 	var sequence uint64
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
 		s.Heartbeat(now, sched.Heartbeat{
-			Life: lifeOf(id),
-			Sent: now,
+			WorkerIncarnation: incarnationOf(id),
+			Sent:              now,
 		})
 		s.AddJob(now, job(spoolsill.JobID(fmt.Sprintf("job-%d", n)), "q", tasks(2, 1)), sched.Progress{})
 		s.Decide(now)
@@ -93,13 +93,13 @@
 		}
 		for _, o := range s.BatchWritten(now, x) {
 			s.StartAnswered(now, sched.StartAnswer{
-				Life: o.Life,
-				Run:  o.Run,
+				WorkerIncarnation: o.WorkerIncarnation,
+				Run:               o.Run,
 			})
 			sequence++
 			s.Heartbeat(now, sched.Heartbeat{
-				Life: lifeOf(o.Worker),
-				Sent: now,
+				WorkerIncarnation: incarnationOf(o.Worker),
+				Sent:              now,
 				Ended: []sched.End{
 					{
 						Sequence: sequence,
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -25,7 +25,7 @@
 }
 
 func (m *crashModel) add() {
-	m.workers = append(m.workers, m.x.listLife(m.next, 0))
+	m.workers = append(m.workers, m.x.listIncarnation(m.next, 0))
 	m.next++
 }
 
@@ -56,7 +56,7 @@
 }
 
 func (m *crashModel) begin(t *rapid.T, o sched.StartOrder) {
-	answer := rapid.SampledFrom([]sched.StartOutcome{sched.StartTaken, sched.StartUnknown}).Draw(t, "answer")
+	answer := rapid.SampledFrom([]sched.StartOutcome{sched.StartAccepted, sched.StartUnknown}).Draw(t, "answer")
 	if m.crashes >= 3 {
 		m.startsAfter++
 	}
@@ -82,7 +82,7 @@
 		m.x.state.WorkerUnlisted(m.x.now, w)
 	}
 	if rapid.Bool().Draw(t, "heard") {
-		m.x.state.WorkerDied(m.x.now, lifeOf(w))
+		m.x.state.WorkerDied(m.x.now, incarnationOf(w))
 	}
 	m.add()
 }
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -19,7 +19,7 @@
 	s.stopStuck()
 	s.repeatStops()
 	s.pruneSuspects()
-	s.sumStrayUsage()
+	s.sumUnknownUsage()
 	s.stopUncertainOverQuota()
 	s.openDue()
 	if s.now.Sub(s.firstAnswerAt) < s.config.SettleTime || !s.entriesFresh() {
@@ -217,7 +217,7 @@
 // placeEach starts the waiting tasks independently of each other.
 func (d *decider) placeEach(g *stage, q *Queue) {
 	ws := d.candidates(g, q)
-	var renew []spoolsill.Life
+	var renew []spoolsill.WorkerIncarnation
 	waiting := 0
 	for _, t := range g.tasks {
 		if t.done || t.run != nil {
@@ -236,8 +236,8 @@
 			continue
 		}
 		d.plan(t, w)
-		if !slices.Contains(renew, w.life()) {
-			renew = append(renew, w.life())
+		if !slices.Contains(renew, w.incarnation()) {
+			renew = append(renew, w.incarnation())
 		}
 	}
 	if len(renew) > 0 {
@@ -273,7 +273,7 @@
 			continue
 		}
 		c := d.placementCost(g, w, free.Sub(need)) + d.trialCost(t, w)
-		if slices.Contains(t.failedOn, w.life()) {
+		if slices.Contains(t.failedOn, w.incarnation()) {
 			c += failedWorkerCost
 		}
 		if c < lowest {
@@ -327,11 +327,11 @@
 	t.lastRun = number
 	r.phase = phaseRecorded
 	g.job.starts = append(g.job.starts, StartOrder{
-		Life:   r.worker.life(),
-		Run:    r.id,
-		Spec:   g.job.Spec,
-		Saved:  t.lastCheckpoint(),
-		Ticket: g.advice.tickets[r.worker].text,
+		WorkerIncarnation: r.worker.incarnation(),
+		Run:               r.id,
+		Spec:              g.job.Spec,
+		Saved:             t.lastCheckpoint(),
+		Ticket:            g.advice.tickets[r.worker].text,
 	})
 	s.markDirty(g.job)
 	s.note(Note{
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -153,7 +153,7 @@
 	for _, o := range x.state.Stops() {
 		x.answerStop(o, w.stop(o.Run, x.epoch))
 	}
-	if slices.Contains(x.state.HeartbeatTargets(), lifeOf("w")) {
+	if slices.Contains(x.state.HeartbeatTargets(), incarnationOf("w")) {
 		x.answerRenewal()
 	}
 }
@@ -183,7 +183,7 @@
 	if late == 0 && !x.worker.partitioned {
 		x.worker.extend(x.now.Add(startLease))
 		x.worker.start(x.now, o.Run)
-		x.answerStart(o, sched.StartTaken)
+		x.answerStart(o, sched.StartAccepted)
 		return
 	}
 	x.worker.delayed = append(x.worker.delayed, delayedStart{
@@ -193,11 +193,11 @@
 		epoch:    x.epoch,
 	})
 	x.state.StartAnswered(x.now, sched.StartAnswer{
-		Life:     o.Life,
-		Run:      o.Run,
-		Outcome:  sched.StartUnknown,
-		Doubt:    true,
-		Deadline: sched.ClockMillis(x.now.Add(startLease).UnixMilli()),
+		WorkerIncarnation: o.WorkerIncarnation,
+		Run:               o.Run,
+		Outcome:           sched.StartUnknown,
+		Doubt:             true,
+		Deadline:          sched.ClockMillis(x.now.Add(startLease).UnixMilli()),
 	})
 }
 
@@ -210,7 +210,7 @@
 	}
 	w.lastHeartbeat = x.now
 	if w.answered {
-		x.state.LeaseRequested(lifeOf("w"), sched.LeaseEnd(x.now, lease))
+		x.state.LeaseRequested(incarnationOf("w"), sched.LeaseEnd(x.now, lease))
 	}
 	f := w.nextFault()
 	if f != faultOrderLost {
@@ -376,7 +376,7 @@
 	x.addWorker("w")
 	x.state.WorkerUnlisted(x.now, "w")
 	x.advance(lease-time.Second, nil)
-	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.Life{lifeOf("w")})
+	x.c.Assert(x.state.HeartbeatTargets(), qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("w")})
 	x.advance(2*time.Second, nil)
 	x.c.Assert(x.state.HeartbeatTargets(), qt.HasLen, 0)
 }
@@ -399,8 +399,8 @@
 	x.renewLease("w", o[1].Run)
 	x.c.Assert(x.state.Stops(), qt.DeepEquals, []sched.StopOrder{
 		{
-			Life: lifeOf("w"),
-			Run:  o[1].Run,
+			WorkerIncarnation: incarnationOf("w"),
+			Run:               o[1].Run,
 		},
 	})
 }
