--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -14,38 +14,40 @@
 	"github.com/spoolsill/spoolsill/member"
 )
 
-// PlatformPlace is the place of the platform in a [Network].
+// PlatformPlace is the [Node.Place] of the platform in a [Network].
 const PlatformPlace = "platform"
 
 // A CellConfig describes a [Cell].
 type CellConfig struct {
 	Halls []spoolsill.HallID
-	// Workers and Runners are the numbers in the whole cell.
+	// Workers and Runners are totals, spread evenly over the halls.
 	Workers  int
 	RackSize int
 	Capacity spoolsill.Resources
 	Service  spoolsill.ServiceID
 	Runners  int
 	Slots    int
-	// Work returns how long a request takes.
+	// Work returns how long a request takes; nil means no time.
 	Work func(spoolsill.RequestKey) time.Duration
-	// Runtime returns how long a task runs, and whether it then fails.
+	// Runtime returns how long a task runs, and whether it then fails; see
+	// [WorkerConfig.Runtime] for nil.
 	Runtime func(agent.Start) (time.Duration, bool)
-	// Use returns what a task uses; nil takes its shape.
+	// Use returns the resource usage reported for a task; nil means its shape.
 	Use func(agent.Start) spoolsill.Resources
-	// Platform is the address that the platform listens on; empty means any.
+	// Platform is the listen address of the platform; empty means any free port.
 	Platform string
-	// Memory keeps all connections in memory, so that the cell can run on
-	// virtual time.
+	// Memory makes all connections in-memory pipes, so that the cell can run in
+	// a testing/synctest bubble.
 	Memory bool
 }
 
-// A Cell is a platform, workers and runners on loopback.
+// A Cell is a fake platform with fake workers and runners, on loopback or in
+// memory.
 type Cell struct {
 	Truth    *Truth
 	Network  *Network
 	Platform *Platform
-	URL      string // of the platform
+	URL      string // base URL of the platform
 	Workers  map[spoolsill.WorkerID]*Worker
 	Runners  map[spoolsill.RunnerID]*Runner
 
@@ -54,7 +56,7 @@
 	servers []*http.Server
 }
 
-// NewCell starts a cell. Close ends it.
+// NewCell starts a cell. The caller must call [Cell.Close].
 func NewCell(c CellConfig) (*Cell, error) {
 	x := &Cell{
 		Truth:    &Truth{},
@@ -170,7 +172,7 @@
 	return a, nil
 }
 
-// Calls returns how many calls all workers have got.
+// Calls returns how many HTTP requests the workers have received in total.
 func (x *Cell) Calls() int64 {
 	var n int64
 	for _, w := range x.Workers {
@@ -179,21 +181,21 @@
 	return n
 }
 
-// Begun returns how many tasks all workers have begun.
+// Begun returns how many tasks the workers have started in total.
 func (x *Cell) Begun() int64 {
 	var n int64
 	for _, w := range x.Workers {
-		n += w.begun.Load()
+		n += w.started.Load()
 	}
 	return n
 }
 
-// Wait returns when ctx ends.
+// Wait blocks until ctx is done.
 func (x *Cell) Wait(ctx context.Context) {
 	<-ctx.Done()
 }
 
-// Close ends the cell.
+// Close closes all servers and kills all workers.
 func (x *Cell) Close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,8 +1,8 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// platform, the workers and the runners, each served over real sockets, each
-// able to fail in the ways that the real ones do.
+// Package standin provides fake platforms, workers and runners for tests, the
+// demo and measurements. They are served over loopback or in memory, and can
+// inject the faults of the real ones.
 //
-// They record what really happened, so that tests and the demo can check the
-// project's promises against them and not against the project's own word. See
-// [Truth].
+// The fakes record which requests and tasks they ran, so that the invariants
+// of the system are checked against these records and not against what its
+// hosts report. See [Truth].
 package standin
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -9,38 +9,40 @@
 	"github.com/spoolsill/spoolsill/internal/pause"
 )
 
-// A Fault is how a stand-in misbehaves. It is safe for concurrent use; the
-// zero value behaves.
+// A Fault injects faults into a fake server. The zero value injects none. It
+// is safe for concurrent use.
 type Fault struct {
-	mu    sync.Mutex
-	down  bool
-	slow  time.Duration
-	lose  int // answers to lose after the effect
-	pause chan struct{}
+	mu         sync.Mutex
+	down       bool
+	delay      time.Duration
+	unanswered int // calls still to be handled without an answer
+	pause      chan struct{}
 }
 
-// SetDown makes the stand-in refuse everything, without effect.
+// SetDown makes the server answer every call with status 503, without handling
+// it.
 func (f *Fault) SetDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down = down
 }
 
-// SetSlow delays every answer.
+// SetSlow delays the handling of every call by d.
 func (f *Fault) SetSlow(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.slow = d
+	f.delay = d
 }
 
-// LoseAnswers makes the next n calls take effect without an answer.
+// LoseAnswers makes the server handle the next n calls but abort their
+// connections in place of an answer.
 func (f *Fault) LoseAnswers(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lose = n
+	f.unanswered = n
 }
 
-// Pause holds up all calls until the returned function is called.
+// Pause blocks all calls until the returned function is called.
 func (f *Fault) Pause() (resume func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,10 +58,10 @@
 	}
 }
 
-// wrap puts the faults in front of a handler.
+// wrap returns a handler that applies the faults before it calls next.
 func (f *Fault) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		down, lose := f.enter(r.Context())
+		down, lose := f.apply(r.Context())
 		if down {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
@@ -68,16 +70,16 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		next.ServeHTTP(&discard{
+		next.ServeHTTP(&discardWriter{
 			header: http.Header{},
 		}, r)
 		panic(http.ErrAbortHandler)
 	})
 }
 
-func (f *Fault) enter(ctx context.Context) (down, lose bool) {
+func (f *Fault) apply(ctx context.Context) (down, lose bool) {
 	f.mu.Lock()
-	held, slow := f.pause, f.slow
+	held, slow := f.pause, f.delay
 	f.mu.Unlock()
 	if held != nil {
 		select {
@@ -90,27 +92,27 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lose > 0 && !f.down {
-		f.lose--
+	if f.unanswered > 0 && !f.down {
+		f.unanswered--
 		return false, true
 	}
 	return f.down, false
 }
 
-// A discard takes an answer that is lost.
-type discard struct {
+// A discardWriter is an http.ResponseWriter that drops the answer.
+type discardWriter struct {
 	header http.Header
 }
 
 // Header implements http.ResponseWriter.
-func (d *discard) Header() http.Header {
+func (d *discardWriter) Header() http.Header {
 	return d.header
 }
 
 // Write implements http.ResponseWriter.
-func (d *discard) Write(b []byte) (int, error) {
+func (d *discardWriter) Write(b []byte) (int, error) {
 	return len(b), nil
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (d *discard) WriteHeader(int) {}
+func (d *discardWriter) WriteHeader(int) {}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -8,40 +8,42 @@
 	"github.com/spoolsill/spoolsill/internal/pause"
 )
 
-// packet is how many bytes a link carries for one connection before it is
-// another one's turn.
-const packet = 8 << 10
+// packetSize is the largest number of bytes that a connection sends or receives
+// over a rate-limited link at once, so that connections take turns.
+const packetSize = 8 << 10
 
-// A link is what all connections of a node share, either way.
+// A link limits the rate of all connections of a node together, separately in
+// each direction.
 type link struct {
 	in, out direction
 }
 
-// A direction of a link carries so many bytes a second.
+// A direction is the rate limiter of one direction of a link.
 type direction struct {
-	rate int // bytes a second
+	rate int // bytes per second
 
 	mu      sync.Mutex
-	free    time.Time // when all that was sent so far has passed
+	idleAt  time.Time // when the bytes carried so far have been transmitted
 	carried int       // bytes
 }
 
-// carry returns when n bytes have passed, behind those of others, or ctx ends.
+// carry blocks until n bytes have been transmitted after those already queued,
+// or until ctx is done.
 func (d *direction) carry(ctx context.Context, n int) {
 	d.mu.Lock()
 	now := time.Now()
-	if d.free.Before(now) {
-		d.free = now
+	if d.idleAt.Before(now) {
+		d.idleAt = now
 	}
-	d.free = d.free.Add(time.Duration(n) * time.Second / time.Duration(d.rate))
+	d.idleAt = d.idleAt.Add(time.Duration(n) * time.Second / time.Duration(d.rate))
 	d.carried += n
-	end := d.free
+	end := d.idleAt
 	d.mu.Unlock()
 	pause.For(ctx, time.Until(end))
 }
 
-// SetRate bounds how many bytes a second all connections of a node carry
-// together, each way.
+// SetRate limits the connections of a node together to rate bytes per second in
+// each direction.
 func (n *Network) SetRate(name string, rate int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,8 +57,8 @@
 	}
 }
 
-// Carried returns how many bytes a node has received over its link, which has a
-// rate.
+// Carried returns how many bytes a node has received over its link. The link
+// must have been given a rate with [Network.SetRate].
 func (n *Network) Carried(name string) int {
 	d := &n.link(name).in
 	d.mu.Lock()
--- a/internal/standin/memory.go
+++ b/internal/standin/memory.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// A memoryListener accepts connections that are made in memory.
+// A memoryListener is a net.Listener for in-memory connections.
 type memoryListener struct {
 	network *Network
 	address string
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -8,47 +8,49 @@
 	"sync"
 )
 
-// ErrCut is returned when a connection is refused since the way is cut.
-var ErrCut = errors.New("standin: the way is cut")
+// ErrCut is returned for a connection between nodes that are partitioned from
+// each other.
+var ErrCut = errors.New("standin: network is partitioned")
 
-// A Node is one process or machine, and the place that it stands in: a hall,
-// or [PlatformPlace].
+// A Node is a process or machine on a [Network]. Its place is a hall or
+// [PlatformPlace].
 type Node struct {
 	Name  string
 	Place string
 }
 
-// A Network carries connections between nodes, over loopback or in memory,
-// cuts the way between any two nodes or places, and pauses nodes. It is safe
-// for concurrent use.
+// A Network connects nodes over loopback or in memory. It can partition any two
+// nodes or places from each other, pause nodes and limit their bandwidth. It is
+// safe for concurrent use.
 type Network struct {
 	memory bool
 
-	mu        sync.Mutex
-	nodes     map[string]Node // address -> node
-	listeners map[string]*memoryListener
-	cut       map[[2]string]bool
-	paused    map[string]chan struct{} // node name -> closed when it goes on
-	conns     map[*conn]bool
-	links     map[string]*link // node name -> its link, if it has a rate
-	next      int
+	mu          sync.Mutex
+	nodes       map[string]Node // address -> node
+	listeners   map[string]*memoryListener
+	partitioned map[[2]string]bool
+	paused      map[string]chan struct{} // node name -> closed when it resumes
+	conns       map[*conn]bool
+	links       map[string]*link // node name -> its link, if rate-limited
+	next        int
 }
 
-// NewNetwork returns a network without cuts. One in memory opens no sockets,
-// so that it can run on virtual time.
+// NewNetwork returns a network without partitions. With memory set it opens no
+// sockets, so that it can run in a testing/synctest bubble.
 func NewNetwork(memory bool) *Network {
 	return &Network{
-		memory:    memory,
-		nodes:     map[string]Node{},
-		listeners: map[string]*memoryListener{},
-		cut:       map[[2]string]bool{},
-		paused:    map[string]chan struct{}{},
-		conns:     map[*conn]bool{},
-		links:     map[string]*link{},
+		memory:      memory,
+		nodes:       map[string]Node{},
+		listeners:   map[string]*memoryListener{},
+		partitioned: map[[2]string]bool{},
+		paused:      map[string]chan struct{}{},
+		conns:       map[*conn]bool{},
+		links:       map[string]*link{},
 	}
 }
 
-// Listen listens for a node on an address; an empty one means any.
+// Listen returns a listener of a node on an address; an empty address means any
+// free port.
 func (n *Network) Listen(at Node, address string) (net.Listener, error) {
 	if n.memory {
 		return n.listenMemory(at, address)
@@ -87,15 +89,15 @@
 	return l, nil
 }
 
-// SetCut cuts the way between two nodes or places, or mends it. Open
-// connections between them break.
+// SetCut partitions two nodes or places from each other, or ends the partition.
+// A partition closes the open connections between them.
 func (n *Network) SetCut(a, b string, cut bool) {
 	n.mu.Lock()
-	n.cut[[2]string{a, b}] = cut
-	n.cut[[2]string{b, a}] = cut
+	n.partitioned[[2]string{a, b}] = cut
+	n.partitioned[[2]string{b, a}] = cut
 	var broken []*conn
 	for c := range n.conns {
-		if n.isCut(c.from, c.to) {
+		if n.isPartitioned(c.from, c.to) {
 			broken = append(broken, c)
 		}
 	}
@@ -105,10 +107,10 @@
 	}
 }
 
-func (n *Network) isCut(a, b Node) bool {
+func (n *Network) isPartitioned(a, b Node) bool {
 	for _, x := range []string{a.Name, a.Place} {
 		for _, y := range []string{b.Name, b.Place} {
-			if n.cut[[2]string{x, y}] {
+			if n.partitioned[[2]string{x, y}] {
 				return true
 			}
 		}
@@ -116,8 +118,8 @@
 	return false
 }
 
-// SetPaused has a node neither send nor receive until it goes on. What it was
-// about to send is sent then, late.
+// SetPaused pauses or resumes a node. A paused node neither sends nor receives;
+// what it was about to send is sent after it resumes.
 func (n *Network) SetPaused(name string, paused bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,8 +141,8 @@
 	return ok
 }
 
-// wait returns when a node is not paused.
-func (n *Network) wait(name string) {
+// waitUntilResumed blocks while a node is paused.
+func (n *Network) waitUntilResumed(name string) {
 	for {
 		n.mu.Lock()
 		c, ok := n.paused[name]
@@ -155,10 +157,10 @@
 // Dialer returns a function that opens connections from a node.
 func (n *Network) Dialer(from Node) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		n.wait(from.Name)
+		n.waitUntilResumed(from.Name)
 		n.mu.Lock()
 		to := n.nodes[address]
-		cut := n.isCut(from, to)
+		cut := n.isPartitioned(from, to)
 		l := n.listeners[address]
 		n.mu.Unlock()
 		if cut {
@@ -187,13 +189,13 @@
 	}
 }
 
-// track keeps a connection so that a cut can break it. The end belongs to
-// owner, whose pause holds it up.
+// track registers one end of a connection, so that a partition can close it.
+// The end belongs to owner: its reads and writes block while owner is paused.
 func (n *Network) track(c net.Conn, from, to, owner Node) net.Conn {
 	open, cancel := context.WithCancel(context.Background())
 	x := &conn{
-		open:    open,
-		close:   cancel,
+		ctx:     open,
+		cancel:  cancel,
 		Conn:    c,
 		network: n,
 		from:    from,
@@ -213,37 +215,37 @@
 	from    Node
 	to      Node
 	owner   Node
-	open    context.Context //nolint:containedctx // ends when the connection is closed
-	close   context.CancelFunc
+	ctx     context.Context //nolint:containedctx // done when the connection is closed
+	cancel  context.CancelFunc
 }
 
-// Read implements net.Conn. On a link with a rate it takes one packet.
+// Read implements net.Conn. On a rate-limited link it reads at most one packet.
 func (c *conn) Read(b []byte) (int, error) {
 	l := c.network.link(c.owner.Name)
-	if l != nil && len(b) > packet {
-		b = b[:packet]
+	if l != nil && len(b) > packetSize {
+		b = b[:packetSize]
 	}
 	k, err := c.Conn.Read(b)
 	if l != nil && k > 0 {
-		// The end of a connection takes nothing of the link: behind the bytes of
-		// others it would be told after the end of a test.
-		l.in.carry(c.open, k)
+		// A close uses no bandwidth: queued behind the bytes of other
+		// connections, it would be seen only after the end of a test.
+		l.in.carry(c.ctx, k)
 	}
-	c.network.wait(c.owner.Name)
+	c.network.waitUntilResumed(c.owner.Name)
 	return k, err
 }
 
-// Write implements net.Conn. On a link with a rate it writes packet by packet.
+// Write implements net.Conn. On a rate-limited link it writes packet by packet.
 func (c *conn) Write(b []byte) (int, error) {
-	c.network.wait(c.owner.Name)
+	c.network.waitUntilResumed(c.owner.Name)
 	l := c.network.link(c.owner.Name)
 	if l == nil {
 		return c.Conn.Write(b)
 	}
 	done := 0
 	for done < len(b) {
-		p := b[done:min(done+packet, len(b))]
-		l.out.carry(c.open, len(p))
+		p := b[done:min(done+packetSize, len(b))]
+		l.out.carry(c.ctx, len(p))
 		k, err := c.Conn.Write(p)
 		done += k
 		if err != nil {
@@ -255,7 +257,7 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.close()
+	c.cancel()
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
--- a/internal/standin/pipe.go
+++ b/internal/standin/pipe.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A pipe is one end of a connection in memory with a buffer for each
-// direction, as the kernel has for sockets: a write returns before the other
-// end reads, and what was written before a close is still read.
+// A pipe is one end of an in-memory connection. Each direction is buffered, as
+// by the kernel for sockets: a write returns before the other end reads, and
+// data written before a close can still be read.
 type pipe struct {
 	address memoryAddr
 	in, out *stream
@@ -31,7 +31,7 @@
 		}
 }
 
-// pipeBuffer is the number of bytes that a direction holds.
+// pipeBuffer is the buffer size of each direction in bytes.
 const pipeBuffer = 256 << 10
 
 // A stream is one direction of a pipe.
@@ -48,7 +48,7 @@
 	}
 }
 
-// changed wakes all who wait. The lock is held.
+// changed wakes all waiting readers and writers. s.mu must be held.
 func (s *stream) changed() {
 	close(s.change)
 	s.change = make(chan struct{})
@@ -67,7 +67,7 @@
 // Read implements net.Conn.
 func (p *pipe) Read(b []byte) (int, error) {
 	for {
-		late := p.read.wait()
+		passed := p.read.wait()
 		p.in.mu.Lock()
 		if len(p.in.data) > 0 {
 			k := copy(b, p.in.data)
@@ -83,7 +83,7 @@
 		}
 		select {
 		case <-change:
-		case <-late:
+		case <-passed:
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
@@ -93,7 +93,7 @@
 func (p *pipe) Write(b []byte) (int, error) {
 	done := 0
 	for {
-		late := p.write.wait()
+		passed := p.write.wait()
 		p.out.mu.Lock()
 		if p.out.closed {
 			p.out.mu.Unlock()
@@ -112,7 +112,7 @@
 		}
 		select {
 		case <-change:
-		case <-late:
+		case <-passed:
 			return done, os.ErrDeadlineExceeded
 		}
 	}
@@ -150,47 +150,47 @@
 	return nil
 }
 
-// A deadline is a channel that closes at a time that can be changed. Whoever
-// waits on the channel sees later changes too.
+// A deadline closes a channel at a time that can be changed. A change also
+// applies to goroutines that already wait on the channel.
 type deadline struct {
-	mu    sync.Mutex
-	timer *time.Timer
-	late  chan struct{}
+	mu     sync.Mutex
+	timer  *time.Timer
+	passed chan struct{}
 }
 
 func (d *deadline) wait() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.late == nil {
-		d.late = make(chan struct{})
+	if d.passed == nil {
+		d.passed = make(chan struct{})
 	}
-	return d.late
+	return d.passed
 }
 
 func (d *deadline) set(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.late == nil {
-		d.late = make(chan struct{})
+	if d.passed == nil {
+		d.passed = make(chan struct{})
 	}
 	if d.timer != nil && !d.timer.Stop() {
-		<-d.late // the timer has fired: its function closes the channel
+		<-d.passed // the timer has fired; wait until its function has closed the channel
 	}
 	d.timer = nil
-	passed := isClosed(d.late)
+	closed := isClosed(d.passed)
 	wait := time.Until(t)
 	if !t.IsZero() && wait <= 0 {
-		if !passed {
-			close(d.late)
+		if !closed {
+			close(d.passed)
 		}
 		return
 	}
-	if passed {
-		d.late = make(chan struct{})
+	if closed {
+		d.passed = make(chan struct{})
 	}
 	if !t.IsZero() {
-		late := d.late
-		d.timer = time.AfterFunc(wait, func() { close(late) })
+		passed := d.passed
+		d.timer = time.AfterFunc(wait, func() { close(passed) })
 	}
 }
 
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,8 +13,8 @@
 	"github.com/spoolsill/spoolsill/table"
 )
 
-// A Platform serves a table, objects and a list of members over HTTP. It is
-// safe for concurrent use.
+// A Platform is a fake platform: it serves a table, objects and a list of
+// members over HTTP. It is safe for concurrent use.
 type Platform struct {
 	Fault   Fault
 	Table   *Table
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -20,22 +20,22 @@
 	Runner spoolsill.Runner
 	Truth  *Truth
 	Slots  int
-	// Work returns how long a request takes; nil takes no time.
+	// Work returns how long a request takes; nil means no time.
 	Work func(spoolsill.RequestKey) time.Duration
 }
 
-// A Runner answers requests. It works on each to the end, also when the
-// connection is cut. It is safe for concurrent use.
+// A Runner is a fake runner that answers requests. It completes a request that
+// it has begun even if the connection closes. It is safe for concurrent use.
 type Runner struct {
 	Fault  Fault
 	config RunnerConfig
 
-	inFlight atomic.Int64
-	most     atomic.Int64
-	begun    atomic.Int64
+	inFlight    atomic.Int64
+	maxInFlight atomic.Int64
+	received    atomic.Int64
 
 	mu      sync.Mutex
-	fails   bool
+	failAll bool
 	leaving time.Time
 }
 
@@ -46,32 +46,33 @@
 	}
 }
 
-// FailAll makes every request fail at once.
+// FailAll makes every request fail immediately with status 500, until it is
+// called with false.
 func (r *Runner) FailAll(fail bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fails = fail
+	r.failAll = fail
 }
 
-// LeavingGrace is how long a leaving runner may still get new requests.
+// LeavingGrace is how long a leaving runner may still receive new requests
+// without a violation of [Leaving].
 const LeavingGrace = 3 * time.Second
 
-// SetLeaving says that the runner is leaving from now on.
+// SetLeaving makes the runner announce in its answers that it is leaving.
 func (r *Runner) SetLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = time.Now()
 }
 
-// Begun returns how many requests were begun, and Most the largest number at
-// once.
+// Begun returns how many requests the runner has received.
 func (r *Runner) Begun() int64 {
-	return r.begun.Load()
+	return r.received.Load()
 }
 
-// Most returns the largest number of requests at once.
+// Most returns the largest number of requests in flight at once.
 func (r *Runner) Most() int64 {
-	return r.most.Load()
+	return r.maxInFlight.Load()
 }
 
 // Handler returns the runner's HTTP interface.
@@ -87,8 +88,8 @@
 	k := spoolsill.RequestKey(q.Header.Get(upstream.HeaderKey))
 	n := r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
-	r.begun.Add(1)
-	r.count(n)
+	r.received.Add(1)
+	r.recordInFlight(n)
 	r.config.Truth.Ran(k)
 	if r.isLeaving() {
 		w.Header().Set(upstream.HeaderLeaving, "true")
@@ -98,17 +99,17 @@
 		return
 	}
 	if r.config.Work != nil {
-		// The work goes on when the caller has gone.
+		// The work continues when the caller has disconnected.
 		pause.For(context.WithoutCancel(q.Context()), r.config.Work(k))
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	_, _ = io.WriteString(w, Answer(k, body))
 }
 
-func (r *Runner) count(n int64) {
+func (r *Runner) recordInFlight(n int64) {
 	for {
-		m := r.most.Load()
-		if n <= m || r.most.CompareAndSwap(m, n) {
+		m := r.maxInFlight.Load()
+		if n <= m || r.maxInFlight.CompareAndSwap(m, n) {
 			break
 		}
 	}
@@ -129,11 +130,11 @@
 	if !r.leaving.IsZero() && time.Since(r.leaving) > LeavingGrace {
 		r.config.Truth.Break(Leaving, "runner %s got a request %s after it began to leave", r.config.Runner.ID, time.Since(r.leaving))
 	}
-	return r.fails
+	return r.failAll
 }
 
-// Answer returns the answer of every runner to a request, so that a caller
-// can check that it is whole and its own.
+// Answer returns the answer that every runner gives to a request. Callers
+// compare it with what they received to detect truncated and misrouted answers.
 func Answer(k spoolsill.RequestKey, body []byte) string {
 	h := fnv.New64a()
 	_, _ = h.Write(body)
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -8,8 +8,8 @@
 	"github.com/spoolsill/spoolsill/table"
 )
 
-// A Table is the platform's transactional table, in memory. It is safe for
-// concurrent use.
+// A Table is an in-memory version of the platform's transactional table. It is
+// safe for concurrent use.
 type Table struct {
 	mu     sync.Mutex
 	rows   map[string]table.Row
@@ -25,7 +25,8 @@
 	}
 }
 
-// Commit applies a transaction whole, or not at all.
+// Commit applies a transaction if all its conditions hold, and otherwise returns
+// the rows that conflict.
 func (t *Table) Commit(x table.Txn) table.Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// Get returns a row; its version is 0 when it does not exist.
+// Get returns a row; its version is 0 if it does not exist.
 func (t *Table) Get(key string) table.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +70,8 @@
 	return r
 }
 
-// List returns up to limit rows with a prefix whose keys come after a key.
+// List returns the rows with a prefix whose keys sort after after, in order of
+// their keys, and at most limit of them unless limit is 0.
 func (t *Table) List(prefix, after string, limit int) []table.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,14 +91,15 @@
 	return out
 }
 
-// Written returns the bytes of keys and values written so far.
+// Written returns the total size of the keys and values written so far in bytes.
 func (t *Table) Written() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.bytes
 }
 
-// Counts returns the writes and reads so far.
+// Counts returns the number of writes and reads so far. A write is a
+// transaction, also one that was not applied.
 func (t *Table) Counts() (writes, reads int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/truth.go
+++ b/internal/standin/truth.go
@@ -8,38 +8,38 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Promise names one line of what must always hold.
+// A Promise is the name of an invariant of the system.
 type Promise string
 
-// The promises that the stand-ins can check.
+// The invariants that are checked against the records of the fakes.
 const (
-	Capacity    Promise = "capacity"     // no worker is given more than it has
-	OnePlace    Promise = "one-place"    // no task runs in two places at once
-	WholeAnswer Promise = "whole-answer" // a caller gets the whole answer to its own request
-	TrueNotRun  Promise = "not-run"      // what is called not run did not run
+	Capacity    Promise = "capacity"     // no worker is allocated more than its capacity
+	OnePlace    Promise = "one-place"    // no task runs twice at the same time
+	WholeAnswer Promise = "whole-answer" // a caller receives the complete answer to its own request
+	TrueNotRun  Promise = "not-run"      // a request that is reported as not run did not run
 	AtMostOnce  Promise = "at-most-once" // an unrepeatable request runs at most once
-	Leaving     Promise = "leaving"      // a leaving upstream gets no new work after seconds
-	PlannedStop Promise = "planned-stop" // a planned stop cuts off nothing
+	Leaving     Promise = "leaving"      // a leaving upstream gets no new work after [LeavingGrace]
+	PlannedStop Promise = "planned-stop" // a planned stop interrupts no work
 	ConfigOnly  Promise = "config"       // an accepted configuration never reverts
-	SlotLimit   Promise = "slot-limit"   // no runner gets more than its slots
-	NothingLost Promise = "nothing-lost" // what was confirmed is not forgotten
+	SlotLimit   Promise = "slot-limit"   // no runner has more requests in flight than slots
+	NothingLost Promise = "nothing-lost" // what was confirmed is not lost
 )
 
-// Promises returns all promises, in order.
+// Promises returns all invariants in the order of reports.
 func Promises() []Promise {
 	return []Promise{Capacity, OnePlace, WholeAnswer, TrueNotRun, AtMostOnce, Leaving, PlannedStop, ConfigOnly, SlotLimit, NothingLost}
 }
 
-// Truth collects what really happened and which promises it broke. It is safe
-// for concurrent use; the zero value is usable.
+// Truth records which requests and tasks the fakes ran, and the violations of
+// invariants. The zero value is ready for use. It is safe for concurrent use.
 type Truth struct {
-	mu     sync.Mutex
-	runs   map[spoolsill.RequestKey]int
-	places map[string]map[spoolsill.WorkerID]int
-	broken map[Promise][]string
+	mu         sync.Mutex
+	runs       map[spoolsill.RequestKey]int
+	places     map[string]map[spoolsill.WorkerID]int
+	violations map[Promise][]string
 }
 
-// Break records that a promise was broken.
+// Break records a violation of p.
 func (t *Truth) Break(p Promise, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,13 +47,13 @@
 }
 
 func (t *Truth) breakLocked(p Promise, format string, args ...any) {
-	if t.broken == nil {
-		t.broken = map[Promise][]string{}
+	if t.violations == nil {
+		t.violations = map[Promise][]string{}
 	}
-	t.broken[p] = append(t.broken[p], fmt.Sprintf(format, args...))
+	t.violations[p] = append(t.violations[p], fmt.Sprintf(format, args...))
 }
 
-// Ran records that a runner began a request.
+// Ran records that a runner started a request.
 func (t *Truth) Ran(k spoolsill.RequestKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,14 +63,15 @@
 	t.runs[k]++
 }
 
-// Runs returns how often a request was begun.
+// Runs returns how many times a request was started.
 func (t *Truth) Runs(k spoolsill.RequestKey) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[k]
 }
 
-// TaskBegan records that a task began on a worker.
+// TaskBegan records that a task started on a worker, which violates [OnePlace]
+// if the task already runs.
 func (t *Truth) TaskBegan(id spoolsill.TaskID, w spoolsill.WorkerID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,15 +104,15 @@
 	}
 }
 
-// Broken returns how often each promise was broken, and the first few cases
-// in words.
+// Broken returns the number of violations of each invariant, and descriptions
+// of the first three of each.
 func (t *Truth) Broken() (counts map[Promise]int, cases []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	counts = map[Promise]int{}
 	for _, p := range Promises() {
-		counts[p] = len(t.broken[p])
-		for i, c := range t.broken[p] {
+		counts[p] = len(t.violations[p])
+		for i, c := range t.violations[p] {
 			if i < 3 {
 				cases = append(cases, string(p)+": "+c)
 			}
@@ -121,7 +122,7 @@
 	return counts, cases
 }
 
-// Total returns how often any promise was broken.
+// Total returns the number of violations of all invariants.
 func (t *Truth) Total() int {
 	counts, _ := t.Broken()
 	n := 0
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -19,32 +19,33 @@
 	Worker spoolsill.Worker
 	Truth  *Truth
 	// Runtime returns how long a task runs, and whether it then fails. Nil
-	// takes the declared run time; a task that declares none runs on.
+	// means the declared run time, and no end for a task that declares none.
 	Runtime func(agent.Start) (time.Duration, bool)
-	// Use returns what a task uses; nil takes its shape.
+	// Use returns the resource usage reported for a task; nil means its shape.
 	Use func(agent.Start) spoolsill.Resources
 }
 
-// A Worker is the agent of one worker. It has no guards: it starts whatever
-// it is told to while the lease lasts. It is safe for concurrent use.
+// A Worker is the fake agent of one worker. It starts every task that it is
+// told to start before the lease expires, even beyond its capacity. It is safe
+// for concurrent use.
 type Worker struct {
-	Fault  Fault
-	config WorkerConfig
-	calls  atomic.Int64
-	begun  atomic.Int64
+	Fault   Fault
+	config  WorkerConfig
+	calls   atomic.Int64
+	started atomic.Int64
 
-	mu     sync.Mutex
-	tasks  map[agent.Ref]*workerTask
-	failed bool
-	dead   bool
+	mu      sync.Mutex
+	tasks   map[agent.Ref]*workerTask
+	failAll bool
+	killed  bool
 }
 
 type workerTask struct {
-	start agent.Start
-	state agent.State
-	lease time.Time
-	stop  context.CancelFunc
-	then  agent.State // the state after an early stop
+	start     agent.Start
+	state     agent.State
+	lease     time.Time
+	stop      context.CancelFunc
+	stopState agent.State // state after a stop or checkpoint
 }
 
 // NewWorker returns a worker without tasks.
@@ -55,18 +56,19 @@
 	}
 }
 
-// FailAll makes every task that starts from now on fail at once.
+// FailAll makes every task that starts from now on fail after a millisecond,
+// until it is called with false.
 func (w *Worker) FailAll(fail bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failed = fail
+	w.failAll = fail
 }
 
-// Kill ends all tasks without a word, as a machine that loses power.
+// Kill ends all tasks without reporting it, as a machine that loses power.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dead = true
+	w.killed = true
 	for ref, t := range w.tasks {
 		t.stop()
 		w.end(ref, t, agent.Stopped)
@@ -109,26 +111,26 @@
 		return
 	}
 	end := time.UnixMilli(s.LeaseEnd)
-	if w.dead || !time.Now().Before(end) {
-		http.Error(out, "the lease is over", http.StatusConflict)
+	if w.killed || !time.Now().Before(end) {
+		http.Error(out, "lease has expired", http.StatusConflict)
 		return
 	}
 	w.begin(ref, s, end)
 	writeJSON(out, struct{}{})
 }
 
-// begin runs a task. The lock is held.
+// begin starts a task. w.mu must be held.
 func (w *Worker) begin(ref agent.Ref, s agent.Start, lease time.Time) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &workerTask{
-		start: s,
-		state: agent.Running,
-		lease: lease,
-		stop:  cancel,
-		then:  agent.Stopped,
+		start:     s,
+		state:     agent.Running,
+		lease:     lease,
+		stop:      cancel,
+		stopState: agent.Stopped,
 	}
 	w.tasks[ref] = t
-	w.begun.Add(1)
+	w.started.Add(1)
 	w.config.Truth.TaskBegan(s.Task, w.config.Worker.ID)
 	w.checkCapacity()
 	d, fails := w.runtime(s)
@@ -136,7 +138,7 @@
 }
 
 func (w *Worker) runtime(s agent.Start) (time.Duration, bool) {
-	if w.failed {
+	if w.failAll {
 		return time.Millisecond, true
 	}
 	if w.config.Runtime != nil {
@@ -164,8 +166,8 @@
 	defer t.stop()
 	done := time.NewTimer(d)
 	defer done.Stop()
-	const look = 50 * time.Millisecond
-	lease := time.NewTicker(look)
+	const leaseCheckInterval = 50 * time.Millisecond
+	lease := time.NewTicker(leaseCheckInterval)
 	defer lease.Stop()
 	for {
 		select {
@@ -198,12 +200,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s == "" {
-		s = t.then
+		s = t.stopState
 	}
 	w.end(ref, t, s)
 }
 
-// end records the end of a task. The lock is held.
+// end records the end of a running task. w.mu must be held.
 func (w *Worker) end(ref agent.Ref, t *workerTask, s agent.State) {
 	if t.state != agent.Running {
 		return
@@ -265,10 +267,10 @@
 	}
 	switch q.Verb {
 	case agent.Stop:
-		t.then = agent.Stopped
+		t.stopState = agent.Stopped
 		t.stop()
 	case agent.Checkpoint:
-		t.then = agent.Checkpointed
+		t.stopState = agent.Checkpointed
 		t.stop()
 	}
 	writeJSON(out, struct{}{})
