--- a/cmd/spoolsill-host/main_test.go
+++ b/cmd/spoolsill-host/main_test.go
@@ -34,7 +34,7 @@
 		MemoryMB:       284,
 		Lease:          4 * time.Second,
 		StopGrace:      6 * time.Second,
-	}.Text()
+	}.TOML()
 	c.Assert(err, qt.IsNil)
 	return text
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -69,7 +69,7 @@
 	defer c.Close()
 	fmt.Printf("platform at %s, %d workers and %d runners in %s\n", c.URL, f.Workers, f.Runners, f.Halls)
 	c.Wait(ctx)
-	counts, cases := c.Truth.Broken()
+	counts, cases := c.Truth.Violations()
 	n := 0
 	for _, k := range counts {
 		n += k
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -131,7 +131,7 @@
 	for begun := int64(0); begun < int64(n); {
 		begun = 0
 		for _, r := range cell.Runners {
-			begun += r.Begun()
+			begun += r.RequestsReceived()
 		}
 		runtime.Gosched()
 	}
@@ -226,7 +226,7 @@
 			c.Check(r.head.Get(entry.HeaderReplayed) == "true", qt.Equals, i > 0)
 			pause.For(context.Background(), time.Second)
 		}
-		c.Check(cell.Truth.Runs("vake/once"), qt.Equals, 1)
+		c.Check(cell.Truth.RequestStarts("vake/once"), qt.Equals, 1)
 	})
 }
 
--- a/holder/reconcile_test.go
+++ b/holder/reconcile_test.go
@@ -94,8 +94,8 @@
 	pause.For(ctx, 10*time.Second)
 	d, err := client.Job(ctx, "whole")
 	c.Assert(err, qt.IsNil)
-	counts, _ := cell.Truth.Broken()
-	return counts[standin.Capacity], d.Tasks[0].State
+	counts, _ := cell.Truth.Violations()
+	return counts[standin.InvariantCapacity], d.Tasks[0].State
 }
 
 func TestWorkerWithUnknownTasksGetsNoNewTasks(t *testing.T) {
--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -217,7 +217,7 @@
 	}
 	writes, reads := cell.Platform.Table.Counts()
 	sent := traffic(f)
-	calls := cell.Calls()
+	calls := cell.AgentCalls()
 	cpu := processorTime()
 	if err := load(window); err != nil {
 		return p, err
@@ -228,7 +228,7 @@
 	p.Writes = float64(w-writes) / s
 	p.Reads = float64(r-reads) / s
 	p.Peer = float64(traffic(f)-sent) / s / hosts
-	p.Calls = float64(cell.Calls()-calls) / s
+	p.Calls = float64(cell.AgentCalls()-calls) / s
 	p.Heap = float64(heap()) / hosts
 	return p, nil
 }
--- a/internal/bench/faultbench/run.go
+++ b/internal/bench/faultbench/run.go
@@ -39,7 +39,7 @@
 	Failed       int                        `json:"failed"`
 	Break        string                     `json:"break,omitempty"`
 	Faults       map[string]int             `json:"faults"`
-	Violations   map[standin.Promise]int    `json:"violations"`
+	Violations   map[standin.Invariant]int  `json:"violations"`
 	Cases        []string                   `json:"cases,omitempty"`
 	Schedules    []string                   `json:"schedules,omitempty"` // of the first that failed
 	UnknownShare float64                    `json:"unknown_share"`
@@ -148,7 +148,7 @@
 	if s.recovery == nil {
 		s.recovery = map[string][]time.Duration{}
 		s.out.Faults = map[string]int{}
-		s.out.Violations = map[standin.Promise]int{}
+		s.out.Violations = map[standin.Invariant]int{}
 	}
 	s.out.Runs++
 	if r.Err != nil {
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -95,7 +95,7 @@
 	if err := f.WaitReady(ctx); err != nil {
 		return Result{}, err
 	}
-	cell.Platform.Fault.SetSlow(c.Store)
+	cell.Platform.Fault.SetDelay(c.Store)
 	return measure(ctx, c, cell, f, halls)
 }
 
@@ -105,7 +105,7 @@
 	client := f.Client()
 	defer client.HTTP.CloseIdleConnections()
 	writes, reads := cell.Platform.Table.Counts()
-	bytes := cell.Platform.Table.Written()
+	bytes := cell.Platform.Table.BytesWritten()
 	began := time.Now()
 	var mu sync.Mutex
 	var commits []time.Duration
@@ -132,15 +132,15 @@
 	wg.Wait()
 	s := time.Since(began).Seconds()
 	w, r := cell.Platform.Table.Counts()
-	starts := cell.Begun()
+	starts := cell.TasksStarted()
 	return Result{
 		Halls:             c.Halls,
 		PlacementsPerS:    float64(starts) / s,
 		WritesPerS:        float64(w-writes) / s,
 		ReadsPerS:         float64(r-reads) / s,
 		CommitMS:          event.QuantilesOf(commits),
-		BytesPerPlacement: float64(cell.Platform.Table.Written()-bytes) / float64(max(starts, 1)),
-		Broken:            cell.Truth.Total(),
+		BytesPerPlacement: float64(cell.Platform.Table.BytesWritten()-bytes) / float64(max(starts, 1)),
+		Broken:            cell.Truth.TotalViolations(),
 	}, failed
 }
 
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -146,7 +146,7 @@
 	err = s.print(r, func(w io.Writer) {
 		fmt.Fprintf(w, "%d of %d sequences from seed %d, %d failed, %d requests: %.4f not run, %.4f unknown; %d jobs lost with all hosts of a hall; %d unfinished\n\n", r.Runs, c.Runs, r.Seed, r.Failed, r.Requests, r.NotRunShare, r.UnknownShare, r.LostWithHall, r.Unfinished)
 		t := newTable(w, "promise", "broken")
-		for _, p := range standin.Promises() {
+		for _, p := range standin.Invariants() {
 			t.row(string(p), fmt.Sprint(r.Violations[p]))
 		}
 		t.flush()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -39,18 +39,18 @@
 
 // A Result is what the demo ends with.
 type Result struct {
-	Seed     uint64                   `json:"seed"`
-	Done     int64                    `json:"done"`
-	NotRun   int64                    `json:"not_run"`
-	Unknown  int64                    `json:"unknown"`
-	Attempts int64                    `json:"attempts"`
-	Jobs     map[spoolsill.JobID]int  `json:"tasks_running"`
-	Broken   map[standin.Promise]int  `json:"broken"`
-	Cases    []string                 `json:"cases,omitempty"`
-	Took     float64                  `json:"took_s"`
-	Config   spoolsill.Version        `json:"config_version"`
-	Total    int                      `json:"broken_total"`
-	Recovery map[string]time.Duration `json:"recovery_ns"`
+	Seed     uint64                    `json:"seed"`
+	Done     int64                     `json:"done"`
+	NotRun   int64                     `json:"not_run"`
+	Unknown  int64                     `json:"unknown"`
+	Attempts int64                     `json:"attempts"`
+	Jobs     map[spoolsill.JobID]int   `json:"tasks_running"`
+	Broken   map[standin.Invariant]int `json:"broken"`
+	Cases    []string                  `json:"cases,omitempty"`
+	Took     float64                   `json:"took_s"`
+	Config   spoolsill.Version         `json:"config_version"`
+	Total    int                       `json:"broken_total"`
+	Recovery map[string]time.Duration  `json:"recovery_ns"`
 }
 
 // runTime bounds the whole demo.
@@ -192,8 +192,8 @@
 	d.result.NotRun = c.NotRun.Load()
 	d.result.Unknown = c.Unknown.Load()
 	d.result.Attempts = c.Sent.Load()
-	d.result.Broken, d.result.Cases = d.cell.Truth.Broken()
-	d.result.Total = d.cell.Truth.Total()
+	d.result.Broken, d.result.Cases = d.cell.Truth.Violations()
+	d.result.Total = d.cell.Truth.TotalViolations()
 	d.result.Took = time.Since(d.began).Seconds()
 	if d.config.JSON {
 		e := json.NewEncoder(d.config.Out)
@@ -208,7 +208,7 @@
 	out := d.config.Out
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\npromise\tbroken")
-	for _, p := range standin.Promises() {
+	for _, p := range standin.Invariants() {
 		fmt.Fprintf(w, "%s\t%d\n", p, d.result.Broken[p])
 	}
 	_ = w.Flush()
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -118,7 +118,7 @@
 			return nil
 		}
 		if time.Since(began) > configTime {
-			d.cell.Truth.Break(standin.ConfigOnly, "configuration %d is not in force at host %s after %s", v, late, configTime)
+			d.cell.Truth.RecordViolation(standin.InvariantConfig, "configuration %d is not in force at host %s after %s", v, late, configTime)
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -187,7 +187,7 @@
 	clean := d.fleet.Stop(ctx, drained)
 	d.tell("host %s was stopped as planned (clean: %t)", id, clean)
 	if !clean {
-		d.cell.Truth.Break(standin.PlannedStop, "host %s did not finish its work in time", id)
+		d.cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s did not finish its work in time", id)
 	}
 	d.progress()
 	for _, i := range []int{killed, drained} {
@@ -244,13 +244,13 @@
 	h := string(d.halls[2])
 	others := []string{string(d.halls[0]), string(d.halls[1]), standin.PlatformPlace}
 	for _, o := range others {
-		d.cell.Network.SetCut(h, o, true)
+		d.cell.Network.SetPartitioned(h, o, true)
 	}
 	d.tell("hall %s is cut off from the other halls and the platform", h)
 	pause.For(ctx, 5*time.Second)
 	d.progress()
 	for _, o := range others {
-		d.cell.Network.SetCut(h, o, false)
+		d.cell.Network.SetPartitioned(h, o, false)
 	}
 	d.tell("hall %s is back", h)
 	pause.For(ctx, 2*time.Second)
--- a/internal/fault/fail.go
+++ b/internal/fault/fail.go
@@ -157,7 +157,7 @@
 
 func (w *world) restart(i int) {
 	if err := w.fleet.Restart(i); err != nil {
-		w.cell.Truth.Break(standin.PlannedStop, "host %s can't start again: %s", w.fleet.ID(i), err)
+		w.cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s can't start again: %s", w.fleet.ID(i), err)
 	}
 }
 
@@ -236,22 +236,22 @@
 }
 
 func platformSlow(_ context.Context, w *world, s Step) func() {
-	w.cell.Platform.Fault.SetSlow(time.Duration(s.Delay))
-	return func() { w.cell.Platform.Fault.SetSlow(0) }
+	w.cell.Platform.Fault.SetDelay(time.Duration(s.Delay))
+	return func() { w.cell.Platform.Fault.SetDelay(0) }
 }
 
 func answersLost(_ context.Context, w *world, s Step) func() {
-	w.cell.Platform.Fault.LoseAnswers(s.Answers)
+	w.cell.Platform.Fault.DropAnswers(s.Answers)
 	return func() {}
 }
 
 func (w *world) cut(pairs ...[2]string) func() {
 	for _, p := range pairs {
-		w.cell.Network.SetCut(p[0], p[1], true)
+		w.cell.Network.SetPartitioned(p[0], p[1], true)
 	}
 	return func() {
 		for _, p := range pairs {
-			w.cell.Network.SetCut(p[0], p[1], false)
+			w.cell.Network.SetPartitioned(p[0], p[1], false)
 		}
 	}
 }
--- a/internal/fault/operator.go
+++ b/internal/fault/operator.go
@@ -235,16 +235,16 @@
 			continue
 		}
 		if !ok {
-			o.w.cell.Truth.Break(standin.NothingLost, "job %s was confirmed and is not known", id)
+			o.w.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was confirmed and is not known", id)
 			continue
 		}
 		if j.Cancelled && j.States[spoolsill.TaskRunning] > 0 {
-			o.w.cell.Truth.Break(standin.NothingLost, "job %s was cancelled and runs: %v", id, j.States)
+			o.w.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was cancelled and runs: %v", id, j.States)
 		}
 	}
 	for id := range o.refused {
 		if _, ok := known[id]; ok && !o.confirmed[id] {
-			o.w.cell.Truth.Break(standin.NothingLost, "job %s was refused as stale and is known", id)
+			o.w.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was refused as stale and is known", id)
 		}
 	}
 	return nil
--- a/internal/fault/run.go
+++ b/internal/fault/run.go
@@ -40,7 +40,7 @@
 type Result struct {
 	Schedule Schedule
 	Faults   map[string]int
-	Broken   map[standin.Promise]int
+	Broken   map[standin.Invariant]int
 	Cases    []string
 	Done     int64
 	NotRun   int64
@@ -246,7 +246,7 @@
 	w.operator.close()
 	w.fleet.Close()
 	w.cell.Close()
-	w.result.Broken, w.result.Cases = w.cell.Truth.Broken()
+	w.result.Broken, w.result.Cases = w.cell.Truth.Violations()
 	w.result.Events = w.fleet.Events()
 	w.result.Done = w.callers.Done.Load()
 	w.result.NotRun = w.callers.NotRun.Load()
@@ -260,7 +260,7 @@
 	for ctx.Err() == nil {
 		for id, v := range w.fleet.Versions() {
 			if v < last[id] && v != 0 {
-				w.cell.Truth.Break(standin.ConfigOnly, "host %s goes from configuration %d back to %d", id, last[id], v)
+				w.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s goes from configuration %d back to %d", id, last[id], v)
 			}
 			last[id] = v
 		}
@@ -276,14 +276,14 @@
 	for i := range w.fleet.Len() {
 		if h := w.fleet.Host(i); h.Holds() {
 			if err := h.Check(); err != nil && !errors.Is(err, holder.ErrNotHolder) {
-				w.cell.Truth.Break(standin.Capacity, "hall %s: %s", w.fleet.Hall(i), err)
+				w.cell.Truth.RecordViolation(standin.InvariantCapacity, "hall %s: %s", w.fleet.Hall(i), err)
 			}
 		}
 	}
 	newest := w.operator.newest()
 	for id, v := range w.fleet.Versions() {
 		if v < newest {
-			w.cell.Truth.Break(standin.ConfigOnly, "host %s has configuration %d, %d was accepted", id, v, newest)
+			w.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s has configuration %d, %d was accepted", id, v, newest)
 		}
 	}
 	return w.operator.check(ctx)
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -164,22 +164,22 @@
 // settle counts what became of a request, and checks it against the runners'
 // own records.
 func (c *Callers) settle(x request, last spoolsill.Outcome, maybe bool) {
-	runs := c.truth.Runs(x.key)
+	runs := c.truth.RequestStarts(x.key)
 	if x.once && runs > 1 {
-		c.truth.Break(standin.AtMostOnce, "unrepeatable request %s ran %d times", x.key, runs)
+		c.truth.RecordViolation(standin.InvariantAtMostOnce, "unrepeatable request %s ran %d times", x.key, runs)
 	}
 	switch {
 	case last == spoolsill.OutcomeDone:
 		c.Done.Add(1)
 		if runs == 0 {
-			c.truth.Break(standin.WholeAnswer, "request %s is done and never ran", x.key)
+			c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s is done and never ran", x.key)
 		}
 	case maybe:
 		c.Unknown.Add(1)
 	default:
 		c.NotRun.Add(1)
 		if runs > 0 {
-			c.truth.Break(standin.TrueNotRun, "request %s is called not run and ran %d times", x.key, runs)
+			c.truth.RecordViolation(standin.InvariantNotRun, "request %s is called not run and ran %d times", x.key, runs)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 		return spoolsill.OutcomeNotRun
 	}
 	if ctx.Err() == nil && c.stoppedAsPlanned(to) {
-		c.truth.Break(standin.PlannedStop, "request %s was cut off by a planned stop: %s", x.key, err)
+		c.truth.RecordViolation(standin.InvariantPlannedStop, "request %s was cut off by a planned stop: %s", x.key, err)
 	}
 	return spoolsill.OutcomeUnknown
 }
@@ -253,11 +253,11 @@
 	switch o {
 	case spoolsill.OutcomeDone:
 		if want := standin.Answer(x.key, x.body); string(b) != want {
-			c.truth.Break(standin.WholeAnswer, "request %s got %q, want %q", x.key, b, want)
+			c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s got %q, want %q", x.key, b, want)
 		}
 	case spoolsill.OutcomeNotRun, spoolsill.OutcomeUnknown:
 	default:
-		c.truth.Break(standin.WholeAnswer, "request %s got an answer without outcome: status %d", x.key, r.StatusCode)
+		c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s got an answer without outcome: status %d", x.key, r.StatusCode)
 		return spoolsill.OutcomeUnknown
 	}
 	return o
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -165,7 +165,7 @@
 	go func() {
 		defer close(ended)
 		if err := h.Run(ctx); err != nil {
-			f.config.Cell.Truth.Break(standin.PlannedStop, "host %s could not run: %s", u.settings.Host.ID, err)
+			f.config.Cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s could not run: %s", u.settings.Host.ID, err)
 		}
 	}()
 }
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -92,7 +92,7 @@
 // serveMachine answers for the life that the machine has.
 func (x *run) serveMachine(m *machine) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		wire.Worker(x.fakes, *m.life.Load()).ServeHTTP(w, r)
+		wire.WorkerHandler(x.fakes, *m.life.Load()).ServeHTTP(w, r)
 	})
 }
 
--- a/internal/soak/view_test.go
+++ b/internal/soak/view_test.go
@@ -19,7 +19,7 @@
 // TestHostIsShownTheLeaderBehindTheirLinks reads the leader's row as a host does.
 func TestHostIsShownTheLeaderBehindTheirLinks(t *testing.T) {
 	s := cellfake.NewStore()
-	at := httptest.NewServer(wire.Store(s))
+	at := httptest.NewServer(wire.StoreHandler(s))
 	defer at.Close()
 	seen := httptest.NewServer(soak.NewView(3, at.Listener.Addr().String()))
 	defer seen.Close()
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -166,14 +166,14 @@
 	x.mu.Unlock()
 	go func() {
 		if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			x.Truth.Break(WholeAnswer, "stand-in at %s ended: %s", a, err)
+			x.Truth.RecordViolation(InvariantWholeAnswer, "stand-in at %s ended: %s", a, err)
 		}
 	}()
 	return a, nil
 }
 
-// Calls returns how many HTTP requests the workers have received in total.
-func (x *Cell) Calls() int64 {
+// AgentCalls returns how many HTTP requests the workers have received in total.
+func (x *Cell) AgentCalls() int64 {
 	var n int64
 	for _, w := range x.Workers {
 		n += w.calls.Load()
@@ -181,8 +181,8 @@
 	return n
 }
 
-// Begun returns how many tasks the workers have started in total.
-func (x *Cell) Begun() int64 {
+// TasksStarted returns how many tasks the workers have started in total.
+func (x *Cell) TasksStarted() int64 {
 	var n int64
 	for _, w := range x.Workers {
 		n += w.started.Load()
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -27,16 +27,16 @@
 	f.down = down
 }
 
-// SetSlow delays the handling of every call by d.
-func (f *Fault) SetSlow(d time.Duration) {
+// SetDelay delays the handling of every call by d.
+func (f *Fault) SetDelay(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = d
 }
 
-// LoseAnswers makes the server handle the next n calls but abort their
+// DropAnswers makes the server handle the next n calls but abort their
 // connections in place of an answer.
-func (f *Fault) LoseAnswers(n int) {
+func (f *Fault) DropAnswers(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unanswered = n
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Carried returns how many bytes a node has received over its link. The link
-// must have been given a rate with [Network.SetRate].
-func (n *Network) Carried(name string) int {
+// BytesReceived returns how many bytes a node has received over its link. The
+// link must have been given a rate with [Network.SetRate].
+func (n *Network) BytesReceived(name string) int {
 	d := &n.link(name).in
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -8,9 +8,9 @@
 	"sync"
 )
 
-// ErrCut is returned for a connection between nodes that are partitioned from
-// each other.
-var ErrCut = errors.New("standin: network is partitioned")
+// ErrPartitioned is returned for a connection between nodes that are
+// partitioned from each other.
+var ErrPartitioned = errors.New("standin: network is partitioned")
 
 // A Node is a process or machine on a [Network]. Its place is a hall or
 // [PlatformPlace].
@@ -89,9 +89,9 @@
 	return l, nil
 }
 
-// SetCut partitions two nodes or places from each other, or ends the partition.
-// A partition closes the open connections between them.
-func (n *Network) SetCut(a, b string, cut bool) {
+// SetPartitioned partitions two nodes or places from each other, or ends the
+// partition. A partition closes the open connections between them.
+func (n *Network) SetPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	n.partitioned[[2]string{a, b}] = cut
 	n.partitioned[[2]string{b, a}] = cut
@@ -164,7 +164,7 @@
 		l := n.listeners[address]
 		n.mu.Unlock()
 		if cut {
-			return nil, dialError(network, ErrCut)
+			return nil, dialError(network, ErrPartitioned)
 		}
 		if !n.memory {
 			var d net.Dialer
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -55,7 +55,7 @@
 }
 
 // LeavingGrace is how long a leaving runner may still receive new requests
-// without a violation of [Leaving].
+// without a violation of [InvariantLeaving].
 const LeavingGrace = 3 * time.Second
 
 // SetLeaving makes the runner announce in its answers that it is leaving.
@@ -65,13 +65,13 @@
 	r.leaving = time.Now()
 }
 
-// Begun returns how many requests the runner has received.
-func (r *Runner) Begun() int64 {
+// RequestsReceived returns how many requests the runner has received.
+func (r *Runner) RequestsReceived() int64 {
 	return r.received.Load()
 }
 
-// Most returns the largest number of requests in flight at once.
-func (r *Runner) Most() int64 {
+// MaxInFlight returns the largest number of requests in flight at once.
+func (r *Runner) MaxInFlight() int64 {
 	return r.maxInFlight.Load()
 }
 
@@ -90,7 +90,7 @@
 	defer r.inFlight.Add(-1)
 	r.received.Add(1)
 	r.recordInFlight(n)
-	r.config.Truth.Ran(k)
+	r.config.Truth.RequestStarted(k)
 	if r.isLeaving() {
 		w.Header().Set(upstream.HeaderLeaving, "true")
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	if r.config.Slots > 0 && n > int64(r.config.Slots) {
-		r.config.Truth.Break(SlotLimit, "runner %s has %d requests in flight, %d allowed", r.config.Runner.ID, n, r.config.Slots)
+		r.config.Truth.RecordViolation(InvariantSlotLimit, "runner %s has %d requests in flight, %d allowed", r.config.Runner.ID, n, r.config.Slots)
 	}
 }
 
@@ -128,7 +128,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leaving.IsZero() && time.Since(r.leaving) > LeavingGrace {
-		r.config.Truth.Break(Leaving, "runner %s got a request %s after it began to leave", r.config.Runner.ID, time.Since(r.leaving))
+		r.config.Truth.RecordViolation(InvariantLeaving, "runner %s got a request %s after it began to leave", r.config.Runner.ID, time.Since(r.leaving))
 	}
 	return r.failAll
 }
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -91,8 +91,8 @@
 	return out
 }
 
-// Written returns the total size of the keys and values written so far in bytes.
-func (t *Table) Written() int64 {
+// BytesWritten returns the total size of the keys and values written so far in bytes.
+func (t *Table) BytesWritten() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.bytes
--- a/internal/standin/truth.go
+++ b/internal/standin/truth.go
@@ -8,26 +8,26 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Promise is the name of an invariant of the system.
-type Promise string
+// An Invariant is the name of an invariant of the system.
+type Invariant string
 
 // The invariants that are checked against the records of the fakes.
 const (
-	Capacity    Promise = "capacity"     // no worker is allocated more than its capacity
-	OnePlace    Promise = "one-place"    // no task runs twice at the same time
-	WholeAnswer Promise = "whole-answer" // a caller receives the complete answer to its own request
-	TrueNotRun  Promise = "not-run"      // a request that is reported as not run did not run
-	AtMostOnce  Promise = "at-most-once" // an unrepeatable request runs at most once
-	Leaving     Promise = "leaving"      // a leaving upstream gets no new work after [LeavingGrace]
-	PlannedStop Promise = "planned-stop" // a planned stop interrupts no work
-	ConfigOnly  Promise = "config"       // an accepted configuration never reverts
-	SlotLimit   Promise = "slot-limit"   // no runner has more requests in flight than slots
-	NothingLost Promise = "nothing-lost" // what was confirmed is not lost
+	InvariantCapacity    Invariant = "capacity"     // no worker is allocated more than its capacity
+	InvariantSingleRun   Invariant = "one-place"    // no task runs twice at the same time
+	InvariantWholeAnswer Invariant = "whole-answer" // a caller receives the complete answer to its own request
+	InvariantNotRun      Invariant = "not-run"      // a request that is reported as not run did not run
+	InvariantAtMostOnce  Invariant = "at-most-once" // an unrepeatable request runs at most once
+	InvariantLeaving     Invariant = "leaving"      // a leaving upstream gets no new work after [LeavingGrace]
+	InvariantPlannedStop Invariant = "planned-stop" // a planned stop interrupts no work
+	InvariantConfig      Invariant = "config"       // an accepted configuration never reverts
+	InvariantSlotLimit   Invariant = "slot-limit"   // no runner has more requests in flight than slots
+	InvariantDurability  Invariant = "nothing-lost" // what was confirmed is not lost
 )
 
-// Promises returns all invariants in the order of reports.
-func Promises() []Promise {
-	return []Promise{Capacity, OnePlace, WholeAnswer, TrueNotRun, AtMostOnce, Leaving, PlannedStop, ConfigOnly, SlotLimit, NothingLost}
+// Invariants returns all invariants in the order of reports.
+func Invariants() []Invariant {
+	return []Invariant{InvariantCapacity, InvariantSingleRun, InvariantWholeAnswer, InvariantNotRun, InvariantAtMostOnce, InvariantLeaving, InvariantPlannedStop, InvariantConfig, InvariantSlotLimit, InvariantDurability}
 }
 
 // Truth records which requests and tasks the fakes ran, and the violations of
@@ -36,25 +36,25 @@
 	mu         sync.Mutex
 	runs       map[spoolsill.RequestKey]int
 	places     map[string]map[spoolsill.WorkerID]int
-	violations map[Promise][]string
+	violations map[Invariant][]string
 }
 
-// Break records a violation of p.
-func (t *Truth) Break(p Promise, format string, args ...any) {
+// RecordViolation records a violation of p.
+func (t *Truth) RecordViolation(p Invariant, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.breakLocked(p, format, args...)
+	t.recordViolationLocked(p, format, args...)
 }
 
-func (t *Truth) breakLocked(p Promise, format string, args ...any) {
+func (t *Truth) recordViolationLocked(p Invariant, format string, args ...any) {
 	if t.violations == nil {
-		t.violations = map[Promise][]string{}
+		t.violations = map[Invariant][]string{}
 	}
 	t.violations[p] = append(t.violations[p], fmt.Sprintf(format, args...))
 }
 
-// Ran records that a runner started a request.
-func (t *Truth) Ran(k spoolsill.RequestKey) {
+// RequestStarted records that a runner started a request.
+func (t *Truth) RequestStarted(k spoolsill.RequestKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.runs == nil {
@@ -63,16 +63,16 @@
 	t.runs[k]++
 }
 
-// Runs returns how many times a request was started.
-func (t *Truth) Runs(k spoolsill.RequestKey) int {
+// RequestStarts returns how many times a request was started.
+func (t *Truth) RequestStarts(k spoolsill.RequestKey) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[k]
 }
 
-// TaskBegan records that a task started on a worker, which violates [OnePlace]
-// if the task already runs.
-func (t *Truth) TaskBegan(id spoolsill.TaskID, w spoolsill.WorkerID) {
+// TaskStarted records that a task started on a worker, which violates
+// [InvariantSingleRun] if the task already runs.
+func (t *Truth) TaskStarted(id spoolsill.TaskID, w spoolsill.WorkerID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.places == nil {
@@ -89,7 +89,7 @@
 		n += k
 	}
 	if n > 1 {
-		t.breakLocked(OnePlace, "task %s runs in %d places, now also on %s", id, n, w)
+		t.recordViolationLocked(InvariantSingleRun, "task %s runs in %d places, now also on %s", id, n, w)
 	}
 }
 
@@ -104,13 +104,13 @@
 	}
 }
 
-// Broken returns the number of violations of each invariant, and descriptions
+// Violations returns the number of violations of each invariant, and descriptions
 // of the first three of each.
-func (t *Truth) Broken() (counts map[Promise]int, cases []string) {
+func (t *Truth) Violations() (counts map[Invariant]int, cases []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counts = map[Promise]int{}
-	for _, p := range Promises() {
+	counts = map[Invariant]int{}
+	for _, p := range Invariants() {
 		counts[p] = len(t.violations[p])
 		for i, c := range t.violations[p] {
 			if i < 3 {
@@ -122,9 +122,9 @@
 	return counts, cases
 }
 
-// Total returns the number of violations of all invariants.
-func (t *Truth) Total() int {
-	counts, _ := t.Broken()
+// TotalViolations returns the number of violations of all invariants.
+func (t *Truth) TotalViolations() int {
+	counts, _ := t.Violations()
 	n := 0
 	for _, c := range counts {
 		n += c
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -85,8 +85,8 @@
 	return putConfig(s, configOf(version, routes))
 }
 
-// PutTeams writes a configuration as the operators do, of a deployment with teams.
-func PutTeams(s *cellfake.Store, version int, routes []Route, teams []Team) error {
+// PutConfigWithTeams writes a configuration as the operators do, of a deployment with teams.
+func PutConfigWithTeams(s *cellfake.Store, version int, routes []Route, teams []Team) error {
 	list := []any{}
 	for _, t := range teams {
 		list = append(list, map[string]any{
@@ -197,8 +197,8 @@
 row_bytes = 65536
 `))
 
-// Text returns the settings file.
-func (s HostSettings) Text() (string, error) {
+// TOML returns the settings file.
+func (s HostSettings) TOML() (string, error) {
 	var b strings.Builder
 	if err := settingsText.Execute(&b, s); err != nil {
 		return "", fmt.Errorf("settings of %s: %w", s.Host, err)
--- a/internal/standin/wire/store.go
+++ b/internal/standin/wire/store.go
@@ -45,8 +45,8 @@
 // maxEntries is how many entries a transaction has at most.
 const maxEntries = 100
 
-// Store serves a store.
-func Store(s *cellfake.Store) http.Handler {
+// StoreHandler serves a store.
+func StoreHandler(s *cellfake.Store) http.Handler {
 	m := chi.NewRouter()
 	m.Post("/api/rows-tx", func(w http.ResponseWriter, r *http.Request) { commit(s, w, r) })
 	m.Get("/api/rows-get", func(w http.ResponseWriter, r *http.Request) { list(s, w, r) })
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -34,8 +34,8 @@
 	}, err
 }
 
-// Worker serves the orders of one worker.
-func Worker(f *cellfake.Workers, id spoolsill.WorkerID) http.Handler {
+// WorkerHandler serves the orders of one worker.
+func WorkerHandler(f *cellfake.Workers, id spoolsill.WorkerID) http.Handler {
 	t := leader.Target{
 		Life: spoolsill.Life{
 			Worker: id,
@@ -152,8 +152,8 @@
 	}
 }
 
-// Advisor serves an advisor.
-func Advisor(a *cellfake.Advisor) http.Handler {
+// AdvisorHandler serves an advisor.
+func AdvisorHandler(a *cellfake.Advisor) http.Handler {
 	m := chi.NewRouter()
 	m.Post("/api/advise", func(w http.ResponseWriter, r *http.Request) {
 		var q struct {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -131,7 +131,7 @@
 	}
 	w.tasks[ref] = t
 	w.started.Add(1)
-	w.config.Truth.TaskBegan(s.Task, w.config.Worker.ID)
+	w.config.Truth.TaskStarted(s.Task, w.config.Worker.ID)
 	w.checkCapacity()
 	d, fails := w.runtime(s)
 	go w.run(ctx, ref, t, d, fails)
@@ -158,7 +158,7 @@
 		}
 	}
 	if !sum.FitsIn(w.config.Worker.Capacity) {
-		w.config.Truth.Break(Capacity, "worker %s runs %s of %s", w.config.Worker.ID, sum, w.config.Worker.Capacity)
+		w.config.Truth.RecordViolation(InvariantCapacity, "worker %s runs %s of %s", w.config.Worker.ID, sum, w.config.Worker.Capacity)
 	}
 }
 
--- a/node/bootstrap_test.go
+++ b/node/bootstrap_test.go
@@ -16,7 +16,7 @@
 // from other hosts, so that it does not permanently refuse clients.
 func TestHostStartsWithoutStore(t *testing.T) {
 	run(t, 2, 1, func(x *cell) {
-		x.network.SetCut(hostName(2), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(2), platformNode.Name, true)
 		x.start(2)
 		pause.For(x.ctx, time.Second)
 		r := x.call(2, http.MethodPost, "/q/"+jobID(1), body)
@@ -40,8 +40,8 @@
 		x.start(small)
 		pause.For(x.ctx, time.Second)
 		x.store.SlowLists(platform.OperatorTable, 2*time.Second)
-		x.network.SetCut(hostName(2), hostName(0), true)
-		x.network.SetCut(hostName(2), hostName(1), true)
+		x.network.SetPartitioned(hostName(2), hostName(0), true)
+		x.network.SetPartitioned(hostName(2), hostName(1), true)
 		x.start(2)
 		x.network.SetPaused(hostName(old), true)
 		pause.For(x.ctx, 1900*time.Millisecond)
@@ -56,7 +56,7 @@
 		x.configureMany(2, manyRoutes)
 		pause.For(x.ctx, inForce)
 		x.network.SetRate(hostName(2), smallLink)
-		x.network.SetCut(hostName(2), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(2), platformNode.Name, true)
 		x.start(2)
 		// The host knows that the store is not going to deliver it and fetches at once:
 		// 0.1 s until it asks, and 0.9 s over the link, half of which is available for
@@ -72,16 +72,16 @@
 	run(t, 3, 1, func(x *cell) {
 		cut := (x.leader() + 1) % 3
 		x.c.Assert(x.call(cut, http.MethodGet, "/none/", "").status, qt.Equals, http.StatusNotFound)
-		x.network.SetCut(hostName(cut), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(cut), platformNode.Name, true)
 		pause.For(x.ctx, 3*time.Second)
 		// The leader still confirms the configuration.
 		x.c.Assert(x.call(cut, http.MethodGet, "/none/", "").status, qt.Equals, http.StatusNotFound)
 		for i := range x.hosts {
-			x.network.SetCut(hostName(cut), hostName(i), i != cut)
+			x.network.SetPartitioned(hostName(cut), hostName(i), i != cut)
 		}
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.call(cut, http.MethodGet, "/none/", "").status, qt.Equals, http.StatusBadGateway)
-		x.network.SetCut(hostName(cut), platformNode.Name, false)
+		x.network.SetPartitioned(hostName(cut), platformNode.Name, false)
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.call(cut, http.MethodGet, "/none/", "").status, qt.Equals, http.StatusNotFound)
 	})
--- a/node/configfaults_test.go
+++ b/node/configfaults_test.go
@@ -26,7 +26,7 @@
 		first := x.leader()
 		for i := range x.hosts {
 			x.network.SetRate(hostName(i), smallLink)
-			x.network.SetCut(hostName(i), platformNode.Name, i != first)
+			x.network.SetPartitioned(hostName(i), platformNode.Name, i != first)
 		}
 		// The first takes about 5 s to reach all three hosts.
 		for i := range 10 {
@@ -158,7 +158,7 @@
 		})
 		x.c.Assert(err, qt.IsNil)
 		p.Close()
-		x.network.SetCut(hostName(cut), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(cut), platformNode.Name, true)
 		x.configureMany(2, 1)
 		pause.For(x.ctx, 10*time.Second)
 		r := x.call(cut, http.MethodGet, routePrefix(0), "")
--- a/node/delegated_test.go
+++ b/node/delegated_test.go
@@ -27,7 +27,7 @@
 func (x *cell) cutLeaderFromWorkers(workers int) {
 	l := x.leader()
 	for i := range workers {
-		x.network.SetCut(hostName(l), workerName(i), true)
+		x.network.SetPartitioned(hostName(l), workerName(i), true)
 	}
 }
 
@@ -75,7 +75,7 @@
 		},
 		"cut off from workers": func(x *cell, host int, failing bool) {
 			for i := range workers {
-				x.network.SetCut(hostName(host), workerName(i), failing)
+				x.network.SetPartitioned(hostName(host), workerName(i), failing)
 			}
 		},
 	} {
@@ -161,26 +161,26 @@
 		return
 	}
 	if begin && kind == 1 {
-		x.network.SetCut(hostName(host), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(host), platformNode.Name, true)
 		return
 	}
 	if begin && kind == 2 {
-		x.network.SetCut(hostName(host), hostName((host+1+r.IntN(len(x.hosts)-1))%len(x.hosts)), true)
+		x.network.SetPartitioned(hostName(host), hostName((host+1+r.IntN(len(x.hosts)-1))%len(x.hosts)), true)
 		return
 	}
 	if begin {
 		for i := range workers {
-			x.network.SetCut(hostName(host), workerName(i), r.IntN(2) == 0)
+			x.network.SetPartitioned(hostName(host), workerName(i), r.IntN(2) == 0)
 		}
 		return
 	}
 	x.network.SetPaused(hostName(host), false)
-	x.network.SetCut(hostName(host), platformNode.Name, false)
+	x.network.SetPartitioned(hostName(host), platformNode.Name, false)
 	for i := range x.hosts {
-		x.network.SetCut(hostName(host), hostName(i), false)
+		x.network.SetPartitioned(hostName(host), hostName(i), false)
 	}
 	for i := range workers {
-		x.network.SetCut(hostName(host), workerName(i), false)
+		x.network.SetPartitioned(hostName(host), workerName(i), false)
 	}
 }
 
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -73,13 +73,13 @@
 		x.c.Assert(x.call(next, http.MethodPost, "/q/"+jobID(1), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, 300*time.Millisecond)
 		x.c.Assert(x.state(old, jobID(1)), qt.Equals, `{"state":"running"}`)
-		x.network.SetCut(hostName(old), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(old), platformNode.Name, true)
 		for x.state(next, jobID(1)) != completed {
 			pause.For(x.ctx, 100*time.Millisecond)
 		}
 		r := x.call(old, http.MethodGet, "/q/"+jobID(1), "")
 		x.c.Assert(r.status, qt.Equals, http.StatusBadGateway, qt.Commentf("%v", r))
-		x.network.SetCut(hostName(old), platformNode.Name, false)
+		x.network.SetPartitioned(hostName(old), platformNode.Name, false)
 		pause.For(x.ctx, 2*time.Second)
 		x.c.Assert(x.state(old, jobID(1)), qt.Equals, completed)
 	})
--- a/node/keys_test.go
+++ b/node/keys_test.go
@@ -20,7 +20,7 @@
 
 // configureQuota is configureTeams with a quota in cores for "a".
 func (x *cell) configureQuota(version, maxCores int, keysOfA ...string) {
-	x.c.Assert(wire.PutTeams(x.store, version, []wire.Route{
+	x.c.Assert(wire.PutConfigWithTeams(x.store, version, []wire.Route{
 		{
 			Queue:   "q",
 			Prefix:  "/q/",
@@ -55,7 +55,7 @@
 // cutFromStore cuts a host that does not lead off from the store only.
 func (x *cell) cutFromStore() (host int) {
 	cut := (x.leader() + 1) % len(x.hosts)
-	x.network.SetCut(hostName(cut), platformNode.Name, true)
+	x.network.SetPartitioned(hostName(cut), platformNode.Name, true)
 	return cut
 }
 
@@ -97,10 +97,10 @@
 		x.configureTeams(2, "key-a")
 		pause.For(x.ctx, inForce)
 		isolated := (x.leader() + 1) % len(x.hosts)
-		x.network.SetCut(hostName(isolated), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(isolated), platformNode.Name, true)
 		for h := range x.hosts {
 			if h != isolated {
-				x.network.SetCut(hostName(isolated), hostName(h), true)
+				x.network.SetPartitioned(hostName(isolated), hostName(h), true)
 			}
 		}
 		pause.For(x.ctx, 2*inForce)
@@ -108,9 +108,9 @@
 		pause.For(x.ctx, 2*inForce)
 		x.c.Check(x.waitingStatus("key-a2", isolated), qt.Equals, http.StatusBadGateway)
 		x.c.Check(x.waitingStatus("key-a2", x.leader()), qt.Equals, http.StatusOK)
-		x.network.SetCut(hostName(isolated), platformNode.Name, false)
+		x.network.SetPartitioned(hostName(isolated), platformNode.Name, false)
 		for h := range x.hosts {
-			x.network.SetCut(hostName(isolated), hostName(h), false)
+			x.network.SetPartitioned(hostName(isolated), hostName(h), false)
 		}
 		pause.For(x.ctx, inForce)
 		x.c.Check(x.waitingStatus("key-a2", isolated), qt.Equals, http.StatusOK)
--- a/node/largeconfig_test.go
+++ b/node/largeconfig_test.go
@@ -90,7 +90,7 @@
 			x.c.Check(h.configSources(), qt.DeepEquals, map[string]bool{
 				"store": true,
 			}, qt.Commentf("host %d", i))
-			carried := x.network.Carried(hostName(i))
+			carried := x.network.BytesReceived(hostName(i))
 			x.c.Check(carried < 5*manyRoutesBytes*5/4, qt.IsTrue, qt.Commentf("host %d has received %d bytes", i, carried))
 		}
 	})
@@ -123,14 +123,14 @@
 		first := x.leader()
 		for i := range x.hosts {
 			x.network.SetRate(hostName(i), smallLink)
-			x.network.SetCut(hostName(i), platformNode.Name, i != first)
+			x.network.SetPartitioned(hostName(i), platformNode.Name, i != first)
 		}
 		x.configureMany(2, manyRoutes)
 		for range 10 {
 			pause.For(x.ctx, 400*time.Millisecond)
 			for i := range x.hosts {
-				x.network.SetCut(hostName(i), hostName(first), i != first)
-				x.network.SetCut(hostName(i), hostName(first), false)
+				x.network.SetPartitioned(hostName(i), hostName(first), i != first)
+				x.network.SetPartitioned(hostName(i), hostName(first), false)
 			}
 		}
 		pause.For(x.ctx, 4*time.Second)
@@ -173,7 +173,7 @@
 		first := x.leader()
 		behind := (first + 1) % 2
 		x.network.SetRate(hostName(behind), smallLink)
-		x.network.SetCut(hostName(behind), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(behind), platformNode.Name, true)
 		pause.For(x.ctx, time.Second)
 		x.configureMany(2, manyRoutes)
 		// At most half of the document arrives in each fast period.
--- a/node/nextleader_test.go
+++ b/node/nextleader_test.go
@@ -19,7 +19,7 @@
 		if former == cut {
 			cut = 2
 		}
-		x.network.SetCut(hostName(cut), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(cut), platformNode.Name, true)
 		pause.For(x.ctx, 4*time.Second)
 		x.c.Assert(x.call(cut, http.MethodGet, "/none/", "").status, qt.Equals, http.StatusNotFound)
 		x.hosts[former].stop()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -85,8 +85,8 @@
 		workers: cellfake.NewWorkers(testLease),
 	}
 	x.client = x.newClient()
-	x.serve(platformNode, storeAddress, wire.Store(x.store))
-	x.serve(platformNode, advisorAddress, wire.Advisor(&cellfake.Advisor{}))
+	x.serve(platformNode, storeAddress, wire.StoreHandler(x.store))
+	x.serve(platformNode, advisorAddress, wire.AdvisorHandler(&cellfake.Advisor{}))
 	for i := range workers {
 		x.addWorker(i)
 	}
@@ -132,7 +132,7 @@
 	x.serve(standin.Node{
 		Name:  string(id),
 		Place: "workers",
-	}, a, wire.Worker(x.workers, id))
+	}, a, wire.WorkerHandler(x.workers, id))
 	x.writeWorkerEntry(i)
 }
 
@@ -378,7 +378,7 @@
 		x.c.Assert(x.call(2, http.MethodGet, "/extra/", "").status, qt.Equals, http.StatusOK)
 		// One host is cut off from the store and learns of the change from the leader.
 		cut := (x.leader() + 1) % 3
-		x.network.SetCut(hostName(cut), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(cut), platformNode.Name, true)
 		x.configure(2, false)
 		x.store.Forget()
 		pause.For(x.ctx, 1900*time.Millisecond)
@@ -397,14 +397,14 @@
 func TestHostWithoutStoreForwardsJobs(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
 		cut := (x.leader() + 1) % 3
-		x.network.SetCut(hostName(cut), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(cut), platformNode.Name, true)
 		pause.For(x.ctx, 4*time.Second)
 		r := x.call(cut, http.MethodPost, "/q/"+jobID(1), body)
 		x.c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%v", r))
 		x.c.Assert(x.ready(cut), qt.Equals, http.StatusServiceUnavailable)
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.state(cut, jobID(1)), qt.Equals, completed)
-		x.network.SetCut(hostName(cut), platformNode.Name, false)
+		x.network.SetPartitioned(hostName(cut), platformNode.Name, false)
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.ready(cut), qt.Equals, http.StatusOK)
 	})
--- a/node/notify_test.go
+++ b/node/notify_test.go
@@ -70,11 +70,11 @@
 		h := (l + 1) % len(x.hosts)
 		for i := range 10 {
 			x.store.TurnAway(true)
-			x.network.SetCut(hostName(h), hostName(l), true)
+			x.network.SetPartitioned(hostName(h), hostName(l), true)
 			pause.For(x.ctx, 500*time.Millisecond+time.Duration(i)*23*time.Millisecond)
 			x.store.Deafen(true)
 			x.store.TurnAway(false)
-			x.network.SetCut(hostName(h), hostName(l), false)
+			x.network.SetPartitioned(hostName(h), hostName(l), false)
 			if x.call(h, http.MethodPost, "/q/"+jobID(i), body).status != http.StatusOK {
 				continue // the host has not noticed yet that the store is reachable
 			}
--- a/node/yield_test.go
+++ b/node/yield_test.go
@@ -43,11 +43,11 @@
 func TestLeaderDoesNotYieldToAHostWithoutTheStore(t *testing.T) {
 	run(t, 2, 2, func(x *cell) {
 		l := x.leader()
-		x.network.SetCut(hostName(2), platformNode.Name, true)
+		x.network.SetPartitioned(hostName(2), platformNode.Name, true)
 		x.startThird(0.8)
 		pause.For(x.ctx, 5*time.Second)
 		x.c.Check(x.leader(), qt.Equals, l)
-		x.network.SetCut(hostName(2), platformNode.Name, false)
+		x.network.SetPartitioned(hostName(2), platformNode.Name, false)
 		pause.For(x.ctx, 5*time.Second)
 		x.c.Check(x.leader(), qt.Equals, 2)
 	})
