--- a/internal/bubble/bubble.go
+++ b/internal/bubble/bubble.go
@@ -1,5 +1,6 @@
-// Package bubble runs measurements on the virtual time of testing/synctest in
-// a command. Such time is given only to tests, so the command becomes one.
+// Package bubble lets a command run code in bubbles of testing/synctest, on
+// their fake clock. Bubbles exist only within tests, so [Main] runs the command
+// as a test.
 package bubble
 
 import (
@@ -12,9 +13,9 @@
 
 var current *testing.T
 
-// Main runs f, in which [Run] may be called, and ends the process with the
-// exit code that f returns. What package testing itself would print is
-// dropped.
+// Main runs f, in which [Run] and [Each] may be called, and exits with the code
+// that f returns. To drop the output of package testing, it replaces os.Stdout by
+// the null device; it also removes all command-line arguments.
 func Main(f func() int) {
 	os.Args = os.Args[:1]
 	if null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0); err == nil {
@@ -29,8 +30,8 @@
 	}}, nil, nil)
 }
 
-// Run runs f on virtual time and returns when f and all that it started have
-// ended. It panics outside of [Main].
+// Run runs f in a bubble and returns when f and all goroutines that it started
+// have ended. It panics outside of [Main].
 func Run(f func()) {
 	if current == nil {
 		panic("bubble: Run outside of Main")
@@ -38,9 +39,9 @@
 	synctest.Test(current, func(*testing.T) { f() })
 }
 
-// Each runs f for each number below n, each on a virtual time of its own and as
-// many at once as there are processors. It returns when all have ended, and
-// panics outside of [Main].
+// Each runs f(0) to f(n-1), each in a bubble of its own, in parallel as tests
+// are: up to GOMAXPROCS at a time. It returns when all have ended, and panics
+// outside of [Main].
 func Each(n int, f func(i int)) {
 	if current == nil {
 		panic("bubble: Each outside of Main")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,13 +21,14 @@
 // A Config describes a run of the demo.
 type Config struct {
 	Seed uint64
-	// Callers is how many callers send at once, Requests how many requests
-	// they send in all; 0 takes the defaults.
+	// Callers is the number of concurrent callers and Requests the number of
+	// requests that they send in total; 0 means the default.
 	Callers  int
 	Requests int
-	// Out gets the narration.
+	// Out receives the progress messages and the result.
 	Out io.Writer
-	// JSON writes the result as JSON instead of a table.
+	// JSON writes the result as JSON in place of a table, without progress
+	// messages.
 	JSON bool
 }
 
@@ -37,7 +38,7 @@
 	DefaultRequests = 12_000
 )
 
-// A Result is what the demo ends with.
+// A Result holds the outcome of a run.
 type Result struct {
 	Seed     uint64                    `json:"seed"`
 	Done     int64                     `json:"done"`
@@ -53,10 +54,10 @@
 	Recovery map[string]time.Duration  `json:"recovery_ns"`
 }
 
-// runTime bounds the whole demo.
-const runTime = 58 * time.Second
+// runTimeout is the timeout of a run.
+const runTimeout = 58 * time.Second
 
-// Run runs the demo and reports whether no promise was broken.
+// Run runs the demo and reports whether no invariant was violated.
 func Run(ctx context.Context, c Config) (bool, error) {
 	if c.Callers == 0 {
 		c.Callers = DefaultCallers
@@ -64,14 +65,14 @@
 	if c.Requests == 0 {
 		c.Requests = DefaultRequests
 	}
-	ctx, cancel := context.WithTimeout(ctx, runTime)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	d, err := newDemo(c)
 	if err != nil {
 		return false, err
 	}
 	defer d.close()
-	if err := d.play(ctx); err != nil {
+	if err := d.run(ctx); err != nil {
 		return false, err
 	}
 	return d.report()
@@ -87,7 +88,7 @@
 	callers  *fleet.Callers
 	halls    []spoolsill.HallID
 	result   Result
-	say      sync.Mutex
+	outMu    sync.Mutex
 }
 
 func newDemo(c Config) (*demo, error) {
@@ -137,8 +138,8 @@
 	return d, nil
 }
 
-// cellConfig describes the deployment in Tbilisi: 50 workers and 50 runners in
-// three halls.
+// cellConfig returns a configuration of the size of the deployment in Tbilisi:
+// 50 workers and 50 runners in three halls.
 func cellConfig(halls []spoolsill.HallID, random func() uint64) standin.CellConfig {
 	return standin.CellConfig{
 		Halls:    halls,
@@ -161,8 +162,8 @@
 	}
 }
 
-// heavyTail returns a time at a runner: mostly 2 to 20 ms, one in fifty up to
-// 400 ms.
+// heavyTail returns the duration of a request for a random r: 2 to 19 ms, and
+// twenty times that for one request in fifty.
 func heavyTail(r uint64) time.Duration {
 	d := time.Duration(2+r%18) * time.Millisecond
 	if r>>16%50 == 0 {
@@ -177,12 +178,12 @@
 	d.cell.Close()
 }
 
-func (d *demo) tell(format string, args ...any) {
+func (d *demo) printf(format string, args ...any) {
 	if d.config.JSON {
 		return
 	}
-	d.say.Lock()
-	defer d.say.Unlock()
+	d.outMu.Lock()
+	defer d.outMu.Unlock()
 	fmt.Fprintf(d.config.Out, "%6.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
--- a/internal/demo/doc.go
+++ b/internal/demo/doc.go
@@ -1,5 +1,5 @@
-// Package demo runs the whole path in one process over loopback sockets:
-// stand-ins for a deployment's platform, workers and runners, its entry hosts,
-// operators and callers, and the failures that the users name. At the end the
-// stand-ins' own records tell whether a promise was broken.
+// Package demo runs a complete deployment in one process over loopback sockets:
+// entry hosts, operators and callers, with a fake platform, workers and runners
+// of package standin, and injects the failures that a deployment must tolerate.
+// At the end it reports the violations of invariants that the fakes recorded.
 package demo
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -61,26 +61,26 @@
 memory_bytes = 2199023255552
 `
 
-// play runs the story.
-func (d *demo) play(ctx context.Context) error {
+// run runs the steps of the demo.
+func (d *demo) run(ctx context.Context) error {
 	if err := d.fleet.WaitReady(ctx); err != nil {
 		return err
 	}
-	d.tell("6 entry hosts in 3 halls are ready, each hall has a holder")
-	if err := d.operate(ctx); err != nil {
+	d.printf("6 entry hosts in 3 halls are ready, each hall has a holder")
+	if err := d.submitJobs(ctx); err != nil {
 		return err
 	}
 	stop := d.startCallers(ctx)
-	if err := d.fail(ctx); err != nil {
+	if err := d.injectFailures(ctx); err != nil {
 		return err
 	}
 	stop()
-	d.tell("the callers have ended")
+	d.printf("the callers have ended")
 	return d.checkEnd(ctx)
 }
 
-// operate accepts a configuration and confirms a plan for each kind of job.
-func (d *demo) operate(ctx context.Context) error {
+// submitJobs puts a configuration and confirms a plan for each kind of job.
+func (d *demo) submitJobs(ctx context.Context) error {
 	a, err := d.client.PutConfig(ctx, api.PutConfig{
 		Who:  "demo",
 		Note: "first quotas",
@@ -89,7 +89,7 @@
 	if err != nil {
 		return eris.Wrap(err, "config")
 	}
-	if err := d.inForce(ctx, a.Version); err != nil {
+	if err := d.waitConfig(ctx, a.Version); err != nil {
 		return err
 	}
 	for i, job := range []string{serviceJob, batchJob, gangJob} {
@@ -100,11 +100,12 @@
 	return nil
 }
 
-// configTime is how long a configuration may take to be in force everywhere.
-const configTime = 8 * time.Second
+// configTimeout is how long a configuration may take to be in force at all hosts.
+const configTimeout = 8 * time.Second
 
-// inForce waits until a version is in force at every host that runs.
-func (d *demo) inForce(ctx context.Context, v spoolsill.Version) error {
+// waitConfig waits until a version is in force at every running host. It records
+// a violation if that takes longer than configTime.
+func (d *demo) waitConfig(ctx context.Context, v spoolsill.Version) error {
 	began := time.Now()
 	for {
 		late := spoolsill.HostID("")
@@ -114,11 +115,11 @@
 			}
 		}
 		if late == "" {
-			d.tell("configuration %d is in force at every host after %.1f s", v, time.Since(began).Seconds())
+			d.printf("configuration %d is in force at every host after %.1f s", v, time.Since(began).Seconds())
 			return nil
 		}
-		if time.Since(began) > configTime {
-			d.cell.Truth.RecordViolation(standin.InvariantConfig, "configuration %d is not in force at host %s after %s", v, late, configTime)
+		if time.Since(began) > configTimeout {
+			d.cell.Truth.RecordViolation(standin.InvariantConfig, "configuration %d is not in force at host %s after %s", v, late, configTimeout)
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -139,12 +140,12 @@
 	if err := d.client.Confirm(ctx, p.Hall, p.ID); err != nil {
 		return eris.Wrap(err, "confirm")
 	}
-	d.tell("hall %s: plan %s with %d changes is confirmed, e.g. %s %s on %s", p.Hall, p.ID, len(p.Changes), p.Changes[0].Verb, p.Changes[0].Task, p.Changes[0].Worker)
+	d.printf("hall %s: plan %s with %d changes is confirmed, e.g. %s %s on %s", p.Hall, p.ID, len(p.Changes), p.Changes[0].Verb, p.Changes[0].Task, p.Changes[0].Worker)
 	return nil
 }
 
-// startCallers has requests sent at a steady rate until the returned function
-// is called, which waits for the last ones.
+// startCallers sends requests from concurrent callers until the returned
+// function is called, which waits for the requests in flight.
 func (d *demo) startCallers(ctx context.Context) (stop func()) {
 	work, end := context.WithCancel(ctx)
 	go d.balancer.Run(ctx)
@@ -160,71 +161,72 @@
 			}
 		}()
 	}
-	d.tell("%d callers send requests, a third of them unrepeatable", d.config.Callers)
+	d.printf("%d callers send requests, a third of them unrepeatable", d.config.Callers)
 	return func() {
 		end()
 		wg.Wait()
 	}
 }
 
-func (d *demo) progress() {
+func (d *demo) printProgress() {
 	c := d.callers
-	d.tell("so far %d done, %d not run, %d unknown", c.Done.Load(), c.NotRun.Load(), c.Unknown.Load())
+	d.printf("so far %d done, %d not run, %d unknown", c.Done.Load(), c.NotRun.Load(), c.Unknown.Load())
 }
 
-// fail brings about the failures, one after another and some together.
-func (d *demo) fail(ctx context.Context) error {
+// injectFailures injects the failures, one after another and some at the same time.
+func (d *demo) injectFailures(ctx context.Context) error {
 	pause.For(ctx, 2*time.Second)
-	d.progress()
+	d.printProgress()
 	killed, _ := d.fleet.Holder(d.halls[0])
 	d.fleet.Kill(killed)
-	d.tell("host %s, which held hall %s, has died", d.fleet.ID(killed), d.halls[0])
+	d.printf("host %s, which held hall %s, has died", d.fleet.ID(killed), d.halls[0])
 	if err := d.waitHolder(ctx, d.halls[0]); err != nil {
 		return err
 	}
 	drained, _ := d.fleet.Holder(d.halls[1])
 	id := d.fleet.ID(drained)
 	clean := d.fleet.Stop(ctx, drained)
-	d.tell("host %s was stopped as planned (clean: %t)", id, clean)
+	d.printf("host %s was stopped as planned (clean: %t)", id, clean)
 	if !clean {
 		d.cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s did not finish its work in time", id)
 	}
-	d.progress()
+	d.printProgress()
 	for _, i := range []int{killed, drained} {
 		if err := d.fleet.Restart(i); err != nil {
 			return err
 		}
 	}
-	d.tell("both hosts are started again")
+	d.printf("both hosts are started again")
 	pause.For(ctx, time.Second)
-	d.leave(ctx)
-	if err := d.outage(ctx); err != nil {
+	d.markRunnerLeaving(ctx)
+	if err := d.interruptPlatform(ctx); err != nil {
 		return err
 	}
-	return d.cut(ctx)
+	return d.partitionHall(ctx)
 }
 
-// leave has one runner leave.
-func (d *demo) leave(ctx context.Context) {
+// markRunnerLeaving marks one runner as leaving.
+func (d *demo) markRunnerLeaving(ctx context.Context) {
 	id := spoolsill.RunnerID(string(d.halls[2]) + "-u00")
 	d.cell.Platform.SetLeaving(string(id))
 	d.cell.Runners[id].SetLeaving()
-	d.tell("runner %s is leaving", id)
+	d.printf("runner %s is leaving", id)
 	pause.For(ctx, 500*time.Millisecond)
 }
 
-// outage takes the platform down for a while.
-func (d *demo) outage(ctx context.Context) error {
+// interruptPlatform takes the platform down for five seconds, and puts another
+// configuration after it.
+func (d *demo) interruptPlatform(ctx context.Context) error {
 	d.cell.Platform.Fault.SetDown(true)
-	d.tell("the platform is down")
+	d.printf("the platform is down")
 	before := d.callers.Done.Load()
 	pause.For(ctx, 5*time.Second)
-	d.tell("%d requests were served without it", d.callers.Done.Load()-before)
+	d.printf("%d requests were served without it", d.callers.Done.Load()-before)
 	if err := d.submit(ctx, d.halls[2], "id = \"didube-late\"\nteam = \"decks\"\nkind = \"batch\"\ntasks = 3\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1s\"\n"); err != nil {
-		d.tell("a job can't be added without it: %s", err)
+		d.printf("a job can't be added without it: %s", err)
 	}
 	d.cell.Platform.Fault.SetDown(false)
-	d.tell("the platform is back")
+	d.printf("the platform is back")
 	pause.For(ctx, 2*time.Second)
 	a, err := d.client.PutConfig(ctx, api.PutConfig{
 		Base: 1,
@@ -236,23 +238,24 @@
 		return eris.Wrap(err, "config")
 	}
 	d.result.Config = a.Version
-	return d.inForce(ctx, a.Version)
+	return d.waitConfig(ctx, a.Version)
 }
 
-// cut cuts one hall off from the others and from the platform.
-func (d *demo) cut(ctx context.Context) error {
+// partitionHall partitions one hall from the others and from the platform for five
+// seconds.
+func (d *demo) partitionHall(ctx context.Context) error {
 	h := string(d.halls[2])
 	others := []string{string(d.halls[0]), string(d.halls[1]), standin.PlatformPlace}
 	for _, o := range others {
 		d.cell.Network.SetPartitioned(h, o, true)
 	}
-	d.tell("hall %s is cut off from the other halls and the platform", h)
+	d.printf("hall %s is cut off from the other halls and the platform", h)
 	pause.For(ctx, 5*time.Second)
-	d.progress()
+	d.printProgress()
 	for _, o := range others {
 		d.cell.Network.SetPartitioned(h, o, false)
 	}
-	d.tell("hall %s is back", h)
+	d.printf("hall %s is back", h)
 	pause.For(ctx, 2*time.Second)
 	return d.waitHolder(ctx, d.halls[2])
 }
@@ -264,7 +267,7 @@
 		w, err := d.client.Workers(ctx, hall)
 		if err == nil && len(w.Missing) == 0 {
 			took := time.Since(began)
-			d.tell("hall %s places tasks again after %.1f s", hall, took.Seconds())
+			d.printf("hall %s places tasks again after %.1f s", hall, took.Seconds())
 			d.result.Recovery[string(hall)] = took
 			return nil
 		}
@@ -275,8 +278,8 @@
 	}
 }
 
-// checkEnd verifies what must hold at the end: the service runs in full, and
-// configuration and records agree.
+// checkEnd waits until all tasks of the service run, and records how many tasks
+// of each job are running.
 func (d *demo) checkEnd(ctx context.Context) error {
 	for {
 		j, err := d.client.Job(ctx, "deck-cache")
@@ -284,7 +287,7 @@
 			break
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("service deck-cache does not run in full: %v, %w", j.Job.States, ctx.Err())
+			return fmt.Errorf("service deck-cache does not run all its tasks: %v, %w", j.Job.States, ctx.Err())
 		}
 		pause.For(ctx, 100*time.Millisecond)
 	}
@@ -294,7 +297,7 @@
 	}
 	for _, j := range jobs.Jobs {
 		d.result.Jobs[j.ID] = j.States[spoolsill.TaskRunning]
-		d.tell("job %s in hall %s: %v", j.ID, j.Hall, j.States)
+		d.printf("job %s in hall %s: %v", j.ID, j.Hall, j.States)
 	}
 	return nil
 }
--- a/internal/naive/doc.go
+++ b/internal/naive/doc.go
@@ -1,4 +1,4 @@
-// Package naive holds the plain versions of the project's decisions: full
-// scans, one step at a time, obviously right. Differential tests and
-// measurements compare the fast versions with them.
+// Package naive provides simple reference implementations of placement and of
+// its checks, which scan all workers and tasks at every step. Differential tests
+// and benchmarks compare the optimized implementations with them.
 package naive
--- a/internal/naive/ledger.go
+++ b/internal/naive/ledger.go
@@ -7,16 +7,16 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// A Ledger checks the records of package place, one after another, by adding
-// everything up anew each time.
+// A Ledger applies the records of package place one after another and checks
+// each of them. It recomputes all sums at every check.
 type Ledger struct {
-	workers map[spoolsill.WorkerID]spoolsill.Worker
-	jobs    map[spoolsill.JobID]spoolsill.Job
-	tasks   map[spoolsill.TaskID]*Task
-	stopped map[spoolsill.JobID]bool
+	workers   map[spoolsill.WorkerID]spoolsill.Worker
+	jobs      map[spoolsill.JobID]spoolsill.Job
+	tasks     map[spoolsill.TaskID]*Task
+	cancelled map[spoolsill.JobID]bool
 }
 
-// A Task is what the ledger knows of one task.
+// A Task is the state of one task in a [Ledger].
 type Task struct {
 	State   spoolsill.TaskState
 	Worker  spoolsill.WorkerID
@@ -29,14 +29,14 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{
-		workers: map[spoolsill.WorkerID]spoolsill.Worker{},
-		jobs:    map[spoolsill.JobID]spoolsill.Job{},
-		tasks:   map[spoolsill.TaskID]*Task{},
-		stopped: map[spoolsill.JobID]bool{},
+		workers:   map[spoolsill.WorkerID]spoolsill.Worker{},
+		jobs:      map[spoolsill.JobID]spoolsill.Job{},
+		tasks:     map[spoolsill.TaskID]*Task{},
+		cancelled: map[spoolsill.JobID]bool{},
 	}
 }
 
-// SetWorkers takes the list of workers.
+// SetWorkers replaces the list of workers.
 func (l *Ledger) SetWorkers(list []spoolsill.Worker) {
 	l.workers = map[spoolsill.WorkerID]spoolsill.Worker{}
 	for _, w := range list {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Task returns what is known of a task.
+// Task returns the state of a task, which must exist.
 func (l *Ledger) Task(id spoolsill.TaskID) Task {
 	return *l.tasks[id]
 }
@@ -54,7 +54,7 @@
 	return l.tasks
 }
 
-// Used adds up what the tasks on a worker hold.
+// Used returns the resources that are allocated to tasks on a worker.
 func (l *Ledger) Used(w spoolsill.WorkerID) spoolsill.Resources {
 	var sum spoolsill.Resources
 	for id, t := range l.tasks {
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// TeamUsed adds up what the tasks of a team hold.
+// TeamUsed returns the resources that are allocated to tasks of a team.
 func (l *Ledger) TeamUsed(team spoolsill.TeamID) spoolsill.Resources {
 	var sum spoolsill.Resources
 	for id, t := range l.tasks {
@@ -76,8 +76,8 @@
 	return sum
 }
 
-// Apply takes in the records of one decision and returns the first thing that
-// must not be.
+// Apply applies the records of one decision. It returns an error for the first
+// record that is invalid, or for a gang that was placed only in part.
 func (l *Ledger) Apply(records []place.Record) error {
 	gangs := map[spoolsill.JobID]bool{}
 	for _, r := range records {
@@ -121,7 +121,7 @@
 }
 
 func (l *Ledger) cancel(id spoolsill.JobID) {
-	l.stopped[id] = true
+	l.cancelled[id] = true
 	for tid, t := range l.tasks {
 		if tid.Job == id && t.State == spoolsill.TaskQueued {
 			t.State = spoolsill.TaskCancelled
@@ -135,7 +135,7 @@
 		return fmt.Errorf("%s: no such task", r.Task)
 	}
 	if t.State.Final() {
-		return fmt.Errorf("%s: is %s and changes", r.Task, t.State)
+		return fmt.Errorf("%s: is %s, which is final, but changes", r.Task, t.State)
 	}
 	j := l.jobs[r.Task.Job]
 	switch r.Kind {
@@ -153,7 +153,7 @@
 		t.State = spoolsill.TaskStopping
 	case place.TaskRequeued:
 		if j.Unrepeatable && r.Cause != place.CauseRefused {
-			return fmt.Errorf("%s: is unrepeatable, may have run, and waits again", r.Task)
+			return fmt.Errorf("%s: is unrepeatable, may have run, and is queued again", r.Task)
 		}
 		t.State = spoolsill.TaskQueued
 		t.Worker = ""
@@ -173,7 +173,7 @@
 	switch {
 	case t.State.HoldsCapacity():
 		return fmt.Errorf("%s: placed on %s and on %s", r.Task, t.Worker, r.Worker)
-	case l.stopped[r.Task.Job]:
+	case l.cancelled[r.Task.Job]:
 		return fmt.Errorf("%s: placed after its job was cancelled", r.Task)
 	case !ok:
 		return fmt.Errorf("%s: placed on %s, which is not listed", r.Task, r.Worker)
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// checkGang verifies that no task of a gang waits while another one has a
-// worker.
+// checkGang checks that no task of a gang is queued while another one is
+// allocated to a worker.
 func (l *Ledger) checkGang(id spoolsill.JobID) error {
 	waiting, holding := 0, 0
 	for tid, t := range l.tasks {
@@ -209,13 +209,13 @@
 		}
 	}
 	if waiting > 0 && holding > 0 {
-		return fmt.Errorf("gang %s: %d tasks have workers, %d wait", id, holding, waiting)
+		return fmt.Errorf("gang %s: %d tasks have workers, %d are queued", id, holding, waiting)
 	}
 	return nil
 }
 
-// Startable returns the waiting tasks of jobs other than gangs that fit on
-// some worker now, by looking at every worker for every task.
+// Startable returns the queued tasks of jobs other than gangs that fit on some
+// worker now. It checks every worker for every task.
 func (l *Ledger) Startable(now int64) []spoolsill.TaskID {
 	free := map[spoolsill.WorkerID]spoolsill.Resources{}
 	for id, w := range l.workers {
@@ -223,7 +223,7 @@
 	}
 	var out []spoolsill.TaskID
 	for id, t := range l.tasks {
-		if t.State != spoolsill.TaskQueued || t.Ready > now || l.stopped[id.Job] || l.jobs[id.Job].Kind == spoolsill.KindGang {
+		if t.State != spoolsill.TaskQueued || t.Ready > now || l.cancelled[id.Job] || l.jobs[id.Job].Kind == spoolsill.KindGang {
 			continue
 		}
 		for w, f := range free {
--- a/internal/naive/scheduler.go
+++ b/internal/naive/scheduler.go
@@ -4,58 +4,58 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Order says which worker a [Scheduler] takes.
+// Order is the policy by which a [Scheduler] selects workers.
 type Order int
 
-// The orders of workers.
+// The policies.
 const (
-	// FirstFit takes the first worker that has room, and starts jobs strictly
-	// in the order in which they came: one that does not fit holds up all
-	// behind it.
+	// FirstFit selects the first worker with enough free resources. Jobs start
+	// strictly in the order of submission: one that does not fit blocks all
+	// later ones.
 	FirstFit Order = iota
-	// LeastLoaded takes the worker with the most free processors, and passes
-	// over jobs that do not fit.
+	// LeastLoaded selects the worker with the most free processors. Jobs that
+	// do not fit are skipped.
 	LeastLoaded
 )
 
-// A Scheduler is the plain scheduler that others are measured against. It
-// knows no classes, preempts nothing and learns nothing.
+// A Scheduler is the baseline scheduler of benchmarks. It has no classes, no
+// preemption and no estimates of run times.
 type Scheduler struct {
-	order   Order
-	workers []*node
-	queue   []*waiting
-	running map[spoolsill.TaskID]*node
-	shapes  map[spoolsill.JobID]spoolsill.Job
-	tries   map[spoolsill.TaskID]spoolsill.Attempt
+	order    Order
+	workers  []*worker
+	queue    []*queueEntry
+	running  map[spoolsill.TaskID]*worker
+	jobs     map[spoolsill.JobID]spoolsill.Job
+	attempts map[spoolsill.TaskID]spoolsill.Attempt
 }
 
-type node struct {
+type worker struct {
 	id   spoolsill.WorkerID
 	free spoolsill.Resources
 }
 
-type waiting struct {
+type queueEntry struct {
 	job   spoolsill.Job
 	tasks []int
 }
 
-// A Start is one task that starts on a worker.
+// A Start is the start of a task on a worker.
 type Start struct {
 	Task    spoolsill.TaskID
 	Attempt spoolsill.Attempt
 	Worker  spoolsill.WorkerID
 }
 
-// NewScheduler returns a scheduler of some workers.
+// NewScheduler returns a scheduler with an empty queue.
 func NewScheduler(o Order, workers []spoolsill.Worker) *Scheduler {
 	s := &Scheduler{
-		order:   o,
-		running: map[spoolsill.TaskID]*node{},
-		shapes:  map[spoolsill.JobID]spoolsill.Job{},
-		tries:   map[spoolsill.TaskID]spoolsill.Attempt{},
+		order:    o,
+		running:  map[spoolsill.TaskID]*worker{},
+		jobs:     map[spoolsill.JobID]spoolsill.Job{},
+		attempts: map[spoolsill.TaskID]spoolsill.Attempt{},
 	}
 	for _, w := range workers {
-		s.workers = append(s.workers, &node{
+		s.workers = append(s.workers, &worker{
 			id:   w.ID,
 			free: w.Capacity,
 		})
@@ -63,10 +63,10 @@
 	return s
 }
 
-// Submit adds a job at the end of the queue.
+// Submit appends a job to the queue.
 func (s *Scheduler) Submit(j spoolsill.Job) {
-	s.shapes[j.ID] = j
-	w := &waiting{
+	s.jobs[j.ID] = j
+	w := &queueEntry{
 		job: j,
 	}
 	for i := range j.Tasks {
@@ -75,7 +75,7 @@
 	s.queue = append(s.queue, w)
 }
 
-// Cancel drops what waits of a job.
+// Cancel removes the first entry of a job from the queue.
 func (s *Scheduler) Cancel(id spoolsill.JobID) {
 	for i, w := range s.queue {
 		if w.job.ID == id {
@@ -85,24 +85,26 @@
 	}
 }
 
-// End frees what a task held; one that failed waits again at the end.
+// End frees the resources of a task. If again is set, the task is appended to
+// the queue.
 func (s *Scheduler) End(id spoolsill.TaskID, again bool) {
 	n, ok := s.running[id]
 	if !ok {
 		return
 	}
 	delete(s.running, id)
-	j := s.shapes[id.Job]
+	j := s.jobs[id.Job]
 	n.free = n.free.Add(j.Shape)
 	if again {
-		s.queue = append(s.queue, &waiting{
+		s.queue = append(s.queue, &queueEntry{
 			job:   j,
 			tasks: []int{id.Index},
 		})
 	}
 }
 
-// Decide starts what it can.
+// Decide starts the queued tasks that fit, by the order of the scheduler, and
+// returns them.
 func (s *Scheduler) Decide() []Start {
 	var out []Start
 	kept := s.queue[:0]
@@ -120,8 +122,8 @@
 	return out
 }
 
-// startJob starts the tasks of a job that fit, of a gang all or none.
-func (s *Scheduler) startJob(w *waiting) []Start {
+// startJob starts the tasks of a job that fit; for a gang, all or none.
+func (s *Scheduler) startJob(w *queueEntry) []Start {
 	var out []Start
 	for len(out) < len(w.tasks) {
 		n := s.find(w.job.Shape)
@@ -134,10 +136,10 @@
 		}
 		n.free = n.free.Sub(w.job.Shape)
 		s.running[id] = n
-		s.tries[id]++
+		s.attempts[id]++
 		out = append(out, Start{
 			Task:    id,
-			Attempt: s.tries[id],
+			Attempt: s.attempts[id],
 			Worker:  n.id,
 		})
 	}
@@ -145,7 +147,7 @@
 		for _, x := range out {
 			s.running[x.Task].free = s.running[x.Task].free.Add(w.job.Shape)
 			delete(s.running, x.Task)
-			s.tries[x.Task]--
+			s.attempts[x.Task]--
 		}
 		return nil
 	}
@@ -153,8 +155,8 @@
 	return out
 }
 
-func (s *Scheduler) find(shape spoolsill.Resources) *node {
-	var best *node
+func (s *Scheduler) find(shape spoolsill.Resources) *worker {
+	var best *worker
 	for _, n := range s.workers {
 		if !shape.FitsIn(n.free) {
 			continue
--- a/internal/packed/encode_test.go
+++ b/internal/packed/encode_test.go
@@ -17,7 +17,8 @@
 	Flag  bool
 }
 
-// Guards against rows that programs of another release can't read.
+// Guards against an encoding that the plain decoder of another release can't read, and
+// against a decoder that can't read plainly encoded rows.
 func TestEncodedValuesAreReadByAnyDecoder(t *testing.T) {
 	v := sample{
 		Name: "a",
--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,5 +1,5 @@
-// Package packed encodes values in MessagePack in few bytes, and decodes ones that may not
-// be what they should.
+// Package packed encodes values as compact MessagePack, and decodes untrusted or damaged
+// input without excessive allocations or panics.
 package packed
 
 import (
@@ -10,12 +10,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrDamaged is returned for bytes that are no whole value.
-var ErrDamaged = errors.New("packed: not a whole value")
+// ErrDamaged is returned for input that does not begin with a complete, valid value.
+var ErrDamaged = errors.New("packed: not a complete value")
 
-// Encode returns v in few bytes: integers are as long as they need to be, and fields of
-// structs kept as maps are left out where they are zero. Every decoder of MessagePack reads
-// them.
+// Encode returns the compact encoding of v: integers have their shortest form, and zero
+// fields of structs that are encoded as maps are omitted. Any MessagePack decoder reads it.
 func Encode(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := msgpack.GetEncoder()
@@ -29,10 +28,10 @@
 	return b.Bytes(), nil
 }
 
-// Decode reads the first value of b into v, and returns what follows it. The lengths
-// that b tells are compared with what it has before anything is allocated by them: five
-// bytes can tell of four thousand million entries. Where the library panics, as for no
-// value in a time's place, b is damaged.
+// Decode decodes the first value of b into v and returns the bytes after it. It first skips
+// the value, which checks the lengths in b against its size, before anything of these
+// lengths is allocated: five bytes can declare an array of 2^32-1 entries. A panic of the
+// library, as for nil in the place of a time, is returned as ErrDamaged.
 func Decode(b []byte, v any) (rest []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause provides a sleep that a context can end.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns when d has passed or ctx ends, whichever comes first.
+// For blocks until d has passed or ctx is done, whichever comes first.
 func For(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/seed/fails.go
+++ b/internal/seed/fails.go
@@ -8,18 +8,19 @@
 	"pgregory.net/rapid"
 )
 
-// searches is the number of sequences in which [Fails] looks for a failure.
-const searches = "2000"
+// searchChecks is the number of sequences that [Fails] tries.
+const searchChecks = "2000"
 
-// Fails reports whether a property fails for some sequence. Tests use it to
-// show that a property does find the fault that a mechanism is for, with the
-// mechanism switched off. It must not be called in parallel tests.
+// Fails reports whether rapid finds a sequence for which a property fails. Tests
+// use it to show that a property detects a fault when the mechanism that
+// prevents the fault is disabled. It sets a global flag, so it must not be called
+// in parallel tests.
 func Fails(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
 	checks := flag.Lookup("rapid.checks")
 	old := checks.Value.String()
 	defer func() { _ = flag.Set("rapid.checks", old) }()
-	if err := flag.Set("rapid.checks", searches); err != nil {
+	if err := flag.Set("rapid.checks", searchChecks); err != nil {
 		t.Fatal(err)
 	}
 	r := &recorder{
@@ -34,7 +35,8 @@
 	return r.failed
 }
 
-// A recorder is a test that takes note of a failure in place of failing.
+// A recorder is a rapid.TB that records a failure without failing the test, and
+// discards its output.
 type recorder struct {
 	*testing.T
 	failed bool
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -1,5 +1,5 @@
-// Package seed gives tests the same verdict every run: it fixes the seed of
-// property tests unless the command line names one.
+// Package seed makes property tests reproducible: it sets a fixed seed unless
+// the command line sets one.
 package seed
 
 import (
@@ -10,7 +10,7 @@
 	_ "pgregory.net/rapid"
 )
 
-// Fixed is the seed of property tests.
+// Fixed is the default seed of property tests.
 const Fixed = "20261202"
 
 // Main runs the tests of a package with the fixed seed. Packages with property
@@ -25,7 +25,7 @@
 	return m.Run()
 }
 
-// set sets a flag that the command line does not.
+// set sets a flag unless it was set on the command line.
 func set(name, value string) {
 	given := false
 	flag.Visit(func(f *flag.Flag) {
--- a/internal/standin/wire/doc.go
+++ b/internal/standin/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire serves the stand-ins of package cellfake over HTTP as the users'
-// platform does, so that whole hosts run against them: the store, workers and
-// the advisor, on loopback or in memory.
+// Package wire serves the fake store, workers and advisor of package cellfake
+// over the platform's HTTP interfaces, so that tests run complete hosts against
+// them.
 package wire
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -14,23 +14,23 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// Domain is the host name that all routes of a stand-in's configuration have.
+// Domain is the host name of all routes in the configurations of this package.
 const Domain = "cell.example"
 
-// A WorkerEntry is what a worker says about itself.
+// A WorkerEntry is the row that a worker writes about itself.
 type WorkerEntry struct {
 	ID       spoolsill.WorkerID
-	Born     spoolsill.Birth // zero leaves it out
+	Born     spoolsill.Birth // omitted if zero
 	Address  string
 	Machine  string
 	Rack     string
 	Capacity spoolsill.Resources
 	Draining bool
-	// Remaining is the least time that a draining worker stays.
+	// Remaining is how long a draining worker stays at least.
 	Remaining time.Duration
 }
 
-// PutWorker writes a worker's entry as the worker does.
+// PutWorker writes a worker's entry in the format that workers use.
 func PutWorker(s *cellfake.Store, e WorkerEntry) error {
 	state := "ready"
 	if e.Draining {
@@ -55,8 +55,8 @@
 	return put(s, platform.WorkersTable, string(e.ID), entry)
 }
 
-// DeleteWorker removes a worker's entry, as the platform does once it is silent
-// or gone.
+// DeleteWorker removes a worker's entry, as the platform does for a worker that
+// has ended or that it no longer hears from.
 func DeleteWorker(s *cellfake.Store, id spoolsill.WorkerID) {
 	s.Delete(store.Key{
 		Table: platform.WorkersTable,
@@ -64,28 +64,29 @@
 	})
 }
 
-// A Route is a queue of a stand-in's configuration.
+// A Route is a queue in a configuration.
 type Route struct {
 	Queue    sched.QueueID
 	Prefix   string
 	Priority int
-	// Advised tells that the advisor must be asked.
+	// Advised means that hosts must ask the advisor before placement.
 	Advised bool
 }
 
-// A Team is a team of a stand-in's configuration.
+// A Team is a team in a configuration.
 type Team struct {
 	ID    spoolsill.TeamID
 	Keys  []string
 	Quota spoolsill.Resources
 }
 
-// PutConfig writes a configuration as the operators do, of a deployment without teams.
+// PutConfig writes the operators' configuration of a deployment without teams.
 func PutConfig(s *cellfake.Store, version int, routes []Route) error {
-	return putConfig(s, configOf(version, routes))
+	return putConfig(s, newConfig(version, routes))
 }
 
-// PutConfigWithTeams writes a configuration as the operators do, of a deployment with teams.
+// PutConfigWithTeams writes the operators' configuration of a deployment with
+// teams.
 func PutConfigWithTeams(s *cellfake.Store, version int, routes []Route, teams []Team) error {
 	list := []any{}
 	for _, t := range teams {
@@ -100,7 +101,7 @@
 			},
 		})
 	}
-	c := configOf(version, routes)
+	c := newConfig(version, routes)
 	c["tenants"] = list
 	return putConfig(s, c)
 }
@@ -109,7 +110,7 @@
 	return put(s, platform.OperatorTable, platform.ConfigRow, c)
 }
 
-func configOf(version int, routes []Route) map[string]any {
+func newConfig(version int, routes []Route) map[string]any {
 	var list []any
 	for _, r := range routes {
 		x := map[string]any{
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// HostSettings is what a host's settings file says.
+// HostSettings holds the values of a host's settings file.
 type HostSettings struct {
 	Host           string
 	Hall           string
@@ -197,7 +198,7 @@
 row_bytes = 65536
 `))
 
-// TOML returns the settings file.
+// TOML returns the content of the settings file.
 func (s HostSettings) TOML() (string, error) {
 	var b strings.Builder
 	if err := settingsText.Execute(&b, s); err != nil {
--- a/internal/standin/wire/store.go
+++ b/internal/standin/wire/store.go
@@ -42,10 +42,10 @@
 	Delete      []row `json:"delete"`
 }
 
-// maxEntries is how many entries a transaction has at most.
+// maxEntries is the largest number of entries in a transaction.
 const maxEntries = 100
 
-// StoreHandler serves a store.
+// StoreHandler returns the HTTP interface of a store.
 func StoreHandler(s *cellfake.Store) http.Handler {
 	m := chi.NewRouter()
 	m.Post("/api/rows-tx", func(w http.ResponseWriter, r *http.Request) { commit(s, w, r) })
@@ -53,7 +53,7 @@
 	m.Get("/api/rows-feed", func(w http.ResponseWriter, r *http.Request) { feed(s, w, r) })
 	m.Get("/api/rows-parts", func(w http.ResponseWriter, r *http.Request) {
 		parts, err := s.Partitions(r.Context(), r.URL.Query().Get("table"))
-		answer(w, http.StatusOK, map[string][]string{
+		writeAnswer(w, http.StatusOK, map[string][]string{
 			"parts": parts,
 		}, err)
 	})
@@ -66,7 +66,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if len(q.ExpectedRev)+len(q.Put)+len(q.Delete) > maxEntries || !onePart(q) {
+	if len(q.ExpectedRev)+len(q.Put)+len(q.Delete) > maxEntries || !samePartition(q) {
 		http.Error(w, "entries", http.StatusBadRequest)
 		return
 	}
@@ -91,14 +91,14 @@
 	if !x.Applied {
 		status = http.StatusPreconditionFailed
 	}
-	answer(w, status, rows{
+	writeAnswer(w, status, rows{
 		Rows: encode(x.Current),
 		Ver:  x.Version,
 	}, err)
 }
 
-// onePart reports whether all entries share one partition.
-func onePart(t transaction) bool {
+// samePartition reports whether all entries are in the same partition.
+func samePartition(t transaction) bool {
 	parts := map[string]bool{}
 	for _, l := range [][]row{t.ExpectedRev, t.Put, t.Delete} {
 		for _, e := range l {
@@ -112,7 +112,7 @@
 	q := r.URL.Query()
 	limit, _ := strconv.Atoi(q.Get("limit"))
 	p, err := s.List(r.Context(), q.Get("table"), q.Get("part"), q.Get("from"), limit)
-	answer(w, http.StatusOK, rows{
+	writeAnswer(w, http.StatusOK, rows{
 		Rows: encode(p.Rows),
 		More: p.More,
 		Ver:  p.Version,
@@ -128,7 +128,7 @@
 	}
 	wait, _ := strconv.Atoi(q.Get("waitMs"))
 	c, err := s.Feed(r.Context(), q.Get("table"), store.Version(after), time.Duration(wait)*time.Millisecond)
-	answer(w, http.StatusOK, rows{
+	writeAnswer(w, http.StatusOK, rows{
 		Rows: encode(c.Rows),
 		Ver:  c.Version,
 	}, err)
@@ -149,9 +149,9 @@
 	return out
 }
 
-// answer writes a body, or the status of an error. A call whose answer is lost
-// has its connection broken.
-func answer(w http.ResponseWriter, status int, body any, err error) {
+// writeAnswer writes a body, or the status for an error. For an error without a
+// status it aborts the connection, so that the caller gets no writeAnswer.
+func writeAnswer(w http.ResponseWriter, status int, body any, err error) {
 	switch {
 	case errors.Is(err, store.ErrRefused):
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -34,7 +34,7 @@
 	}, err
 }
 
-// WorkerHandler serves the orders of one worker.
+// WorkerHandler returns the HTTP interface of one worker.
 func WorkerHandler(f *cellfake.Workers, id spoolsill.WorkerID) http.Handler {
 	t := leader.Target{
 		Life: spoolsill.Life{
@@ -42,8 +42,8 @@
 		},
 	}
 	m := chi.NewRouter()
-	m.Use(func(next http.Handler) http.Handler { return onlyLife(id, next) })
-	m.Post("/api/hold", handle(func(w http.ResponseWriter, r *http.Request, o order) {
+	m.Use(func(next http.Handler) http.Handler { return checkInstance(id, next) })
+	m.Post("/api/hold", decodeOrder(func(w http.ResponseWriter, r *http.Request, o order) {
 		h, p := f.Renew(r.Context(), leader.Renewal{
 			Target:    t,
 			Fence:     o.Fence,
@@ -52,18 +52,18 @@
 			Wait:      time.Duration(o.WaitMS) * time.Millisecond,
 		})
 		if p.Kind != leader.Accepted {
-			reply(w, p)
+			writeReply(w, p)
 			return
 		}
-		answer(w, http.StatusOK, held(h), nil)
+		writeAnswer(w, http.StatusOK, encodeHeartbeat(h), nil)
 	}))
-	m.Post("/api/run-start", handle(func(w http.ResponseWriter, r *http.Request, o order) {
+	m.Post("/api/run-start", decodeOrder(func(w http.ResponseWriter, r *http.Request, o order) {
 		id, err := o.run()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		reply(w, f.Start(r.Context(), leader.Start{
+		writeReply(w, f.Start(r.Context(), leader.Start{
 			Target:   t,
 			Fence:    o.Fence,
 			Deadline: o.DeadlineMS,
@@ -75,13 +75,13 @@
 			},
 		}))
 	}))
-	m.Post("/api/run-stop", handle(func(w http.ResponseWriter, r *http.Request, o order) {
+	m.Post("/api/run-stop", decodeOrder(func(w http.ResponseWriter, r *http.Request, o order) {
 		id, err := o.run()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		reply(w, f.Stop(r.Context(), leader.Stop{
+		writeReply(w, f.Stop(r.Context(), leader.Stop{
 			Target: t,
 			Fence:  o.Fence,
 			Run:    id,
@@ -90,8 +90,8 @@
 	return m
 }
 
-// onlyLife turns away orders for another life.
-func onlyLife(id spoolsill.WorkerID, next http.Handler) http.Handler {
+// checkInstance rejects calls that are not addressed to the instance id.
+func checkInstance(id spoolsill.WorkerID, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Spoolsill-Expect-Instance") != string(id) {
 			w.WriteHeader(http.StatusMisdirectedRequest)
@@ -101,7 +101,7 @@
 	})
 }
 
-func handle(f func(http.ResponseWriter, *http.Request, order)) http.HandlerFunc {
+func decodeOrder(f func(http.ResponseWriter, *http.Request, order)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var o order
 		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-var conflicts = map[leader.ReplyKind]string{
+var conflictReasons = map[leader.ReplyKind]string{
 	leader.Fenced:   "fence",
 	leader.RunEnded: "old",
 	leader.TooLate:  "late",
@@ -120,22 +120,22 @@
 	leader.NoTicket: "ticket",
 }
 
-func reply(w http.ResponseWriter, r leader.Reply) {
+func writeReply(w http.ResponseWriter, r leader.Reply) {
 	body := map[string]any{
 		"clockMs": r.Clock,
 	}
 	switch r.Kind {
 	case leader.Accepted:
-		answer(w, http.StatusOK, body, nil)
+		writeAnswer(w, http.StatusOK, body, nil)
 	case leader.NoAnswer:
 		panic(http.ErrAbortHandler)
 	default:
-		body["reason"] = conflicts[r.Kind]
-		answer(w, http.StatusConflict, body, nil)
+		body["reason"] = conflictReasons[r.Kind]
+		writeAnswer(w, http.StatusConflict, body, nil)
 	}
 }
 
-func held(h sched.Heartbeat) map[string]any {
+func encodeHeartbeat(h sched.Heartbeat) map[string]any {
 	running := [][]any{}
 	for _, r := range h.Running {
 		running = append(running, []any{r.Run.Task.String(), r.Run.Number, r.Saved, r.Percent})
@@ -152,7 +152,7 @@
 	}
 }
 
-// AdvisorHandler serves an advisor.
+// AdvisorHandler returns the HTTP interface of an advisor.
 func AdvisorHandler(a *cellfake.Advisor) http.Handler {
 	m := chi.NewRouter()
 	m.Post("/api/advise", func(w http.ResponseWriter, r *http.Request) {
@@ -169,7 +169,7 @@
 		for _, t := range tickets {
 			good = append(good, [2]string{string(t.Worker), t.Text})
 		}
-		answer(w, http.StatusOK, map[string]any{
+		writeAnswer(w, http.StatusOK, map[string]any{
 			"good":     good,
 			"valid_ms": valid.Milliseconds(),
 		}, err)
--- a/internal/zero/zero.go
+++ b/internal/zero/zero.go
@@ -1,7 +1,7 @@
-// Package zero gives the zero values of configuration structs their meaning.
+// Package zero sets defaults for zero values in configuration structs.
 package zero
 
-// Default sets v to d if it has its zero value.
+// Default sets *v to d if *v is the zero value of its type.
 func Default[T comparable](v *T, d T) {
 	var none T
 	if *v == none {
