--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -206,7 +206,7 @@
 // TestAtMostOnceFailsIfHostsForgetTheirStart lets restarted hosts grant keys
 // that were created before the restart. The property must then fail.
 func TestAtMostOnceFailsIfHostsForgetTheirStart(t *testing.T) {
-	qt.Assert(t, seed.Fails(t, atMostOnce(true)), qt.IsTrue)
+	qt.Assert(t, seed.FindsFailure(t, atMostOnce(true)), qt.IsTrue)
 }
 
 func TestFirstResultIsKept(t *testing.T) {
--- a/internal/bench/placebench/policy.go
+++ b/internal/bench/placebench/policy.go
@@ -94,13 +94,13 @@
 
 func (p *plain) report(_ time.Time, r place.Report) {
 	if r.Outcome != place.Started {
-		p.scheduler.End(r.Task, r.Outcome != place.Exited)
+		p.scheduler.TaskEnded(r.Task, r.Outcome != place.Exited)
 	}
 }
 
 func (p *plain) decide(time.Time) ([]start, []spoolsill.TaskID) {
 	var out []start
-	for _, x := range p.scheduler.Decide() {
+	for _, x := range p.scheduler.Schedule() {
 		out = append(out, start{
 			task:    x.Task,
 			attempt: x.Attempt,
--- a/internal/naive/scheduler.go
+++ b/internal/naive/scheduler.go
@@ -4,15 +4,15 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// Order is the policy by which a [Scheduler] selects workers.
-type Order int
+// A Policy determines how a [Scheduler] selects workers.
+type Policy int
 
 // The policies.
 const (
 	// FirstFit selects the first worker with enough free resources. Jobs start
 	// strictly in the order of submission: one that does not fit blocks all
 	// later ones.
-	FirstFit Order = iota
+	FirstFit Policy = iota
 	// LeastLoaded selects the worker with the most free processors. Jobs that
 	// do not fit are skipped.
 	LeastLoaded
@@ -21,7 +21,7 @@
 // A Scheduler is the baseline scheduler of benchmarks. It has no classes, no
 // preemption and no estimates of run times.
 type Scheduler struct {
-	order    Order
+	policy   Policy
 	workers  []*worker
 	queue    []*queueEntry
 	running  map[spoolsill.TaskID]*worker
@@ -47,9 +47,9 @@
 }
 
 // NewScheduler returns a scheduler with an empty queue.
-func NewScheduler(o Order, workers []spoolsill.Worker) *Scheduler {
+func NewScheduler(p Policy, workers []spoolsill.Worker) *Scheduler {
 	s := &Scheduler{
-		order:    o,
+		policy:   p,
 		running:  map[spoolsill.TaskID]*worker{},
 		jobs:     map[spoolsill.JobID]spoolsill.Job{},
 		attempts: map[spoolsill.TaskID]spoolsill.Attempt{},
@@ -85,9 +85,9 @@
 	}
 }
 
-// End frees the resources of a task. If again is set, the task is appended to
-// the queue.
-func (s *Scheduler) End(id spoolsill.TaskID, again bool) {
+// TaskEnded frees the resources of a task. If requeue is set, the task is
+// appended to the queue.
+func (s *Scheduler) TaskEnded(id spoolsill.TaskID, requeue bool) {
 	n, ok := s.running[id]
 	if !ok {
 		return
@@ -95,7 +95,7 @@
 	delete(s.running, id)
 	j := s.jobs[id.Job]
 	n.free = n.free.Add(j.Shape)
-	if again {
+	if requeue {
 		s.queue = append(s.queue, &queueEntry{
 			job:   j,
 			tasks: []int{id.Index},
@@ -103,9 +103,9 @@
 	}
 }
 
-// Decide starts the queued tasks that fit, by the order of the scheduler, and
+// Schedule starts the queued tasks that the policy selects and that fit, and
 // returns them.
-func (s *Scheduler) Decide() []Start {
+func (s *Scheduler) Schedule() []Start {
 	var out []Start
 	kept := s.queue[:0]
 	blocked := false
@@ -115,7 +115,7 @@
 		}
 		if len(w.tasks) > 0 {
 			kept = append(kept, w)
-			blocked = blocked || s.order == FirstFit
+			blocked = blocked || s.policy == FirstFit
 		}
 	}
 	s.queue = kept
@@ -161,7 +161,7 @@
 		if !shape.FitsIn(n.free) {
 			continue
 		}
-		if s.order == FirstFit {
+		if s.policy == FirstFit {
 			return n
 		}
 		if best == nil || n.free.Processors > best.free.Processors {
--- a/internal/seed/fails.go
+++ b/internal/seed/failure.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// searchChecks is the number of sequences that [Fails] tries.
+// searchChecks is the number of sequences that [FindsFailure] tries.
 const searchChecks = "2000"
 
-// Fails reports whether rapid finds a sequence for which a property fails. Tests
-// use it to show that a property detects a fault when the mechanism that
-// prevents the fault is disabled. It sets a global flag, so it must not be called
-// in parallel tests.
-func Fails(t *testing.T, property func(*rapid.T)) bool {
+// FindsFailure reports whether rapid finds a sequence for which a property
+// fails. Tests use it to show that a property detects a fault when the mechanism
+// that prevents the fault is disabled. It sets a global flag, so it must not be
+// called in parallel tests.
+func FindsFailure(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
 	checks := flag.Lookup("rapid.checks")
 	old := checks.Value.String()
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -10,14 +10,14 @@
 	_ "pgregory.net/rapid"
 )
 
-// Fixed is the default seed of property tests.
-const Fixed = "20261202"
+// Default is the default seed of property tests.
+const Default = "20261202"
 
 // Main runs the tests of a package with the fixed seed. Packages with property
 // tests call it from their TestMain.
 func Main(m *testing.M) int {
 	flag.Parse()
-	set("rapid.seed", Fixed)
+	set("rapid.seed", Default)
 	set("rapid.nofailfile", "true")
 	if testing.Short() {
 		set("rapid.checks", "20")
--- a/lease/rapid_test.go
+++ b/lease/rapid_test.go
@@ -251,7 +251,7 @@
 // Guards against a model that can't find two holders: without promises, a holder that
 // extends its lease on its own must make the property fail.
 func TestTwoHoldersWithoutPromises(t *testing.T) {
-	qt.Assert(t, seed.Fails(t, oneHolder(lease.Config{
+	qt.Assert(t, seed.FindsFailure(t, oneHolder(lease.Config{
 		NoPromises: true,
 	})), qt.IsTrue)
 }
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -191,7 +191,7 @@
 
 // The check of the model must fail for a writer that makes no copies.
 func TestModelDetectsMissingCopies(t *testing.T) {
-	qt.Assert(t, seed.Fails(t, checkWriter(true)), qt.IsTrue)
+	qt.Assert(t, seed.FindsFailure(t, checkWriter(true)), qt.IsTrue)
 }
 
 func TestCopiesOfEarlierEpochAreRejected(t *testing.T) {
--- a/route/rapid_test.go
+++ b/route/rapid_test.go
@@ -315,7 +315,7 @@
 }
 
 func TestSlotLimitNeedsOwnSlotsDelay(t *testing.T) {
-	qt.Assert(t, seed.Fails(t, slotsAndOutcomesHold(func(h *hall) {
+	qt.Assert(t, seed.FindsFailure(t, slotsAndOutcomesHold(func(h *hall) {
 		h.ownSlotsDelay = 0
 	})), qt.IsTrue)
 }
@@ -324,7 +324,7 @@
 // free the slots of lost requests and reclaim lent slots before the runner is
 // done with them.
 func TestSlotLimitNeedsSlotLifetime(t *testing.T) {
-	qt.Assert(t, seed.Fails(t, slotsAndOutcomesHold(func(h *hall) {
+	qt.Assert(t, seed.FindsFailure(t, slotsAndOutcomesHold(func(h *hall) {
 		h.config.SlotLifetime = time.Millisecond
 		for _, id := range h.hosts {
 			h.startHost(id, time.Time{})
