--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -179,7 +179,7 @@
 	d.printProgress()
 	killed, _ := d.fleet.Holder(d.halls[0])
 	d.fleet.Kill(killed)
-	d.printf("host %s, which held hall %s, has died", d.fleet.ID(killed), d.halls[0])
+	d.printf("host %s, which held hall %s, was killed", d.fleet.ID(killed), d.halls[0])
 	if err := d.waitHolder(ctx, d.halls[0]); err != nil {
 		return err
 	}
@@ -196,7 +196,7 @@
 			return err
 		}
 	}
-	d.printf("both hosts are started again")
+	d.printf("both hosts were restarted")
 	pause.For(ctx, time.Second)
 	d.markRunnerLeaving(ctx)
 	if err := d.interruptPlatform(ctx); err != nil {
@@ -221,9 +221,9 @@
 	d.printf("the platform is down")
 	before := d.callers.Done.Load()
 	pause.For(ctx, 5*time.Second)
-	d.printf("%d requests were served without it", d.callers.Done.Load()-before)
+	d.printf("%d requests were done during the outage", d.callers.Done.Load()-before)
 	if err := d.submit(ctx, d.halls[2], "id = \"didube-late\"\nteam = \"decks\"\nkind = \"batch\"\ntasks = 3\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1s\"\n"); err != nil {
-		d.printf("a job can't be added without it: %s", err)
+		d.printf("a job can't be submitted during the outage: %s", err)
 	}
 	d.cell.Platform.Fault.SetDown(false)
 	d.printf("the platform is back")
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -166,7 +166,7 @@
 	x.mu.Unlock()
 	go func() {
 		if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			x.Truth.RecordViolation(InvariantWholeAnswer, "stand-in at %s ended: %s", a, err)
+			x.Truth.RecordViolation(InvariantWholeAnswer, "fake server at %s ended: %s", a, err)
 		}
 	}()
 	return a, nil
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -91,10 +91,10 @@
 
 // SetPartitioned partitions two nodes or places from each other, or ends the
 // partition. A partition closes the open connections between them.
-func (n *Network) SetPartitioned(a, b string, cut bool) {
+func (n *Network) SetPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
-	n.partitioned[[2]string{a, b}] = cut
-	n.partitioned[[2]string{b, a}] = cut
+	n.partitioned[[2]string{a, b}] = partitioned
+	n.partitioned[[2]string{b, a}] = partitioned
 	var broken []*conn
 	for c := range n.conns {
 		if n.isPartitioned(c.from, c.to) {
@@ -160,10 +160,10 @@
 		n.waitUntilResumed(from.Name)
 		n.mu.Lock()
 		to := n.nodes[address]
-		cut := n.isPartitioned(from, to)
+		partitioned := n.isPartitioned(from, to)
 		l := n.listeners[address]
 		n.mu.Unlock()
-		if cut {
+		if partitioned {
 			return nil, dialError(network, ErrPartitioned)
 		}
 		if !n.memory {
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -70,8 +70,8 @@
 	return r
 }
 
-// List returns the rows with a prefix whose keys sort after after, in order of
-// their keys, and at most limit of them unless limit is 0.
+// List returns the rows whose keys have a prefix and are greater than after, in
+// ascending order. It returns at most limit rows unless limit is 0.
 func (t *Table) List(prefix, after string, limit int) []table.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/wire/store.go
+++ b/internal/standin/wire/store.go
@@ -149,8 +149,8 @@
 	return out
 }
 
-// writeAnswer writes a body, or the status for an error. For an error without a
-// status it aborts the connection, so that the caller gets no writeAnswer.
+// writeAnswer writes a body, or the status for an error. An error without a
+// status stands for a lost answer: writeAnswer aborts the connection.
 func writeAnswer(w http.ResponseWriter, status int, body any, err error) {
 	switch {
 	case errors.Is(err, store.ErrRefused):
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -90,7 +90,8 @@
 	return m
 }
 
-// checkInstance rejects calls that are not addressed to the instance id.
+// checkInstance answers calls that are addressed to another instance with status
+// 421.
 func checkInstance(id spoolsill.WorkerID, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Spoolsill-Expect-Instance") != string(id) {
