--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -153,7 +153,7 @@
 		Runners: 50,
 		Slots:   8,
 		Work:    func(spoolsill.RequestKey) time.Duration { return heavyTail(random()) },
-		Runtime: func(s agent.Start) (time.Duration, bool) {
+		Runtime: func(s agent.StartRequest) (time.Duration, bool) {
 			if s.Runtime == 0 {
 				return time.Hour, false
 			}
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -81,10 +81,10 @@
 
 // submitJobs puts a configuration and confirms a plan for each kind of job.
 func (d *demo) submitJobs(ctx context.Context) error {
-	a, err := d.client.PutConfig(ctx, api.PutConfig{
-		Who:  "demo",
-		Note: "first quotas",
-		Text: firstConfig,
+	a, err := d.client.PutConfig(ctx, api.PutConfigRequest{
+		Author: "demo",
+		Note:   "first quotas",
+		Text:   firstConfig,
 	})
 	if err != nil {
 		return eris.Wrap(err, "config")
@@ -130,7 +130,7 @@
 }
 
 func (d *demo) submit(ctx context.Context, hall spoolsill.HallID, job string) error {
-	p, err := d.client.Plan(ctx, api.Intent{
+	p, err := d.client.Plan(ctx, api.PlanRequest{
 		Hall:   hall,
 		Submit: job,
 	})
@@ -228,11 +228,11 @@
 	d.cell.Platform.Fault.SetDown(false)
 	d.printf("the platform is back")
 	pause.For(ctx, 2*time.Second)
-	a, err := d.client.PutConfig(ctx, api.PutConfig{
-		Base: 1,
-		Who:  "demo",
-		Note: "second quotas",
-		Text: firstConfig + "\n[[team]]\nid = \"standings\"\nprocessors_millicores = 900000\nmemory_bytes = 1099511627776\n",
+	a, err := d.client.PutConfig(ctx, api.PutConfigRequest{
+		BaseVersion: 1,
+		Author:      "demo",
+		Note:        "second quotas",
+		Text:        firstConfig + "\n[[team]]\nid = \"standings\"\nprocessors_millicores = 900000\nmemory_bytes = 1099511627776\n",
 	})
 	if err != nil {
 		return eris.Wrap(err, "config")
@@ -265,7 +265,7 @@
 	began := time.Now()
 	for {
 		w, err := d.client.Workers(ctx, hall)
-		if err == nil && len(w.Missing) == 0 {
+		if err == nil && len(w.UnavailableHalls) == 0 {
 			took := time.Since(began)
 			d.printf("hall %s places tasks again after %.1f s", hall, took.Seconds())
 			d.result.Recovery[string(hall)] = took
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -31,9 +31,9 @@
 	Work func(spoolsill.RequestKey) time.Duration
 	// Runtime returns how long a task runs, and whether it then fails; see
 	// [WorkerConfig.Runtime] for nil.
-	Runtime func(agent.Start) (time.Duration, bool)
+	Runtime func(agent.StartRequest) (time.Duration, bool)
 	// Use returns the resource usage reported for a task; nil means its shape.
-	Use func(agent.Start) spoolsill.Resources
+	Use func(agent.StartRequest) spoolsill.Resources
 	// Platform is the listen address of the platform; empty means any free port.
 	Platform string
 	// Memory makes all connections in-memory pipes, so that the cell can run in
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -20,7 +20,7 @@
 // A WorkerEntry is the row that a worker writes about itself.
 type WorkerEntry struct {
 	ID       spoolsill.WorkerID
-	Born     spoolsill.Birth // omitted if zero
+	Born     spoolsill.StartTime // omitted if zero
 	Address  string
 	Machine  string
 	Rack     string
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -37,7 +37,7 @@
 // WorkerHandler returns the HTTP interface of one worker.
 func WorkerHandler(f *cellfake.Workers, id spoolsill.WorkerID) http.Handler {
 	t := leader.Target{
-		Life: spoolsill.Life{
+		WorkerIncarnation: spoolsill.WorkerIncarnation{
 			Worker: id,
 		},
 	}
@@ -114,11 +114,11 @@
 }
 
 var conflictReasons = map[leader.ReplyKind]string{
-	leader.Fenced:   "fence",
-	leader.RunEnded: "old",
-	leader.TooLate:  "late",
-	leader.NoRoom:   "room",
-	leader.NoTicket: "ticket",
+	leader.Fenced:     "fence",
+	leader.RunEnded:   "old",
+	leader.TooLate:    "late",
+	leader.NoCapacity: "room",
+	leader.NoTicket:   "ticket",
 }
 
 func writeReply(w http.ResponseWriter, r leader.Reply) {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -20,9 +20,9 @@
 	Truth  *Truth
 	// Runtime returns how long a task runs, and whether it then fails. Nil
 	// means the declared run time, and no end for a task that declares none.
-	Runtime func(agent.Start) (time.Duration, bool)
+	Runtime func(agent.StartRequest) (time.Duration, bool)
 	// Use returns the resource usage reported for a task; nil means its shape.
-	Use func(agent.Start) spoolsill.Resources
+	Use func(agent.StartRequest) spoolsill.Resources
 }
 
 // A Worker is the fake agent of one worker. It starts every task that it is
@@ -35,13 +35,13 @@
 	started atomic.Int64
 
 	mu      sync.Mutex
-	tasks   map[agent.Ref]*workerTask
+	tasks   map[agent.TaskAttempt]*workerTask
 	failAll bool
 	killed  bool
 }
 
 type workerTask struct {
-	start     agent.Start
+	start     agent.StartRequest
 	state     agent.State
 	lease     time.Time
 	stop      context.CancelFunc
@@ -52,7 +52,7 @@
 func NewWorker(c WorkerConfig) *Worker {
 	return &Worker{
 		config: c,
-		tasks:  map[agent.Ref]*workerTask{},
+		tasks:  map[agent.TaskAttempt]*workerTask{},
 	}
 }
 
@@ -73,7 +73,7 @@
 		t.stop()
 		w.end(ref, t, agent.Stopped)
 	}
-	w.tasks = map[agent.Ref]*workerTask{}
+	w.tasks = map[agent.TaskAttempt]*workerTask{}
 	w.Fault.SetDown(true)
 }
 
@@ -95,14 +95,14 @@
 }
 
 func (w *Worker) start(out http.ResponseWriter, r *http.Request) {
-	var s agent.Start
+	var s agent.StartRequest
 	if err := json.NewDecoder(r.Body).Decode(&s); err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	ref := agent.Ref{
+	ref := agent.TaskAttempt{
 		Task:    s.Task,
 		Attempt: s.Attempt,
 	}
@@ -120,7 +120,7 @@
 }
 
 // begin starts a task. w.mu must be held.
-func (w *Worker) begin(ref agent.Ref, s agent.Start, lease time.Time) {
+func (w *Worker) begin(ref agent.TaskAttempt, s agent.StartRequest, lease time.Time) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &workerTask{
 		start:     s,
@@ -137,7 +137,7 @@
 	go w.run(ctx, ref, t, d, fails)
 }
 
-func (w *Worker) runtime(s agent.Start) (time.Duration, bool) {
+func (w *Worker) runtime(s agent.StartRequest) (time.Duration, bool) {
 	if w.failAll {
 		return time.Millisecond, true
 	}
@@ -162,7 +162,7 @@
 	}
 }
 
-func (w *Worker) run(ctx context.Context, ref agent.Ref, t *workerTask, d time.Duration, fails bool) {
+func (w *Worker) run(ctx context.Context, ref agent.TaskAttempt, t *workerTask, d time.Duration, fails bool) {
 	defer t.stop()
 	done := time.NewTimer(d)
 	defer done.Stop()
@@ -196,7 +196,7 @@
 	return !time.Now().Before(t.lease)
 }
 
-func (w *Worker) finish(ref agent.Ref, t *workerTask, s agent.State) {
+func (w *Worker) finish(ref agent.TaskAttempt, t *workerTask, s agent.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s == "" {
@@ -206,7 +206,7 @@
 }
 
 // end records the end of a running task. w.mu must be held.
-func (w *Worker) end(ref agent.Ref, t *workerTask, s agent.State) {
+func (w *Worker) end(ref agent.TaskAttempt, t *workerTask, s agent.State) {
 	if t.state != agent.Running {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 func (w *Worker) renew(out http.ResponseWriter, r *http.Request) {
-	var q agent.Renewal
+	var q agent.RenewRequest
 	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return
@@ -244,9 +244,9 @@
 			used = w.config.Use(t.start)
 		}
 		out = append(out, agent.Status{
-			Ref:   ref,
-			State: t.state,
-			Used:  used,
+			TaskAttempt: ref,
+			State:       t.state,
+			Used:        used,
 		})
 	}
 	return out
@@ -260,7 +260,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t, ok := w.tasks[q.Ref]
+	t, ok := w.tasks[q.TaskAttempt]
 	if !ok || t.state != agent.Running {
 		http.Error(out, "not running", http.StatusConflict)
 		return
