--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -70,7 +70,7 @@
 	defer cell.Close()
 	fmt.Printf("platform at %s, %d workers and %d runners in %s\n", cell.URL, f.Workers, f.Runners, f.Halls)
 	cell.Wait(ctx)
-	counts, cases := cell.Truth.Broken()
+	counts, cases := cell.Truth.Violations()
 	n := 0
 	for _, k := range counts {
 		n += k
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -132,7 +132,7 @@
 	for started := int64(0); started < int64(n); {
 		started = 0
 		for _, r := range cell.Runners {
-			started += r.Begun()
+			started += r.RequestsReceived()
 		}
 		runtime.Gosched()
 	}
@@ -228,7 +228,7 @@
 			c.Check(r.head.Get(entry.HeaderReplayed) == "true", qt.Equals, i > 0)
 			pause.For(context.Background(), time.Second)
 		}
-		c.Check(cell.Truth.Runs("vake/once"), qt.Equals, 1)
+		c.Check(cell.Truth.RequestStarts("vake/once"), qt.Equals, 1)
 	})
 }
 
--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -221,7 +221,7 @@
 	}
 	writes, reads := cell.Platform.Table.Counts()
 	sent := bytesSent(f)
-	calls := cell.Calls()
+	calls := cell.AgentCalls()
 	cpu := processorTime()
 	if err := load(window); err != nil {
 		return p, err
@@ -232,7 +232,7 @@
 	p.TableWritesPerSecond = float64(w-writes) / s
 	p.TableReadsPerSecond = float64(r-reads) / s
 	p.PeerBytesPerSecond = float64(bytesSent(f)-sent) / s / hosts
-	p.WorkerCallsPerSecond = float64(cell.Calls()-calls) / s
+	p.WorkerCallsPerSecond = float64(cell.AgentCalls()-calls) / s
 	p.HeapBytes = float64(heapBytes()) / hosts
 	return p, nil
 }
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -96,7 +96,7 @@
 	if err := f.WaitReady(ctx); err != nil {
 		return Result{}, err
 	}
-	cell.Platform.Fault.SetSlow(c.Store)
+	cell.Platform.Fault.SetDelay(c.Store)
 	return measureLoad(ctx, c, cell, f, halls)
 }
 
@@ -106,7 +106,7 @@
 	client := f.Client()
 	defer client.HTTPClient.CloseIdleConnections()
 	writes, reads := cell.Platform.Table.Counts()
-	bytes := cell.Platform.Table.Written()
+	bytes := cell.Platform.Table.BytesWritten()
 	began := time.Now()
 	var mu sync.Mutex
 	var commits []time.Duration
@@ -133,15 +133,15 @@
 	wg.Wait()
 	s := time.Since(began).Seconds()
 	w, r := cell.Platform.Table.Counts()
-	starts := cell.Begun()
+	starts := cell.TasksStarted()
 	return Result{
 		Halls:               c.Halls,
 		PlacementsPerSecond: float64(starts) / s,
 		WritesPerSecond:     float64(w-writes) / s,
 		ReadsPerSecond:      float64(r-reads) / s,
 		CommitMS:            event.QuantilesOf(commits),
-		BytesPerPlacement:   float64(cell.Platform.Table.Written()-bytes) / float64(max(starts, 1)),
-		Violations:          cell.Truth.Total(),
+		BytesPerPlacement:   float64(cell.Platform.Table.BytesWritten()-bytes) / float64(max(starts, 1)),
+		Violations:          cell.Truth.TotalViolations(),
 	}, failed
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,13 +21,14 @@
 // A Config describes a run of the demo.
 type Config struct {
 	Seed uint64
-	// Callers is how many callers send at once, Requests how many requests
-	// they send in all; 0 takes the defaults.
+	// Callers is the number of concurrent callers and Requests the number of
+	// requests that they send in total; 0 means the default.
 	Callers  int
 	Requests int
-	// Out gets the narration.
+	// Out receives the progress messages and the result.
 	Out io.Writer
-	// JSON writes the result as JSON instead of a table.
+	// JSON writes the result as JSON in place of a table, without progress
+	// messages.
 	JSON bool
 }
 
@@ -37,26 +38,26 @@
 	DefaultRequests = 12_000
 )
 
-// A Result is what the demo ends with.
+// A Result holds the outcome of a run.
 type Result struct {
-	Seed     uint64                   `json:"seed"`
-	Done     int64                    `json:"done"`
-	NotRun   int64                    `json:"not_run"`
-	Unknown  int64                    `json:"unknown"`
-	Attempts int64                    `json:"attempts"`
-	Jobs     map[spoolsill.JobID]int  `json:"tasks_running"`
-	Broken   map[standin.Promise]int  `json:"broken"`
-	Cases    []string                 `json:"cases,omitempty"`
-	Took     float64                  `json:"took_s"`
-	Config   spoolsill.Version        `json:"config_version"`
-	Total    int                      `json:"broken_total"`
-	Recovery map[string]time.Duration `json:"recovery_ns"`
+	Seed     uint64                    `json:"seed"`
+	Done     int64                     `json:"done"`
+	NotRun   int64                     `json:"not_run"`
+	Unknown  int64                     `json:"unknown"`
+	Attempts int64                     `json:"attempts"`
+	Jobs     map[spoolsill.JobID]int   `json:"tasks_running"`
+	Broken   map[standin.Invariant]int `json:"broken"`
+	Cases    []string                  `json:"cases,omitempty"`
+	Took     float64                   `json:"took_s"`
+	Config   spoolsill.Version         `json:"config_version"`
+	Total    int                       `json:"broken_total"`
+	Recovery map[string]time.Duration  `json:"recovery_ns"`
 }
 
-// runTime bounds the whole demo.
-const runTime = 58 * time.Second
+// runTimeout is the timeout of a run.
+const runTimeout = 58 * time.Second
 
-// Run runs the demo and reports whether no promise was broken.
+// Run runs the demo and reports whether no invariant was violated.
 func Run(ctx context.Context, c Config) (bool, error) {
 	if c.Callers == 0 {
 		c.Callers = DefaultCallers
@@ -64,14 +65,14 @@
 	if c.Requests == 0 {
 		c.Requests = DefaultRequests
 	}
-	ctx, cancel := context.WithTimeout(ctx, runTime)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	d, err := newDemo(c)
 	if err != nil {
 		return false, err
 	}
 	defer d.close()
-	if err := d.play(ctx); err != nil {
+	if err := d.run(ctx); err != nil {
 		return false, err
 	}
 	return d.report()
@@ -87,7 +88,7 @@
 	callers  *fleet.Callers
 	halls    []spoolsill.HallID
 	result   Result
-	say      sync.Mutex
+	outMu    sync.Mutex
 }
 
 func newDemo(c Config) (*demo, error) {
@@ -137,8 +138,8 @@
 	return d, nil
 }
 
-// cellConfig describes the deployment in Tbilisi: 50 workers and 50 runners in
-// three halls.
+// cellConfig returns a configuration of the size of the deployment in Tbilisi:
+// 50 workers and 50 runners in three halls.
 func cellConfig(halls []spoolsill.HallID, random func() uint64) standin.CellConfig {
 	return standin.CellConfig{
 		Halls:    halls,
@@ -161,8 +162,8 @@
 	}
 }
 
-// heavyTail returns a time at a runner: mostly 2 to 20 ms, one in fifty up to
-// 400 ms.
+// heavyTail returns the duration of a request for a random r: 2 to 19 ms, and
+// twenty times that for one request in fifty.
 func heavyTail(r uint64) time.Duration {
 	d := time.Duration(2+r%18) * time.Millisecond
 	if r>>16%50 == 0 {
@@ -177,12 +178,12 @@
 	d.cell.Close()
 }
 
-func (d *demo) tell(format string, args ...any) {
+func (d *demo) printf(format string, args ...any) {
 	if d.config.JSON {
 		return
 	}
-	d.say.Lock()
-	defer d.say.Unlock()
+	d.outMu.Lock()
+	defer d.outMu.Unlock()
 	fmt.Fprintf(d.config.Out, "%6.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
@@ -192,8 +193,8 @@
 	d.result.NotRun = c.NotRun.Load()
 	d.result.Unknown = c.Unknown.Load()
 	d.result.Attempts = c.Sent.Load()
-	d.result.Broken, d.result.Cases = d.cell.Truth.Broken()
-	d.result.Total = d.cell.Truth.Total()
+	d.result.Broken, d.result.Cases = d.cell.Truth.Violations()
+	d.result.Total = d.cell.Truth.TotalViolations()
 	d.result.Took = time.Since(d.began).Seconds()
 	if d.config.JSON {
 		e := json.NewEncoder(d.config.Out)
@@ -208,7 +209,7 @@
 	out := d.config.Out
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\npromise\tbroken")
-	for _, p := range standin.Promises() {
+	for _, p := range standin.Invariants() {
 		fmt.Fprintf(w, "%s\t%d\n", p, d.result.Broken[p])
 	}
 	_ = w.Flush()
