--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -188,7 +188,7 @@
 	if err := f.WaitReady(ctx); err != nil {
 		return Point{}, err
 	}
-	c := f.Client()
+	c := f.OperatorClient()
 	defer c.HTTPClient.CloseIdleConnections()
 	return observe(ctx, cell, f, c, Point{
 		Workers: workers,
--- a/internal/bench/faultbench/run.go
+++ b/internal/bench/faultbench/run.go
@@ -125,7 +125,7 @@
 		Break: b,
 	}
 	if len(c.Schedule.Steps) > 0 {
-		f.Schedule = c.Schedule.Moved(f.Seed, c.Move)
+		f.Schedule = c.Schedule.Jitter(f.Seed, c.Move)
 	}
 	return f
 }
@@ -161,7 +161,7 @@
 	for k, n := range r.Faults {
 		s.out.Faults[k] += n
 	}
-	for k, n := range r.Broken {
+	for k, n := range r.Violations {
 		s.out.Violations[k] += n
 	}
 	for k, d := range r.Recovery {
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -102,7 +102,7 @@
 // measure has every hall asked for placements, in jobs of a tenth of a second
 // each, and counts what the table does meanwhile.
 func measure(ctx context.Context, c Config, cell *standin.Cell, f *fleet.Fleet, halls []spoolsill.HallID) (Result, error) {
-	client := f.Client()
+	client := f.OperatorClient()
 	defer client.HTTPClient.CloseIdleConnections()
 	writes, reads := cell.Platform.Table.Counts()
 	bytes := cell.Platform.Table.Written()
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -175,7 +175,7 @@
 	if err != nil {
 		return fault.Schedule{}, err
 	}
-	return fault.Parse(b)
+	return fault.ParseSchedule(b)
 }
 
 // progressEvery is how many sequences end between two lines of progress.
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -124,7 +124,7 @@
 		began:  time.Now(),
 		cell:   cell,
 		fleet:  f,
-		client: f.Client(),
+		client: f.OperatorClient(),
 		halls:  halls,
 		result: Result{
 			Seed:     c.Seed,
@@ -191,7 +191,7 @@
 	d.result.Done = c.Done.Load()
 	d.result.NotRun = c.NotRun.Load()
 	d.result.Unknown = c.Unknown.Load()
-	d.result.Attempts = c.Sent.Load()
+	d.result.Attempts = c.Attempts.Load()
 	d.result.Broken, d.result.Cases = d.cell.Truth.Broken()
 	d.result.Total = d.cell.Truth.Total()
 	d.result.Took = time.Since(d.began).Seconds()
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -108,7 +108,7 @@
 	began := time.Now()
 	for {
 		late := spoolsill.HostID("")
-		for id, x := range d.fleet.Versions() {
+		for id, x := range d.fleet.ConfigVersions() {
 			if x < v {
 				late = id
 			}
@@ -154,7 +154,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for work.Err() == nil && d.callers.Begun.Load() < int64(d.config.Requests) {
+			for work.Err() == nil && d.callers.Started.Load() < int64(d.config.Requests) {
 				d.callers.Request(ctx)
 				pause.For(work, 40*time.Millisecond)
 			}
@@ -178,12 +178,12 @@
 	d.progress()
 	killed, _ := d.fleet.Holder(d.halls[0])
 	d.fleet.Kill(killed)
-	d.tell("host %s, which held hall %s, has died", d.fleet.ID(killed), d.halls[0])
+	d.tell("host %s, which held hall %s, has died", d.fleet.HostID(killed), d.halls[0])
 	if err := d.waitHolder(ctx, d.halls[0]); err != nil {
 		return err
 	}
 	drained, _ := d.fleet.Holder(d.halls[1])
-	id := d.fleet.ID(drained)
+	id := d.fleet.HostID(drained)
 	clean := d.fleet.Stop(ctx, drained)
 	d.tell("host %s was stopped as planned (clean: %t)", id, clean)
 	if !clean {
--- a/internal/fault/fail.go
+++ b/internal/fault/fail.go
@@ -69,7 +69,7 @@
 	w.result.Faults[s.Kind]++
 	w.mu.Unlock()
 	w.note("failure: " + s.Kind)
-	pause.For(ctx, time.Duration(s.Lasts))
+	pause.For(ctx, time.Duration(s.Duration))
 	heal()
 	w.note("heals: " + s.Kind)
 }
@@ -85,7 +85,7 @@
 // up returns the host of a step, and whether it runs.
 func (w *world) up(s Step) (int, bool) {
 	_, states := w.fleet.States()
-	return s.Host, states[s.Host] == fleet.Up
+	return s.Host, states[s.Host] == fleet.Running
 }
 
 // holder returns the host that holds the hall of a step.
@@ -98,7 +98,7 @@
 	_, states := w.fleet.States()
 	h, held := w.holder(s)
 	for i, x := range states {
-		if held && i != h && x == fleet.Up && w.fleet.Hall(i) == halls[s.Hall] {
+		if held && i != h && x == fleet.Running && w.fleet.Hall(i) == halls[s.Hall] {
 			return i, true
 		}
 	}
@@ -157,7 +157,7 @@
 
 func (w *world) restart(i int) {
 	if err := w.fleet.Restart(i); err != nil {
-		w.cell.Truth.Break(standin.PlannedStop, "host %s can't start again: %s", w.fleet.ID(i), err)
+		w.cell.Truth.Break(standin.PlannedStop, "host %s can't start again: %s", w.fleet.HostID(i), err)
 	}
 }
 
@@ -181,7 +181,7 @@
 // process as a whole its stop would be held up too, which the pause of a node
 // does not show.
 func (w *world) stop(ctx context.Context, i int) func() {
-	if w.cell.Network.Paused(string(w.fleet.ID(i))) {
+	if w.cell.Network.Paused(string(w.fleet.HostID(i))) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
@@ -204,7 +204,7 @@
 // harmInSilence notes that a host can't be reached, which costs what it knows
 // only while nobody else can be told.
 func (w *world) harmInSilence(i int) {
-	if w.fleet.Silent(w.fleet.Hall(i)) {
+	if w.fleet.PlatformUnresponsive(w.fleet.Hall(i)) {
 		w.operator.harm(i)
 	}
 }
@@ -219,7 +219,7 @@
 
 func (w *world) pauseHost(i int) func() {
 	w.harmInSilence(i)
-	return w.pauseNode(string(w.fleet.ID(i)))
+	return w.pauseNode(string(w.fleet.HostID(i)))
 }
 
 func holderPauses(_ context.Context, w *world, s Step) func() {
@@ -266,14 +266,14 @@
 }
 
 func hostCutFromPlatform(_ context.Context, w *world, s Step) func() {
-	return w.cut([2]string{string(w.fleet.ID(s.Host)), standin.PlatformPlace})
+	return w.cut([2]string{string(w.fleet.HostID(s.Host)), standin.PlatformPlace})
 }
 
 // hostCutFromHost cuts the two hosts of a hall from each other.
 func hostCutFromHost(_ context.Context, w *world, s Step) func() {
 	i := s.Hall * hosts
 	w.harmInSilence(i)
-	return w.cut([2]string{string(w.fleet.ID(i)), string(w.fleet.ID(i + 1))})
+	return w.cut([2]string{string(w.fleet.HostID(i)), string(w.fleet.HostID(i + 1))})
 }
 
 // worker returns the worker of a step.
--- a/internal/fault/operator.go
+++ b/internal/fault/operator.go
@@ -40,7 +40,7 @@
 func newOperator(w *world) *operator {
 	return &operator{
 		w:         w,
-		client:    w.fleet.Client(),
+		client:    w.fleet.OperatorClient(),
 		random:    w.drawFor(operatorStream, "operator"),
 		confirmed: map[spoolsill.JobID]bool{},
 		refused:   map[spoolsill.JobID]bool{},
@@ -143,7 +143,7 @@
 
 // remember notes a job that may be in the memory of its hall only.
 func (o *operator) remember(id spoolsill.JobID, hall spoolsill.HallID) {
-	if !o.w.fleet.Silent(hall) {
+	if !o.w.fleet.PlatformUnresponsive(hall) {
 		return
 	}
 	o.mu.Lock()
--- a/internal/fault/run.go
+++ b/internal/fault/run.go
@@ -38,14 +38,14 @@
 
 // A Result is what became of a sequence.
 type Result struct {
-	Schedule Schedule
-	Faults   map[string]int
-	Broken   map[standin.Promise]int
-	Cases    []string
-	Done     int64
-	NotRun   int64
-	Unknown  int64
-	Recovery map[string][]time.Duration // by kind of failure
+	Schedule   Schedule
+	Faults     map[string]int
+	Violations map[standin.Promise]int
+	Cases      []string
+	Done       int64
+	NotRun     int64
+	Unknown    int64
+	Recovery   map[string][]time.Duration // by kind of failure
 	// LostWithHall counts jobs that were confirmed while the platform was
 	// silent and lost when the hall lost all its hosts before it came back.
 	LostWithHall int
@@ -75,7 +75,7 @@
 		c.Duration = DefaultDuration
 	}
 	if len(c.Schedule.Steps) == 0 {
-		c.Schedule = Draw(c.Seed, c.Duration)
+		c.Schedule = RandomSchedule(c.Seed, c.Duration)
 	}
 	w := &world{
 		config:   c,
@@ -246,7 +246,7 @@
 	w.operator.close()
 	w.fleet.Close()
 	w.cell.Close()
-	w.result.Broken, w.result.Cases = w.cell.Truth.Broken()
+	w.result.Violations, w.result.Cases = w.cell.Truth.Broken()
 	w.result.Events = w.fleet.Events()
 	w.result.Done = w.callers.Done.Load()
 	w.result.NotRun = w.callers.NotRun.Load()
@@ -258,7 +258,7 @@
 func (w *world) watchConfig(ctx context.Context) {
 	last := map[spoolsill.HostID]spoolsill.Version{}
 	for ctx.Err() == nil {
-		for id, v := range w.fleet.Versions() {
+		for id, v := range w.fleet.ConfigVersions() {
 			if v < last[id] && v != 0 {
 				w.cell.Truth.Break(standin.ConfigOnly, "host %s goes from configuration %d back to %d", id, last[id], v)
 			}
@@ -281,7 +281,7 @@
 		}
 	}
 	newest := w.operator.newest()
-	for id, v := range w.fleet.Versions() {
+	for id, v := range w.fleet.ConfigVersions() {
 		if v < newest {
 			w.cell.Truth.Break(standin.ConfigOnly, "host %s has configuration %d, %d was accepted", id, v, newest)
 		}
@@ -292,7 +292,7 @@
 // String returns the result for people, with the schedule when it must be
 // played again.
 func (r Result) String() string {
-	s := fmt.Sprintf("done %d, not run %d, unknown %d, faults %v, broken %v, cases %v, err %v", r.Done, r.NotRun, r.Unknown, r.Faults, r.Broken, r.Cases, r.Err)
+	s := fmt.Sprintf("done %d, not run %d, unknown %d, faults %v, broken %v, cases %v, err %v", r.Done, r.NotRun, r.Unknown, r.Faults, r.Violations, r.Cases, r.Err)
 	if len(r.Cases) == 0 && r.Err == nil {
 		return s
 	}
--- a/internal/fault/schedule.go
+++ b/internal/fault/schedule.go
@@ -19,8 +19,8 @@
 	Kind string `toml:"kind"`
 	// At is when it begins, from when the cell has become ready.
 	At settings.Duration `toml:"at"`
-	// Lasts is how long it takes to heal once it has come about.
-	Lasts settings.Duration `toml:"lasts"`
+	// Duration is how long it takes to heal once it has come about.
+	Duration settings.Duration `toml:"lasts"`
 	// Hall is the number of a hall, Host of a host of the cell, Machine of a
 	// worker or a runner.
 	Hall    int `toml:"hall,omitempty"`
@@ -59,9 +59,9 @@
 	moveStream
 )
 
-// Draw returns the schedule of a seed, with failures that begin within a time.
+// RandomSchedule returns the schedule of a seed, with failures that begin within a time.
 // It is the same in each play.
-func Draw(seed uint64, within time.Duration) Schedule {
+func RandomSchedule(seed uint64, within time.Duration) Schedule {
 	r := rand.New(rand.NewPCG(seed, scheduleStream))
 	var s Schedule
 	for at := time.Duration(0); at < within; at += between(r, minPause, maxPause) {
@@ -74,14 +74,14 @@
 // changes no other field.
 func drawStep(r *rand.Rand, at time.Duration) Step {
 	return Step{
-		Kind:    drawn[r.IntN(len(drawn))],
-		At:      settings.Duration(at),
-		Lasts:   settings.Duration(between(r, minLasts, maxLasts)),
-		Hall:    r.IntN(len(halls)),
-		Host:    r.IntN(len(halls) * hosts),
-		Machine: r.IntN(workers * runners),
-		Delay:   settings.Duration(between(r, minDelay, maxDelay)),
-		Answers: 1 + r.IntN(maxAnswers),
+		Kind:     drawn[r.IntN(len(drawn))],
+		At:       settings.Duration(at),
+		Duration: settings.Duration(between(r, minLasts, maxLasts)),
+		Hall:     r.IntN(len(halls)),
+		Host:     r.IntN(len(halls) * hosts),
+		Machine:  r.IntN(workers * runners),
+		Delay:    settings.Duration(between(r, minDelay, maxDelay)),
+		Answers:  1 + r.IntN(maxAnswers),
 	}
 }
 
@@ -90,15 +90,15 @@
 	return low + time.Duration(r.IntN(max(1, int((high-low)/time.Millisecond))))*time.Millisecond
 }
 
-// Moved returns s with each of its times moved by up to by, earlier or later,
+// Jitter returns s with each of its times moved by up to by, earlier or later,
 // and each failure lasting a half to one and a half times as long. It is the
 // same for the same seed.
-func (s Schedule) Moved(seed uint64, by time.Duration) Schedule {
+func (s Schedule) Jitter(seed uint64, by time.Duration) Schedule {
 	r := rand.New(rand.NewPCG(seed, moveStream))
 	var out Schedule
 	for _, x := range s.Steps {
 		x.At = settings.Duration(max(0, time.Duration(x.At)+between(r, -by, by)))
-		x.Lasts = x.Lasts/2 + settings.Duration(between(r, 0, time.Duration(x.Lasts)))
+		x.Duration = x.Duration/2 + settings.Duration(between(r, 0, time.Duration(x.Duration)))
 		out.Steps = append(out.Steps, x)
 	}
 	out.sort()
@@ -109,9 +109,9 @@
 	slices.SortStableFunc(s.Steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 }
 
-// Parse reads a schedule as [Schedule.String] writes it. Its error names what
+// ParseSchedule reads a schedule as [Schedule.String] writes it. Its error names what
 // is wrong.
-func Parse(b []byte) (Schedule, error) {
+func ParseSchedule(b []byte) (Schedule, error) {
 	var s Schedule
 	d := toml.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
@@ -131,8 +131,8 @@
 	if _, ok := kinds[s.Kind]; !ok {
 		return fmt.Errorf("kind %q is not known", s.Kind)
 	}
-	if s.At < 0 || s.Lasts < 0 {
-		return fmt.Errorf("at %s, lasts %s: want no negative time", time.Duration(s.At), time.Duration(s.Lasts))
+	if s.At < 0 || s.Duration < 0 {
+		return fmt.Errorf("at %s, lasts %s: want no negative time", time.Duration(s.At), time.Duration(s.Duration))
 	}
 	if s.Hall < 0 || s.Hall >= len(halls) || s.Host < 0 || s.Host >= len(halls)*hosts || s.Machine < 0 {
 		return fmt.Errorf("hall %d, host %d, machine %d: there are %d halls and %d hosts", s.Hall, s.Host, s.Machine, len(halls), len(halls)*hosts)
--- a/internal/fault/schedule_test.go
+++ b/internal/fault/schedule_test.go
@@ -19,9 +19,9 @@
 // play that had failed.
 func TestASeedNamesOneSchedule(t *testing.T) {
 	c := qt.New(t)
-	want := fault.Draw(17, fault.DefaultDuration)
+	want := fault.RandomSchedule(17, fault.DefaultDuration)
 	c.Assert(len(want.Steps) > 10, qt.IsTrue)
-	c.Assert(fault.Draw(18, fault.DefaultDuration), qt.Not(qt.DeepEquals), want)
+	c.Assert(fault.RandomSchedule(18, fault.DefaultDuration), qt.Not(qt.DeepEquals), want)
 	for range 3 {
 		var r fault.Result
 		synctest.Test(t, func(*testing.T) {
@@ -35,8 +35,8 @@
 
 func TestScheduleIsReadAsItIsWritten(t *testing.T) {
 	c := qt.New(t)
-	want := fault.Draw(3, fault.DefaultDuration)
-	got, err := fault.Parse([]byte(want.String()))
+	want := fault.RandomSchedule(3, fault.DefaultDuration)
+	got, err := fault.ParseSchedule([]byte(want.String()))
 	c.Assert(err, qt.IsNil)
 	c.Assert(got, qt.DeepEquals, want)
 }
@@ -68,7 +68,7 @@
 	}
 	for _, x := range tests {
 		t.Run(x.name, func(t *testing.T) {
-			_, err := fault.Parse([]byte(x.text))
+			_, err := fault.ParseSchedule([]byte(x.text))
 			qt.Assert(t, err, qt.ErrorMatches, x.want)
 		})
 	}
@@ -83,7 +83,7 @@
 func playMoved(t *testing.T, name string) {
 	b, err := os.ReadFile(filepath.Join("testdata", name+".toml"))
 	qt.Assert(t, err, qt.IsNil)
-	s, err := fault.Parse(b)
+	s, err := fault.ParseSchedule(b)
 	qt.Assert(t, err, qt.IsNil)
 	n := plays
 	if testing.Short() {
@@ -95,7 +95,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := fault.Run(fault.Config{
 					Seed:     uint64(seed),
-					Schedule: s.Moved(uint64(seed), 1500*time.Millisecond),
+					Schedule: s.Jitter(uint64(seed), 1500*time.Millisecond),
 					Duration: 26 * time.Second,
 				})
 				logResult(t, r)
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -34,7 +34,7 @@
 func NewBalancer(f *Fleet) *Balancer {
 	return &Balancer{
 		fleet: f,
-		http:  f.HTTP(),
+		http:  f.HTTPClient(),
 	}
 }
 
@@ -104,11 +104,11 @@
 
 	// Done, NotRun, Unknown count the requests by what became of them, Sent
 	// the attempts, Begun the requests.
-	Done    atomic.Int64
-	NotRun  atomic.Int64
-	Unknown atomic.Int64
-	Sent    atomic.Int64
-	Begun   atomic.Int64
+	Done     atomic.Int64
+	NotRun   atomic.Int64
+	Unknown  atomic.Int64
+	Attempts atomic.Int64
+	Started  atomic.Int64
 }
 
 // NewCallers returns callers whose choices follow from random.
@@ -117,7 +117,7 @@
 		balancer: b,
 		truth:    f.config.Cell.Truth,
 		fleet:    f,
-		client:   f.HTTP(),
+		client:   f.HTTPClient(),
 		random:   random,
 	}
 }
@@ -133,7 +133,7 @@
 // Request sends one request, and asks again with the same key when it did not
 // run or when that is not known.
 func (c *Callers) Request(ctx context.Context) {
-	n := c.Begun.Add(1)
+	n := c.Started.Add(1)
 	r := c.random()
 	key := spoolsill.RequestKey(fmt.Sprintf("%s/q%d", c.halls()[n%int64(len(c.halls()))], n))
 	if n%5 == 0 {
@@ -200,7 +200,7 @@
 	if !ok {
 		return spoolsill.OutcomeNotRun
 	}
-	c.Sent.Add(1)
+	c.Attempts.Add(1)
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/call/"+string(c.fleet.config.Service.ID)+"/mark", bytes.NewReader(x.body))
 	if err != nil {
 		return spoolsill.OutcomeNotRun
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,8 +37,8 @@
 
 // The states of a host.
 const (
-	Up State = iota
-	Dead
+	Running State = iota
+	Killed
 	Stopped // as planned
 )
 
@@ -150,7 +150,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	u.cancel = cancel
 	u.ended = make(chan struct{})
-	u.state = Up
+	u.state = Running
 	u.host = entry.New(entry.Config{
 		Settings: u.settings,
 		Log:      f.log,
@@ -186,8 +186,8 @@
 	return len(f.units)
 }
 
-// ID returns the id of the host with an index.
-func (f *Fleet) ID(i int) spoolsill.HostID {
+// HostID returns the id of the host with an index.
+func (f *Fleet) HostID(i int) spoolsill.HostID {
 	return f.units[i].settings.Host.ID
 }
 
@@ -205,7 +205,7 @@
 
 // Kill ends a host as if its process had died.
 func (f *Fleet) Kill(i int) {
-	u := f.mark(i, Dead)
+	u := f.mark(i, Killed)
 	u.cancel()
 	<-u.ended
 }
@@ -270,14 +270,14 @@
 	return a, s
 }
 
-// Versions returns the version of the configuration in force at each host
+// ConfigVersions returns the version of the configuration in force at each host
 // that runs and is sure of it.
-func (f *Fleet) Versions() map[spoolsill.HostID]spoolsill.Version {
+func (f *Fleet) ConfigVersions() map[spoolsill.HostID]spoolsill.Version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[spoolsill.HostID]spoolsill.Version{}
 	for _, u := range f.units {
-		if u.state == Up {
+		if u.state == Running {
 			if v, sure := u.host.SyncedConfigVersion(); sure {
 				out[u.settings.Host.ID] = v
 			}
@@ -286,36 +286,36 @@
 	return out
 }
 
-// OutsideNode is where callers, operators and the balancer are.
-var OutsideNode = standin.Node{
+// ExternalNode is where callers, operators and the balancer are.
+var ExternalNode = standin.Node{
 	Name:  "outside",
 	Place: "outside",
 }
 
-// HTTP returns a client that calls from outside.
-func (f *Fleet) HTTP() *http.Client {
+// HTTPClient returns a client that calls from outside.
+func (f *Fleet) HTTPClient() *http.Client {
 	const idle = 64
 	return &http.Client{
 		Transport: &http.Transport{
-			DialContext:         f.config.Cell.Network.Dialer(OutsideNode),
+			DialContext:         f.config.Cell.Network.Dialer(ExternalNode),
 			MaxIdleConnsPerHost: idle,
 		},
 	}
 }
 
-// Client returns an operators' client that tries all hosts.
-func (f *Fleet) Client() *api.Client {
+// OperatorClient returns an operators' client that tries all hosts.
+func (f *Fleet) OperatorClient() *api.Client {
 	a, _ := f.States()
 	return &api.Client{
 		Hosts:      a,
-		HTTPClient: f.HTTP(),
+		HTTPClient: f.HTTPClient(),
 	}
 }
 
 // WaitReady waits until every hall has a holder that answers and every host is
 // ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
-	c := f.Client()
+	c := f.OperatorClient()
 	defer c.HTTPClient.CloseIdleConnections()
 	for {
 		hosts, err := c.ListHosts(ctx)
@@ -342,12 +342,12 @@
 	return holders == len(f.config.Halls)
 }
 
-// Silent reports whether the platform is silent for a host of a hall.
-func (f *Fleet) Silent(hall spoolsill.HallID) bool {
+// PlatformUnresponsive reports whether the platform is silent for a host of a hall.
+func (f *Fleet) PlatformUnresponsive(hall spoolsill.HallID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, u := range f.units {
-		if u.state == Up && u.settings.OwnHall().ID == hall && u.host.PlatformUnresponsive() {
+		if u.state == Running && u.settings.OwnHall().ID == hall && u.host.PlatformUnresponsive() {
 			return true
 		}
 	}
@@ -359,7 +359,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, u := range f.units {
-		if u.state == Up && u.settings.OwnHall().ID == hall && u.host.HoldsLease() {
+		if u.state == Running && u.settings.OwnHall().ID == hall && u.host.HoldsLease() {
 			return i, true
 		}
 	}
--- a/internal/fleet/takeover_test.go
+++ b/internal/fleet/takeover_test.go
@@ -127,7 +127,7 @@
 	cell, f := newFleet(t)
 	defer cell.Close()
 	defer f.Close()
-	client := f.Client()
+	client := f.OperatorClient()
 	defer client.HTTPClient.CloseIdleConnections()
 	qt.Assert(t, f.WaitReady(ctx), qt.IsNil)
 	former, ok := f.Holder(hall)
@@ -143,12 +143,12 @@
 	confirm(ctx, t, client, patientJob)
 	f.Kill(other)
 	pause.For(ctx, 3*hallLease) // its promise has run out
-	cell.Network.SetCut(string(f.ID(former)), standin.PlatformPlace, true)
+	cell.Network.SetCut(string(f.HostID(former)), standin.PlatformPlace, true)
 	cell.Platform.Fault.SetDown(false)
 	qt.Assert(t, f.Restart(other), qt.IsNil)
 	pause.For(ctx, 2*hallLease)
 
-	cell.Network.SetCut(string(f.ID(former)), standin.PlatformPlace, false)
+	cell.Network.SetCut(string(f.HostID(former)), standin.PlatformPlace, false)
 
 	qt.Assert(t, jobsOf(ctx, t, client), qt.DeepEquals, []spoolsill.JobID{"east-kept"})
 }
