--- a/internal/fault/inject.go
+++ b/internal/fault/inject.go
@@ -159,7 +159,7 @@
 
 func (sim *simulation) restartHost(i int) {
 	if err := sim.fleet.Restart(i); err != nil {
-		sim.cell.Truth.Break(standin.PlannedStop, "host %s can't restart: %s", sim.fleet.HostID(i), err)
+		sim.cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s can't restart: %s", sim.fleet.HostID(i), err)
 	}
 }
 
@@ -239,22 +239,22 @@
 }
 
 func platformSlow(_ context.Context, sim *simulation, s Step) func() {
-	sim.cell.Platform.Fault.SetSlow(time.Duration(s.Delay))
-	return func() { sim.cell.Platform.Fault.SetSlow(0) }
+	sim.cell.Platform.Fault.SetDelay(time.Duration(s.Delay))
+	return func() { sim.cell.Platform.Fault.SetDelay(0) }
 }
 
 func answersLost(_ context.Context, sim *simulation, s Step) func() {
-	sim.cell.Platform.Fault.LoseAnswers(s.Answers)
+	sim.cell.Platform.Fault.DropAnswers(s.Answers)
 	return func() {}
 }
 
 func (sim *simulation) cut(pairs ...[2]string) func() {
 	for _, p := range pairs {
-		sim.cell.Network.SetCut(p[0], p[1], true)
+		sim.cell.Network.SetPartitioned(p[0], p[1], true)
 	}
 	return func() {
 		for _, p := range pairs {
-			sim.cell.Network.SetCut(p[0], p[1], false)
+			sim.cell.Network.SetPartitioned(p[0], p[1], false)
 		}
 	}
 }
--- a/internal/fault/operator.go
+++ b/internal/fault/operator.go
@@ -241,16 +241,16 @@
 			continue
 		}
 		if !ok {
-			o.sim.cell.Truth.Break(standin.NothingLost, "job %s was confirmed and is not known", id)
+			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was confirmed and is not known", id)
 			continue
 		}
 		if j.Cancelled && j.States[spoolsill.TaskRunning] > 0 {
-			o.sim.cell.Truth.Break(standin.NothingLost, "job %s was cancelled and runs: %v", id, j.States)
+			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was cancelled and runs: %v", id, j.States)
 		}
 	}
 	for id := range o.refused {
 		if _, ok := known[id]; ok && !o.confirmed[id] {
-			o.sim.cell.Truth.Break(standin.NothingLost, "job %s was refused as stale and is known", id)
+			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was refused as stale and is known", id)
 		}
 	}
 	return nil
--- a/internal/fault/run.go
+++ b/internal/fault/run.go
@@ -41,7 +41,7 @@
 type Result struct {
 	Schedule   Schedule
 	Faults     map[string]int
-	Violations map[standin.Promise]int
+	Violations map[standin.Invariant]int
 	Cases      []string
 	Done       int64
 	NotRun     int64
@@ -250,7 +250,7 @@
 	sim.operator.close()
 	sim.fleet.Close()
 	sim.cell.Close()
-	sim.result.Violations, sim.result.Cases = sim.cell.Truth.Broken()
+	sim.result.Violations, sim.result.Cases = sim.cell.Truth.Violations()
 	sim.result.Events = sim.fleet.Events()
 	sim.result.Done = sim.callers.Done.Load()
 	sim.result.NotRun = sim.callers.NotRun.Load()
@@ -264,7 +264,7 @@
 	for ctx.Err() == nil {
 		for id, v := range sim.fleet.ConfigVersions() {
 			if v < last[id] && v != 0 {
-				sim.cell.Truth.Break(standin.ConfigOnly, "host %s goes from configuration %d back to %d", id, last[id], v)
+				sim.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s goes from configuration %d back to %d", id, last[id], v)
 			}
 			last[id] = v
 		}
@@ -280,14 +280,14 @@
 	for i := range sim.fleet.Len() {
 		if h := sim.fleet.Host(i); h.HoldsLease() {
 			if err := h.CheckInvariants(); err != nil && !errors.Is(err, holder.ErrNotHolder) {
-				sim.cell.Truth.Break(standin.Capacity, "hall %s: %s", sim.fleet.Hall(i), err)
+				sim.cell.Truth.RecordViolation(standin.InvariantCapacity, "hall %s: %s", sim.fleet.Hall(i), err)
 			}
 		}
 	}
 	newest := sim.operator.newestConfigVersion()
 	for id, v := range sim.fleet.ConfigVersions() {
 		if v < newest {
-			sim.cell.Truth.Break(standin.ConfigOnly, "host %s has configuration %d, %d was accepted", id, v, newest)
+			sim.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s has configuration %d, %d was accepted", id, v, newest)
 		}
 	}
 	return sim.operator.checkJobs(ctx)
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -165,22 +165,22 @@
 // recordOutcome counts the outcome of a request and checks it against the records
 // of the simulated runners.
 func (c *Callers) recordOutcome(req request, last spoolsill.Outcome, mayHaveRun bool) {
-	runs := c.truth.Runs(req.key)
+	runs := c.truth.RequestStarts(req.key)
 	if req.unrepeatable && runs > 1 {
-		c.truth.Break(standin.AtMostOnce, "unrepeatable request %s ran %d times", req.key, runs)
+		c.truth.RecordViolation(standin.InvariantAtMostOnce, "unrepeatable request %s ran %d times", req.key, runs)
 	}
 	switch {
 	case last == spoolsill.OutcomeDone:
 		c.Done.Add(1)
 		if runs == 0 {
-			c.truth.Break(standin.WholeAnswer, "request %s is done and never ran", req.key)
+			c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s is done and never ran", req.key)
 		}
 	case mayHaveRun:
 		c.Unknown.Add(1)
 	default:
 		c.NotRun.Add(1)
 		if runs > 0 {
-			c.truth.Break(standin.TrueNotRun, "request %s is called not run and ran %d times", req.key, runs)
+			c.truth.RecordViolation(standin.InvariantNotRun, "request %s is called not run and ran %d times", req.key, runs)
 		}
 	}
 }
@@ -236,7 +236,7 @@
 		return spoolsill.OutcomeNotRun
 	}
 	if ctx.Err() == nil && c.stoppedAsPlanned(to) {
-		c.truth.Break(standin.PlannedStop, "request %s was cut off by a planned stop: %s", req.key, err)
+		c.truth.RecordViolation(standin.InvariantPlannedStop, "request %s was cut off by a planned stop: %s", req.key, err)
 	}
 	return spoolsill.OutcomeUnknown
 }
@@ -256,11 +256,11 @@
 	switch outcome {
 	case spoolsill.OutcomeDone:
 		if want := standin.Answer(req.key, req.body); string(body) != want {
-			c.truth.Break(standin.WholeAnswer, "request %s got %q, want %q", req.key, body, want)
+			c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s got %q, want %q", req.key, body, want)
 		}
 	case spoolsill.OutcomeNotRun, spoolsill.OutcomeUnknown:
 	default:
-		c.truth.Break(standin.WholeAnswer, "request %s got an answer without outcome: status %d", req.key, resp.StatusCode)
+		c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s got an answer without outcome: status %d", req.key, resp.StatusCode)
 		return spoolsill.OutcomeUnknown
 	}
 	return outcome
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -168,7 +168,7 @@
 	go func() {
 		defer close(done)
 		if err := h.Run(ctx); err != nil {
-			f.config.Cell.Truth.Break(standin.PlannedStop, "host %s failed: %s", m.settings.Host.ID, err)
+			f.config.Cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s failed: %s", m.settings.Host.ID, err)
 		}
 	}()
 }
--- a/internal/fleet/takeover_test.go
+++ b/internal/fleet/takeover_test.go
@@ -144,12 +144,12 @@
 	confirm(ctx, t, client, jobFile)
 	f.Kill(other)
 	pause.For(ctx, 3*hallLease) // until the promise of the killed host has expired
-	cell.Network.SetCut(string(f.HostID(former)), standin.PlatformPlace, true)
+	cell.Network.SetPartitioned(string(f.HostID(former)), standin.PlatformPlace, true)
 	cell.Platform.Fault.SetDown(false)
 	qt.Assert(t, f.Restart(other), qt.IsNil)
 	pause.For(ctx, 2*hallLease)
 
-	cell.Network.SetCut(string(f.HostID(former)), standin.PlatformPlace, false)
+	cell.Network.SetPartitioned(string(f.HostID(former)), standin.PlatformPlace, false)
 
 	qt.Assert(t, waitForJobs(ctx, t, client), qt.DeepEquals, []spoolsill.JobID{"east-kept"})
 }
