--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -191,7 +191,7 @@
 	if err := f.WaitReady(ctx); err != nil {
 		return Point{}, err
 	}
-	c := f.Client()
+	c := f.OperatorClient()
 	defer c.HTTPClient.CloseIdleConnections()
 	return observe(ctx, cell, f, c, Point{
 		Workers:         workers,
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -103,7 +103,7 @@
 // measureLoad submits jobs to every hall, ten a second, for c.Duration and counts the
 // calls of the table in that time.
 func measureLoad(ctx context.Context, c Config, cell *standin.Cell, f *fleet.Fleet, halls []spoolsill.HallID) (Result, error) {
-	client := f.Client()
+	client := f.OperatorClient()
 	defer client.HTTPClient.CloseIdleConnections()
 	writes, reads := cell.Platform.Table.Counts()
 	bytes := cell.Platform.Table.BytesWritten()
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return fault.Schedule{}, err
 	}
-	return fault.Parse(b)
+	return fault.ParseSchedule(b)
 }
 
 // progressInterval is the number of completed sequences between progress lines.
--- a/internal/demo/play.go
+++ b/internal/demo/play.go
@@ -109,7 +109,7 @@
 	began := time.Now()
 	for {
 		late := spoolsill.HostID("")
-		for id, x := range d.fleet.Versions() {
+		for id, x := range d.fleet.ConfigVersions() {
 			if x < v {
 				late = id
 			}
@@ -155,7 +155,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for work.Err() == nil && d.callers.Begun.Load() < int64(d.config.Requests) {
+			for work.Err() == nil && d.callers.Started.Load() < int64(d.config.Requests) {
 				d.callers.Request(ctx)
 				pause.For(work, 40*time.Millisecond)
 			}
@@ -179,12 +179,12 @@
 	d.printProgress()
 	killed, _ := d.fleet.Holder(d.halls[0])
 	d.fleet.Kill(killed)
-	d.printf("host %s, which held hall %s, was killed", d.fleet.ID(killed), d.halls[0])
+	d.printf("host %s, which held hall %s, was killed", d.fleet.HostID(killed), d.halls[0])
 	if err := d.waitHolder(ctx, d.halls[0]); err != nil {
 		return err
 	}
 	drained, _ := d.fleet.Holder(d.halls[1])
-	id := d.fleet.ID(drained)
+	id := d.fleet.HostID(drained)
 	clean := d.fleet.Stop(ctx, drained)
 	d.printf("host %s was stopped as planned (clean: %t)", id, clean)
 	if !clean {
