--- a/internal/cellfake/advisor.go
+++ b/internal/cellfake/advisor.go
@@ -8,14 +8,14 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// An Advisor lets every worker run everything. It implements [leader.Advisor].
+// An Advisor issues a ticket for every worker and stage. It implements [leader.Advisor].
 type Advisor struct {
 	HostIDs []spoolsill.HostID
-	// Cut is the host that does not reach the advisor.
+	// Cut is the host whose queries get no answer.
 	Cut spoolsill.HostID
-	// Asked is told of each question; may be nil. It is called by many goroutines.
+	// Asked, if not nil, is called for each query, by several goroutines at once.
 	Asked func(stage sched.StageID)
-	// Takes is added to how long an answer takes.
+	// Takes is added to the latency of each answer.
 	Takes time.Duration
 }
 
@@ -33,7 +33,7 @@
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
-	if err := spend(ctx, callTime+a.Takes); err != nil {
+	if err := sleep(ctx, callLatency+a.Takes); err != nil {
 		return nil, 0, err
 	}
 	var tickets []sched.Ticket
--- a/internal/cellfake/crash.go
+++ b/internal/cellfake/crash.go
@@ -13,53 +13,54 @@
 )
 
 const (
-	// crashesBorne is how many workers may crash under a task before its starts
-	// are counted, startsAfter which of these starts breaks the promise.
-	crashesBorne = 3
-	startsAfter  = 3
+	// freeCrashes is how many workers a task may crash before its further starts are
+	// counted; the counted start with the number forbiddenStart is a violation.
+	freeCrashes    = 3
+	forbiddenStart = 3
 )
 
-// crashes judges how often tasks that crash their workers are started.
-type crashes struct {
-	of    map[sched.TaskID]int // workers that crashed under a task
-	after map[sched.TaskID]int // its starts after the last one that is borne
+// crashTracker counts how often tasks that crash their workers are started.
+type crashTracker struct {
+	crashed map[sched.TaskID]int // workers that each task has crashed
+	starts  map[sched.TaskID]int // starts of each task after freeCrashes
 }
 
-// begin takes in a start, and reports whether it breaks the promise.
-func (c *crashes) begin(t sched.TaskID) bool {
-	if c.of[t] < crashesBorne {
+// recordStart records a start, and reports whether it is a violation.
+func (c *crashTracker) recordStart(t sched.TaskID) bool {
+	if c.crashed[t] < freeCrashes {
 		return false
 	}
-	c.after[t]++
-	return c.after[t] == startsAfter
+	c.starts[t]++
+	return c.starts[t] == forbiddenStart
 }
 
-// CrashesOf returns how many workers have crashed under a task.
+// CrashesOf returns how many workers a task has crashed.
 func (f *Workers) CrashesOf(t sched.TaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.crashes.of[t]
+	return f.crashTracker.crashed[t]
 }
 
-// Crash ends a worker's life without a word: what it runs is gone with it, which it
-// returns, and nobody answers at its address until [Workers.Replace] or [Workers.Restart].
+// Crash ends a worker's incarnation without notice and returns the runs that are lost with
+// it. Nothing answers at its address until [Workers.Replace] or [Workers.Restart].
 func (f *Workers) Crash(id spoolsill.WorkerID) []sched.RunID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crash(f.workers[id])
 }
 
-// crash ends a worker's life, and returns the runs that are lost with it.
+// crash ends a worker's incarnation and returns the runs that are lost with it. The caller
+// holds f.mu.
 func (f *Workers) crash(w *worker) []sched.RunID {
 	lost := slices.Collect(maps.Keys(w.running))
-	w.gone = true
+	w.crashed = true
 	clear(w.running)
 	w.ended = nil
 	return lost
 }
 
-// Replace has the address of a worker that crashed answer for its machine's next
-// life, which has an id of its own.
+// Replace adds a worker with a new id that takes over the address of a crashed one.
+// Calls for the old id are then answered with [leader.OtherLife].
 func (f *Workers) Replace(id, next spoolsill.WorkerID) {
 	f.Add(next)
 	f.mu.Lock()
@@ -67,30 +68,30 @@
 	f.workers[id].replaced = true
 }
 
-// Restart has a worker that crashed start again under its id, at its address. It knows
-// nothing of before; its counts and its clock start anew. Orders for the former life that
-// are still on their way reach it.
+// Restart starts a new incarnation of a worker under the same id and address, and crashes
+// the current one if that still runs. The new one has no state of the former: its sequence
+// numbers and its clock start over. Delayed orders for the former incarnation reach it.
 func (f *Workers) Restart(id spoolsill.WorkerID) spoolsill.Life {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	former := f.workers[id]
-	f.crash(former) // it may have started again since it crashed
+	f.crash(former) // may have been restarted since its crash
 	w := newWorker(id, 0)
 	w.born = max(w.born, former.born+1)
-	w.room = former.room
+	w.capacity = former.capacity
 	f.workers[id] = w
 	return w.life()
 }
 
-// LifeOf returns the life of a worker that is its latest.
+// LifeOf returns the latest incarnation of a worker.
 func (f *Workers) LifeOf(id spoolsill.WorkerID) spoolsill.Life {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[id].life()
 }
 
-// crashLater has a run that crashes its worker do so.
-func (f *Workers) crashLater(w *worker, r sched.RunID) {
+// scheduleCrash schedules the crash of w if r is to crash its worker.
+func (f *Workers) scheduleCrash(w *worker, r sched.RunID) {
 	if f.Crashes == nil {
 		return
 	}
@@ -102,7 +103,7 @@
 		f.mu.Lock()
 		var lost []sched.RunID
 		if _, runs := w.running[r]; runs {
-			f.crashes.of[r.Task]++
+			f.crashTracker.crashed[r.Task]++
 			lost = f.crash(w)
 		}
 		f.mu.Unlock()
@@ -112,17 +113,18 @@
 	})
 }
 
-// judgeRepeats takes in a start of a task that may crash its workers.
-func (f *Workers) judgeRepeats(w *worker, r sched.RunID) {
-	if f.crashes.begin(r.Task) {
-		f.broken = append(f.broken, fmt.Sprintf("%s#%d started at %s, the third start after %d workers had crashed under it", r.Task, r.Number, w.id, crashesBorne))
+// checkCrashStarts records a violation if r is one start too many of a task that crashes
+// its workers.
+func (f *Workers) checkCrashStarts(w *worker, r sched.RunID) {
+	if f.crashTracker.recordStart(r.Task) {
+		f.violations = append(f.violations, fmt.Sprintf("%s#%d started at %s, the third start after %d workers had crashed under it", r.Task, r.Number, w.id, freeCrashes))
 	}
 }
 
-// otherLife is what the address of a worker that was replaced answers.
-func otherLife() leader.Reply {
+// otherLifeReply is the answer at the address of a worker that was replaced.
+func otherLifeReply() leader.Reply {
 	return leader.Reply{
 		Kind: leader.OtherLife,
-		Err:  errors.New("cellfake: the address answers for another life"),
+		Err:  errors.New("cellfake: the address answers for another worker"),
 	}
 }
--- a/internal/cellfake/store.go
+++ b/internal/cellfake/store.go
@@ -11,55 +11,55 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A StoreFault tells what becomes of one transaction.
+// A StoreFault is the way in which one transaction fails.
 type StoreFault uint8
 
 // The faults of a transaction.
 const (
 	StoreWell   StoreFault = iota
-	StoreRefuse            // nothing is done
-	StoreLose              // done, without an answer
-	StoreLate              // done later if its conditions still hold, without an answer
-	StoreBreak             // not done; the connection breaks at once
+	StoreRefuse            // refused without effect
+	StoreLose              // applied, but the answer is lost
+	StoreLate              // applied later if its conditions still hold; the answer is lost
+	StoreBreak             // not applied; the connection is reset at once
 )
 
-// lateBy is how much later than sent a late transaction is done.
-const lateBy = 3 * time.Second
+// lateDelay is the delay after which a [StoreLate] transaction is applied.
+const lateDelay = 3 * time.Second
 
-// callTime is how long a call takes.
-const callTime = 5 * time.Millisecond
+// callLatency is the latency of a call without faults.
+const callLatency = 5 * time.Millisecond
 
-// listLimit is the longest page.
-const listLimit = 500
+// maxPageRows is the largest number of rows in a page of a listing.
+const maxPageRows = 500
 
 // A Store keeps rows in memory. It implements [store.Store].
 type Store struct {
-	mu      sync.Mutex
-	fault   func(t store.Transaction) StoreFault
-	version store.Version
-	rows    map[store.Key]store.Row
-	changes []store.Row
-	since   store.Version // changes up to it are forgotten
-	changed chan struct{}
-	slow    map[string]time.Duration // added to each listing of a table
-	pace    time.Duration            // added to each call, see Slow
-	turns   map[string]time.Time     // until when each partition's transactions take
-	away    bool
-	deaf    bool
+	mu           sync.Mutex
+	fault        func(t store.Transaction) StoreFault
+	version      store.Version
+	rows         map[store.Key]store.Row
+	changes      []store.Row
+	droppedUpTo  store.Version // changes up to this version are dropped
+	changed      chan struct{}
+	listLatency  map[string]time.Duration // added to each listing, by table
+	extraLatency time.Duration            // added to each call, see Slow
+	queueEnds    map[string]time.Time     // when the queued transactions of each partition end
+	unavailable  bool
+	feedStalled  bool
 }
 
-// SetFault has f choose the fate of each transaction; nil means that all is
-// well. f is called by many goroutines.
+// SetFault sets the function that chooses the fault of each transaction; nil means no
+// faults. f is called by several goroutines at once.
 func (s *Store) SetFault(f func(t store.Transaction) StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// fate returns what becomes of a transaction.
-func (s *Store) fate(t store.Transaction) StoreFault {
+// faultFor returns the fault of a transaction.
+func (s *Store) faultFor(t store.Transaction) StoreFault {
 	s.mu.Lock()
-	f, away := s.fault, s.away
+	f, away := s.fault, s.unavailable
 	s.mu.Unlock()
 	switch {
 	case away:
@@ -71,61 +71,64 @@
 	}
 }
 
-// Deafen has feeds hear nothing, as the platform's may for a second; what they
-// missed they tell afterwards.
-func (s *Store) Deafen(deaf bool) {
+// Deafen stalls or resumes the change feeds. The platform's feeds may stall for a
+// second; the changes made meanwhile are delivered after it.
+func (s *Store) Deafen(stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
+	s.feedStalled = stalled
 }
 
-// TurnAway has the store refuse all calls, or none any more.
-func (s *Store) TurnAway(away bool) {
+// TurnAway makes the store refuse all transactions, listings and feeds, or ends
+// that.
+func (s *Store) TurnAway(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-// turnsAway reports whether calls are refused.
-func (s *Store) turnsAway() bool {
+// isUnavailable reports whether calls are refused.
+func (s *Store) isUnavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away
+	return s.unavailable
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
-		rows:    map[store.Key]store.Row{},
-		changed: make(chan struct{}),
-		slow:    map[string]time.Duration{},
-		turns:   map[string]time.Time{},
+		rows:        map[store.Key]store.Row{},
+		changed:     make(chan struct{}),
+		listLatency: map[string]time.Duration{},
+		queueEnds:   map[string]time.Time{},
 	}
 }
 
-// Slow makes each call take longer; the transactions of a partition are done one
-// after the other, also those whose callers have given up. 0 ends it.
+// Slow adds to the latency of transactions and listings. While it is not 0,
+// the transactions of a partition are applied one at a time, including those whose callers
+// have given up.
 func (s *Store) Slow(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pace = by
+	s.extraLatency = by
 }
 
-// turn returns how long a transaction takes that is sent now.
-func (s *Store) turn(t store.Transaction) time.Duration {
+// queueTransaction returns the latency of a transaction that is sent now, behind those
+// that are queued in its partition.
+func (s *Store) queueTransaction(t store.Transaction) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.pace == 0 {
-		return callTime
+	if s.extraLatency == 0 {
+		return callLatency
 	}
 	now := time.Now()
 	part := partitionOf(t)
 	end := now
-	if s.turns[part].After(now) {
-		end = s.turns[part]
+	if s.queueEnds[part].After(now) {
+		end = s.queueEnds[part]
 	}
-	end = end.Add(callTime + s.pace)
-	s.turns[part] = end
+	end = end.Add(callLatency + s.extraLatency)
+	s.queueEnds[part] = end
 	return end.Sub(now)
 }
 
@@ -140,36 +143,36 @@
 	}
 }
 
-// SlowLists makes each listing of a table take longer.
+// SlowLists adds to the latency of each listing of a table.
 func (s *Store) SlowLists(table string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow[table] = by
+	s.listLatency[table] = by
 }
 
-func (s *Store) listDelay(table string) time.Duration {
+func (s *Store) listLatencyOf(table string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.slow[table] + s.pace
+	return s.listLatency[table] + s.extraLatency
 }
 
-// Forget drops the history, as the platform may at any time.
+// Forget drops the history of changes, as the platform may at any time.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = nil
-	s.since = s.version
+	s.droppedUpTo = s.version
 	s.wakeLocked()
 }
 
-// Put writes rows as the platform itself does.
+// Put writes rows as the platform itself does, without faults or latency.
 func (s *Store) Put(puts ...store.Put) {
 	s.apply(store.Transaction{
 		Puts: puts,
 	})
 }
 
-// Delete removes a row as the platform itself does.
+// Delete removes a row as the platform itself does, without faults or latency.
 func (s *Store) Delete(k store.Key) {
 	s.apply(store.Transaction{
 		Deletes: []store.Key{k},
@@ -179,13 +182,13 @@
 // Commit implements [store.Store].
 func (s *Store) Commit(ctx context.Context, t store.Transaction) (store.Result, error) {
 	begun := time.Now()
-	took := s.turn(t)
-	if err := spend(ctx, took); err != nil {
-		// A call that its caller gave up is on its way all the same.
+	took := s.queueTransaction(t)
+	if err := sleep(ctx, took); err != nil {
+		// A transaction is applied even if its caller has given up.
 		time.AfterFunc(took-time.Since(begun), func() { s.apply(t) })
 		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
-	switch s.fate(t) {
+	switch s.faultFor(t) {
 	case StoreRefuse:
 		return store.Result{}, store.ErrRefused
 	case StoreBreak:
@@ -195,7 +198,7 @@
 		<-ctx.Done()
 		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, ctx.Err())
 	case StoreLate:
-		time.AfterFunc(lateBy, func() { s.apply(t) })
+		time.AfterFunc(lateDelay, func() { s.apply(t) })
 		<-ctx.Done()
 		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, ctx.Err())
 	default:
@@ -252,10 +255,10 @@
 
 // List implements [store.Store].
 func (s *Store) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
-	if err := spend(ctx, callTime+s.listDelay(table)); err != nil {
+	if err := sleep(ctx, callLatency+s.listLatencyOf(table)); err != nil {
 		return store.Page{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
-	if s.turnsAway() {
+	if s.isUnavailable() {
 		return store.Page{}, store.ErrRefused
 	}
 	s.mu.Lock()
@@ -269,8 +272,8 @@
 		}
 	}
 	slices.SortFunc(p.Rows, func(a, b store.Row) int { return cmp.Compare(a.Key.Name, b.Key.Name) })
-	if limit <= 0 || limit > listLimit {
-		limit = listLimit
+	if limit <= 0 || limit > maxPageRows {
+		limit = maxPageRows
 	}
 	if len(p.Rows) > limit {
 		p.Rows = p.Rows[:limit]
@@ -281,7 +284,7 @@
 
 // Partitions implements [store.Store].
 func (s *Store) Partitions(ctx context.Context, table string) ([]string, error) {
-	if err := spend(ctx, callTime); err != nil {
+	if err := sleep(ctx, callLatency); err != nil {
 		return nil, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
 	s.mu.Lock()
@@ -301,11 +304,11 @@
 // Feed implements [store.Store].
 func (s *Store) Feed(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	end := time.Now().Add(wait)
-	if err := spend(ctx, callTime); err != nil {
+	if err := sleep(ctx, callLatency); err != nil {
 		return store.Changes{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
 	for {
-		if s.turnsAway() {
+		if s.isUnavailable() {
 			return store.Changes{}, store.ErrRefused
 		}
 		c, changed, err := s.changesAfter(table, after)
@@ -327,10 +330,10 @@
 func (s *Store) changesAfter(table string, after store.Version) (store.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.since {
+	if after < s.droppedUpTo {
 		return store.Changes{}, nil, store.ErrHistoryGone
 	}
-	if s.deaf {
+	if s.feedStalled {
 		return store.Changes{
 			Version: after,
 		}, s.changed, nil
@@ -346,8 +349,8 @@
 	return c, s.changed, nil
 }
 
-// spend lets time pass.
-func spend(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns the error of ctx if that ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -13,88 +13,92 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// An OrderFault tells what becomes of one order to a worker.
+// An OrderFault is the way in which one order to a worker fails.
 type OrderFault uint8
 
 // The faults of an order.
 const (
 	OrderWell OrderFault = iota
-	OrderLose            // carried out, without an answer
-	OrderDrop            // neither carried out nor answered
-	OrderLate            // carried out after LateBy, without an answer
+	OrderLose            // carried out, but the answer is lost
+	OrderDrop            // lost before it is carried out
+	OrderLate            // carried out after LateBy; the answer is lost
 )
 
-// lateLeast is by how much an order is late at least.
-const lateLeast = 2 * time.Second
+// minLateBy is the shortest delay of an [OrderLate] order.
+const minLateBy = 2 * time.Second
 
-// errLost explains an order without an answer.
-var errLost = errors.New("cellfake: no answer")
+// errNoReply is the error of an order whose answer is lost.
+var errNoReply = errors.New("cellfake: no answer")
 
-// Workers are the workers of a cell, and the judge of what they are told. They
-// implement [leader.Workers].
+// Workers are the workers of a cell. They check the orders that they receive and record
+// violations. They implement [leader.Workers].
 type Workers struct {
-	// Lease is the longest lease; Work is how long a task runs.
+	// Lease is the longest lease that a worker grants. Work returns the duration of a
+	// run and how it ends; nil means that each run is done after a second.
 	Lease time.Duration
 	Work  func(r sched.RunID) (time.Duration, sched.EndKind)
-	// Fault chooses the fate of each order; nil means that all is well.
+	// Fault chooses the fault of each order; nil means no faults.
 	Fault func(w spoolsill.WorkerID) OrderFault
-	// LateBy is how much later than sent late orders are carried out; 0 means the least
-	// that the platform's pages tell of.
+	// LateBy is the delay of [OrderLate] orders; it is at least 2 s, the shortest that the
+	// platform documents.
 	LateBy time.Duration
-	// LateAtOnce has late orders for a former life reach the next one also before it has
-	// answered two renewals, when nobody can have told it to refuse them; else they are
-	// lost then. The answer to the first tells that there is another life.
+	// LateAtOnce delivers late orders for a former incarnation to the next one even
+	// before that has answered two renewals; otherwise such orders are dropped. The answer
+	// to the first renewal tells the leader of the new incarnation, so a fence that makes
+	// it refuse those orders can't arrive before the second.
 	LateAtOnce bool
-	// Flow returns how long a worker's answer to a heartbeat takes from its beginning
-	// to its end; nil means that answers come whole. It is called by many goroutines.
+	// Flow returns the time between the first and the last byte of a worker's answer
+	// to a renewal; nil means none. It is called by several goroutines at once.
 	Flow func(w spoolsill.WorkerID) time.Duration
-	// Delay returns how long an answer of a worker is under way before its beginning
-	// arrives; nil means no time. It is called by many goroutines.
+	// Delay returns the delay of the first byte of a worker's answer; nil means none.
+	// It is called by several goroutines at once.
 	Delay func(w spoolsill.WorkerID) time.Duration
-	// Ordered is told of each order to start something, while the worker is locked; nil
-	// means that nobody is.
+	// Ordered, if not nil, is called for each start order with the lock of the Workers
+	// held.
 	Ordered func(o sched.StartOrder)
-	// Began is told of each run that begins, and of what is special in that, while the
-	// worker is locked; nil means that nobody is.
+	// Began, if not nil, is called for each run that starts with the lock of the
+	// Workers held. The remark is empty, or tells that the order was for a former
+	// incarnation.
 	Began func(l spoolsill.Life, r sched.RunID, remark string)
-	// Room is how many runs a worker has room for; more are a broken promise.
-	// 0 means that this is not judged.
+	// Room is the number of runs that a worker can hold; a start beyond it is a
+	// violation. 0 means that this is not checked.
 	Room int
-	// RoomKnown is for how long after it has shrunk a worker's room is judged as it was.
+	// RoomKnown is for how long after a reduction a worker's former capacity still
+	// applies to the check.
 	RoomKnown time.Duration
-	// Clock is that of the leaders; nil is the system's.
+	// Clock is the clock of the leaders; nil means the system's.
 	Clock *clock.Clock
-	// Crashes tells whether a run crashes its worker, and how long after its start;
-	// nil means that none does. Crashed is told of each such crash and the runs that are
-	// lost; may be nil.
+	// Crashes reports whether a run crashes its worker, and how long after its start;
+	// nil means that none does. Crashed, if not nil, is called after each such crash with
+	// the runs that are lost.
 	Crashes func(r sched.RunID) (after time.Duration, crashes bool)
 	Crashed func(w spoolsill.WorkerID, lost []sched.RunID)
 
-	mu      sync.Mutex
-	workers map[spoolsill.WorkerID]*worker
-	done    map[sched.TaskID]bool // ended done, and acknowledged
-	broken  []string
-	starts  int
-	crashes crashes
+	mu           sync.Mutex
+	workers      map[spoolsill.WorkerID]*worker
+	done         map[sched.TaskID]bool // tasks whose successful end was acknowledged
+	violations   []string
+	starts       int
+	crashTracker crashTracker
 }
 
 type worker struct {
-	id       spoolsill.WorkerID
-	born     spoolsill.Birth
-	began    time.Time
-	cut      bool
-	room     movingRoom
-	gone     bool // its life is over
-	replaced bool // and its address answers for the next one
-	strayed  bool // the order under way was sent to a former life
-	answers  int  // to renewals
-	fence    spoolsill.Epoch
-	deadline sched.ClockMillis
-	running  map[sched.RunID]progress
-	highest  map[sched.TaskID]sched.RunNumber
-	ended    []sched.End
-	sequence uint64
-	changed  chan struct{}
+	id           spoolsill.WorkerID
+	born         spoolsill.Birth
+	clockStart   time.Time
+	unreachable  bool
+	capacity     capacityState
+	crashed      bool // this incarnation has ended
+	replaced     bool // another worker has its address
+	misdelivered bool // the order being carried out was sent to a former incarnation
+	answers      int  // renewals answered
+	fence        spoolsill.Epoch
+	deadline     sched.ClockMillis
+	running      map[sched.RunID]progress
+	highest      map[sched.TaskID]sched.RunNumber
+	ended        []sched.End
+	sequence     uint64
+	changed      chan struct{}
 }
 
 // NewWorkers returns workers with the given ids.
@@ -103,9 +107,9 @@
 		Lease:   lease,
 		workers: map[spoolsill.WorkerID]*worker{},
 		done:    map[sched.TaskID]bool{},
-		crashes: crashes{
-			of:    map[sched.TaskID]int{},
-			after: map[sched.TaskID]int{},
+		crashTracker: crashTracker{
+			crashed: map[sched.TaskID]int{},
+			starts:  map[sched.TaskID]int{},
 		},
 	}
 	for _, id := range ids {
@@ -114,23 +118,23 @@
 	return f
 }
 
-// Add adds a worker. Workers' clocks have nothing in common.
+// Add adds a worker. Its clock differs from those of the others.
 func (f *Workers) Add(id spoolsill.WorkerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id] = newWorker(id, time.Duration(1+len(f.workers))*clockStep)
 }
 
-// newWorker returns a worker whose clock shows a time.
+// newWorker returns a worker whose clock shows the given time since its start.
 func newWorker(id spoolsill.WorkerID, clock time.Duration) *worker {
 	now := time.Now()
 	return &worker{
-		id:      id,
-		born:    spoolsill.Birth(now.UnixMilli()),
-		began:   now.Add(-clock),
-		running: map[sched.RunID]progress{},
-		highest: map[sched.TaskID]sched.RunNumber{},
-		changed: make(chan struct{}),
+		id:         id,
+		born:       spoolsill.Birth(now.UnixMilli()),
+		clockStart: now.Add(-clock),
+		running:    map[sched.RunID]progress{},
+		highest:    map[sched.TaskID]sched.RunNumber{},
+		changed:    make(chan struct{}),
 	}
 }
 
@@ -141,42 +145,43 @@
 	}
 }
 
-// clockStep is how far the workers' clocks are apart.
+// clockStep is the difference between the clocks of workers added in turn.
 const clockStep = 17 * time.Minute
 
-// Cut keeps a worker from answering; what it runs goes on under its lease.
-func (f *Workers) Cut(id spoolsill.WorkerID, cut bool) {
+// Cut makes a worker unreachable, or reachable again. Meanwhile its runs go on
+// until its lease expires.
+func (f *Workers) Cut(id spoolsill.WorkerID, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[id].cut = cut
+	f.workers[id].unreachable = unreachable
 }
 
-// Broken returns the promises that were broken.
+// Broken returns the violations that were recorded.
 func (f *Workers) Broken() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.broken
+	return f.violations
 }
 
-// Starts returns how many runs have begun.
+// Starts returns how many runs have started.
 func (f *Workers) Starts() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Running returns how many runs go on at all workers.
+// Running returns how many runs are active on all workers.
 func (f *Workers) Running() int {
 	return f.RunningOf(func(spoolsill.JobID) bool { return true })
 }
 
-// RunningOf returns how many runs go on of the jobs that are chosen.
+// RunningOf returns how many runs are active of the jobs for which chosen returns true.
 func (f *Workers) RunningOf(chosen func(id spoolsill.JobID) bool) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, w := range f.workers {
-		f.lapse(w)
+		f.expireLease(w)
 		for r := range w.running {
 			if chosen(r.Task.Stage.Job) {
 				n++
@@ -186,7 +191,7 @@
 	return n
 }
 
-// A progress is how far a run is.
+// A progress is the start and the duration of a run.
 type progress struct {
 	began time.Time
 	took  time.Duration
@@ -197,22 +202,22 @@
 }
 
 func (w *worker) clock() sched.ClockMillis {
-	return sched.ClockMillis(time.Since(w.began).Milliseconds())
+	return sched.ClockMillis(time.Since(w.clockStart).Milliseconds())
 }
 
-// meet lets an order reach a worker, or not. It returns the worker when the
-// order is to be carried out now and answered.
-func (f *Workers) meet(ctx context.Context, id spoolsill.WorkerID, carryOut func(*worker)) (*worker, leader.Reply) {
-	if err := spend(ctx, time.Millisecond); err != nil {
+// deliver applies the faults to an order. It returns the worker if the order is to be
+// carried out now and answered, and otherwise nil and the reply that the caller gets.
+func (f *Workers) deliver(ctx context.Context, id spoolsill.WorkerID, carryOut func(*worker)) (*worker, leader.Reply) {
+	if err := sleep(ctx, time.Millisecond); err != nil {
 		return nil, noAnswer(err)
 	}
 	f.mu.Lock()
 	w := f.workers[id]
-	cut := w == nil || w.cut || w.gone
-	replaced := w != nil && w.replaced && !w.cut
+	cut := w == nil || w.unreachable || w.crashed
+	replaced := w != nil && w.replaced && !w.unreachable
 	f.mu.Unlock()
 	if replaced {
-		return nil, otherLife()
+		return nil, otherLifeReply()
 	}
 	fault := OrderWell
 	if f.Fault != nil {
@@ -225,52 +230,52 @@
 	case OrderWell:
 		return w, leader.Reply{}
 	case OrderLose:
-		f.locked(w, carryOut)
+		f.withLock(w, carryOut)
 	case OrderLate:
-		time.AfterFunc(max(f.LateBy, lateLeast), func() { f.lockedLatest(w, carryOut) })
+		time.AfterFunc(max(f.LateBy, minLateBy), func() { f.withCurrentLife(w, carryOut) })
 	case OrderDrop:
 	}
 	<-ctx.Done()
-	return nil, noAnswer(errLost)
+	return nil, noAnswer(errNoReply)
 }
 
-func (f *Workers) locked(w *worker, g func(*worker)) {
+func (f *Workers) withLock(w *worker, g func(*worker)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w.gone {
+	if w.crashed {
 		return
 	}
-	f.lapse(w)
+	f.expireLease(w)
 	g(w)
 }
 
-// lockedLatest is locked with the life that a worker has now, for an order that was sent
-// to one before.
-func (f *Workers) lockedLatest(sentTo *worker, g func(*worker)) {
+// withCurrentLife calls g like withLock, for a late order: with the current incarnation of
+// the worker, which may be another one than the order was sent to.
+func (f *Workers) withCurrentLife(sentTo *worker, g func(*worker)) {
 	f.mu.Lock()
 	now := f.workers[sentTo.id]
 	f.mu.Unlock()
-	f.locked(now, func(w *worker) {
-		w.strayed = w != sentTo
-		if w.strayed && w.answers < 2 && !f.LateAtOnce {
+	f.withLock(now, func(w *worker) {
+		w.misdelivered = w != sentTo
+		if w.misdelivered && w.answers < 2 && !f.LateAtOnce {
 			return
 		}
-		defer func() { w.strayed = false }()
+		defer func() { w.misdelivered = false }()
 		g(w)
 	})
 }
 
-// lapse ends what runs when the lease is over.
-func (f *Workers) lapse(w *worker) {
+// expireLease ends the runs of a worker if its lease has expired.
+func (f *Workers) expireLease(w *worker) {
 	if w.clock() <= w.deadline {
 		return
 	}
 	for r := range w.running {
-		f.end(w, r, sched.EndLeaseExpired)
+		f.endRun(w, r, sched.EndLeaseExpired)
 	}
 }
 
-func (f *Workers) end(w *worker, r sched.RunID, k sched.EndKind) {
+func (f *Workers) endRun(w *worker, r sched.RunID, k sched.EndKind) {
 	if _, ok := w.running[r]; !ok {
 		return
 	}
@@ -285,8 +290,8 @@
 	w.changed = make(chan struct{})
 }
 
-// admit checks the fence of an order.
-func (w *worker) admit(fence spoolsill.Epoch) bool {
+// acceptFence reports whether a fence is at least the highest one seen, and records it.
+func (w *worker) acceptFence(fence spoolsill.Epoch) bool {
 	if fence < w.fence {
 		return false
 	}
@@ -298,7 +303,7 @@
 	return leader.Reply{
 		Kind:  leader.Fenced,
 		Clock: w.clock(),
-		Err:   errors.New("cellfake: a later leader was here"),
+		Err:   errors.New("cellfake: the worker has accepted a higher fence"),
 	}
 }
 
@@ -306,42 +311,43 @@
 func (f *Workers) Renew(ctx context.Context, r leader.Renewal) (sched.Heartbeat, leader.Reply) {
 	sent := f.Clock.Now()
 	renew := func(w *worker) { f.renew(w, r) }
-	begin, cancel := beginWithin(ctx, r.Wait, r.Timeout)
+	begin, cancel := withReplyDeadline(ctx, r.Wait, r.Timeout)
 	defer cancel()
-	w, reply := f.meet(begin, r.Worker, renew)
+	w, reply := f.deliver(begin, r.Worker, renew)
 	if w == nil {
 		return sched.Heartbeat{}, reply
 	}
-	f.locked(w, renew)
+	f.withLock(w, renew)
 	f.waitForEnd(begin, w, r)
 	if begin.Err() != nil {
 		return sched.Heartbeat{}, noAnswer(begin.Err())
 	}
 	h, reply := f.heartbeat(w, r, sent)
-	if err := f.underWay(begin, w, f.Delay); err != nil {
+	if err := f.delayReply(begin, w, f.Delay); err != nil {
 		return sched.Heartbeat{}, noAnswer(err)
 	}
-	if err := f.underWay(ctx, w, f.Flow); err != nil {
+	if err := f.delayReply(ctx, w, f.Flow); err != nil {
 		return sched.Heartbeat{}, noAnswer(err)
 	}
-	f.locked(w, func(w *worker) { w.answers++ })
+	f.withLock(w, func(w *worker) { w.answers++ })
 	return h, reply
 }
 
-// underWay lets the time pass that an answer takes, unless ctx ends before.
-func (f *Workers) underWay(ctx context.Context, w *worker, takes func(spoolsill.WorkerID) time.Duration) error {
+// delayReply waits for the delay of a worker's answer, unless ctx ends first.
+func (f *Workers) delayReply(ctx context.Context, w *worker, takes func(spoolsill.WorkerID) time.Duration) error {
 	if takes == nil {
 		return nil
 	}
-	return spend(ctx, takes(w.id))
+	return sleep(ctx, takes(w.id))
 }
 
-// beginWithin returns a context that ends when the answer to a call must have begun.
-func beginWithin(ctx context.Context, wait, within time.Duration) (context.Context, context.CancelFunc) {
-	if within == 0 {
+// withReplyDeadline returns a context that ends when the answer to a call must have begun:
+// the timeout counts from the end of the wait that the call asks for, 0 means none.
+func withReplyDeadline(ctx context.Context, wait, timeout time.Duration) (context.Context, context.CancelFunc) {
+	if timeout == 0 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, wait+within)
+	return context.WithTimeout(ctx, wait+timeout)
 }
 
 func noAnswer(err error) leader.Reply {
@@ -351,17 +357,17 @@
 	}
 }
 
-// heartbeat returns what a worker answers to a renewal at this moment.
+// heartbeat returns the current answer of a worker to a renewal.
 func (f *Workers) heartbeat(w *worker, r leader.Renewal, sent time.Time) (sched.Heartbeat, leader.Reply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w.gone {
-		return sched.Heartbeat{}, noAnswer(errLost)
+	if w.crashed {
+		return sched.Heartbeat{}, noAnswer(errNoReply)
 	}
 	if r.Fence < w.fence {
 		return sched.Heartbeat{}, f.fenced(w)
 	}
-	f.lapse(w)
+	f.expireLease(w)
 	h := sched.Heartbeat{
 		Life:  w.life(),
 		Sent:  sent,
@@ -381,7 +387,7 @@
 }
 
 func (f *Workers) renew(w *worker, r leader.Renewal) {
-	if !w.admit(r.Fence) {
+	if !w.acceptFence(r.Fence) {
 		return
 	}
 	most := w.clock() + sched.ClockMillis(f.Lease.Milliseconds())
@@ -413,16 +419,16 @@
 
 // Start implements [leader.Workers].
 func (f *Workers) Start(ctx context.Context, o leader.Start) leader.Reply {
-	ctx, cancel := beginWithin(ctx, 0, o.Timeout)
+	ctx, cancel := withReplyDeadline(ctx, 0, o.Timeout)
 	defer cancel()
-	reply := noAnswer(errLost)
+	reply := noAnswer(errNoReply)
 	start := func(w *worker) { reply = f.start(w, o) }
-	w, lost := f.meet(ctx, o.Worker, start)
+	w, lost := f.deliver(ctx, o.Worker, start)
 	if w == nil {
 		return lost
 	}
-	f.locked(w, start)
-	if err := f.underWay(ctx, w, f.Delay); err != nil {
+	f.withLock(w, start)
+	if err := f.delayReply(ctx, w, f.Delay); err != nil {
 		return noAnswer(err)
 	}
 	return reply
@@ -444,7 +450,7 @@
 }
 
 func (f *Workers) startKind(w *worker, o leader.Start) leader.ReplyKind {
-	if !w.admit(o.Fence) {
+	if !w.acceptFence(o.Fence) {
 		return leader.Fenced
 	}
 	r := o.Order.Run
@@ -458,29 +464,29 @@
 		return leader.RunEnded
 	}
 	w.highest[r.Task] = r.Number
-	f.begin(w, r)
+	f.startRun(w, r)
 	return leader.Accepted
 }
 
-func (f *Workers) begin(w *worker, r sched.RunID) {
+func (f *Workers) startRun(w *worker, r sched.RunID) {
 	f.starts++
 	if f.Began != nil {
-		f.Began(w.life(), r, w.whence())
+		f.Began(w.life(), r, w.lateOrderRemark())
 	}
-	f.judgeRepeats(w, r)
+	f.checkCrashStarts(w, r)
 	if f.done[r.Task] {
-		f.broken = append(f.broken, fmt.Sprintf("%s#%d started after its end was acknowledged%s", r.Task, r.Number, w.whence()))
+		f.violations = append(f.violations, fmt.Sprintf("%s#%d started after its end was acknowledged%s", r.Task, r.Number, w.lateOrderRemark()))
 	}
 	for _, o := range f.workers {
-		f.lapse(o)
+		f.expireLease(o)
 		for x := range o.running {
 			if x.Task == r.Task {
-				f.broken = append(f.broken, fmt.Sprintf("%s runs at %s as #%d and at %s as #%d%s", r.Task, o.id, x.Number, w.id, r.Number, w.whence()))
+				f.violations = append(f.violations, fmt.Sprintf("%s runs at %s as #%d and at %s as #%d%s", r.Task, o.id, x.Number, w.id, r.Number, w.lateOrderRemark()))
 			}
 		}
 	}
-	if f.Room > 0 && len(w.running) >= w.room.judged(f.Room, f.RoomKnown) {
-		f.broken = append(f.broken, fmt.Sprintf("%s#%d started at %s, which has no room", r.Task, r.Number, w.id))
+	if f.Room > 0 && len(w.running) >= w.capacity.allowed(f.Room, f.RoomKnown) {
+		f.violations = append(f.violations, fmt.Sprintf("%s#%d started at %s, which has no room", r.Task, r.Number, w.id))
 	}
 	took, kind := time.Second, sched.EndDone
 	if f.Work != nil {
@@ -491,42 +497,43 @@
 		took:  took,
 	}
 	time.AfterFunc(took, func() {
-		f.locked(w, func(w *worker) { f.end(w, r, kind) })
+		f.withLock(w, func(w *worker) { f.endRun(w, r, kind) })
 	})
-	f.crashLater(w, r)
+	f.scheduleCrash(w, r)
 }
 
-// whence tells where an order comes from that was sent to a former life.
-func (w *worker) whence() string {
-	if !w.strayed {
+// lateOrderRemark describes an order that was sent to a former incarnation; it is empty for
+// any other order.
+func (w *worker) lateOrderRemark() string {
+	if !w.misdelivered {
 		return ""
 	}
-	return fmt.Sprintf(", by an order for a former life, %v after this one began, fence %d", time.Since(time.UnixMilli(int64(w.born))).Round(time.Millisecond), w.fence)
+	return fmt.Sprintf(", by an order for a former incarnation, %v after this one began, fence %d", time.Since(time.UnixMilli(int64(w.born))).Round(time.Millisecond), w.fence)
 }
 
 // Stop implements [leader.Workers].
 func (f *Workers) Stop(ctx context.Context, o leader.Stop) leader.Reply {
-	ctx, cancel := beginWithin(ctx, 0, o.Timeout)
+	ctx, cancel := withReplyDeadline(ctx, 0, o.Timeout)
 	defer cancel()
-	reply := noAnswer(errLost)
+	reply := noAnswer(errNoReply)
 	stop := func(w *worker) {
 		reply = leader.Reply{
 			Kind:  leader.Accepted,
 			Clock: w.clock(),
 		}
-		if !w.admit(o.Fence) {
+		if !w.acceptFence(o.Fence) {
 			reply = f.fenced(w)
 			return
 		}
 		w.highest[o.Run.Task] = max(w.highest[o.Run.Task], o.Run.Number)
-		f.end(w, o.Run, sched.EndStopped)
+		f.endRun(w, o.Run, sched.EndStopped)
 	}
-	w, lost := f.meet(ctx, o.Worker, stop)
+	w, lost := f.deliver(ctx, o.Worker, stop)
 	if w == nil {
 		return lost
 	}
-	f.locked(w, stop)
-	if err := f.underWay(ctx, w, f.Delay); err != nil {
+	f.withLock(w, stop)
+	if err := f.delayReply(ctx, w, f.Delay); err != nil {
 		return noAnswer(err)
 	}
 	return reply
