--- a/internal/cellfake/advisor.go
+++ b/internal/cellfake/advisor.go
@@ -13,8 +13,8 @@
 	HostIDs []spoolsill.HostID
 	// Cut is the host whose queries get no answer.
 	Cut spoolsill.HostID
-	// Asked, if not nil, is called for each query, by several goroutines at once.
-	Asked func(stage sched.StageID)
+	// OnQuery, if not nil, is called for each query, by several goroutines at once.
+	OnQuery func(stage sched.StageID)
 	// Takes is added to the latency of each answer.
 	Takes time.Duration
 }
@@ -26,8 +26,8 @@
 
 // Ask implements [leader.Advisor].
 func (a *Advisor) Ask(ctx context.Context, h spoolsill.HostID, stage sched.StageID, workers []spoolsill.WorkerID) ([]sched.Ticket, time.Duration, error) {
-	if a.Asked != nil {
-		a.Asked(stage)
+	if a.OnQuery != nil {
+		a.OnQuery(stage)
 	}
 	if a.Cut != "" && h == a.Cut {
 		<-ctx.Done()
--- a/internal/cellfake/capacity.go
+++ b/internal/cellfake/capacity.go
@@ -15,12 +15,12 @@
 	reducedAt time.Time
 }
 
-// SetRoom changes the number of runs that a worker can hold. Present runs continue.
-func (f *Workers) SetRoom(id spoolsill.WorkerID, runs int) {
+// SetCapacity changes the number of runs that a worker can hold. Present runs continue.
+func (f *Workers) SetCapacity(id spoolsill.WorkerID, runs int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := &f.workers[id].capacity
-	was := r.allowed(f.Room, f.RoomKnown)
+	was := r.allowed(f.Capacity, f.CapacityGrace)
 	r.changed = true
 	r.current = runs
 	if runs < was {
--- a/internal/cellfake/crash.go
+++ b/internal/cellfake/crash.go
@@ -34,8 +34,8 @@
 	return c.starts[t] == forbiddenStart
 }
 
-// CrashesOf returns how many workers a task has crashed.
-func (f *Workers) CrashesOf(t sched.TaskID) int {
+// CrashCount returns how many workers a task has crashed.
+func (f *Workers) CrashCount(t sched.TaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashTracker.crashed[t]
@@ -83,8 +83,8 @@
 	return w.life()
 }
 
-// LifeOf returns the latest incarnation of a worker.
-func (f *Workers) LifeOf(id spoolsill.WorkerID) spoolsill.Life {
+// CurrentLife returns the latest incarnation of a worker.
+func (f *Workers) CurrentLife(id spoolsill.WorkerID) spoolsill.Life {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[id].life()
@@ -92,10 +92,10 @@
 
 // scheduleCrash schedules the crash of w if r is to crash its worker.
 func (f *Workers) scheduleCrash(w *worker, r sched.RunID) {
-	if f.Crashes == nil {
+	if f.CrashAfter == nil {
 		return
 	}
-	after, crashes := f.Crashes(r)
+	after, crashes := f.CrashAfter(r)
 	if !crashes {
 		return
 	}
@@ -107,8 +107,8 @@
 			lost = f.crash(w)
 		}
 		f.mu.Unlock()
-		if len(lost) > 0 && f.Crashed != nil {
-			f.Crashed(w.id, lost)
+		if len(lost) > 0 && f.OnCrash != nil {
+			f.OnCrash(w.id, lost)
 		}
 	})
 }
--- a/internal/cellfake/store.go
+++ b/internal/cellfake/store.go
@@ -16,11 +16,11 @@
 
 // The faults of a transaction.
 const (
-	StoreWell   StoreFault = iota
-	StoreRefuse            // refused without effect
-	StoreLose              // applied, but the answer is lost
-	StoreLate              // applied later if its conditions still hold; the answer is lost
-	StoreBreak             // not applied; the connection is reset at once
+	StoreOK        StoreFault = iota
+	StoreRefuse               // refused without effect
+	StoreLoseReply            // applied, but the answer is lost
+	StoreLate                 // applied later if its conditions still hold; the answer is lost
+	StoreReset                // not applied; the connection is reset at once
 )
 
 // lateDelay is the delay after which a [StoreLate] transaction is applied.
@@ -42,7 +42,7 @@
 	droppedUpTo  store.Version // changes up to this version are dropped
 	changed      chan struct{}
 	listLatency  map[string]time.Duration // added to each listing, by table
-	extraLatency time.Duration            // added to each call, see Slow
+	extraLatency time.Duration            // added to each call, see SetExtraLatency
 	queueEnds    map[string]time.Time     // when the queued transactions of each partition end
 	unavailable  bool
 	feedStalled  bool
@@ -65,23 +65,23 @@
 	case away:
 		return StoreRefuse
 	case f == nil:
-		return StoreWell
+		return StoreOK
 	default:
 		return f(t)
 	}
 }
 
-// Deafen stalls or resumes the change feeds. The platform's feeds may stall for a
+// SetFeedStalled stalls or resumes the change feeds. The platform's feeds may stall for a
 // second; the changes made meanwhile are delivered after it.
-func (s *Store) Deafen(stalled bool) {
+func (s *Store) SetFeedStalled(stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feedStalled = stalled
 }
 
-// TurnAway makes the store refuse all transactions, listings and feeds, or ends
+// SetUnavailable makes the store refuse all transactions, listings and feeds, or ends
 // that.
-func (s *Store) TurnAway(unavailable bool) {
+func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailable = unavailable
@@ -104,10 +104,10 @@
 	}
 }
 
-// Slow adds to the latency of transactions and listings. While it is not 0,
+// SetExtraLatency adds to the latency of transactions and listings. While it is not 0,
 // the transactions of a partition are applied one at a time, including those whose callers
 // have given up.
-func (s *Store) Slow(by time.Duration) {
+func (s *Store) SetExtraLatency(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.extraLatency = by
@@ -143,8 +143,8 @@
 	}
 }
 
-// SlowLists adds to the latency of each listing of a table.
-func (s *Store) SlowLists(table string, by time.Duration) {
+// SetListLatency adds to the latency of each listing of a table.
+func (s *Store) SetListLatency(table string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listLatency[table] = by
@@ -156,8 +156,8 @@
 	return s.listLatency[table] + s.extraLatency
 }
 
-// Forget drops the history of changes, as the platform may at any time.
-func (s *Store) Forget() {
+// DropHistory drops the history of changes, as the platform may at any time.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = nil
@@ -191,9 +191,9 @@
 	switch s.faultFor(t) {
 	case StoreRefuse:
 		return store.Result{}, store.ErrRefused
-	case StoreBreak:
+	case StoreReset:
 		return store.Result{}, fmt.Errorf("%w: connection reset", store.ErrUnknownOutcome)
-	case StoreLose:
+	case StoreLoseReply:
 		s.apply(t)
 		<-ctx.Done()
 		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, ctx.Err())
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -18,10 +18,10 @@
 
 // The faults of an order.
 const (
-	OrderWell OrderFault = iota
-	OrderLose            // carried out, but the answer is lost
-	OrderDrop            // lost before it is carried out
-	OrderLate            // carried out after LateBy; the answer is lost
+	OrderOK        OrderFault = iota
+	OrderLoseReply            // carried out, but the answer is lost
+	OrderDrop                 // lost before it is carried out
+	OrderLate                 // carried out after LateBy; the answer is lost
 )
 
 // minLateBy is the shortest delay of an [OrderLate] order.
@@ -33,10 +33,10 @@
 // Workers are the workers of a cell. They check the orders that they receive and record
 // violations. They implement [leader.Workers].
 type Workers struct {
-	// Lease is the longest lease that a worker grants. Work returns the duration of a
+	// Lease is the longest lease that a worker grants. RunResult returns the duration of a
 	// run and how it ends; nil means that each run is done after a second.
-	Lease time.Duration
-	Work  func(r sched.RunID) (time.Duration, sched.EndKind)
+	Lease     time.Duration
+	RunResult func(r sched.RunID) (time.Duration, sched.EndKind)
 	// Fault chooses the fault of each order; nil means no faults.
 	Fault func(w spoolsill.WorkerID) OrderFault
 	// LateBy is the delay of [OrderLate] orders; it is at least 2 s, the shortest that the
@@ -53,26 +53,26 @@
 	// Delay returns the delay of the first byte of a worker's answer; nil means none.
 	// It is called by several goroutines at once.
 	Delay func(w spoolsill.WorkerID) time.Duration
-	// Ordered, if not nil, is called for each start order with the lock of the Workers
+	// OnStartOrder, if not nil, is called for each start order with the lock of the Workers
 	// held.
-	Ordered func(o sched.StartOrder)
+	OnStartOrder func(o sched.StartOrder)
 	// Began, if not nil, is called for each run that starts with the lock of the
 	// Workers held. The remark is empty, or tells that the order was for a former
 	// incarnation.
 	Began func(l spoolsill.Life, r sched.RunID, remark string)
-	// Room is the number of runs that a worker can hold; a start beyond it is a
+	// Capacity is the number of runs that a worker can hold; a start beyond it is a
 	// violation. 0 means that this is not checked.
-	Room int
-	// RoomKnown is for how long after a reduction a worker's former capacity still
+	Capacity int
+	// CapacityGrace is for how long after a reduction a worker's former capacity still
 	// applies to the check.
-	RoomKnown time.Duration
+	CapacityGrace time.Duration
 	// Clock is the clock of the leaders; nil means the system's.
 	Clock *clock.Clock
-	// Crashes reports whether a run crashes its worker, and how long after its start;
-	// nil means that none does. Crashed, if not nil, is called after each such crash with
+	// CrashAfter reports whether a run crashes its worker, and how long after its start;
+	// nil means that none does. OnCrash, if not nil, is called after each such crash with
 	// the runs that are lost.
-	Crashes func(r sched.RunID) (after time.Duration, crashes bool)
-	Crashed func(w spoolsill.WorkerID, lost []sched.RunID)
+	CrashAfter func(r sched.RunID) (after time.Duration, crashes bool)
+	OnCrash    func(w spoolsill.WorkerID, lost []sched.RunID)
 
 	mu           sync.Mutex
 	workers      map[spoolsill.WorkerID]*worker
@@ -148,16 +148,16 @@
 // clockStep is the difference between the clocks of workers added in turn.
 const clockStep = 17 * time.Minute
 
-// Cut makes a worker unreachable, or reachable again. Meanwhile its runs go on
+// SetUnreachable makes a worker unreachable, or reachable again. Meanwhile its runs go on
 // until its lease expires.
-func (f *Workers) Cut(id spoolsill.WorkerID, unreachable bool) {
+func (f *Workers) SetUnreachable(id spoolsill.WorkerID, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].unreachable = unreachable
 }
 
-// Broken returns the violations that were recorded.
-func (f *Workers) Broken() []string {
+// Violations returns the violations that were recorded.
+func (f *Workers) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.violations
@@ -219,7 +219,7 @@
 	if replaced {
 		return nil, otherLifeReply()
 	}
-	fault := OrderWell
+	fault := OrderOK
 	if f.Fault != nil {
 		fault = f.Fault(id)
 	}
@@ -227,9 +227,9 @@
 		fault = OrderDrop
 	}
 	switch fault {
-	case OrderWell:
+	case OrderOK:
 		return w, leader.Reply{}
-	case OrderLose:
+	case OrderLoseReply:
 		f.withLock(w, carryOut)
 	case OrderLate:
 		time.AfterFunc(max(f.LateBy, minLateBy), func() { f.withCurrentLife(w, carryOut) })
@@ -435,8 +435,8 @@
 }
 
 func (f *Workers) start(w *worker, o leader.Start) leader.Reply {
-	if f.Ordered != nil {
-		f.Ordered(o.Order)
+	if f.OnStartOrder != nil {
+		f.OnStartOrder(o.Order)
 	}
 	k := f.startKind(w, o)
 	if k == leader.Fenced {
@@ -485,12 +485,12 @@
 			}
 		}
 	}
-	if f.Room > 0 && len(w.running) >= w.capacity.allowed(f.Room, f.RoomKnown) {
+	if f.Capacity > 0 && len(w.running) >= w.capacity.allowed(f.Capacity, f.CapacityGrace) {
 		f.violations = append(f.violations, fmt.Sprintf("%s#%d started at %s, which has no room", r.Task, r.Number, w.id))
 	}
 	took, kind := time.Second, sched.EndDone
-	if f.Work != nil {
-		took, kind = f.Work(r)
+	if f.RunResult != nil {
+		took, kind = f.RunResult(r)
 	}
 	w.running[r] = progress{
 		began: time.Now(),
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -276,12 +276,12 @@
 	return func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.writeFault = cellfake.StoreWell
+		x.writeFault = cellfake.StoreOK
 	}
 }
 
 func (x *run) loseWrites(context.Context) func() {
-	return x.setWriteFault(cellfake.StoreLose)
+	return x.setWriteFault(cellfake.StoreLoseReply)
 }
 
 func (x *run) delayWrites(context.Context) func() {
@@ -295,19 +295,19 @@
 	if rand.Float64() < x.writeFaultRate {
 		return x.writeFault
 	}
-	return cellfake.StoreWell
+	return cellfake.StoreOK
 }
 
 func (x *run) rejectStoreCalls(context.Context) func() {
-	x.store.TurnAway(true)
-	return func() { x.store.TurnAway(false) }
+	x.store.SetUnavailable(true)
+	return func() { x.store.SetUnavailable(false) }
 }
 
 func (x *run) dropStoreHistory(context.Context) func() {
-	x.store.Deafen(true)
+	x.store.SetFeedStalled(true)
 	return func() {
-		x.store.Forget()
-		x.store.Deafen(false)
+		x.store.DropHistory()
+		x.store.SetFeedStalled(false)
 	}
 }
 
@@ -319,12 +319,12 @@
 	return func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.orderFault = cellfake.OrderWell
+		x.orderFault = cellfake.OrderOK
 	}
 }
 
 func (x *run) loseOrders(context.Context) func() {
-	return x.setOrderFault(cellfake.OrderLose)
+	return x.setOrderFault(cellfake.OrderLoseReply)
 }
 
 func (x *run) delayOrders(context.Context) func() {
@@ -338,7 +338,7 @@
 	if rand.Float64() < x.orderFaultRate {
 		return x.orderFault
 	}
-	return cellfake.OrderWell
+	return cellfake.OrderOK
 }
 
 // configure makes a small change of the configuration.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -168,11 +168,11 @@
 	}
 	x.store.SetFault(x.writeFaultFor)
 	x.workers.Fault = x.orderFaultFor
-	x.workers.Room = workerCapacity
-	x.workers.RoomKnown = capacityGrace
-	x.workers.Work = x.work
-	x.workers.Crashes = func(r sched.RunID) (time.Duration, bool) { return crashAfter, crashesWorkers(r.Task.Stage.Job) }
-	x.workers.Crashed = x.workerCrashed
+	x.workers.Capacity = workerCapacity
+	x.workers.CapacityGrace = capacityGrace
+	x.workers.RunResult = x.work
+	x.workers.CrashAfter = func(r sched.RunID) (time.Duration, bool) { return crashAfter, crashesWorkers(r.Task.Stage.Job) }
+	x.workers.OnCrash = x.workerCrashed
 	if err := x.putConfig(x.version, x.addedRoutes); err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 	m.proxy = p
 	m.entry = wire.WorkerEntry{
 		ID:      id,
-		Born:    x.workers.LifeOf(id).Born,
+		Born:    x.workers.CurrentLife(id).Born,
 		Address: address,
 		Machine: "m" + string(id),
 		Rack:    "r1-1",
@@ -442,7 +442,7 @@
 		}
 	}
 	r.Jobs, r.Accepted, r.Ended, r.Starts = x.checker.Counts()
-	r.Broken = append(x.checker.Broken(), x.workers.Broken()...)
+	r.Broken = append(x.checker.Broken(), x.workers.Violations()...)
 	return r
 }
 
--- a/internal/soak/workerfaults.go
+++ b/internal/soak/workerfaults.go
@@ -152,7 +152,7 @@
 	m.restarts++
 	m.entry.ID = spoolsill.WorkerID(fmt.Sprintf("%s-%d", m.entry.Machine, m.restarts))
 	x.workers.Replace(old, m.entry.ID)
-	m.entry.Born = x.workers.LifeOf(m.entry.ID).Born
+	m.entry.Born = x.workers.CurrentLife(m.entry.ID).Born
 	m.activeID.Store(&m.entry.ID)
 	wire.DeleteWorker(x.store, old)
 	x.putEntry(m.entry)
@@ -233,7 +233,7 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.entry.Capacity.Processors = spoolsill.Millicores(runs) * spoolsill.Core
-		x.workers.SetRoom(m.entry.ID, runs)
+		x.workers.SetCapacity(m.entry.ID, runs)
 		x.putEntry(m.entry)
 		x.logEvent("%s has room for %d", m.entry.ID, runs)
 	}
--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -62,14 +62,14 @@
 
 // A write whose response is lost or late is repeated, and the job is stored once.
 func TestAcceptLostResponse(t *testing.T) {
-	for _, f := range []cellfake.StoreFault{cellfake.StoreLose, cellfake.StoreLate} {
+	for _, f := range []cellfake.StoreFault{cellfake.StoreLoseReply, cellfake.StoreLate} {
 		withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 			var calls atomic.Int32
 			s.SetFault(func(store.Transaction) cellfake.StoreFault {
 				if calls.Add(1) == 1 {
 					return f
 				}
-				return cellfake.StoreWell
+				return cellfake.StoreOK
 			})
 			o, _ := w.Accept(ctx, job("j", "s"))
 			c.Assert(o, qt.Equals, jobstore.Accepted)
@@ -87,7 +87,7 @@
 		var writes atomic.Int32
 		s.SetFault(func(store.Transaction) cellfake.StoreFault {
 			writes.Add(1)
-			return cellfake.StoreWell
+			return cellfake.StoreOK
 		})
 		var g sync.WaitGroup
 		for i := range 100 {
@@ -106,11 +106,11 @@
 // without a response from the store.
 func TestAcceptRefusedAndUnknown(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
-		s.TurnAway(true)
+		s.SetUnavailable(true)
 		o, _ := w.Accept(ctx, job("j", "s"))
 		c.Assert(o, qt.Equals, jobstore.Refused)
-		s.TurnAway(false)
-		s.SetFault(func(store.Transaction) cellfake.StoreFault { return cellfake.StoreLose })
+		s.SetUnavailable(false)
+		s.SetFault(func(store.Transaction) cellfake.StoreFault { return cellfake.StoreLoseReply })
 		short, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		o, _ = w.Accept(short, job("j", "s"))
@@ -125,7 +125,7 @@
 		var writes atomic.Int32
 		s.SetFault(func(store.Transaction) cellfake.StoreFault {
 			writes.Add(1)
-			return cellfake.StoreBreak
+			return cellfake.StoreReset
 		})
 		short, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -41,7 +41,7 @@
 	for i, id := range x.ids {
 		m.listLife(id, fmt.Sprintf("m%d", i))
 	}
-	x.workers.Crashed = m.crashed
+	x.workers.OnCrash = m.crashed
 	return m
 }
 
@@ -59,7 +59,7 @@
 func (m *machines) listLife(id spoolsill.WorkerID, machine string) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
-		Born:    m.workers.LifeOf(id).Born,
+		Born:    m.workers.CurrentLife(id).Born,
 		Machine: machine,
 		Service: "work",
 		Address: string(id),
@@ -89,7 +89,7 @@
 
 // keepIDs makes workers that crash restart under their ids after a time.
 func (m *machines) keepIDs(back time.Duration) {
-	m.workers.Crashed = func(id spoolsill.WorkerID, _ []sched.RunID) {
+	m.workers.OnCrash = func(id spoolsill.WorkerID, _ []sched.RunID) {
 		time.AfterFunc(back, func() {
 			m.workers.Restart(id)
 			m.listLife(id, m.machineOf(id))
@@ -104,7 +104,7 @@
 }
 
 func (m *machines) submitCrashing() {
-	m.workers.Crashes = func(r sched.RunID) (time.Duration, bool) {
+	m.workers.CrashAfter = func(r sched.RunID) (time.Duration, bool) {
 		return crashAfter, r.Task == crashing
 	}
 	m.submit(sched.Job{
@@ -143,7 +143,7 @@
 		m.c.Check(tasks, qt.Equals, int64(0))
 		m.c.Check(crashed > 0, qt.IsTrue)
 		pause.For(m.ctx, 30*time.Second)
-		m.c.Check(m.workers.Broken(), qt.HasLen, 0)
+		m.c.Check(m.workers.Violations(), qt.HasLen, 0)
 		s, ok := l.Status(crashing.Stage.Job)
 		m.c.Assert(ok, qt.IsTrue)
 		m.c.Check(s.State, qt.Equals, sched.Failed)
@@ -167,7 +167,7 @@
 					l = m.lead(spoolsill.HostID(fmt.Sprintf("host%d", i+1)))
 				}
 				pause.For(m.ctx, 40*time.Second)
-				m.c.Check(m.workers.Broken(), qt.HasLen, 0)
+				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
 				s, ok := l.Status(crashing.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
@@ -190,8 +190,8 @@
 				m.submitCrashing()
 				ids := m.submitTasks("job", 24)
 				pause.For(m.ctx, 40*time.Second)
-				m.c.Check(m.workers.Broken(), qt.HasLen, 0)
-				m.c.Check(m.workers.CrashesOf(crashing) <= 5, qt.IsTrue)
+				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
+				m.c.Check(m.workers.CrashCount(crashing) <= 5, qt.IsTrue)
 				s, ok := l.Status(crashing.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
@@ -218,7 +218,7 @@
 					l = m.lead(spoolsill.HostID(fmt.Sprintf("host%d", i+1)))
 				}
 				pause.For(m.ctx, 40*time.Second)
-				m.c.Check(m.workers.Broken(), qt.HasLen, 0)
+				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
 				s, ok := l.Status(crashing.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
--- a/store/hedge_test.go
+++ b/store/hedge_test.go
@@ -45,7 +45,7 @@
 func TestCommitHedgedSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := cellfake.NewStore()
-		s.Slow(800 * time.Millisecond)
+		s.SetExtraLatency(800 * time.Millisecond)
 		start := time.Now()
 		r, took, err := store.CommitHedged(t.Context(), s, insertRow("a"), hedgePolicy)
 		qt.Assert(t, err, qt.IsNil)
@@ -64,9 +64,9 @@
 		var tries atomic.Int32
 		s.SetFault(func(store.Transaction) cellfake.StoreFault {
 			if tries.Add(1) == 1 {
-				return cellfake.StoreLose
+				return cellfake.StoreLoseReply
 			}
-			return cellfake.StoreWell
+			return cellfake.StoreOK
 		})
 		r, took, err := store.CommitHedged(t.Context(), s, insertRow("a"), hedgePolicy)
 		qt.Assert(t, err, qt.IsNil)
@@ -83,8 +83,8 @@
 		want   error
 	}{
 		"refused":            {[]cellfake.StoreFault{cellfake.StoreRefuse}, store.ErrRefused},
-		"broken":             {[]cellfake.StoreFault{cellfake.StoreBreak}, store.ErrUnknownOutcome},
-		"lost, then refused": {[]cellfake.StoreFault{cellfake.StoreLose, cellfake.StoreRefuse, cellfake.StoreRefuse, cellfake.StoreRefuse}, store.ErrUnknownOutcome},
+		"broken":             {[]cellfake.StoreFault{cellfake.StoreReset}, store.ErrUnknownOutcome},
+		"lost, then refused": {[]cellfake.StoreFault{cellfake.StoreLoseReply, cellfake.StoreRefuse, cellfake.StoreRefuse, cellfake.StoreRefuse}, store.ErrUnknownOutcome},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s := cellfake.NewStore()
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -394,7 +394,7 @@
 				Name:  "forgotten",
 			},
 		})
-		inner.Forget() // causes a new listing
+		inner.DropHistory() // causes a new listing
 		pause.For(ctx, 20*time.Second)
 		age := f.Age(time.Now())
 		qt.Check(t, age > 18*time.Second, qt.IsTrue, qt.Commentf("age %s while calls hang", age))
