--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -87,10 +87,10 @@
 		return err
 	}
 	fmt.Printf("seed %d: %s\n", seed, r)
-	for _, b := range r.Broken {
+	for _, b := range r.Violations {
 		fmt.Println("  ", b)
 	}
-	if len(r.Broken) == 0 {
+	if len(r.Violations) == 0 {
 		return os.RemoveAll(dir)
 	}
 	failed <- seed
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -15,9 +15,9 @@
 // tasks may still arrive: the platform allows a second.
 const lateStartTime = time.Second
 
-// A Judge records what clients were told of their jobs and which runs workers have
+// A Checker records what clients were told of their jobs and which runs workers have
 // started, and reports violations of the cell's guarantees. It is safe for concurrent use.
-type Judge struct {
+type Checker struct {
 	mu     sync.Mutex
 	jobs   map[spoolsill.JobID]*jobRecord
 	broken []string
@@ -47,9 +47,9 @@
 	lostRuns map[sched.TaskID]int
 }
 
-// NewJudge returns a checker without records.
-func NewJudge() *Judge {
-	return &Judge{
+// NewChecker returns a checker without records.
+func NewChecker() *Checker {
+	return &Checker{
 		jobs:          map[spoolsill.JobID]*jobRecord{},
 		began:         time.Now(),
 		configAckedAt: map[int]time.Time{},
@@ -57,19 +57,19 @@
 	}
 }
 
-func (j *Judge) violation(format string, args ...any) {
+func (j *Checker) violation(format string, args ...any) {
 	j.broken = append(j.broken, fmt.Sprintf("%7.3f s: ", time.Since(j.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Broken returns a copy of the violations that were found.
-func (j *Judge) Broken() []string {
+// Violations returns a copy of the violations that were found.
+func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.broken...)
 }
 
-// HandIn records that a job is about to be submitted.
-func (j *Judge) HandIn(id spoolsill.JobID, steps []step) {
+// SubmitSent records that a job is about to be submitted.
+func (j *Checker) SubmitSent(id spoolsill.JobID, steps []step) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.jobs[id]
@@ -92,8 +92,8 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// HandedIn records the answer to a submission; status 0 means that there was none.
-func (j *Judge) HandedIn(id spoolsill.JobID, status int) {
+// SubmitAnswered records the answer to a submission; status 0 means that there was none.
+func (j *Checker) SubmitAnswered(id spoolsill.JobID, status int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.jobs[id]
@@ -109,30 +109,30 @@
 }
 
 // CancelSent records that a job is about to be cancelled.
-func (j *Judge) CancelSent(id spoolsill.JobID) {
+func (j *Checker) CancelSent(id spoolsill.JobID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id].cancelSent = true
 }
 
-// Cancelled records that a cancellation was acknowledged.
-func (j *Judge) Cancelled(id spoolsill.JobID) {
+// CancelAcked records that a cancellation was acknowledged.
+func (j *Checker) CancelAcked(id spoolsill.JobID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id].cancelAcked = true
 }
 
-// Over reports whether the cancellation of a job was acknowledged.
-func (j *Judge) Over(id spoolsill.JobID) bool {
+// IsCancelAcked reports whether the cancellation of a job was acknowledged.
+func (j *Checker) IsCancelAcked(id spoolsill.JobID) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.jobs[id]
 	return r != nil && r.cancelAcked
 }
 
-// Shown records and checks the state of a job that a client was told; "gone" means
+// StateReported records and checks the state of a job that a client was told; "gone" means
 // that there is no such job.
-func (j *Judge) Shown(id spoolsill.JobID, state string) {
+func (j *Checker) StateReported(id spoolsill.JobID, state string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.jobs[id]
@@ -179,8 +179,8 @@
 	return false
 }
 
-// Lost records the runs that were lost with a crashed worker.
-func (j *Judge) Lost(runs []sched.RunID) {
+// RunsLost records the runs that were lost with a crashed worker.
+func (j *Checker) RunsLost(runs []sched.RunID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, x := range runs {
@@ -195,7 +195,7 @@
 }
 
 // checkCompleted records a violation for each step of the job that can't be done yet.
-func (j *Judge) checkCompleted(id spoolsill.JobID, r *jobRecord) {
+func (j *Checker) checkCompleted(id spoolsill.JobID, r *jobRecord) {
 	done := make([]int, len(r.steps))
 	for t, at := range r.earliestDone {
 		if !at.After(time.Now()) {
@@ -210,9 +210,9 @@
 	}
 }
 
-// Started records and checks that a worker has started a run, with its duration and the
+// RunStarted records and checks that a worker has started a run, with its duration and the
 // kind of its end unless it is ended from outside.
-func (j *Judge) Started(x sched.RunID, took time.Duration, k sched.EndKind) {
+func (j *Checker) RunStarted(x sched.RunID, took time.Duration, k sched.EndKind) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	id := x.Task.Stage.Job
@@ -237,8 +237,8 @@
 	}
 }
 
-// Lasting returns the long-running jobs that were accepted and not cancelled.
-func (j *Judge) Lasting() []spoolsill.JobID {
+// LongRunningJobs returns the long-running jobs that were accepted and not cancelled.
+func (j *Checker) LongRunningJobs() []spoolsill.JobID {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var ids []spoolsill.JobID
@@ -251,8 +251,8 @@
 	return ids
 }
 
-// Open returns the jobs that were accepted and not reported as ended.
-func (j *Judge) Open() []spoolsill.JobID {
+// OpenJobs returns the jobs that were accepted and not reported as ended.
+func (j *Checker) OpenJobs() []spoolsill.JobID {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var ids []spoolsill.JobID
@@ -264,8 +264,8 @@
 	return ids
 }
 
-// NeverEnded records a violation for each job that has not ended in time.
-func (j *Judge) NeverEnded(ids []spoolsill.JobID) {
+// JobsNotEnded records a violation for each job that has not ended in time.
+func (j *Checker) JobsNotEnded(ids []spoolsill.JobID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, id := range ids {
@@ -273,32 +273,32 @@
 	}
 }
 
-// StillThere records the violation that runs of cancelled jobs go on.
-func (j *Judge) StillThere(runs int) {
+// CancelledRunsActive records the violation that runs of cancelled jobs go on.
+func (j *Checker) CancelledRunsActive(runs int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violation("%d runs of cancelled jobs go on", runs)
 }
 
-// WentBack records the violation that a host went back to an older configuration than
+// ConfigReverted records the violation that a host went back to an older configuration than
 // it had in force.
-func (j *Judge) WentBack(host string, version, shows int) {
+func (j *Checker) ConfigReverted(host string, version, shows int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violation("host %s had configuration %d in force and shows %d", host, version, shows)
 }
 
-// ServedUnknown records the violation that a host served a call with a key that was
+// UnknownKeyServed records the violation that a host served a call with a key that was
 // never configured.
-func (j *Judge) ServedUnknown(host string) {
+func (j *Checker) UnknownKeyServed(host string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violation("host %s served a call with a key that was never configured", host)
 }
 
-// Ended records a violation for an error of the run: a host that exited unexpectedly or
+// Failed records a violation for an error of the run: a host that exited unexpectedly or
 // could not be started, or a write to the store's fake that failed.
-func (j *Judge) Ended(err error) {
+func (j *Checker) Failed(err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.violation("%s", err)
@@ -306,7 +306,7 @@
 
 // Counts returns how many jobs were submitted, accepted and reported as ended, and how many
 // runs were started.
-func (j *Judge) Counts() (jobs, accepted, ended, starts int) {
+func (j *Checker) Counts() (jobs, accepted, ended, starts int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, r := range j.jobs {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -32,7 +32,7 @@
 	number  int
 	random  *rand.Rand
 	hosts   []string // addresses
-	checker *Judge
+	checker *Checker
 	http    *http.Client
 	created int
 	open    []submission
@@ -45,7 +45,7 @@
 	path string
 }
 
-func newClient(number int, seed uint64, hosts []string, j *Judge) *client {
+func newClient(number int, seed uint64, hosts []string, j *Checker) *client {
 	return &client{
 		number:  number,
 		random:  rand.New(rand.NewPCG(seed, uint64(number))), //nolint:gosec // a seed is to give the same plan each time
@@ -179,9 +179,9 @@
 	h, body, steps := c.newJob()
 	c.open = append(c.open, h)
 	for range maxSubmits {
-		c.checker.HandIn(h.id, steps)
+		c.checker.SubmitSent(h.id, steps)
 		status, _ := c.call(ctx, http.MethodPost, h.path, body)
-		c.checker.HandedIn(h.id, status)
+		c.checker.SubmitAnswered(h.id, status)
 		if status == http.StatusOK || isRefusal(status) {
 			return
 		}
@@ -213,10 +213,10 @@
 		if err := json.Unmarshal([]byte(body), &s); err != nil {
 			return ""
 		}
-		c.checker.Shown(h.id, s.State)
+		c.checker.StateReported(h.id, s.State)
 		return s.State
 	case http.StatusGone:
-		c.checker.Shown(h.id, "gone")
+		c.checker.StateReported(h.id, "gone")
 	}
 	return ""
 }
@@ -233,7 +233,7 @@
 	c.checker.CancelSent(h.id)
 	status, _ := c.call(ctx, http.MethodDelete, h.path, "")
 	if status == http.StatusOK {
-		c.checker.Cancelled(h.id)
+		c.checker.CancelAcked(h.id)
 	}
 	return status == http.StatusOK || status == http.StatusGone
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -13,7 +13,7 @@
 // to the leader through the links of both hosts. Calls of the leader to other hosts, which
 // tell it their addresses themselves, and calls of clients and to workers use no link.
 //
-// A [Judge] records what clients were told and which runs workers started, and reports
+// A [Checker] records what clients were told and which runs workers started, and reports
 // violations. It does not check how fast work is done, only that all of it ends after the
 // last fault, and that a configuration is in force within configTime at each host without
 // a fault.
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -19,7 +19,7 @@
 	ConfigTime    = configTime
 	PieceBytes    = pieceBytes
 	PeerPort      = peerPort
-	FirstViewPort = firstLinkPort
+	FirstLinkPort = firstLinkPort
 )
 
 // Carry exposes carry to tests.
@@ -27,7 +27,7 @@
 	return p.carry(ctx, bytes, back)
 }
 
-// NewView exposes newStoreView to tests.
-func NewView(host int, storeAt string) http.Handler {
+// NewStoreView exposes newStoreView to tests.
+func NewStoreView(host int, storeAt string) http.Handler {
 	return newStoreView(host, storeAt)
 }
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -78,12 +78,12 @@
 // function that also reports its end.
 func (x *run) reportFault(heal func(), hosts ...*Process) func() {
 	for _, p := range hosts {
-		x.checker.HarmBegins(p.Settings.Host)
+		x.checker.FaultBegins(p.Settings.Host)
 	}
 	return func() {
 		heal()
 		for _, p := range hosts {
-			x.checker.HarmEnds(p.Settings.Host, time.Now())
+			x.checker.FaultEnds(p.Settings.Host, time.Now())
 		}
 	}
 }
@@ -101,7 +101,7 @@
 
 func (x *run) restart(p *Process) {
 	if err := p.Start(); err != nil {
-		x.checker.Ended(err)
+		x.checker.Failed(err)
 	}
 }
 
@@ -218,7 +218,7 @@
 		heals = append(heals, func() { p.Set(Pass) })
 	}
 	heals = append(heals, x.killLeader(ctx))
-	for _, id := range x.checker.Lasting() {
+	for _, id := range x.checker.LongRunningJobs() {
 		x.logEvent("cancels %s", id)
 		go c.cancelJob(ctx, submission{
 			id:   id,
@@ -253,7 +253,7 @@
 
 func (x *run) putEntry(e wire.WorkerEntry) {
 	if err := wire.PutWorker(x.store, e); err != nil {
-		x.checker.Ended(err)
+		x.checker.Failed(err)
 	}
 }
 
--- a/internal/soak/hostfaults.go
+++ b/internal/soak/hostfaults.go
@@ -18,23 +18,23 @@
 	lastMissing int // the newest version reported as not in force
 }
 
-// Configured records when the store acknowledged a configuration.
-func (j *Judge) Configured(version int, at time.Time) {
+// ConfigAcked records when the store acknowledged a configuration.
+func (j *Checker) ConfigAcked(version int, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.configAckedAt[version] = at
 }
 
-// HarmBegins records that a fault of a host, of its connections to the store or of the
+// FaultBegins records that a fault of a host, of its connections to the store or of the
 // store has begun.
-func (j *Judge) HarmBegins(host string) {
+func (j *Checker) FaultBegins(host string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.faultsOf(host).active++
 }
 
-// HarmEnds records that one fault has ended.
-func (j *Judge) HarmEnds(host string, at time.Time) {
+// FaultEnds records that one fault has ended.
+func (j *Checker) FaultEnds(host string, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	t := j.faultsOf(host)
@@ -42,7 +42,7 @@
 	t.lastHealed = at
 }
 
-func (j *Judge) faultsOf(host string) *faultHistory {
+func (j *Checker) faultsOf(host string) *faultHistory {
 	t := j.hostFaults[host]
 	if t == nil {
 		t = &faultHistory{
@@ -53,10 +53,10 @@
 	return t
 }
 
-// Misses records that the answer of a host to a request sent at the given time shows
+// ConfigMissing records that the answer of a host to a request sent at the given time shows
 // that a version is not in force there. This is a violation, reported once for each
 // version, if the host has had configTime to apply the version.
-func (j *Judge) Misses(host string, version int, sent time.Time) {
+func (j *Checker) ConfigMissing(host string, version int, sent time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	t := j.faultsOf(host)
--- a/internal/soak/hostfaults_test.go
+++ b/internal/soak/hostfaults_test.go
@@ -11,7 +11,7 @@
 
 // A host that lacks a configuration violates a guarantee only configTime after the
 // acknowledgement and after its last fault.
-func TestJudgeFindsHostsThatMissAConfiguration(t *testing.T) {
+func TestCheckerFindsMissingConfigurations(t *testing.T) {
 	const (
 		host   = "host0"
 		soon   = soak.ConfigTime - time.Millisecond
@@ -20,55 +20,55 @@
 	)
 	tests := map[string]struct {
 		broken int
-		play   func(j *soak.Judge, acked time.Time)
+		play   func(j *soak.Checker, acked time.Time)
 	}{
-		"in time": {0, func(j *soak.Judge, acked time.Time) {
-			j.Misses(host, 1, acked.Add(soon))
+		"in time": {0, func(j *soak.Checker, acked time.Time) {
+			j.ConfigMissing(host, 1, acked.Add(soon))
 		}},
-		"late": {1, func(j *soak.Judge, acked time.Time) {
-			j.Misses(host, 1, acked.Add(late))
+		"late": {1, func(j *soak.Checker, acked time.Time) {
+			j.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"found twice": {1, func(j *soak.Judge, acked time.Time) {
-			j.Misses(host, 1, acked.Add(late))
-			j.Misses(host, 1, acked.Add(2*late))
+		"found twice": {1, func(j *soak.Checker, acked time.Time) {
+			j.ConfigMissing(host, 1, acked.Add(late))
+			j.ConfigMissing(host, 1, acked.Add(2*late))
 		}},
-		"two versions": {2, func(j *soak.Judge, acked time.Time) {
-			j.Configured(2, acked.Add(time.Second))
-			j.Misses(host, 1, acked.Add(late))
-			j.Misses(host, 2, acked.Add(2*late))
+		"two versions": {2, func(j *soak.Checker, acked time.Time) {
+			j.ConfigAcked(2, acked.Add(time.Second))
+			j.ConfigMissing(host, 1, acked.Add(late))
+			j.ConfigMissing(host, 2, acked.Add(2*late))
 		}},
-		"while it is harmed": {0, func(j *soak.Judge, acked time.Time) {
-			j.HarmBegins(host)
-			j.Misses(host, 1, acked.Add(late))
+		"while it is harmed": {0, func(j *soak.Checker, acked time.Time) {
+			j.FaultBegins(host)
+			j.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"while one of two harms goes on": {0, func(j *soak.Judge, acked time.Time) {
-			j.HarmBegins(host)
-			j.HarmBegins(host)
-			j.HarmEnds(host, acked)
-			j.Misses(host, 1, acked.Add(late))
+		"while one of two harms goes on": {0, func(j *soak.Checker, acked time.Time) {
+			j.FaultBegins(host)
+			j.FaultBegins(host)
+			j.FaultEnds(host, acked)
+			j.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"soon after a harm": {0, func(j *soak.Judge, acked time.Time) {
-			j.HarmBegins(host)
-			j.HarmEnds(host, acked.Add(middle))
-			j.Misses(host, 1, acked.Add(late))
+		"soon after a harm": {0, func(j *soak.Checker, acked time.Time) {
+			j.FaultBegins(host)
+			j.FaultEnds(host, acked.Add(middle))
+			j.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"long after a harm": {1, func(j *soak.Judge, acked time.Time) {
-			j.HarmBegins(host)
-			j.HarmEnds(host, acked.Add(middle))
-			j.Misses(host, 1, acked.Add(middle+late))
+		"long after a harm": {1, func(j *soak.Checker, acked time.Time) {
+			j.FaultBegins(host)
+			j.FaultEnds(host, acked.Add(middle))
+			j.ConfigMissing(host, 1, acked.Add(middle+late))
 		}},
-		"another host is harmed": {1, func(j *soak.Judge, acked time.Time) {
-			j.HarmBegins("host1")
-			j.Misses(host, 1, acked.Add(late))
+		"another host is harmed": {1, func(j *soak.Checker, acked time.Time) {
+			j.FaultBegins("host1")
+			j.ConfigMissing(host, 1, acked.Add(late))
 		}},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := soak.NewJudge()
+			j := soak.NewChecker()
 			acked := time.Now()
-			j.Configured(1, acked)
+			j.ConfigAcked(1, acked)
 			x.play(j, acked)
-			qt.Assert(t, j.Broken(), qt.HasLen, x.broken)
+			qt.Assert(t, j.Violations(), qt.HasLen, x.broken)
 		})
 	}
 }
--- a/internal/soak/keys.go
+++ b/internal/soak/keys.go
@@ -54,7 +54,7 @@
 // whatever version the host has.
 func (x *run) keysOutdated(ctx context.Context, c *client, p *Process, version int) bool {
 	if x.countStatus(ctx, c, p, noKey) == http.StatusOK {
-		x.checker.ServedUnknown(p.Settings.Host)
+		x.checker.UnknownKeyServed(p.Settings.Host)
 	}
 	dropped := version - keyLifetime
 	return x.countStatus(ctx, c, p, versionKey(version)) == http.StatusUnauthorized ||
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -104,10 +104,10 @@
 	added := x.addedRoutes
 	x.mu.Unlock()
 	if err := x.putConfig(version, added); err != nil {
-		x.checker.Ended(err)
+		x.checker.Failed(err)
 		return
 	}
-	x.checker.Configured(version, time.Now())
+	x.checker.ConfigAcked(version, time.Now())
 	x.mu.Lock()
 	x.version = version
 	x.mu.Unlock()
@@ -175,19 +175,19 @@
 	defer c.http.CloseIdleConnections()
 	life, seen := 0, 0
 	for wait(ctx, pollInterval) {
-		if n := p.Lives(); n != life {
+		if n := p.StartCount(); n != life {
 			life, seen = n, 0
 		}
 		v, ok := activeVersion(ctx, c, p)
-		if !ok || p.Lives() != life {
+		if !ok || p.StartCount() != life {
 			continue
 		}
 		if v < seen {
-			x.checker.WentBack(p.Settings.Host, seen, v)
+			x.checker.ConfigReverted(p.Settings.Host, seen, v)
 		}
 		seen = max(seen, v)
-		if seen > 0 && x.lacksRoute(ctx, c, p, seen) && p.Lives() == life {
-			x.checker.WentBack(p.Settings.Host, seen, seen-1)
+		if seen > 0 && x.lacksRoute(ctx, c, p, seen) && p.StartCount() == life {
+			x.checker.ConfigReverted(p.Settings.Host, seen, seen-1)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		newest := x.newestVersion()
 		sent := time.Now()
 		if v, ok := activeVersion(ctx, c, p); ok && v < newest || x.lacksRoute(ctx, c, p, newest) || x.keysOutdated(ctx, c, p, newest) {
-			x.checker.Misses(p.Settings.Host, newest, sent)
+			x.checker.ConfigMissing(p.Settings.Host, newest, sent)
 		}
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -93,15 +93,15 @@
 	close(ended)
 }
 
-// Lives returns how often the host was started.
-func (p *Process) Lives() int {
+// StartCount returns how often the host was started.
+func (p *Process) StartCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lives
 }
 
-// Stray returns the joined errors of processes that ended without being told to.
-func (p *Process) Stray() error {
+// UnexpectedExits returns the joined errors of processes that ended without being told to.
+func (p *Process) UnexpectedExits() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.unexpected
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -41,18 +41,18 @@
 
 // A Result is the outcome of a run.
 type Result struct {
-	Jobs     int
-	Accepted int
-	Ended    int
-	Starts   int
-	Lives    int // starts of host processes
-	Crashes  int // restarts of workers that crashed
-	Broken   []string
+	Jobs       int
+	Accepted   int
+	Ended      int
+	RunStarts  int
+	HostStarts int // starts of host processes
+	Crashes    int // restarts of workers that crashed
+	Violations []string
 }
 
 // String returns a summary of the result.
 func (r Result) String() string {
-	return fmt.Sprintf("%d jobs, %d accepted, %d ended, %d starts, %d lives of hosts, %d crashes of workers, broken promises: %d", r.Jobs, r.Accepted, r.Ended, r.Starts, r.Lives, r.Crashes, len(r.Broken))
+	return fmt.Sprintf("%d jobs, %d accepted, %d ended, %d starts, %d lives of hosts, %d crashes of workers, broken promises: %d", r.Jobs, r.Accepted, r.Ended, r.RunStarts, r.HostStarts, r.Crashes, len(r.Violations))
 }
 
 const (
@@ -91,7 +91,7 @@
 	ctx            context.Context //nolint:containedctx // of the whole run; faults outlive the functions that begin them
 	random         *rand.Rand
 	began          time.Time
-	checker        *Judge
+	checker        *Checker
 	store          *cellfake.Store
 	workers        *cellfake.Workers
 	machines       []*machine
@@ -124,7 +124,7 @@
 		ctx:      ctx,
 		random:   rand.New(rand.NewPCG(c.Seed, 1)), //nolint:gosec // a seed is to give the same plan each time
 		began:    time.Now(),
-		checker:  NewJudge(),
+		checker:  NewChecker(),
 		store:    cellfake.NewStore(),
 		workers:  cellfake.NewWorkers(lease),
 		eventLog: &bytes.Buffer{},
@@ -203,11 +203,11 @@
 // work chooses the duration and the end of a run, and records its start.
 func (x *run) work(r sched.RunID) (time.Duration, sched.EndKind) {
 	if isLongRunning(r.Task.Stage.Job) {
-		x.checker.Started(r, longTaskTime, sched.EndDone)
+		x.checker.RunStarted(r, longTaskTime, sched.EndDone)
 		return longTaskTime, sched.EndDone
 	}
 	if crashesWorkers(r.Task.Stage.Job) {
-		x.checker.Started(r, longTaskTime, sched.EndDone)
+		x.checker.RunStarted(r, longTaskTime, sched.EndDone)
 		return longTaskTime, sched.EndDone
 	}
 	d := minTaskTime + rand.N(taskSpread)
@@ -215,7 +215,7 @@
 	if rand.Float64() < failureRate {
 		k = sched.EndFailed
 	}
-	x.checker.Started(r, d, k)
+	x.checker.RunStarted(r, d, k)
 	return d, k
 }
 
@@ -383,7 +383,7 @@
 // cancelLongRunning cancels the long-running jobs, and checks that no task of a cancelled
 // job runs on.
 func (x *run) cancelLongRunning(ctx context.Context, c *client) {
-	for _, id := range x.checker.Open() {
+	for _, id := range x.checker.OpenJobs() {
 		h := submission{
 			id:   id,
 			path: queues[0] + string(id),
@@ -393,11 +393,11 @@
 		}
 	}
 	for end := time.Now().Add(cancelTime); time.Now().Before(end); {
-		if x.workers.RunningOf(x.checker.Over) == 0 || !wait(ctx, pollInterval) {
+		if x.workers.RunningOf(x.checker.IsCancelAcked) == 0 || !wait(ctx, pollInterval) {
 			return
 		}
 	}
-	x.checker.StillThere(x.workers.RunningOf(x.checker.Over))
+	x.checker.CancelledRunsActive(x.workers.RunningOf(x.checker.IsCancelAcked))
 }
 
 // settle polls the accepted jobs until all have ended, for at most settleTime.
@@ -406,7 +406,7 @@
 	ctx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
 	for ctx.Err() == nil {
-		open := x.checker.Open()
+		open := x.checker.OpenJobs()
 		if len(open) == 0 {
 			return
 		}
@@ -418,7 +418,7 @@
 		}
 		wait(ctx, pollInterval)
 	}
-	x.checker.NeverEnded(x.checker.Open())
+	x.checker.JobsNotEnded(x.checker.OpenJobs())
 }
 
 // stopHosts stops all hosts gracefully, and kills those that do not end in time.
@@ -436,13 +436,13 @@
 		r.Crashes += m.crashCount()
 	}
 	for _, p := range x.hosts {
-		r.Lives += p.Lives()
-		if err := p.Stray(); err != nil {
-			x.checker.Ended(err)
+		r.HostStarts += p.StartCount()
+		if err := p.UnexpectedExits(); err != nil {
+			x.checker.Failed(err)
 		}
 	}
-	r.Jobs, r.Accepted, r.Ended, r.Starts = x.checker.Counts()
-	r.Broken = append(x.checker.Broken(), x.workers.Violations()...)
+	r.Jobs, r.Accepted, r.Ended, r.RunStarts = x.checker.Counts()
+	r.Violations = append(x.checker.Violations(), x.workers.Violations()...)
 	return r
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -79,7 +79,7 @@
 	})
 	t.Logf("seed %d: %s", seed, r)
 	well := qt.Check(t, err, qt.IsNil)
-	well = qt.Check(t, r.Broken, qt.HasLen, 0, qt.Commentf("logs of seed %d are in %s", seed, dir)) && well
+	well = qt.Check(t, r.Violations, qt.HasLen, 0, qt.Commentf("logs of seed %d are in %s", seed, dir)) && well
 	well = qt.Check(t, r.Accepted > 0, qt.IsTrue) && well
 	well = qt.Check(t, r.Crashes > 0, qt.Equals, troubled) && well
 	if well {
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestJudgeFindsBrokenPromises(t *testing.T) {
+func TestCheckerFindsViolations(t *testing.T) {
 	const id = spoolsill.JobID("j")
 	first := sched.RunID{
 		Task: sched.TaskID{
@@ -99,88 +99,88 @@
 	}
 	tests := map[string]struct {
 		broken int
-		play   func(j *soak.Judge)
+		play   func(j *soak.Checker)
 	}{
-		"all is well": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, 0, sched.EndDone)
-			j.Shown(id, "completed")
+		"all is well": {0, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.RunStarted(first, 0, sched.EndDone)
+			j.StateReported(id, "completed")
 		}},
-		"lost": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Shown(id, "gone")
+		"lost": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.StateReported(id, "gone")
 		}},
-		"not accepted and gone": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusGatewayTimeout)
-			j.Shown(id, "gone")
+		"not accepted and gone": {0, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusGatewayTimeout)
+			j.StateReported(id, "gone")
 		}},
-		"refused and started": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusServiceUnavailable)
-			j.Started(first, 0, sched.EndDone)
+		"refused and started": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusServiceUnavailable)
+			j.RunStarted(first, 0, sched.EndDone)
 		}},
-		"no answer and started": {0, func(j *soak.Judge) {
-			j.HandedIn(id, 0)
-			j.Started(first, 0, sched.EndDone)
+		"no answer and started": {0, func(j *soak.Checker) {
+			j.SubmitAnswered(id, 0)
+			j.RunStarted(first, 0, sched.EndDone)
 		}},
-		"completed too early": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, time.Hour, sched.EndDone)
-			j.Shown(id, "completed")
+		"completed too early": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.RunStarted(first, time.Hour, sched.EndDone)
+			j.StateReported(id, "completed")
 		}},
-		"completed by a failure": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, 0, sched.EndFailed)
-			j.Shown(id, "completed")
+		"completed by a failure": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.RunStarted(first, 0, sched.EndFailed)
+			j.StateReported(id, "completed")
 		}},
-		"cancelled by nobody": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Shown(id, "cancelled")
+		"cancelled by nobody": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.StateReported(id, "cancelled")
 		}},
-		"failed without cause": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, 0, sched.EndFailed)
-			j.Started(first, 0, sched.EndFailed)
-			j.Lost([]sched.RunID{first})
-			j.Shown(id, "failed")
+		"failed without cause": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.RunStarted(first, 0, sched.EndFailed)
+			j.RunStarted(first, 0, sched.EndFailed)
+			j.RunsLost([]sched.RunID{first})
+			j.StateReported(id, "failed")
 		}},
-		"failed as often as its queue allows": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
+		"failed as often as its queue allows": {0, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
 			for range 3 {
-				j.Started(first, 0, sched.EndFailed)
+				j.RunStarted(first, 0, sched.EndFailed)
 			}
-			j.Shown(id, "failed")
+			j.StateReported(id, "failed")
 		}},
-		"given up": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Lost([]sched.RunID{first})
-			j.Lost([]sched.RunID{first})
-			j.Shown(id, "failed")
+		"given up": {0, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.RunsLost([]sched.RunID{first})
+			j.RunsLost([]sched.RunID{first})
+			j.StateReported(id, "failed")
 		}},
-		"goes back": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Lost([]sched.RunID{first})
-			j.Lost([]sched.RunID{first})
-			j.Shown(id, "failed")
-			j.Shown(id, "running")
+		"goes back": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.RunsLost([]sched.RunID{first})
+			j.RunsLost([]sched.RunID{first})
+			j.StateReported(id, "failed")
+			j.StateReported(id, "running")
 		}},
-		"never ends": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.NeverEnded(j.Open())
+		"never ends": {1, func(j *soak.Checker) {
+			j.SubmitAnswered(id, http.StatusOK)
+			j.JobsNotEnded(j.OpenJobs())
 		}},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := soak.NewJudge()
-			j.HandIn(id, soak.OneTask())
+			j := soak.NewChecker()
+			j.SubmitSent(id, soak.OneTask())
 			x.play(j)
-			qt.Assert(t, j.Broken(), qt.HasLen, x.broken)
+			qt.Assert(t, j.Violations(), qt.HasLen, x.broken)
 		})
 	}
 }
 
 // A proxy forwards a call, resets one, and forwards data that was held back once the mode
 // allows it.
-func TestProxyDoesAsItsModeSays(t *testing.T) {
+func TestProxyModes(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/soak/view_test.go
+++ b/internal/soak/view_test.go
@@ -17,11 +17,11 @@
 )
 
 // A host that reads the leader's row gets the address of the proxy between the two.
-func TestHostIsShownTheLeaderBehindTheirLinks(t *testing.T) {
+func TestHostReadsLeaderAddressOfLink(t *testing.T) {
 	s := cellfake.NewStore()
 	at := httptest.NewServer(wire.Store(s))
 	defer at.Close()
-	seen := httptest.NewServer(soak.NewView(3, at.Listener.Addr().String()))
+	seen := httptest.NewServer(soak.NewStoreView(3, at.Listener.Addr().String()))
 	defer seen.Close()
 	c := platform.NewStore(seen.Listener.Addr().String(), nil)
 	h, _, err := leader.ReadHead(t.Context(), c)
@@ -42,6 +42,6 @@
 	h, v, err := leader.ReadHead(t.Context(), c)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, v, qt.Equals, store.Version(1))
-	want.Address = fmt.Sprint("127.0.0.9:", soak.FirstViewPort+3)
+	want.Address = fmt.Sprint("127.0.0.9:", soak.FirstLinkPort+3)
 	qt.Assert(t, h, qt.Equals, want)
 }
--- a/internal/soak/workerfaults.go
+++ b/internal/soak/workerfaults.go
@@ -101,7 +101,7 @@
 // a new one.
 func (x *run) workerCrashed(id spoolsill.WorkerID, lost []sched.RunID) {
 	x.logEvent("%s crashes with %d runs", id, len(lost))
-	x.checker.Lost(lost)
+	x.checker.RunsLost(lost)
 	for _, m := range x.machines {
 		if m.current().ID == id && m.markDown() {
 			go x.restartMachine(m, rand.New(rand.NewPCG(rand.Uint64(), 0))) //nolint:gosec // no secret
@@ -218,9 +218,9 @@
 		},
 	}
 	for range maxSubmits {
-		c.checker.HandIn(id, steps)
+		c.checker.SubmitSent(id, steps)
 		status, _ := c.call(ctx, http.MethodPost, queues[0]+string(id), `{"spec":"crashes","steps":[{"count":1,"cpu":1000,"estMs":400}]}`)
-		c.checker.HandedIn(id, status)
+		c.checker.SubmitAnswered(id, status)
 		if status == http.StatusOK || isRefusal(status) || !wait(ctx, maxThinkTime) {
 			return
 		}
