--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs hosts as processes of their own, harms them from outside and
-// checks the promises meanwhile. See docs/OPERATIONS.md.
+// Command soak runs hosts as separate processes, injects faults into them and their
+// network, and checks meanwhile that the cell's guarantees hold. See docs/OPERATIONS.md.
 package main
 
 import (
@@ -57,7 +57,7 @@
 	g.SetLimit(max(f.Together, 1))
 	failed := make(chan uint64, f.Seeds)
 	for i := range f.Seeds {
-		g.Go(func() error { return one(ctx, f, binary, f.Seed+i, failed) })
+		g.Go(func() error { return runSeed(ctx, f, binary, f.Seed+i, failed) })
 	}
 	err = g.Wait()
 	close(failed)
@@ -67,8 +67,9 @@
 	return err
 }
 
-// one runs one seed and prints what came of it.
-func one(ctx context.Context, f flags, binary string, seed uint64, failed chan<- uint64) error {
+// runSeed runs one seed and prints the result. It removes the files of a run without
+// violations.
+func runSeed(ctx context.Context, f flags, binary string, seed uint64, failed chan<- uint64) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -18,10 +18,10 @@
 // A Checker records what clients were told of their jobs and which runs workers have
 // started, and reports violations of the cell's guarantees. It is safe for concurrent use.
 type Checker struct {
-	mu     sync.Mutex
-	jobs   map[spoolsill.JobID]*jobRecord
-	broken []string
-	began  time.Time
+	mu         sync.Mutex
+	jobs       map[spoolsill.JobID]*jobRecord
+	violations []string
+	began      time.Time
 	// configAckedAt is when the store acknowledged each configuration.
 	configAckedAt map[int]time.Time
 	hostFaults    map[string]*faultHistory // by host
@@ -57,22 +57,22 @@
 	}
 }
 
-func (j *Checker) violation(format string, args ...any) {
-	j.broken = append(j.broken, fmt.Sprintf("%7.3f s: ", time.Since(j.began).Seconds())+fmt.Sprintf(format, args...))
+func (c *Checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%7.3f s: ", time.Since(c.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // Violations returns a copy of the violations that were found.
-func (j *Checker) Violations() []string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return append([]string(nil), j.broken...)
+func (c *Checker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]string(nil), c.violations...)
 }
 
 // SubmitSent records that a job is about to be submitted.
-func (j *Checker) SubmitSent(id spoolsill.JobID, steps []step) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.jobs[id]
+func (c *Checker) SubmitSent(id spoolsill.JobID, steps []step) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.jobs[id]
 	if r == nil {
 		r = &jobRecord{
 			steps:        steps,
@@ -81,7 +81,7 @@
 			failures: map[int]int{},
 			lostRuns: map[sched.TaskID]int{},
 		}
-		j.jobs[id] = r
+		c.jobs[id] = r
 	}
 	r.tries++
 	r.mayStart = true
@@ -93,10 +93,10 @@
 }
 
 // SubmitAnswered records the answer to a submission; status 0 means that there was none.
-func (j *Checker) SubmitAnswered(id spoolsill.JobID, status int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.jobs[id]
+func (c *Checker) SubmitAnswered(id spoolsill.JobID, status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.jobs[id]
 	switch {
 	case status == http.StatusOK:
 		r.accepted = true
@@ -104,51 +104,51 @@
 		r.mayStart = false
 	}
 	if status == http.StatusNotFound || status == http.StatusGone {
-		j.violation("submission of %s was answered with status %d", id, status)
+		c.violation("submission of %s was answered with status %d", id, status)
 	}
 }
 
 // CancelSent records that a job is about to be cancelled.
-func (j *Checker) CancelSent(id spoolsill.JobID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.jobs[id].cancelSent = true
+func (c *Checker) CancelSent(id spoolsill.JobID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[id].cancelSent = true
 }
 
 // CancelAcked records that a cancellation was acknowledged.
-func (j *Checker) CancelAcked(id spoolsill.JobID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.jobs[id].cancelAcked = true
+func (c *Checker) CancelAcked(id spoolsill.JobID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[id].cancelAcked = true
 }
 
 // IsCancelAcked reports whether the cancellation of a job was acknowledged.
-func (j *Checker) IsCancelAcked(id spoolsill.JobID) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.jobs[id]
+func (c *Checker) IsCancelAcked(id spoolsill.JobID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.jobs[id]
 	return r != nil && r.cancelAcked
 }
 
 // StateReported records and checks the state of a job that a client was told; "gone" means
 // that there is no such job.
-func (j *Checker) StateReported(id spoolsill.JobID, state string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.jobs[id]
+func (c *Checker) StateReported(id spoolsill.JobID, state string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.jobs[id]
 	switch {
 	case state == "gone" && r.accepted && !r.reportedMissing:
 		r.reportedMissing = true
-		j.violation("%s was accepted and is shown as unknown", id)
+		c.violation("%s was accepted and is shown as unknown", id)
 	case state == sched.Cancelled.String() && !r.cancelSent:
-		j.violation("%s is shown as cancelled, but was not cancelled", id)
+		c.violation("%s is shown as cancelled, but was not cancelled", id)
 	case state == sched.Completed.String():
-		j.checkCompleted(id, r)
+		c.checkCompleted(id, r)
 	case state == sched.Failed.String() && !r.mayFail():
-		j.violation("%s is shown as failed without cause", id)
+		c.violation("%s is shown as failed without cause", id)
 	}
 	if isFinal(r.finalState) && state != r.finalState {
-		j.violation("%s was %s and is shown as %s", id, r.finalState, state)
+		c.violation("%s was %s and is shown as %s", id, r.finalState, state)
 	}
 	if isFinal(state) && !isFinal(r.finalState) {
 		r.finalState = state
@@ -180,11 +180,11 @@
 }
 
 // RunsLost records the runs that were lost with a crashed worker.
-func (j *Checker) RunsLost(runs []sched.RunID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) RunsLost(runs []sched.RunID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, x := range runs {
-		if r := j.jobs[x.Task.Stage.Job]; r != nil {
+		if r := c.jobs[x.Task.Stage.Job]; r != nil {
 			r.lostRuns[x.Task]++
 		}
 	}
@@ -195,7 +195,7 @@
 }
 
 // checkCompleted records a violation for each step of the job that can't be done yet.
-func (j *Checker) checkCompleted(id spoolsill.JobID, r *jobRecord) {
+func (c *Checker) checkCompleted(id spoolsill.JobID, r *jobRecord) {
 	done := make([]int, len(r.steps))
 	for t, at := range r.earliestDone {
 		if !at.After(time.Now()) {
@@ -205,20 +205,20 @@
 	for i, s := range r.steps {
 		// The end of one task is enough for a gang.
 		if done[i] < s.Count && (!s.Gang || done[i] == 0) {
-			j.violation("%s is shown as completed with %d of %d tasks of step %d done", id, done[i], s.Count, i)
+			c.violation("%s is shown as completed with %d of %d tasks of step %d done", id, done[i], s.Count, i)
 		}
 	}
 }
 
 // RunStarted records and checks that a worker has started a run, with its duration and the
 // kind of its end unless it is ended from outside.
-func (j *Checker) RunStarted(x sched.RunID, took time.Duration, k sched.EndKind) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) RunStarted(x sched.RunID, took time.Duration, k sched.EndKind) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	id := x.Task.Stage.Job
-	r := j.jobs[id]
+	r := c.jobs[id]
 	if r == nil {
-		j.violation("%s#%d was started, but its job was not submitted", x.Task, x.Number)
+		c.violation("%s#%d was started, but its job was not submitted", x.Task, x.Number)
 		return
 	}
 	r.starts++
@@ -226,10 +226,10 @@
 		r.failures[x.Task.Stage.Step]++
 	}
 	if !r.mayStart {
-		j.violation("%s#%d was started, but its job was refused", x.Task, x.Number)
+		c.violation("%s#%d was started, but its job was refused", x.Task, x.Number)
 	}
 	if r.finalState == sched.Completed.String() && time.Since(r.finalAt) > lateStartTime {
-		j.violation("%s#%d was started after its job was completed", x.Task, x.Number)
+		c.violation("%s#%d was started after its job was completed", x.Task, x.Number)
 	}
 	end := time.Now().Add(took)
 	if at, ok := r.earliestDone[x.Task]; k == sched.EndDone && (!ok || end.Before(at)) {
@@ -238,11 +238,11 @@
 }
 
 // LongRunningJobs returns the long-running jobs that were accepted and not cancelled.
-func (j *Checker) LongRunningJobs() []spoolsill.JobID {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) LongRunningJobs() []spoolsill.JobID {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var ids []spoolsill.JobID
-	for id, r := range j.jobs {
+	for id, r := range c.jobs {
 		if isLongRunning(id) && r.accepted && !r.cancelSent {
 			ids = append(ids, id)
 		}
@@ -252,11 +252,11 @@
 }
 
 // OpenJobs returns the jobs that were accepted and not reported as ended.
-func (j *Checker) OpenJobs() []spoolsill.JobID {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) OpenJobs() []spoolsill.JobID {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var ids []spoolsill.JobID
-	for id, r := range j.jobs {
+	for id, r := range c.jobs {
 		if r.accepted && !isFinal(r.finalState) {
 			ids = append(ids, id)
 		}
@@ -265,51 +265,51 @@
 }
 
 // JobsNotEnded records a violation for each job that has not ended in time.
-func (j *Checker) JobsNotEnded(ids []spoolsill.JobID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) JobsNotEnded(ids []spoolsill.JobID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, id := range ids {
-		j.violation("%s was accepted and has not ended: %d starts, cancelled %v", id, j.jobs[id].starts, j.jobs[id].cancelSent)
+		c.violation("%s was accepted and has not ended: %d starts, cancelled %v", id, c.jobs[id].starts, c.jobs[id].cancelSent)
 	}
 }
 
 // CancelledRunsActive records the violation that runs of cancelled jobs go on.
-func (j *Checker) CancelledRunsActive(runs int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violation("%d runs of cancelled jobs go on", runs)
+func (c *Checker) CancelledRunsActive(runs int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violation("%d runs of cancelled jobs go on", runs)
 }
 
 // ConfigReverted records the violation that a host went back to an older configuration than
 // it had in force.
-func (j *Checker) ConfigReverted(host string, version, shows int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violation("host %s had configuration %d in force and shows %d", host, version, shows)
+func (c *Checker) ConfigReverted(host string, version, shows int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violation("host %s had configuration %d in force and shows %d", host, version, shows)
 }
 
 // UnknownKeyServed records the violation that a host served a call with a key that was
 // never configured.
-func (j *Checker) UnknownKeyServed(host string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violation("host %s served a call with a key that was never configured", host)
+func (c *Checker) UnknownKeyServed(host string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violation("host %s served a call with a key that was never configured", host)
 }
 
 // Failed records a violation for an error of the run: a host that exited unexpectedly or
 // could not be started, or a write to the store's fake that failed.
-func (j *Checker) Failed(err error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.violation("%s", err)
+func (c *Checker) Failed(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violation("%s", err)
 }
 
 // Counts returns how many jobs were submitted, accepted and reported as ended, and how many
 // runs were started.
-func (j *Checker) Counts() (jobs, accepted, ended, starts int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, r := range j.jobs {
+func (c *Checker) Counts() (jobs, accepted, ended, starts int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.jobs {
 		jobs++
 		starts += r.starts
 		if r.accepted {
--- a/internal/soak/hostfaults.go
+++ b/internal/soak/hostfaults.go
@@ -19,36 +19,36 @@
 }
 
 // ConfigAcked records when the store acknowledged a configuration.
-func (j *Checker) ConfigAcked(version int, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.configAckedAt[version] = at
+func (c *Checker) ConfigAcked(version int, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.configAckedAt[version] = at
 }
 
 // FaultBegins records that a fault of a host, of its connections to the store or of the
 // store has begun.
-func (j *Checker) FaultBegins(host string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.faultsOf(host).active++
+func (c *Checker) FaultBegins(host string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faultsOf(host).active++
 }
 
 // FaultEnds records that one fault has ended.
-func (j *Checker) FaultEnds(host string, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	t := j.faultsOf(host)
+func (c *Checker) FaultEnds(host string, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.faultsOf(host)
 	t.active--
 	t.lastHealed = at
 }
 
-func (j *Checker) faultsOf(host string) *faultHistory {
-	t := j.hostFaults[host]
+func (c *Checker) faultsOf(host string) *faultHistory {
+	t := c.hostFaults[host]
 	if t == nil {
 		t = &faultHistory{
-			lastHealed: j.began,
+			lastHealed: c.began,
 		}
-		j.hostFaults[host] = t
+		c.hostFaults[host] = t
 	}
 	return t
 }
@@ -56,11 +56,11 @@
 // ConfigMissing records that the answer of a host to a request sent at the given time shows
 // that a version is not in force there. This is a violation, reported once for each
 // version, if the host has had configTime to apply the version.
-func (j *Checker) ConfigMissing(host string, version int, sent time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	t := j.faultsOf(host)
-	since := j.configAckedAt[version]
+func (c *Checker) ConfigMissing(host string, version int, sent time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t := c.faultsOf(host)
+	since := c.configAckedAt[version]
 	if t.lastHealed.After(since) {
 		since = t.lastHealed
 	}
@@ -68,5 +68,5 @@
 		return
 	}
 	t.lastMissing = version
-	j.violation("host %s does not have configuration %d in force, %.1f s after it was acknowledged and %.1f s after the last harm", host, version, sent.Sub(j.configAckedAt[version]).Seconds(), sent.Sub(t.lastHealed).Seconds())
+	c.violation("host %s does not have configuration %d in force, %.1f s after it was acknowledged and %.1f s after the last harm", host, version, sent.Sub(c.configAckedAt[version]).Seconds(), sent.Sub(t.lastHealed).Seconds())
 }
--- a/internal/soak/hostfaults_test.go
+++ b/internal/soak/hostfaults_test.go
@@ -19,56 +19,56 @@
 		middle = soak.ConfigTime / 2
 	)
 	tests := map[string]struct {
-		broken int
-		play   func(j *soak.Checker, acked time.Time)
+		violations int
+		play       func(c *soak.Checker, acked time.Time)
 	}{
-		"in time": {0, func(j *soak.Checker, acked time.Time) {
-			j.ConfigMissing(host, 1, acked.Add(soon))
+		"in time": {0, func(c *soak.Checker, acked time.Time) {
+			c.ConfigMissing(host, 1, acked.Add(soon))
 		}},
-		"late": {1, func(j *soak.Checker, acked time.Time) {
-			j.ConfigMissing(host, 1, acked.Add(late))
+		"late": {1, func(c *soak.Checker, acked time.Time) {
+			c.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"found twice": {1, func(j *soak.Checker, acked time.Time) {
-			j.ConfigMissing(host, 1, acked.Add(late))
-			j.ConfigMissing(host, 1, acked.Add(2*late))
+		"found twice": {1, func(c *soak.Checker, acked time.Time) {
+			c.ConfigMissing(host, 1, acked.Add(late))
+			c.ConfigMissing(host, 1, acked.Add(2*late))
 		}},
-		"two versions": {2, func(j *soak.Checker, acked time.Time) {
-			j.ConfigAcked(2, acked.Add(time.Second))
-			j.ConfigMissing(host, 1, acked.Add(late))
-			j.ConfigMissing(host, 2, acked.Add(2*late))
+		"two versions": {2, func(c *soak.Checker, acked time.Time) {
+			c.ConfigAcked(2, acked.Add(time.Second))
+			c.ConfigMissing(host, 1, acked.Add(late))
+			c.ConfigMissing(host, 2, acked.Add(2*late))
 		}},
-		"while it is harmed": {0, func(j *soak.Checker, acked time.Time) {
-			j.FaultBegins(host)
-			j.ConfigMissing(host, 1, acked.Add(late))
+		"during a fault": {0, func(c *soak.Checker, acked time.Time) {
+			c.FaultBegins(host)
+			c.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"while one of two harms goes on": {0, func(j *soak.Checker, acked time.Time) {
-			j.FaultBegins(host)
-			j.FaultBegins(host)
-			j.FaultEnds(host, acked)
-			j.ConfigMissing(host, 1, acked.Add(late))
+		"during one of two faults": {0, func(c *soak.Checker, acked time.Time) {
+			c.FaultBegins(host)
+			c.FaultBegins(host)
+			c.FaultEnds(host, acked)
+			c.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"soon after a harm": {0, func(j *soak.Checker, acked time.Time) {
-			j.FaultBegins(host)
-			j.FaultEnds(host, acked.Add(middle))
-			j.ConfigMissing(host, 1, acked.Add(late))
+		"soon after a fault": {0, func(c *soak.Checker, acked time.Time) {
+			c.FaultBegins(host)
+			c.FaultEnds(host, acked.Add(middle))
+			c.ConfigMissing(host, 1, acked.Add(late))
 		}},
-		"long after a harm": {1, func(j *soak.Checker, acked time.Time) {
-			j.FaultBegins(host)
-			j.FaultEnds(host, acked.Add(middle))
-			j.ConfigMissing(host, 1, acked.Add(middle+late))
+		"long after a fault": {1, func(c *soak.Checker, acked time.Time) {
+			c.FaultBegins(host)
+			c.FaultEnds(host, acked.Add(middle))
+			c.ConfigMissing(host, 1, acked.Add(middle+late))
 		}},
-		"another host is harmed": {1, func(j *soak.Checker, acked time.Time) {
-			j.FaultBegins("host1")
-			j.ConfigMissing(host, 1, acked.Add(late))
+		"fault of another host": {1, func(c *soak.Checker, acked time.Time) {
+			c.FaultBegins("host1")
+			c.ConfigMissing(host, 1, acked.Add(late))
 		}},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := soak.NewChecker()
+			c := soak.NewChecker()
 			acked := time.Now()
-			j.ConfigAcked(1, acked)
-			x.play(j, acked)
-			qt.Assert(t, j.Violations(), qt.HasLen, x.broken)
+			c.ConfigAcked(1, acked)
+			x.play(c, acked)
+			qt.Assert(t, c.Violations(), qt.HasLen, x.violations)
 		})
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -25,10 +25,10 @@
 	binary string
 	dir    string // for settings and logs
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd // nil while the host does not run
-	ended chan struct{}
-	lives int
+	mu     sync.Mutex
+	cmd    *exec.Cmd // nil while the host does not run
+	ended  chan struct{}
+	starts int
 	// unexpected has the errors of processes that ended without a signal to do so.
 	unexpected error
 	terminated bool // the present process was sent SIGTERM or SIGKILL
@@ -76,7 +76,7 @@
 	}
 	p.cmd = c
 	p.ended = make(chan struct{})
-	p.lives++
+	p.starts++
 	p.terminated = false
 	go p.await(c, p.ended)
 	return nil
@@ -97,7 +97,7 @@
 func (p *Process) StartCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lives
+	return p.starts
 }
 
 // UnexpectedExits returns the joined errors of processes that ended without being told to.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -52,7 +52,7 @@
 
 // String returns a summary of the result.
 func (r Result) String() string {
-	return fmt.Sprintf("%d jobs, %d accepted, %d ended, %d starts, %d lives of hosts, %d crashes of workers, broken promises: %d", r.Jobs, r.Accepted, r.Ended, r.RunStarts, r.HostStarts, r.Crashes, len(r.Violations))
+	return fmt.Sprintf("%d jobs, %d accepted, %d ended, %d starts, %d starts of hosts, %d crashes of workers, broken promises: %d", r.Jobs, r.Accepted, r.Ended, r.RunStarts, r.HostStarts, r.Crashes, len(r.Violations))
 }
 
 const (
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -44,7 +44,7 @@
 // their speed, except for the six seconds within which a host must apply a configuration.
 func TestPromisesHoldWhileHostsAreHarmed(t *testing.T) {
 	if testing.Short() {
-		t.Skip("runs processes for a while")
+		t.Skip("runs real processes")
 	}
 	binary := filepath.Join(t.TempDir(), "spoolsill-host")
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/spoolsill/spoolsill/cmd/spoolsill-host").CombinedOutput()
@@ -98,82 +98,82 @@
 		Number: 1,
 	}
 	tests := map[string]struct {
-		broken int
-		play   func(j *soak.Checker)
+		violations int
+		play       func(c *soak.Checker)
 	}{
-		"all is well": {0, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.RunStarted(first, 0, sched.EndDone)
-			j.StateReported(id, "completed")
+		"all is well": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, 0, sched.EndDone)
+			c.StateReported(id, "completed")
 		}},
-		"lost": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.StateReported(id, "gone")
+		"lost": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.StateReported(id, "gone")
 		}},
-		"not accepted and gone": {0, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusGatewayTimeout)
-			j.StateReported(id, "gone")
+		"not accepted and gone": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusGatewayTimeout)
+			c.StateReported(id, "gone")
 		}},
-		"refused and started": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusServiceUnavailable)
-			j.RunStarted(first, 0, sched.EndDone)
+		"refused and started": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusServiceUnavailable)
+			c.RunStarted(first, 0, sched.EndDone)
 		}},
-		"no answer and started": {0, func(j *soak.Checker) {
-			j.SubmitAnswered(id, 0)
-			j.RunStarted(first, 0, sched.EndDone)
+		"no answer and started": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, 0)
+			c.RunStarted(first, 0, sched.EndDone)
 		}},
-		"completed too early": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.RunStarted(first, time.Hour, sched.EndDone)
-			j.StateReported(id, "completed")
+		"completed too early": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, time.Hour, sched.EndDone)
+			c.StateReported(id, "completed")
 		}},
-		"completed by a failure": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.RunStarted(first, 0, sched.EndFailed)
-			j.StateReported(id, "completed")
+		"completed by a failing run": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, 0, sched.EndFailed)
+			c.StateReported(id, "completed")
 		}},
-		"cancelled by nobody": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.StateReported(id, "cancelled")
+		"cancelled by nobody": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.StateReported(id, "cancelled")
 		}},
-		"failed without cause": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.RunStarted(first, 0, sched.EndFailed)
-			j.RunStarted(first, 0, sched.EndFailed)
-			j.RunsLost([]sched.RunID{first})
-			j.StateReported(id, "failed")
+		"failed without cause": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, 0, sched.EndFailed)
+			c.RunStarted(first, 0, sched.EndFailed)
+			c.RunsLost([]sched.RunID{first})
+			c.StateReported(id, "failed")
 		}},
-		"failed as often as its queue allows": {0, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
+		"failed as often as its queue allows": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
 			for range 3 {
-				j.RunStarted(first, 0, sched.EndFailed)
+				c.RunStarted(first, 0, sched.EndFailed)
 			}
-			j.StateReported(id, "failed")
+			c.StateReported(id, "failed")
 		}},
-		"given up": {0, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.RunsLost([]sched.RunID{first})
-			j.RunsLost([]sched.RunID{first})
-			j.StateReported(id, "failed")
+		"failed after two worker crashes": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunsLost([]sched.RunID{first})
+			c.RunsLost([]sched.RunID{first})
+			c.StateReported(id, "failed")
 		}},
-		"goes back": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.RunsLost([]sched.RunID{first})
-			j.RunsLost([]sched.RunID{first})
-			j.StateReported(id, "failed")
-			j.StateReported(id, "running")
+		"final state changes": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunsLost([]sched.RunID{first})
+			c.RunsLost([]sched.RunID{first})
+			c.StateReported(id, "failed")
+			c.StateReported(id, "running")
 		}},
-		"never ends": {1, func(j *soak.Checker) {
-			j.SubmitAnswered(id, http.StatusOK)
-			j.JobsNotEnded(j.OpenJobs())
+		"never ends": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.JobsNotEnded(c.OpenJobs())
 		}},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := soak.NewChecker()
-			j.SubmitSent(id, soak.OneTask())
-			x.play(j)
-			qt.Assert(t, j.Violations(), qt.HasLen, x.broken)
+			c := soak.NewChecker()
+			c.SubmitSent(id, soak.OneTask())
+			x.play(c)
+			qt.Assert(t, c.Violations(), qt.HasLen, x.violations)
 		})
 	}
 }
