--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -67,7 +67,7 @@
 	pollInterval = 200 * time.Millisecond
 	// startupTime is how long hosts have to start before the first fault.
 	startupTime = 2 * time.Second
-	// A run takes minTaskTime and up to taskSpread more. Some take longer than all
+	// A run of a task takes minTaskTime and up to taskSpread more: some longer than all
 	// attempts of a start order, so that a wrong second run overlaps the first one.
 	// failureRate is the share of runs that fail.
 	minTaskTime = 100 * time.Millisecond
