--- a/internal/cellfake/crash.go
+++ b/internal/cellfake/crash.go
@@ -71,7 +71,7 @@
 // Restart starts a new incarnation of a worker under the same id and address, and crashes
 // the current one if that still runs. The new one has no state of the former: its sequence
 // numbers and its clock start over. Delayed orders for the former incarnation reach it.
-func (f *Workers) Restart(id spoolsill.WorkerID) spoolsill.Life {
+func (f *Workers) Restart(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	former := f.workers[id]
@@ -84,7 +84,7 @@
 }
 
 // CurrentLife returns the latest incarnation of a worker.
-func (f *Workers) CurrentLife(id spoolsill.WorkerID) spoolsill.Life {
+func (f *Workers) CurrentLife(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[id].life()
@@ -124,7 +124,7 @@
 // otherLifeReply is the answer at the address of a worker that was replaced.
 func otherLifeReply() leader.Reply {
 	return leader.Reply{
-		Kind: leader.OtherLife,
+		Kind: leader.OtherIncarnation,
 		Err:  errors.New("cellfake: the address answers for another worker"),
 	}
 }
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -59,7 +59,7 @@
 	// Began, if not nil, is called for each run that starts with the lock of the
 	// Workers held. The remark is empty, or tells that the order was for a former
 	// incarnation.
-	Began func(l spoolsill.Life, r sched.RunID, remark string)
+	Began func(l spoolsill.WorkerIncarnation, r sched.RunID, remark string)
 	// Capacity is the number of runs that a worker can hold; a start beyond it is a
 	// violation. 0 means that this is not checked.
 	Capacity int
@@ -84,7 +84,7 @@
 
 type worker struct {
 	id           spoolsill.WorkerID
-	born         spoolsill.Birth
+	born         spoolsill.StartTime
 	clockStart   time.Time
 	unreachable  bool
 	capacity     capacityState
@@ -130,7 +130,7 @@
 	now := time.Now()
 	return &worker{
 		id:         id,
-		born:       spoolsill.Birth(now.UnixMilli()),
+		born:       spoolsill.StartTime(now.UnixMilli()),
 		clockStart: now.Add(-clock),
 		running:    map[sched.RunID]progress{},
 		highest:    map[sched.TaskID]sched.RunNumber{},
@@ -138,8 +138,8 @@
 	}
 }
 
-func (w *worker) life() spoolsill.Life {
-	return spoolsill.Life{
+func (w *worker) life() spoolsill.WorkerIncarnation {
+	return spoolsill.WorkerIncarnation{
 		Worker: w.id,
 		Born:   w.born,
 	}
@@ -369,10 +369,10 @@
 	}
 	f.expireLease(w)
 	h := sched.Heartbeat{
-		Life:  w.life(),
-		Sent:  sent,
-		Clock: w.clock(),
-		Ended: append([]sched.End(nil), w.ended...),
+		WorkerIncarnation: w.life(),
+		Sent:              sent,
+		Clock:             w.clock(),
+		Ended:             append([]sched.End(nil), w.ended...),
 	}
 	for x, p := range w.running {
 		h.Running = append(h.Running, sched.RunningTask{
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -143,7 +143,7 @@
 			Priority: 1,
 		})
 	}
-	return wire.PutTeams(x.store, version, routes, teamsOf(version))
+	return wire.PutConfigWithTeams(x.store, version, routes, teamsOf(version))
 }
 
 func versionPath(v int) string {
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -50,7 +50,7 @@
 	if p.cmd != nil {
 		return nil
 	}
-	text, err := p.Settings.Text()
+	text, err := p.Settings.TOML()
 	if err != nil {
 		return err
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -181,11 +181,11 @@
 			return err
 		}
 	}
-	storeAt, err := x.serve(wire.Store(x.store))
+	storeAt, err := x.serve(wire.StoreHandler(x.store))
 	if err != nil {
 		return err
 	}
-	advisorAt, err := x.serve(wire.Advisor(&cellfake.Advisor{}))
+	advisorAt, err := x.serve(wire.AdvisorHandler(&cellfake.Advisor{}))
 	if err != nil {
 		return err
 	}
--- a/internal/soak/view_test.go
+++ b/internal/soak/view_test.go
@@ -19,7 +19,7 @@
 // A host that reads the leader's row gets the address of the proxy between the two.
 func TestHostReadsLeaderAddressOfLink(t *testing.T) {
 	s := cellfake.NewStore()
-	at := httptest.NewServer(wire.Store(s))
+	at := httptest.NewServer(wire.StoreHandler(s))
 	defer at.Close()
 	seen := httptest.NewServer(soak.NewStoreView(3, at.Listener.Addr().String()))
 	defer seen.Close()
--- a/internal/soak/workerfaults.go
+++ b/internal/soak/workerfaults.go
@@ -93,7 +93,7 @@
 // serveMachine returns a handler that serves the machine's active worker.
 func (x *run) serveMachine(m *machine) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		wire.Worker(x.workers, *m.activeID.Load()).ServeHTTP(w, r)
+		wire.WorkerHandler(x.workers, *m.activeID.Load()).ServeHTTP(w, r)
 	})
 }
 
