--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -18,35 +18,33 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// seeds are run by CI: one that showed nothing, and every seed that has ever
-// shown a broken promise, with a word on the cause.
+// seeds are run by CI: one that found nothing, and every seed that has found a violation,
+// with its cause.
 var seeds = []uint64{
-	1,   // reads of a large configuration were cut off on slow links, and begun anew
-	4,   // kills all hosts, the leader and single ones
-	7,   // a leader's answers to a host that had just started filled its slow link
-	102, // a leader that was paused told that a completed job still ran
-	905, // a stop was ordered once, and not again where nobody took it
-	// A leader in doubt was not told of a job, and said that there is none.
+	1,   // reads of a large configuration were cut off on slow links and started over
+	4,   // kills all hosts, the leader and single hosts
+	7,   // a leader's answers to a newly started host filled its slow link
+	102, // a leader that had been paused reported a completed job as running
+	905, // a stop that no worker received was not sent again
+	// A leader in doubt had not been told of a job, and reported it as unknown.
 	1011,
 }
 
-// troubled are seeds that are run with tasks that crash their workers, rooms that move
-// and entries of another writer besides.
+// troubled are seeds that are run with faults of workers as well, see [soak.Config].
 var troubled = []uint64{
-	3000, // four tasks that crash their workers, 14 lives of hosts
-	3039, // a host that had just started was told of changed settings, and ended
+	3000, // four tasks that crash their workers, 14 starts of hosts
+	3039, // a host was told to reload its settings just after its start, and exited
 }
 
-// seedsAtOnce is how many runs are made side by side: one takes half a processor,
-// and most of its time is waiting.
+// seedsAtOnce is the number of concurrent runs: one uses half a processor and waits most of
+// the time.
 const seedsAtOnce = 2
 
-// TestPromisesHoldWhileHostsAreHarmed runs real processes; its verdict does not
-// depend on how fast they are, but for the six seconds within which a host has to
-// take a configuration in.
+// TestPromisesHoldWhileHostsAreHarmed runs real processes. Its result does not depend on
+// their speed, except for the six seconds within which a host must apply a configuration.
 func TestPromisesHoldWhileHostsAreHarmed(t *testing.T) {
 	if testing.Short() {
-		t.Skip("runs processes for a while")
+		t.Skip("runs real processes")
 	}
 	binary := filepath.Join(t.TempDir(), "spoolsill-host")
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/spoolsill/spoolsill/cmd/spoolsill-host").CombinedOutput()
@@ -66,7 +64,7 @@
 	qt.Assert(t, g.Wait(), qt.IsNil)
 }
 
-// checkSeed makes the run of one seed. Its logs stay when a promise was broken.
+// checkSeed executes the run of one seed. It keeps the logs of a failed run.
 func checkSeed(t *testing.T, binary string, seed uint64, troubled bool) {
 	dir, err := os.MkdirTemp("", "soak")
 	if !qt.Check(t, err, qt.IsNil) {
@@ -89,8 +87,7 @@
 	}
 }
 
-// TestJudgeFindsBrokenPromises shows the judge one broken promise at a time.
-func TestJudgeFindsBrokenPromises(t *testing.T) {
+func TestCheckerFindsViolations(t *testing.T) {
 	const id = spoolsill.JobID("j")
 	first := sched.RunID{
 		Task: sched.TaskID{
@@ -101,89 +98,89 @@
 		Number: 1,
 	}
 	tests := map[string]struct {
-		broken int
-		play   func(j *soak.Judge)
+		violations int
+		play       func(c *soak.Checker)
 	}{
-		"all is well": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, 0, sched.EndDone)
-			j.Shown(id, "completed")
+		"all is well": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, 0, sched.EndDone)
+			c.StateReported(id, "completed")
 		}},
-		"lost": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Shown(id, "gone")
+		"lost": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.StateReported(id, "gone")
 		}},
-		"not accepted and gone": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusGatewayTimeout)
-			j.Shown(id, "gone")
+		"not accepted and gone": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusGatewayTimeout)
+			c.StateReported(id, "gone")
 		}},
-		"refused and started": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusServiceUnavailable)
-			j.Started(first, 0, sched.EndDone)
+		"refused and started": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusServiceUnavailable)
+			c.RunStarted(first, 0, sched.EndDone)
 		}},
-		"no answer and started": {0, func(j *soak.Judge) {
-			j.HandedIn(id, 0)
-			j.Started(first, 0, sched.EndDone)
+		"no answer and started": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, 0)
+			c.RunStarted(first, 0, sched.EndDone)
 		}},
-		"completed too early": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, time.Hour, sched.EndDone)
-			j.Shown(id, "completed")
+		"completed too early": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, time.Hour, sched.EndDone)
+			c.StateReported(id, "completed")
 		}},
-		"completed by a failure": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, 0, sched.EndFailed)
-			j.Shown(id, "completed")
+		"completed by a failing run": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, 0, sched.EndFailed)
+			c.StateReported(id, "completed")
 		}},
-		"cancelled by nobody": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Shown(id, "cancelled")
+		"cancelled by nobody": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.StateReported(id, "cancelled")
 		}},
-		"failed without cause": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Started(first, 0, sched.EndFailed)
-			j.Started(first, 0, sched.EndFailed)
-			j.Lost([]sched.RunID{first})
-			j.Shown(id, "failed")
+		"failed without cause": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunStarted(first, 0, sched.EndFailed)
+			c.RunStarted(first, 0, sched.EndFailed)
+			c.RunsLost([]sched.RunID{first})
+			c.StateReported(id, "failed")
 		}},
-		"failed as often as its queue allows": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
+		"failed as often as its queue allows": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
 			for range 3 {
-				j.Started(first, 0, sched.EndFailed)
+				c.RunStarted(first, 0, sched.EndFailed)
 			}
-			j.Shown(id, "failed")
+			c.StateReported(id, "failed")
 		}},
-		"given up": {0, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Lost([]sched.RunID{first})
-			j.Lost([]sched.RunID{first})
-			j.Shown(id, "failed")
+		"failed after two worker crashes": {0, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunsLost([]sched.RunID{first})
+			c.RunsLost([]sched.RunID{first})
+			c.StateReported(id, "failed")
 		}},
-		"goes back": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.Lost([]sched.RunID{first})
-			j.Lost([]sched.RunID{first})
-			j.Shown(id, "failed")
-			j.Shown(id, "running")
+		"final state changes": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.RunsLost([]sched.RunID{first})
+			c.RunsLost([]sched.RunID{first})
+			c.StateReported(id, "failed")
+			c.StateReported(id, "running")
 		}},
-		"never ends": {1, func(j *soak.Judge) {
-			j.HandedIn(id, http.StatusOK)
-			j.NeverEnded(j.Open())
+		"never ends": {1, func(c *soak.Checker) {
+			c.SubmitAnswered(id, http.StatusOK)
+			c.JobsNotEnded(c.OpenJobs())
 		}},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
-			j := soak.NewJudge()
-			j.HandIn(id, soak.OneTask())
-			x.play(j)
-			qt.Assert(t, j.Broken(), qt.HasLen, x.broken)
+			c := soak.NewChecker()
+			c.SubmitSent(id, soak.OneTask())
+			x.play(c)
+			qt.Assert(t, c.Violations(), qt.HasLen, x.violations)
 		})
 	}
 }
 
-// TestProxyDoesAsItsModeSays passes a call on, resets one, and delivers what was
-// silenced once it no longer is.
-func TestProxyDoesAsItsModeSays(t *testing.T) {
+// A proxy forwards a call, resets one, and forwards data that was held back once the mode
+// allows it.
+func TestProxyModes(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	target, err := net.Listen("tcp", "127.0.0.1:0")
