--- a/holder/call.go
+++ b/holder/call.go
@@ -58,7 +58,7 @@
 	return Plan{
 		ID:      id,
 		Hall:    h.config.Hall,
-		Expires: t.book.Add(now, id, p),
+		Expires: t.planCache.Add(now, id, p),
 		Changes: p.Changes,
 		Before:  p.Before,
 		After:   p.After,
@@ -108,7 +108,7 @@
 		t.mu.Unlock()
 		return ErrNotHolder
 	}
-	p, err := t.book.Get(time.Now(), id)
+	p, err := t.planCache.Get(time.Now(), id)
 	known := t.state.Confirmed(id)
 	t.mu.Unlock()
 	if known {
@@ -134,7 +134,7 @@
 	now := time.Now()
 	var records []place.Record
 	if !t.state.Confirmed(id) {
-		p, err := t.book.Get(now, id)
+		p, err := t.planCache.Get(now, id)
 		if err != nil {
 			return nil, err
 		}
--- a/holder/commit.go
+++ b/holder/commit.go
@@ -32,21 +32,21 @@
 // table. While the table is unavailable and the host holds the lease, it also
 // copies them to the other hosts.
 func (t *tenure) advanceJournal() {
-	silent := t.h.config.Table.Silent()
-	held := t.holdsLease()
+	unavailable := t.h.config.Table.Silent()
+	holds := t.holdsLease()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.processDurable()
-	if held {
-		t.replicate(silent)
+	if holds {
+		t.replicate(unavailable)
 	}
-	if t.tableSilent && !silent {
+	if t.tableUnavailable && !unavailable {
 		// Entries appended while the table was unavailable exist only in the
 		// memory of the hall's hosts. Write them without waiting for the retry
 		// delay.
 		t.nextWrite = time.Time{}
 	}
-	t.tableSilent = silent
+	t.tableUnavailable = unavailable
 	if time.Now().Before(t.nextWrite) {
 		return
 	}
@@ -63,8 +63,8 @@
 
 // replicate copies entries to the hall's other hosts while the table is
 // unavailable. t.mu must be held.
-func (t *tenure) replicate(silent bool) {
-	if !silent {
+func (t *tenure) replicate(unavailable bool) {
+	if !unavailable {
 		return
 	}
 	a := t.writer.NextCopy()
@@ -83,16 +83,16 @@
 func (t *tenure) sendCopies(entries []recordlog.Entry) {
 	ctx, cancel := context.WithTimeout(t.ctx, time.Second)
 	defer cancel()
-	all := true
+	accepted := true
 	for _, h := range t.h.config.Hosts {
 		if h == t.h.config.Host {
 			continue
 		}
-		all = t.h.config.Peers.Copy(ctx, h, t.epoch, 0, entries) && all
+		accepted = t.h.config.Peers.Copy(ctx, h, t.epoch, 0, entries) && accepted
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.writer.CopyDone(entries[len(entries)-1].Sequence, all)
+	t.writer.CopyDone(entries[len(entries)-1].Sequence, accepted)
 	t.processDurable()
 }
 
@@ -200,18 +200,18 @@
 // attempt at the same write, whose response was lost. It returns nil if they
 // are identical to puts, and errLeaseLost otherwise.
 func (t *tenure) checkConflict(rows []table.Row, puts []table.Put) error {
-	written := map[string][]byte{}
+	unmatched := map[string][]byte{}
 	for _, p := range puts {
-		written[p.Key] = p.Value
+		unmatched[p.Key] = p.Value
 	}
 	for _, r := range rows {
-		b, ok := written[r.Key]
+		b, ok := unmatched[r.Key]
 		if !ok || !bytes.Equal(b, r.Value) {
 			return errLeaseLost
 		}
-		delete(written, r.Key)
+		delete(unmatched, r.Key)
 	}
-	if len(written) > 0 {
+	if len(unmatched) > 0 {
 		return errLeaseLost
 	}
 	return nil
@@ -259,7 +259,7 @@
 		Epoch:    snapshot.Epoch,
 		Sequence: snapshot.Sequence,
 	}
-	first := last.Sequence
+	covered := last.Sequence
 	last, err = t.readJournal(s, last)
 	if err != nil {
 		return err
@@ -279,7 +279,7 @@
 	defer t.mu.Unlock()
 	t.state = s
 	t.writer = w
-	t.snap.last = first
+	t.snap.last = covered
 	return nil
 }
 
@@ -362,7 +362,7 @@
 // hosts of the hall, including this one, but did not write to the table. They
 // are added to the journal of this tenure.
 func (t *tenure) recoverCopies(s *place.State, w *recordlog.Writer, last recordlog.Position) error {
-	best, _ := t.h.Copies(t.epoch, last)
+	latest, _ := t.h.Copies(t.epoch, last)
 	for _, h := range t.h.config.Hosts {
 		if h == t.h.config.Host {
 			continue
@@ -370,11 +370,11 @@
 		ctx, cancel := context.WithTimeout(t.ctx, time.Second)
 		c, _, err := t.h.config.Peers.Copies(ctx, h, last)
 		cancel()
-		if err == nil && newer(c, best) {
-			best = c
+		if err == nil && endsLater(c, latest) {
+			latest = c
 		}
 	}
-	for _, e := range best {
+	for _, e := range latest {
 		if err := apply(s, e); err != nil {
 			return err
 		}
@@ -384,8 +384,8 @@
 	return nil
 }
 
-// newer reports whether a ends with a later entry than b.
-func newer(a, b []recordlog.Entry) bool {
+// endsLater reports whether a ends with a later entry than b.
+func endsLater(a, b []recordlog.Entry) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return len(a) > 0
 	}
--- a/holder/config.go
+++ b/holder/config.go
@@ -24,7 +24,7 @@
 
 // ErrUnknownOutcome is returned when a decision was made but did not become
 // durable in time. It may still take effect.
-var ErrUnknownOutcome = errors.New("holder: not known whether it is in force")
+var ErrUnknownOutcome = errors.New("holder: not known whether the change takes effect")
 
 // Defaults of [Config].
 const (
@@ -72,10 +72,10 @@
 	// stopping too does not.
 	HandOver(ctx context.Context, h spoolsill.HostID, e spoolsill.Epoch, entries []recordlog.Entry) bool
 	// Copies returns the entries that a host keeps and that follow last, the
-	// newest entry in the table, or all its entries if last is zero. whole
+	// newest entry in the table, or all its entries if last is zero. complete
 	// reports whether the host knows all entries that any host of the hall
 	// keeps.
-	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Position) (list []recordlog.Entry, whole bool, err error)
+	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Position) (list []recordlog.Entry, complete bool, err error)
 }
 
 // Breaks disables safety mechanisms, so that tests can show which failure each
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -156,11 +156,11 @@
 		Epoch:    d.t.epoch,
 		LeaseEnd: d.t.leaseEnd(now).UnixMilli(),
 	}
-	for _, h := range d.t.state.Allocations(d.id) {
-		if holds || h.Service {
+	for _, a := range d.t.state.Allocations(d.id) {
+		if holds || a.Service {
 			q.Tasks = append(q.Tasks, agent.TaskAttempt{
-				Task:    h.Task,
-				Attempt: h.Attempt,
+				Task:    a.Task,
+				Attempt: a.Attempt,
 			})
 		}
 	}
@@ -209,10 +209,10 @@
 	if d.failures < unresponsiveAfter || (!d.leasesExpired() && !d.t.h.config.Break.Lapse) {
 		return
 	}
-	for _, h := range d.t.state.Allocations(d.id) {
+	for _, a := range d.t.state.Allocations(d.id) {
 		d.report(agent.TaskAttempt{
-			Task:    h.Task,
-			Attempt: h.Attempt,
+			Task:    a.Task,
+			Attempt: a.Attempt,
 		}, place.Lost)
 	}
 	d.t.wake()
@@ -257,15 +257,15 @@
 // applyStatus processes the status of one task and reports whether the task is
 // running but not in the state.
 func (d *driver) applyStatus(s agent.Status) bool {
-	h, held := d.allocation(s.TaskAttempt)
+	a, allocated := d.allocation(s.TaskAttempt)
 	if s.State == agent.Running {
 		switch {
-		case !held:
+		case !allocated:
 			d.stopUnknown(s.TaskAttempt)
 			return true
-		case h.State == spoolsill.TaskCheckpointing:
+		case a.State == spoolsill.TaskCheckpointing:
 			d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Checkpoint) })
-		case h.State == spoolsill.TaskStopping:
+		case a.State == spoolsill.TaskStopping:
 			d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Stop) })
 		default:
 			d.report(s.TaskAttempt, place.Started)
@@ -273,7 +273,7 @@
 		}
 		return false
 	}
-	if held {
+	if allocated {
 		d.report(s.TaskAttempt, outcomes[s.State])
 	}
 	if _, ok := d.forgetAfter[s.TaskAttempt]; !ok {
@@ -292,9 +292,9 @@
 
 // allocation returns the resources that a task holds on the worker.
 func (d *driver) allocation(r agent.TaskAttempt) (place.Allocation, bool) {
-	for _, h := range d.t.state.Allocations(d.id) {
-		if h.Task == r.Task && h.Attempt == r.Attempt {
-			return h, true
+	for _, a := range d.t.state.Allocations(d.id) {
+		if a.Task == r.Task && a.Attempt == r.Attempt {
+			return a, true
 		}
 	}
 	return place.Allocation{}, false
@@ -329,8 +329,8 @@
 func (d *driver) startMayArrive(r agent.TaskAttempt) bool {
 	from, ok := d.pendingStarts[r]
 	if !ok {
-		h, held := d.allocation(r)
-		if !held || h.State != spoolsill.TaskPlaced {
+		a, allocated := d.allocation(r)
+		if !allocated || a.State != spoolsill.TaskPlaced {
 			return false
 		}
 		from = d.createdAt
@@ -361,11 +361,11 @@
 }
 
 // report records what happened to a task. t.mu must be held.
-func (d *driver) report(r agent.TaskAttempt, f place.Outcome) {
+func (d *driver) report(r agent.TaskAttempt, o place.Outcome) {
 	d.t.appendRecords(d.t.state.Report(time.Now(), place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
-		Outcome: f,
+		Outcome: o,
 	}))
 }
 
@@ -403,9 +403,9 @@
 	now := d.t.h.reading()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
-	h, held := d.allocation(r)
+	a, allocated := d.allocation(r)
 	spec, known := d.t.state.JobSpec(r.Task.Job)
-	if !held || !known || h.State != spoolsill.TaskPlaced {
+	if !allocated || !known || a.State != spoolsill.TaskPlaced {
 		return agent.StartRequest{}, "", false
 	}
 	d.grantedAt = now
@@ -451,12 +451,12 @@
 	}
 	t.mu.Unlock()
 	done := make(chan struct{}, len(list))
-	gate := make(chan struct{}, t.h.config.MaxRequests)
+	sem := make(chan struct{}, t.h.config.MaxRequests)
 	for _, d := range list {
 		go func() {
-			gate <- struct{}{}
+			sem <- struct{}{}
 			d.renew()
-			<-gate
+			<-sem
 			done <- struct{}{}
 		}()
 	}
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -185,7 +185,7 @@
 // requestPromises asks every other host of the roster to promise not to take
 // over the lease.
 func (h *Holder) requestPromises(ctx context.Context, r lease.Row) {
-	asked := h.reading()
+	sentAt := h.reading()
 	for _, x := range r.Roster {
 		if x == h.config.Host {
 			continue
@@ -198,7 +198,7 @@
 			}
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.keeper.RecordPromise(asked, x)
+			h.keeper.RecordPromise(sentAt, x)
 		})
 	}
 }
@@ -232,9 +232,9 @@
 // entry in the table, or all of them if last is zero. From then on, it refuses
 // copies of epochs before e. The entries include those that a tenure of this
 // host has not written yet: the host that asks may be the only one that reaches
-// the table, and may have lost its own copies. whole reports whether this host
-// knows all entries that any host of the hall keeps.
-func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Position) (list []recordlog.Entry, whole bool) {
+// the table, and may have lost its own copies. complete reports whether this
+// host knows all entries that any host of the hall keeps.
+func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Position) (list []recordlog.Entry, complete bool) {
 	h.keepUnstored()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -311,10 +311,10 @@
 
 // dropStored drops the copies of entries that are in the table. Otherwise they
 // would be handed over to other hosts as if only this host had them.
-func (h *Holder) dropStored(m recordlog.Position) {
+func (h *Holder) dropStored(p recordlog.Position) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.copies.Drop(m)
+	h.copies.Drop(p)
 }
 
 // keepCopies keeps copies of entries of epoch e. h.mu must be held.
--- a/holder/join.go
+++ b/holder/join.go
@@ -27,13 +27,13 @@
 			if x == h.config.Host {
 				continue
 			}
-			list, whole, err := h.config.Peers.Copies(ctx, x, recordlog.Position{})
+			list, complete, err := h.config.Peers.Copies(ctx, x, recordlog.Position{})
 			if err != nil {
 				continue
 			}
 			answered++
 			h.KeepCopies(lastEpoch(list), 0, list)
-			if whole {
+			if complete {
 				h.markJoined()
 			}
 		}
--- a/holder/snapshot.go
+++ b/holder/snapshot.go
@@ -60,16 +60,16 @@
 	if err := t.h.config.Objects.PutObject(t.ctx, name, b); err != nil {
 		return err
 	}
-	first := t.snap.last + 1
+	next := t.snap.last + 1
 	x := t.fenced()
 	x.Puts = []table.Put{{
 		Key:   recordlog.SnapshotKey(t.h.config.Hall),
 		Value: []byte(name),
 	}}
 	for {
-		for len(x.Deletes) < maxDeletes && first <= e.Sequence {
-			x.Deletes = append(x.Deletes, recordlog.Key(t.h.config.Hall, first))
-			first++
+		for len(x.Deletes) < maxDeletes && next <= e.Sequence {
+			x.Deletes = append(x.Deletes, recordlog.Key(t.h.config.Hall, next))
+			next++
 		}
 		r, err := t.h.config.Table.Commit(t.ctx, x)
 		if err != nil {
@@ -78,7 +78,7 @@
 		if !r.Applied {
 			return errLeaseLost
 		}
-		if first > e.Sequence {
+		if next > e.Sequence {
 			return nil
 		}
 		x = t.fenced()
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -14,38 +14,38 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// maxOpenEntries is the number of entries missing from the table above which no
-// further decisions are made.
-const maxOpenEntries = 256
+// maxUnstoredEntries is the number of entries missing from the table above which
+// no further decisions are made.
+const maxUnstoredEntries = 256
 
 // A tenure is the time for which the host holds the lease under one epoch.
 type tenure struct {
-	h       *Holder
-	epoch   spoolsill.Epoch
-	version uint64 // of the epoch row
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    chan struct{}
-	wakeup  chan struct{}
-	slots   chan struct{}
-	wg      sync.WaitGroup
+	h          *Holder
+	epoch      spoolsill.Epoch
+	version    uint64 // of the epoch row
+	ctx        context.Context
+	cancel     context.CancelFunc
+	done       chan struct{}
+	wakeup     chan struct{}
+	requestSem chan struct{} // limits concurrent requests to workers
+	wg         sync.WaitGroup
 
-	mu            sync.Mutex // guards the fields below
-	closed        bool       // no more goroutines are started
-	ready         bool
-	state         *place.State
-	book          *intent.PlanCache
-	writer        *recordlog.Writer
-	pending       []action
-	waiters       []waiter
-	drivers       map[spoolsill.WorkerID]*driver
-	replicated    bool      // other hosts keep copies
-	tableSilent   bool      // as of the last call of advanceJournal
-	nextWrite     time.Time // earliest time of the next table write
-	writeFailures int       // consecutive failed table writes
-	snap          snapshotter
-	workers       []spoolsill.Worker
-	workersListed bool // the list of workers is available
+	mu               sync.Mutex // guards the fields below
+	closed           bool       // no more goroutines are started
+	ready            bool
+	state            *place.State
+	planCache        *intent.PlanCache
+	writer           *recordlog.Writer
+	pending          []action
+	waiters          []waiter
+	drivers          map[spoolsill.WorkerID]*driver
+	replicated       bool      // other hosts keep copies
+	tableUnavailable bool      // as of the last call of advanceJournal
+	nextWrite        time.Time // earliest time of the next table write
+	writeFailures    int       // consecutive failed table writes
+	snap             snapshotter
+	workers          []spoolsill.Worker
+	workersListed    bool // the list of workers is available
 }
 
 // An action is a record to act on once it is durable.
@@ -62,13 +62,13 @@
 
 func newTenure(ctx context.Context, h *Holder, e spoolsill.Epoch) *tenure {
 	t := &tenure{
-		h:       h,
-		epoch:   e,
-		done:    make(chan struct{}),
-		wakeup:  make(chan struct{}, 1),
-		slots:   make(chan struct{}, h.config.MaxRequests),
-		book:    intent.NewPlanCache(h.config.Intent),
-		drivers: map[spoolsill.WorkerID]*driver{},
+		h:          h,
+		epoch:      e,
+		done:       make(chan struct{}),
+		wakeup:     make(chan struct{}, 1),
+		requestSem: make(chan struct{}, h.config.MaxRequests),
+		planCache:  intent.NewPlanCache(h.config.Intent),
+		drivers:    map[spoolsill.WorkerID]*driver{},
 	}
 	t.ctx, t.cancel = context.WithCancel(ctx)
 	return t
@@ -157,7 +157,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.writer.UnstoredCount() > maxOpenEntries {
+	if t.writer.UnstoredCount() > maxUnstoredEntries {
 		return true
 	}
 	records, more := t.state.Decide(time.Now())
@@ -254,22 +254,22 @@
 // execute acts on a durable record. t.mu must be held.
 func (t *tenure) execute(r place.Record) {
 	d := t.driver(r.Worker)
-	ref := agent.TaskAttempt{
+	attempt := agent.TaskAttempt{
 		Task:    r.Task,
 		Attempt: r.Attempt,
 	}
 	switch r.Kind {
 	case place.TaskPlaced:
-		t.spawn(func() { d.start(ref) })
+		t.spawn(func() { d.start(attempt) })
 	case place.TaskCheckpointing:
-		t.spawn(func() { d.signal(ref, agent.Checkpoint) })
+		t.spawn(func() { d.signal(attempt, agent.Checkpoint) })
 	case place.TaskStopping:
-		t.spawn(func() { d.signal(ref, agent.Stop) })
+		t.spawn(func() { d.signal(attempt, agent.Stop) })
 	}
 }
 
-// spawn runs f in a goroutine of the tenure. At most Config.Starts of them run
-// at once. t.mu must be held.
+// spawn runs f in a goroutine of the tenure. At most Config.MaxRequests of
+// them run at once. t.mu must be held.
 func (t *tenure) spawn(f func()) {
 	if t.closed {
 		return
@@ -278,11 +278,11 @@
 	go func() {
 		defer t.wg.Done()
 		select {
-		case t.slots <- struct{}{}:
+		case t.requestSem <- struct{}{}:
 		case <-t.ctx.Done():
 			return
 		}
-		defer func() { <-t.slots }()
+		defer func() { <-t.requestSem }()
 		f()
 	}()
 }
