--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -156,15 +156,15 @@
 
 // RecordResult records the result of a claimed request. It ignores results
 // from anyone but the owner of the claim, and all but the first result.
-func (l *Ledger) RecordResult(k spoolsill.RequestKey, o Owner, a Result) {
+func (l *Ledger) RecordResult(k spoolsill.RequestKey, o Owner, r Result) {
 	e, ok := l.entries[k]
 	if !ok || e.owner != o || e.result.Outcome != "" {
 		return
 	}
-	if len(a.Body) > MaxBody {
-		a.Body = nil
+	if len(r.Body) > MaxBody {
+		r.Body = nil
 	}
-	e.result = a
+	e.result = r
 }
 
 // Len returns the number of retained claims.
--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -24,7 +24,7 @@
 	issued      map[spoolsill.RequestKey]time.Time
 	runs        map[spoolsill.RequestKey]int
 	nonce       uint64
-	open        []*pendingClaim
+	pending     []*pendingClaim
 	forgetStart bool // restarted hosts do not know their start time
 }
 
@@ -61,7 +61,7 @@
 		h.issued[k] = h.now
 	}
 	h.nonce++
-	h.open = append(h.open, &pendingClaim{
+	h.pending = append(h.pending, &pendingClaim{
 		claim: claim.Claim{
 			Key:    k,
 			Issued: h.issued[k],
@@ -79,20 +79,20 @@
 // advanceClaim advances a random claim: it queries the next host, or concludes
 // the claim if all hosts have been queried.
 func (h *hallModel) advanceClaim(t *rapid.T) {
-	if len(h.open) == 0 {
+	if len(h.pending) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(h.open)-1).Draw(t, "claim")
-	c := h.open[i]
+	i := rapid.IntRange(0, len(h.pending)-1).Draw(t, "claim")
+	c := h.pending[i]
 	if c.next < len(h.hosts) {
-		h.ask(t, c)
+		h.queryHost(t, c)
 		return
 	}
-	h.open = append(h.open[:i], h.open[i+1:]...)
-	h.conclude(t, c)
+	h.pending = append(h.pending[:i], h.pending[i+1:]...)
+	h.concludeClaim(t, c)
 }
 
-func (h *hallModel) ask(t *rapid.T, c *pendingClaim) {
+func (h *hallModel) queryHost(t *rapid.T, c *pendingClaim) {
 	l := h.hosts[c.next]
 	c.next++
 	lost := rapid.IntRange(0, 5).Draw(t, "lost")
@@ -108,12 +108,12 @@
 	}
 }
 
-func (h *hallModel) conclude(t *rapid.T, c *pendingClaim) {
-	j := c.tally.Decide()
-	if j == claim.AskTable {
-		j = h.askTable(t, c)
+func (h *hallModel) concludeClaim(t *rapid.T, c *pendingClaim) {
+	d := c.tally.Decide()
+	if d == claim.AskTable {
+		d = h.claimInTable(t, c)
 	}
-	if j != claim.Dispatch {
+	if d != claim.Dispatch {
 		h.recordResult(t, c, spoolsill.OutcomeNotRun)
 		return
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-func (h *hallModel) askTable(t *rapid.T, c *pendingClaim) claim.Decision {
+func (h *hallModel) claimInTable(t *rapid.T, c *pendingClaim) claim.Decision {
 	switch rapid.IntRange(0, 3).Draw(t, "table") {
 	case 0:
 		return claim.NotRecorded
--- a/recordlog/copies.go
+++ b/recordlog/copies.go
@@ -9,8 +9,8 @@
 // MaxCopies is the largest number of copied entries that a host keeps.
 const MaxCopies = 100_000
 
-// Copies holds entries that the hall's holder copied to this host while the table did
-// not respond. It is not safe for concurrent use.
+// Copies holds entries that the hall's holder copied to this host while the table was
+// unavailable. It is not safe for concurrent use.
 type Copies struct {
 	epoch   spoolsill.Epoch
 	entries map[spoolsill.Sequence]Entry
--- a/recordlog/doc.go
+++ b/recordlog/doc.go
@@ -7,9 +7,9 @@
 // never by a former holder. When the reply to a write is lost, the same entry is written
 // again: whichever write took effect, the row then holds the entry.
 //
-// While the table does not respond, an entry counts as durable once every other host of
-// the hall holds a copy. The entries are written to the table when it responds again. A
-// [Writer] decides what to write and copy next; a [Copies] holds the entries that a host
+// While the table is unavailable, an entry counts as durable once every other host of
+// the hall holds a copy. The entries are written to the table when it is available again.
+// A [Writer] decides what to write and copy next; a [Copies] holds the entries that a host
 // has received from others.
 //
 // Entries carry a format version and a checksum. Decoding a damaged entry, or one with a
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -32,7 +32,7 @@
 	// Last is the sequence number of the newest entry in the table.
 	Last spoolsill.Sequence
 	// HasPeers reports that the hall has other hosts to copy entries to. If it has none,
-	// entries count as durable in memory alone while the table does not respond.
+	// entries count as durable in memory alone while the table is unavailable.
 	HasPeers bool
 }
 
@@ -138,7 +138,7 @@
 }
 
 // NextCopy returns the entries to copy to the other hosts, if there are any. It must be
-// called only while the table does not respond and the host holds the lease.
+// called only while the table is unavailable and the host holds the lease.
 func (w *Writer) NextCopy() Action {
 	if w.copyInFlight || max(w.stored, w.copied) >= w.lastSealed {
 		return Action{}
@@ -147,19 +147,19 @@
 		w.copied = w.lastSealed
 		return Action{}
 	}
-	var missing []Entry
+	var uncopied []Entry
 	for _, e := range w.unstored {
 		if e.Sequence > w.copied {
-			missing = append(missing, e)
+			uncopied = append(uncopied, e)
 		}
 	}
-	if len(missing) == 0 {
+	if len(uncopied) == 0 {
 		return Action{}
 	}
 	w.copyInFlight = true
 	return Action{
 		Kind:    ActionCopy,
-		Entries: missing,
+		Entries: uncopied,
 	}
 }
 
