--- a/entry/api.go
+++ b/entry/api.go
@@ -76,9 +76,9 @@
 		switch r.Code {
 		case codeStale:
 			return http.StatusConflict, string(r.Code)
-		case codeIntent, peer.CodeBadInput:
+		case codeInvalidIntent, peer.CodeBadInput:
 			return http.StatusBadRequest, string(r.Code)
-		case codeNoJob:
+		case codeJobNotFound:
 			return http.StatusNotFound, string(r.Code)
 		default:
 			return http.StatusServiceUnavailable, string(r.Code)
@@ -248,7 +248,7 @@
 		return
 	}
 	for _, m := range missing {
-		if !isNoJob(m) {
+		if !isJobNotFound(m) {
 			writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{
 				Code: "unavailable",
 				Text: fmt.Sprintf("job %s is in no hall that answers; hall %s does not: %s", id, m.Hall, m.Text),
@@ -257,14 +257,14 @@
 		}
 	}
 	writeJSON(w, http.StatusNotFound, api.ErrorResponse{
-		Code: string(codeNoJob),
+		Code: string(codeJobNotFound),
 		Text: fmt.Sprintf("job %s is not known in any hall", id),
 	})
 }
 
-func isNoJob(m api.UnavailableHall) bool {
+func isJobNotFound(m api.UnavailableHall) bool {
 	return m.Text == (&peer.RemoteError{
-		Code: codeNoJob,
+		Code: codeJobNotFound,
 		Text: holder.ErrJobNotFound.Error(),
 	}).Error()
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -24,29 +24,29 @@
 
 type claimReply struct {
 	Verdict claim.Verdict `msgpack:"v"`
-	Answer  claim.Result  `msgpack:"a"`
+	Result  claim.Result  `msgpack:"a"`
 }
 
-type settleRequest struct {
+type resultRequest struct {
 	Key    spoolsill.RequestKey `msgpack:"k"`
 	Owner  claim.Owner          `msgpack:"o"`
-	Answer claim.Result         `msgpack:"a"`
+	Result claim.Result         `msgpack:"a"`
 }
 
 func (h *Host) handleClaim(_ context.Context, _ peer.Caller, q claim.Claim) (claimReply, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	v, a := h.ledger.Acquire(time.Now(), q)
+	v, r := h.ledger.Acquire(time.Now(), q)
 	return claimReply{
 		Verdict: v,
-		Answer:  a,
+		Result:  r,
 	}, nil
 }
 
-func (h *Host) handleSettle(_ context.Context, _ peer.Caller, q settleRequest) (empty, error) {
+func (h *Host) handleRecordResult(_ context.Context, _ peer.Caller, q resultRequest) (empty, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ledger.RecordResult(q.Key, q.Owner, q.Answer)
+	h.ledger.RecordResult(q.Key, q.Owner, q.Result)
 	return empty{}, nil
 }
 
@@ -105,19 +105,19 @@
 		if err != nil {
 			continue
 		}
-		first = v.Answer
+		first = v.Result
 		if !tally.Add(v.Verdict) {
 			break
 		}
 	}
-	j := tally.Decide()
-	if j == claim.AskTable {
-		j = h.claimInTable(ctx, &c)
+	d := tally.Decide()
+	if d == claim.AskTable {
+		d = h.claimInTable(ctx, &c)
 	}
-	if j != claim.Dispatch {
+	if d != claim.Dispatch {
 		h.releaseClaim(ctx, c)
 	}
-	return c, j, first
+	return c, d, first
 }
 
 func (h *Host) claimAtHost(ctx context.Context, x spoolsill.HostID, q claim.Claim) (claimReply, error) {
@@ -199,7 +199,7 @@
 // releaseClaim releases the claim of a request that certainly did not run, so
 // that its caller can retry.
 func (h *Host) releaseClaim(ctx context.Context, c claimedKey) {
-	h.settleClaim(ctx, c, claim.Result{
+	h.recordClaimResult(ctx, c, claim.Result{
 		Outcome: spoolsill.OutcomeNotRun,
 	})
 	if !c.rowWritten {
@@ -217,23 +217,23 @@
 	})
 }
 
-// settleClaim reports the outcome of a claimed request to the hosts of the home
-// hall.
-func (h *Host) settleClaim(ctx context.Context, c claimedKey, a claim.Result) {
-	if len(a.Body) > claim.MaxBody {
-		a.Body = nil
+// recordClaimResult sends the outcome of a claimed request to the hosts of the
+// home hall.
+func (h *Host) recordClaimResult(ctx context.Context, c claimedKey, r claim.Result) {
+	if len(r.Body) > claim.MaxBody {
+		r.Body = nil
 	}
-	q := settleRequest{
+	q := resultRequest{
 		Key:    c.claim.Key,
 		Owner:  c.claim.Owner,
-		Answer: a,
+		Result: r,
 	}
 	ctx = context.WithoutCancel(ctx)
 	for _, x := range c.home.HostIDs() {
 		if x == h.settings.Host.ID {
-			_, _ = h.handleSettle(ctx, peer.Caller{}, q)
+			_, _ = h.handleRecordResult(ctx, peer.Caller{}, q)
 			continue
 		}
-		_, _ = callPeer[empty](ctx, h, x, methodSettle, q)
+		_, _ = callPeer[empty](ctx, h, x, methodRecordResult, q)
 	}
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -26,10 +26,10 @@
 // ctx ends.
 func (h *Host) pollConfig(ctx context.Context) {
 	for ctx.Err() == nil {
-		asked := time.Now()
+		readAt := time.Now()
 		row, err := h.platform.Get(ctx, config.HeadKey)
 		if err == nil && h.applyConfigRow(row) {
-			h.recordConfigRead(asked)
+			h.recordConfigRead(readAt)
 		}
 		pause.For(ctx, configPollInterval-configPollInterval/10+rand.N(configPollInterval/5))
 	}
@@ -125,14 +125,14 @@
 	if err != nil {
 		return 0, err
 	}
-	old, err := headVersion(head)
+	newest, err := headVersion(head)
 	if err != nil {
 		return 0, err
 	}
-	if old != base {
+	if newest != base {
 		return 0, errConfigStale
 	}
-	r.Version = old + 1
+	r.Version = newest + 1
 	r.AcceptedAt = time.Now().Unix()
 	r.Nonce = rand.Uint64()
 	res, err := h.platform.Commit(ctx, config.AcceptTxn(r, head.Version))
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -48,14 +48,14 @@
 }
 
 func (h *Host) sendHeartbeat(ctx context.Context, to spoolsill.HostID) {
-	asked := time.Now()
-	r, err := callPeer[heartbeat](ctx, h, to, methodBeat, h.newHeartbeat())
+	sentAt := time.Now()
+	r, err := callPeer[heartbeat](ctx, h, to, methodHeartbeat, h.newHeartbeat())
 	if err != nil {
 		return
 	}
 	h.applyHeartbeat(ctx, to, 0, r)
 	if r.ConfigAge >= 0 && h.ConfigVersion() >= r.Version {
-		h.recordConfigRead(asked.Add(-r.ConfigAge))
+		h.recordConfigRead(sentAt.Add(-r.ConfigAge))
 	}
 }
 
--- a/entry/holdercalls.go
+++ b/entry/holdercalls.go
@@ -30,11 +30,11 @@
 
 // Error codes of calls between hosts.
 const (
-	codeStale      peer.Code = "stale"
-	codeIntent     peer.Code = "intent"
-	codeNotHolder  peer.Code = "not-holder"
-	codeNotLasting peer.Code = "not-lasting"
-	codeNoJob      peer.Code = "no-job"
+	codeStale          peer.Code = "stale"
+	codeInvalidIntent  peer.Code = "intent"
+	codeNotHolder      peer.Code = "not-holder"
+	codeUnknownOutcome peer.Code = "not-lasting"
+	codeJobNotFound    peer.Code = "no-job"
 )
 
 // maxHops bounds how often a call is forwarded: to a host of the hall, and from
@@ -95,7 +95,7 @@
 		return holderReply{}, remoteError(holder.ErrNotHolder)
 	}
 	q.Hops++
-	return peer.Call[holderReply](ctx, h.node, to, methodCell, q)
+	return peer.Call[holderReply](ctx, h.node, to, methodHolderCall, q)
 }
 
 // forwardToHall tries the hosts of another hall in turn until one can answer.
@@ -108,7 +108,7 @@
 	var err = peer.ErrUnreachable
 	for _, p := range x.HostIDs() {
 		var a holderReply
-		a, err = peer.Call[holderReply](ctx, h.node, p, methodCell, q)
+		a, err = peer.Call[holderReply](ctx, h.node, p, methodHolderCall, q)
 		if !errors.Is(err, peer.ErrUnreachable) && !peer.IsCode(err, codeNotHolder) {
 			return a, err
 		}
@@ -173,13 +173,13 @@
 	case errors.As(err, &stale):
 		return codeStale
 	case errors.Is(err, intent.ErrInvalidIntent):
-		return codeIntent
+		return codeInvalidIntent
 	case errors.Is(err, holder.ErrNotHolder):
 		return codeNotHolder
 	case errors.Is(err, holder.ErrUnknownOutcome):
-		return codeNotLasting
+		return codeUnknownOutcome
 	case errors.Is(err, holder.ErrJobNotFound):
-		return codeNoJob
+		return codeJobNotFound
 	default:
 		return peer.CodeInternal
 	}
@@ -189,7 +189,7 @@
 const jobKeyPrefix = "job/"
 
 // registerJob reserves a job's id for the hall. It is idempotent for the same
-// plan. While the table does not answer, only ids that start with the hall's
+// plan. While the table is unavailable, only ids that start with the hall's
 // name can be registered, since no other hall assigns those.
 func (h *Host) registerJob(ctx context.Context, id spoolsill.JobID, p spoolsill.PlanID) error {
 	key := jobKeyPrefix + string(id)
--- a/entry/incarnation.go
+++ b/entry/incarnation.go
@@ -59,7 +59,7 @@
 	for _, s := range h.services {
 		s.router.EnableOwnSlots(time.Time{})
 	}
-	h.recordEvent(timeline.KindMembership, "own slots are in use: the last life left no request behind")
+	h.recordEvent(timeline.KindMembership, "own slots are in use: the last incarnation left no request behind")
 }
 
 var errIncarnationReplaced = errors.New("another incarnation of this host has started")
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -63,7 +63,7 @@
 			Service: s,
 		})
 		cancel()
-		if err == nil && r.Yes {
+		if err == nil && r.Accepted {
 			return x, true
 		}
 	}
@@ -73,16 +73,16 @@
 func (h *Host) handleOffer(_ context.Context, _ peer.Caller, q offerRequest) (acceptReply, error) {
 	s, ok := h.services[q.Service]
 	return acceptReply{
-		Yes: ok && !h.stopping.Load() && s.router.FreeSlots() > 0,
+		Accepted: ok && !h.stopping.Load() && s.router.FreeSlots() > 0,
 	}, nil
 }
 
 type relayRequest struct {
-	Request spoolsill.Request `msgpack:"r"`
-	Left    time.Duration     `msgpack:"l"` // until the deadline
-	Path    string            `msgpack:"p"`
-	Type    string            `msgpack:"t"`
-	Body    []byte            `msgpack:"b"`
+	Request  spoolsill.Request `msgpack:"r"`
+	TimeLeft time.Duration     `msgpack:"l"` // until the deadline
+	Path     string            `msgpack:"p"`
+	Type     string            `msgpack:"t"`
+	Body     []byte            `msgpack:"b"`
 }
 
 type relayReply struct {
@@ -102,11 +102,11 @@
 	ctx, cancel := context.WithDeadline(ctx, c.Request.Expires())
 	defer cancel()
 	r, err := peer.Call[relayReply](ctx, h.node, to, methodRelay, relayRequest{
-		Request: c.Request,
-		Left:    time.Until(c.Request.Deadline),
-		Path:    c.Path,
-		Type:    c.Type,
-		Body:    c.Body,
+		Request:  c.Request,
+		TimeLeft: time.Until(c.Request.Deadline),
+		Path:     c.Path,
+		Type:     c.Type,
+		Body:     c.Body,
 	})
 	var refused *peer.RemoteError
 	if errors.Is(err, peer.ErrUnreachable) || errors.As(err, &refused) {
@@ -141,7 +141,7 @@
 			Cause:   route.CauseStopping,
 		}, nil
 	}
-	q.Request.Deadline = time.Now().Add(q.Left)
+	q.Request.Deadline = time.Now().Add(q.TimeLeft)
 	p := s.router.Do(ctx, router.Call{
 		Request: q.Request,
 		Path:    q.Path,
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -14,42 +14,42 @@
 
 // Methods of calls between hosts.
 const (
-	methodBeat     = "beat"
-	methodPromise  = "promise"
-	methodCopy     = "copy"
-	methodCopies   = "copies"
-	methodBorrow   = "borrow"
-	methodReturn   = "return"
-	methodClaim    = "claim"
-	methodSettle   = "settle"
-	methodConfig   = "config"
-	methodMembers  = "members"
-	methodTimeline = "timeline"
-	methodHost     = "host"
-	methodOffer    = "offer"
-	methodRelay    = "relay"
-	methodCell     = "cell"
+	methodHeartbeat    = "beat"
+	methodPromise      = "promise"
+	methodCopy         = "copy"
+	methodCopies       = "copies"
+	methodBorrow       = "borrow"
+	methodReturn       = "return"
+	methodClaim        = "claim"
+	methodRecordResult = "settle"
+	methodConfig       = "config"
+	methodMembers      = "members"
+	methodTimeline     = "timeline"
+	methodHostStatus   = "host"
+	methodOffer        = "offer"
+	methodRelay        = "relay"
+	methodHolderCall   = "cell"
 )
 
 // peerTimeout bounds calls between hosts that don't forward a request.
 const peerTimeout = time.Second
 
 func (h *Host) registerHandlers() {
-	peer.Handle(h.node, methodBeat, h.handleHeartbeat)
+	peer.Handle(h.node, methodHeartbeat, h.handleHeartbeat)
 	peer.Handle(h.node, methodPromise, h.handlePromise)
 	peer.Handle(h.node, methodCopy, h.handleCopy)
 	peer.Handle(h.node, methodCopies, h.handleCopies)
 	peer.Handle(h.node, methodBorrow, h.handleBorrow)
 	peer.Handle(h.node, methodReturn, h.handleReturn)
 	peer.Handle(h.node, methodClaim, h.handleClaim)
-	peer.Handle(h.node, methodSettle, h.handleSettle)
+	peer.Handle(h.node, methodRecordResult, h.handleRecordResult)
 	peer.Handle(h.node, methodConfig, h.handleConfigRead)
 	peer.Handle(h.node, methodMembers, h.handleMembersRead)
 	peer.Handle(h.node, methodTimeline, h.handleTimeline)
-	peer.Handle(h.node, methodHost, h.handleHostRead)
+	peer.Handle(h.node, methodHostStatus, h.handleHostStatus)
 	peer.Handle(h.node, methodOffer, h.handleOffer)
 	peer.Handle(h.node, methodRelay, h.handleRelay)
-	peer.Handle(h.node, methodCell, h.handleHolderCall)
+	peer.Handle(h.node, methodHolderCall, h.handleHolderCall)
 }
 
 // hallPeers returns the other hosts of the hall.
@@ -77,7 +77,7 @@
 }
 
 type acceptReply struct {
-	Yes bool `msgpack:"y"`
+	Accepted bool `msgpack:"y"`
 }
 
 type entriesMessage struct {
@@ -104,7 +104,7 @@
 	r, err := callPeer[acceptReply](ctx, (*Host)(p), to, methodPromise, promiseRequest{
 		Epoch: e,
 	})
-	return err == nil && r.Yes
+	return err == nil && r.Accepted
 }
 
 // Copy implements holder.Peers.
@@ -130,7 +130,7 @@
 	}
 	q.Entries = list
 	r, err := callPeer[acceptReply](ctx, (*Host)(p), to, methodCopy, q)
-	return err == nil && r.Yes
+	return err == nil && r.Accepted
 }
 
 func encodeEntries(list []recordlog.Entry) ([][]byte, error) {
@@ -173,7 +173,7 @@
 
 func (h *Host) handlePromise(_ context.Context, _ peer.Caller, q promiseRequest) (acceptReply, error) {
 	return acceptReply{
-		Yes: h.holder.Promise(q.Epoch),
+		Accepted: h.holder.Promise(q.Epoch),
 	}, nil
 }
 
@@ -184,11 +184,11 @@
 	}
 	if q.Leaving {
 		return acceptReply{
-			Yes: h.holder.AcceptHandOver(q.Epoch, entries),
+			Accepted: h.holder.AcceptHandOver(q.Epoch, entries),
 		}, nil
 	}
 	return acceptReply{
-		Yes: h.holder.KeepCopies(q.Epoch, q.Stored, entries),
+		Accepted: h.holder.KeepCopies(q.Epoch, q.Stored, entries),
 	}, nil
 }
 
--- a/entry/request.go
+++ b/entry/request.go
@@ -127,11 +127,11 @@
 // caller disconnects.
 func (h *Host) serveOnce(ctx context.Context, s *service, c router.Call) reply {
 	ctx = context.WithoutCancel(ctx)
-	k, j, a := h.claimKey(ctx, c.Request)
-	switch j {
+	claimed, decision, first := h.claimKey(ctx, c.Request)
+	switch decision {
 	case claim.Dispatch:
 	case claim.KeyUsed:
-		return replayAnswer(a)
+		return replayAnswer(first)
 	case claim.NotRecorded:
 		return notRun(route.CauseNotRecorded, time.Second)
 	default:
@@ -139,9 +139,9 @@
 	}
 	p := h.routeRequest(ctx, s, c)
 	if p.Outcome == spoolsill.OutcomeNotRun {
-		h.releaseClaim(ctx, k)
+		h.releaseClaim(ctx, claimed)
 	} else {
-		go h.settleClaim(ctx, k, claim.Result{
+		go h.recordClaimResult(ctx, claimed, claim.Result{
 			Outcome: p.Outcome,
 			Status:  p.Answer.Status,
 			Type:    p.Answer.Type,
@@ -155,8 +155,8 @@
 
 // replayAnswer returns the recorded answer to the first request with the same
 // key, or an unknown outcome if there is none.
-func replayAnswer(a claim.Result) reply {
-	if a.Outcome != spoolsill.OutcomeDone || a.Body == nil {
+func replayAnswer(first claim.Result) reply {
+	if first.Outcome != spoolsill.OutcomeDone || first.Body == nil {
 		return unknownOutcome(route.CauseDuplicateKey)
 	}
 	return reply{
@@ -164,9 +164,9 @@
 		Reply: router.Reply{
 			Outcome: spoolsill.OutcomeDone,
 			Answer: upstream.Answer{
-				Status: a.Status,
-				Type:   a.Type,
-				Body:   a.Body,
+				Status: first.Status,
+				Type:   first.Type,
+				Body:   first.Body,
 			},
 		},
 	}
--- a/entry/status.go
+++ b/entry/status.go
@@ -53,7 +53,7 @@
 	return s
 }
 
-func (h *Host) handleHostRead(context.Context, peer.Caller, empty) (api.HostStatus, error) {
+func (h *Host) handleHostStatus(context.Context, peer.Caller, empty) (api.HostStatus, error) {
 	return h.status(), nil
 }
 
@@ -101,5 +101,5 @@
 	if id == h.settings.Host.ID {
 		return h.status(), nil
 	}
-	return callPeer[api.HostStatus](ctx, h, id, methodHost, empty{})
+	return callPeer[api.HostStatus](ctx, h, id, methodHostStatus, empty{})
 }
