--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -26,12 +26,12 @@
 	Skew time.Duration
 }
 
-// An Owner identifies the dispatch that claimed a key. Life tells apart the
-// processes that ran on the same host, Nonce the dispatches of one process.
+// An Owner identifies the dispatch that claimed a key. Incarnation tells apart
+// the processes that ran on the same host, Nonce the dispatches of one process.
 type Owner struct {
-	Host  spoolsill.HostID      `msgpack:"h"`
-	Life  spoolsill.Incarnation `msgpack:"l"`
-	Nonce uint64                `msgpack:"n"`
+	Host        spoolsill.HostID      `msgpack:"h"`
+	Incarnation spoolsill.Incarnation `msgpack:"l"`
+	Nonce       uint64                `msgpack:"n"`
 }
 
 // A Result is the result of a claimed request. Body is set only for
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -87,9 +87,9 @@
 			Key:    r.Key,
 			Issued: r.Issued,
 			Owner: claim.Owner{
-				Host:  h.settings.Host.ID,
-				Life:  h.incarnation,
-				Nonce: h.nonces.Add(1),
+				Host:        h.settings.Host.ID,
+				Incarnation: h.incarnation,
+				Nonce:       h.nonces.Add(1),
 			},
 		},
 	}
