--- a/entry/api.go
+++ b/entry/api.go
@@ -179,7 +179,7 @@
 }
 
 // callHolders calls the holders of the requested halls concurrently. Halls whose
-// call fails are returned as missing.
+// call fails are returned as unavailable.
 func callHolders[R any](h *Host, q *http.Request, o holderOp, body any) (map[spoolsill.HallID]R, []api.UnavailableHall) {
 	type result struct {
 		hall spoolsill.HallID
@@ -201,26 +201,26 @@
 		}()
 	}
 	out := map[spoolsill.HallID]R{}
-	missing := []api.UnavailableHall{}
+	unavailable := []api.UnavailableHall{}
 	for range halls {
 		x := <-results
 		if x.err == nil {
 			out[x.hall] = x.r
 			continue
 		}
-		missing = append(missing, api.UnavailableHall{
+		unavailable = append(unavailable, api.UnavailableHall{
 			Hall: x.hall,
 			Text: x.err.Error(),
 		})
 	}
-	return out, missing
+	return out, unavailable
 }
 
 func (h *Host) getJobs(w http.ResponseWriter, q *http.Request) {
-	jobs, missing := callHolders[[]place.JobView](h, q, opJobs, empty{})
+	jobs, unavailable := callHolders[[]place.JobView](h, q, opJobs, empty{})
 	out := api.Jobs{
 		Jobs:             []api.Job{},
-		UnavailableHalls: missing,
+		UnavailableHalls: unavailable,
 	}
 	for hall, list := range jobs {
 		for _, j := range list {
@@ -238,7 +238,7 @@
 
 func (h *Host) getJob(w http.ResponseWriter, q *http.Request) {
 	id := spoolsill.JobID(chi.URLParam(q, "id"))
-	found, missing := callHolders[holder.JobStatus](h, q, opJob, id)
+	found, unavailable := callHolders[holder.JobStatus](h, q, opJob, id)
 	for hall, d := range found {
 		writeJSON(w, http.StatusOK, api.JobDetail{
 			Hall:  hall,
@@ -247,7 +247,7 @@
 		})
 		return
 	}
-	for _, m := range missing {
+	for _, m := range unavailable {
 		if !isJobNotFound(m) {
 			writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{
 				Code: "unavailable",
@@ -270,10 +270,10 @@
 }
 
 func (h *Host) getWorkers(w http.ResponseWriter, q *http.Request) {
-	found, missing := callHolders[[]place.WorkerView](h, q, opWorkers, empty{})
+	found, unavailable := callHolders[[]place.WorkerView](h, q, opWorkers, empty{})
 	out := api.Workers{
 		Workers:          []api.Worker{},
-		UnavailableHalls: missing,
+		UnavailableHalls: unavailable,
 	}
 	for hall, list := range found {
 		for _, x := range list {
--- a/entry/config.go
+++ b/entry/config.go
@@ -87,7 +87,7 @@
 	h.mu.Unlock()
 	if err != nil {
 		h.log.WithError(err).WithField("version", r.Version).Error("configuration rejected; the last valid one stays in force")
-		h.recordFault(fmt.Sprintf("configuration %d refused: %s", r.Version, err))
+		h.recordFault(fmt.Sprintf("configuration %d rejected: %s", r.Version, err))
 		return
 	}
 	if !applied {
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -106,10 +106,10 @@
 		h.holder.PeerRestarted()
 	}
 	if recovered {
-		h.recordEvent(timeline.KindMembership, "host "+string(from)+" is heard again")
+		h.recordEvent(timeline.KindMembership, "host "+string(from)+" is responding again")
 	}
 	if leavingChanged {
-		h.recordEvent(timeline.KindMembership, "host "+string(from)+" knows of machines that leave")
+		h.recordEvent(timeline.KindMembership, "host "+string(from)+" reports workers or runners that are leaving")
 		h.updateRunners()
 	}
 	if outdated {
--- a/entry/holdercalls.go
+++ b/entry/holdercalls.go
@@ -219,5 +219,5 @@
 	if strings.HasPrefix(string(id), string(h.hall.ID)+"-") {
 		return nil
 	}
-	return fmt.Errorf("%w: the table is silent, so that only jobs named %s-... can be added: %w", holder.ErrUnknownOutcome, h.hall.ID, err)
+	return fmt.Errorf("%w: the table is unavailable, so only jobs named %s-... can be added: %w", holder.ErrUnknownOutcome, h.hall.ID, err)
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -149,7 +149,7 @@
 	changed := h.members.SetLeaving(time.Now(), string(id))
 	h.mu.Unlock()
 	if changed {
-		h.recordEvent(timeline.KindMembership, "runner "+string(id)+" says that it is leaving")
+		h.recordEvent(timeline.KindMembership, "runner "+string(id)+" announced its shutdown")
 		h.updateRunners()
 	}
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -30,17 +30,17 @@
 }
 
 var causeTexts = map[route.Cause]string{
-	route.CauseDeadline:     "its time passed before it could be sent to a runner",
-	route.CauseOverload:     "there is more work than can be done, and it is worth the least",
+	route.CauseDeadline:     "the deadline passed before it could be sent to a runner",
+	route.CauseOverload:     "the queue is full of requests that are worth more",
 	route.CauseNoRunner:     "no runner of the service is known in this hall",
 	route.CauseRefused:      "the runners refused it",
 	route.CauseFailed:       "the runner failed after it got the request",
 	route.CauseTimeout:      "no answer came in time",
-	route.CauseCancelled:    "the caller left",
+	route.CauseCancelled:    "the caller disconnected",
 	route.CauseStopping:     "this host is stopping: ask again at once",
-	route.CauseRateLimit:    "the caller sends more than its rate",
+	route.CauseRateLimit:    "the caller exceeds its rate limit",
 	route.CauseDuplicateKey: "a request with the same key was sent before",
-	route.CauseNotRecorded:  "it could not be recorded that the request runs",
+	route.CauseNotRecorded:  "the claim of the request key could not be recorded",
 	route.CauseBadInput:     "the request can't be accepted",
 }
 
@@ -89,7 +89,7 @@
 		return router.Call{}, false
 	}
 	if err != nil {
-		h.rejectRequest(w, http.StatusBadRequest, "the body did not come whole")
+		h.rejectRequest(w, http.StatusBadRequest, "the body is incomplete")
 		return router.Call{}, false
 	}
 	if r.Key == "" {
--- a/entry/timeline.go
+++ b/entry/timeline.go
@@ -31,13 +31,13 @@
 	f.After.Wall, _ = strconv.ParseInt(v.Get("after"), 10, 64)
 	n, _ := strconv.ParseUint(v.Get("after_counter"), 10, 32)
 	f.After.Counter = uint32(n)
-	events, missing := h.collectEvents(q.Context(), f, limit)
+	events, unavailable := h.collectEvents(q.Context(), f, limit)
 	if len(events) > limit {
 		events = events[len(events)-limit:]
 	}
 	writeJSON(w, http.StatusOK, api.Timeline{
 		Events:           events,
-		UnavailableHosts: missing,
+		UnavailableHosts: unavailable,
 	})
 }
 
@@ -62,17 +62,17 @@
 			}()
 		}
 	}
-	var rings [][]timeline.Event
-	missing := []spoolsill.HostID{}
+	var lists [][]timeline.Event
+	unavailable := []spoolsill.HostID{}
 	for range n {
 		r := <-results
 		if r.err != nil {
-			missing = append(missing, r.id)
+			unavailable = append(unavailable, r.id)
 			continue
 		}
-		rings = append(rings, r.events)
+		lists = append(lists, r.events)
 	}
-	return timeline.Merge(rings...), missing
+	return timeline.Merge(lists...), unavailable
 }
 
 func (h *Host) fetchEvents(ctx context.Context, id spoolsill.HostID, f timeline.Filter, limit int) ([]timeline.Event, error) {
