--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -160,9 +160,9 @@
 	if int(s.writer.Stored()) > len(s.rows) {
 		t.Fatalf("%d entries count as stored, but the table has %d", s.writer.Stored(), len(s.rows))
 	}
-	have := s.writer.Stored() + spoolsill.Sequence(len(s.copies.After(0, s.writer.Stored())))
-	if s.writer.Durable() > have {
-		t.Fatalf("entry %d counts as durable, but only %d entries are kept", s.writer.Durable(), have)
+	kept := s.writer.Stored() + spoolsill.Sequence(len(s.copies.After(0, s.writer.Stored())))
+	if s.writer.Durable() > kept {
+		t.Fatalf("entry %d counts as durable, but only %d entries are kept", s.writer.Durable(), kept)
 	}
 }
 
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -180,11 +180,11 @@
 
 // CopyDone records the result of the last [Writer.NextCopy]: whether every other host of
 // the hall has accepted the copies, of which upTo is the last.
-func (w *Writer) CopyDone(upTo spoolsill.Sequence, all bool) {
+func (w *Writer) CopyDone(upTo spoolsill.Sequence, accepted bool) {
 	valid := w.copyInFlight && !w.copyInvalid
 	w.copyInFlight = false
 	w.copyInvalid = false
-	if valid && all && upTo > w.copied {
+	if valid && accepted && upTo > w.copied {
 		w.copied = upTo
 	}
 }
