--- a/entry/peers.go
+++ b/entry/peers.go
@@ -84,8 +84,8 @@
 	Epoch   spoolsill.Epoch    `msgpack:"e"`
 	Stored  spoolsill.Sequence `msgpack:"s"`
 	Entries [][]byte           `msgpack:"n"`
-	// Leaving says that the sender is shutting down and hands over its entries.
-	Leaving bool `msgpack:"g,omitempty"`
+	// HandOver says that the sender is shutting down and hands over its entries.
+	HandOver bool `msgpack:"g,omitempty"`
 	// Complete says that no other host of the hall keeps entries that the
 	// sender lacks.
 	Complete bool `msgpack:"w,omitempty"`
@@ -118,8 +118,8 @@
 // HandOver implements holder.Peers.
 func (p *holderPeers) HandOver(ctx context.Context, to spoolsill.HostID, e spoolsill.Epoch, entries []recordlog.Entry) bool {
 	return p.send(ctx, to, entries, entriesMessage{
-		Epoch:   e,
-		Leaving: true,
+		Epoch:    e,
+		HandOver: true,
 	})
 }
 
@@ -182,7 +182,7 @@
 	if err != nil {
 		return acceptReply{}, badInput(err)
 	}
-	if q.Leaving {
+	if q.HandOver {
 		return acceptReply{
 			Accepted: h.holder.AcceptHandOver(q.Epoch, entries),
 		}, nil
