--- a/entry/host.go
+++ b/entry/host.go
@@ -310,7 +310,7 @@
 	}
 	h.recordEvent(timeline.KindOperator, "planned stop began")
 	h.log.Info("planned stop began")
-	h.holder.SetLeaving()
+	h.holder.SetStopping()
 	if !h.config.Break.Drain {
 		h.drain(ctx)
 	}
--- a/holder/leave.go
+++ b/holder/drain.go
@@ -9,13 +9,13 @@
 	"github.com/spoolsill/spoolsill/recordlog"
 )
 
-// SetLeaving marks the host as about to stop. The host continues to work, but no
+// SetStopping marks the host as about to stop. The host continues to work, but no
 // longer accepts entries from other hosts that are stopping: if two stopping
 // hosts handed their entries to each other, both copies would be lost.
-func (h *Holder) SetLeaving() {
+func (h *Holder) SetStopping() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.leaving = true
+	h.stopping = true
 }
 
 // Drain stops making decisions. It returns once all entries that this host
@@ -113,5 +113,5 @@
 func (h *Holder) AcceptHandOver(e spoolsill.Epoch, entries []recordlog.Entry) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return !h.leaving && h.copies.Add(e, entries)
+	return !h.stopping && h.copies.Add(e, entries)
 }
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -28,9 +28,9 @@
 	tenure         *tenure
 	wg             sync.WaitGroup
 	copiesComplete bool // copies has all that any host of the hall keeps
-	// leaving is set when the process is about to stop, draining when no more
+	// stopping is set when the process is about to stop, draining when no more
 	// decisions are made, releasing when no more tenures begin.
-	leaving   bool
+	stopping  bool
 	draining  bool
 	releasing bool
 }
