--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -92,7 +92,7 @@
 	for k, v := range head {
 		q.Header.Set(k, v)
 	}
-	client := f.HTTP()
+	client := f.HTTPClient()
 	defer client.CloseIdleConnections()
 	r, err := client.Do(q)
 	if err != nil {
@@ -235,7 +235,7 @@
 func TestOperatorErrorsNameTheCause(t *testing.T) {
 	c := qt.New(t)
 	_, f := newFleet(t, entry.Breaks{}, 0)
-	client := f.Client()
+	client := f.OperatorClient()
 	ctx := context.Background()
 	_, err := client.Plan(ctx, api.PlanRequest{
 		Submit:   "id = \"x\"",
--- a/holder/reconcile_test.go
+++ b/holder/reconcile_test.go
@@ -66,7 +66,7 @@
 	c.Assert(err, qt.IsNil)
 	defer cell.Close()
 	agents := agent.NewClient(agent.Config{
-		Dial: cell.Network.Dialer(fleet.OutsideNode),
+		Dial: cell.Network.Dialer(fleet.ExternalNode),
 	})
 	defer agents.Close()
 	ctx := context.Background()
@@ -84,7 +84,7 @@
 	c.Assert(err, qt.IsNil)
 	defer f.Close()
 	c.Assert(f.WaitReady(ctx), qt.IsNil)
-	client := f.Client()
+	client := f.OperatorClient()
 	defer client.HTTPClient.CloseIdleConnections()
 	p, err := client.Plan(ctx, api.PlanRequest{
 		Submit: "id = \"whole\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"8\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
@@ -139,7 +139,7 @@
 	defer f.Close()
 	ctx := context.Background()
 	c.Assert(f.WaitReady(ctx), qt.IsNil)
-	client := f.Client()
+	client := f.OperatorClient()
 	defer client.HTTPClient.CloseIdleConnections()
 	worker := string(cell.Platform.Members().Workers[0].ID)
 	cell.Network.SetPaused(worker, true)
@@ -193,7 +193,7 @@
 		defer f.Close()
 		ctx := context.Background()
 		c.Assert(f.WaitReady(ctx), qt.IsNil)
-		client := f.Client()
+		client := f.OperatorClient()
 		defer client.HTTPClient.CloseIdleConnections()
 		p, err := client.Plan(ctx, api.PlanRequest{
 			Submit: "id = \"greedy\"\nteam = \"t\"\nkind = \"batch\"\ntasks = 1\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1h\"\n",
