--- a/config/document.go
+++ b/config/document.go
@@ -12,7 +12,7 @@
 )
 
 // ErrInvalidDocument is returned for a document that fails validation.
-var ErrInvalidDocument = errors.New("config: invalid document")
+var ErrInvalidDocument = errors.New("config: document not accepted")
 
 // Limits of a document. MaxRate is in requests per second.
 const (
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -11,7 +11,7 @@
 )
 
 // ErrInvalidIntent is returned for an intent that fails validation.
-var ErrInvalidIntent = errors.New("intent: invalid")
+var ErrInvalidIntent = errors.New("intent: not accepted")
 
 // MaxCancelJobs is the maximum number of jobs that one intent cancels.
 const MaxCancelJobs = 20_000
--- a/intent/plancache.go
+++ b/intent/plancache.go
@@ -71,12 +71,12 @@
 	k, ok := b.plans[id]
 	if !ok {
 		return place.Plan{}, &place.StaleError{
-			Text: fmt.Sprintf("plan %s is not known here: it was evicted, or another host took over the hall's lease", id),
+			Text: fmt.Sprintf("plan %s is not known here: it is too old, or the hall's holder has changed", id),
 		}
 	}
 	if now.After(k.expires) {
 		return place.Plan{}, &place.StaleError{
-			Text: fmt.Sprintf("plan %s expired at %s", id, k.expires.UTC().Format(time.RFC3339)),
+			Text: fmt.Sprintf("plan %s has expired at %s", id, k.expires.UTC().Format(time.RFC3339)),
 		}
 	}
 	return k.plan, nil
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -155,7 +155,7 @@
 	}
 	if err != nil || result.Outcome == "" {
 		result.Outcome = spoolsill.OutcomeUnknown
-		result.Cause = "the answer was incomplete"
+		result.Cause = "the answer did not come whole"
 	}
 	return result
 }
--- a/table/table.go
+++ b/table/table.go
@@ -9,7 +9,7 @@
 
 // ErrUnavailable is returned when the table did not accept a call. The call
 // certainly had no effect.
-var ErrUnavailable = errors.New("table: unavailable")
+var ErrUnavailable = errors.New("table: down")
 
 // ErrUnknownOutcome is returned when the response to a call was lost. The call
 // may have taken effect.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -31,11 +31,11 @@
 const DefaultMaxAnswerBytes = 16 << 20
 
 // ErrNotRun is returned if the request certainly did not run.
-var ErrNotRun = errors.New("upstream: request did not run")
+var ErrNotRun = errors.New("upstream: refused")
 
 // ErrUnknownOutcome is returned if the request may have run or may still be
 // running.
-var ErrUnknownOutcome = errors.New("upstream: outcome of the request is unknown")
+var ErrUnknownOutcome = errors.New("upstream: connection broke")
 
 // A Config configures a [Client].
 type Config struct {
@@ -143,7 +143,7 @@
 	q.Header.Set("Content-Type", x.Type)
 	q.Header.Set(HeaderKey, string(x.Key))
 	if !x.Until.IsZero() && !time.Now().Before(x.Until) {
-		return Answer{}, fmt.Errorf("%w: the time to send it has passed", ErrNotRun)
+		return Answer{}, fmt.Errorf("%w: the slot may not be used any more", ErrNotRun)
 	}
 	r, err := c.http.Do(q)
 	if err != nil {
@@ -162,7 +162,7 @@
 		return Answer{}, fmt.Errorf("%w: answer is longer than %d bytes", ErrUnknownOutcome, c.config.MaxAnswerBytes)
 	}
 	if r.Header.Get(HeaderOutcome) == string(spoolsill.OutcomeNotRun) {
-		return Answer{}, fmt.Errorf("%w: refused by the runner: status %d", ErrNotRun, r.StatusCode)
+		return Answer{}, fmt.Errorf("%w: by the runner: status %d", ErrNotRun, r.StatusCode)
 	}
 	return Answer{
 		Status:  r.StatusCode,
