--- a/leader/advice_test.go
+++ b/leader/advice_test.go
@@ -16,8 +16,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A host that can't reach the advisor must not be asked repeatedly while others can.
-func TestHostWithoutTheAdvisorIsLeftAlone(t *testing.T) {
+// A host that can't reach the advisor must not be queried repeatedly while other hosts can.
+func TestHostWithoutTheAdvisorIsNotQueriedRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -39,8 +39,8 @@
 	})
 }
 
-// Questions for urgent work precede those that wait already, in order, and none is lost.
-func TestUrgentQuestionsGoFirst(t *testing.T) {
+// Questions for urgent work are sent ahead of those already queued, and none is lost.
+func TestUrgentQuestionsAreSentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
@@ -101,9 +101,9 @@
 	})
 }
 
-// Guards against a backlog of questions with idle hosts, when answers travel for longer than
-// the advisor needs.
-func TestSlowAnswersDoNotHoldQuestionsUp(t *testing.T) {
+// Guards against a backlog of questions while hosts are idle, which comes about when responses
+// spend more time in transit than the advisor needs to compute them.
+func TestSlowAdvisorResponsesDoNotDelayQuestions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
--- a/leader/cancelload_test.go
+++ b/leader/cancelload_test.go
@@ -17,7 +17,7 @@
 // A host reports a job and its cancellation to a leader that has not read all jobs yet, while
 // the store refuses the leader's write of the end. The job's rows must not be deleted before
 // the end is stored, or the job would be lost.
-func TestRowsOfAJobThatEndsWhileJobsAreReadAreKeptUntilItsEndLasts(t *testing.T) {
+func TestRowsOfCancelledJobAreKeptUntilItsEndIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	// crashAfter is the time from the start of a task to the crash of its worker, as was
-	// recorded; backAfter is the time until the machine is back as another worker.
+	// crashAfter is the time from the start of a task to the crash of its worker, as
+	// recorded in a deployment; backAfter is the time until the machine is back as another
+	// worker.
 	crashAfter = 10 * time.Millisecond
 	backAfter  = 3300 * time.Millisecond
 )
@@ -176,9 +177,9 @@
 	}
 }
 
-// The same when workers come back under their ids, at once or after a while. Such crashes showed
-// only as runs that the worker does not have, which did not count as attempts: the task was
-// started again each time.
+// Guards against unlimited retries of a task whose workers restart under their ids, at once or
+// after a while. Such crashes are visible only as runs that the worker does not have, which did
+// not count as attempts.
 func TestTaskThatCrashesWorkersThatKeepTheirIDsIsGivenUp(t *testing.T) {
 	for _, back := range []time.Duration{0, 100 * time.Millisecond, backAfter} {
 		t.Run(back.String(), func(t *testing.T) {
@@ -201,8 +202,8 @@
 	}
 }
 
-// The same when the leader is replaced between the crashes: the next one knows from the store
-// which incarnations have crashed.
+// Workers restart under their ids while the leader is replaced between the crashes. The next
+// leader reads from the store which incarnations have crashed.
 func TestCrashesOfWorkersThatKeepTheirIDsLastOverTakeOvers(t *testing.T) {
 	for seed := range 8 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/leader/invalidentry_test.go
+++ b/leader/invalidentry_test.go
@@ -18,7 +18,7 @@
 // Another writer repeatedly puts undecodable rows among the worker entries, under names of its
 // own and over a worker's entry. Work continues, each name is logged once, and the count falls
 // when the rows are gone.
-func TestEntriesOfAnotherWriterDoNoHarm(t *testing.T) {
+func TestInvalidWorkerEntriesAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -22,7 +22,7 @@
 
 // Configurations may reach a leader in any order; an older one must not replace a newer
 // one.
-func TestOlderQueuesChangeNothing(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestJobsAreDone(t *testing.T) {
+func TestJobsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
@@ -58,7 +58,7 @@
 
 // The leader changes every few seconds without the former one being notified, while
 // responses of the store and of workers are lost and some orders are delayed.
-func TestNothingRunsTwiceWhileLeadersChange(t *testing.T) {
+func TestNoTaskRunsTwiceAcrossLeaderChanges(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { changingLeaders(t, seed) })
@@ -134,9 +134,9 @@
 	return d.r.IntN(n)
 }
 
-// The tasks of a worker that is gone for good are started elsewhere: unanswered calls must
-// not extend its lease.
-func TestGoneWorkersTasksStartElsewhere(t *testing.T) {
+// The tasks of a permanently lost worker are started on another one: unanswered calls must
+// not extend the lease of the lost worker.
+func TestTasksOfLostWorkerRestartOnAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -165,7 +165,7 @@
 
 // A leader that takes long to load must not process ends of jobs that it does not know yet:
 // the ends would be acknowledged and the tasks run again.
-func TestEndsWaitUntilJobsAreLoaded(t *testing.T) {
+func TestEndsAreProcessedAfterJobsAreLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -187,7 +187,7 @@
 
 // A planned stop first finishes the write in flight and then releases the leadership, so that
 // the next leader does not have to wait for a timeout.
-func TestPlannedStopReleasesTheLeadership(t *testing.T) {
+func TestPlannedStopReleasesLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -209,9 +209,9 @@
 	})
 }
 
-// A leader that can't read from the store does not know what other hosts accept, and must
+// A leader that can't read from the store does not know which jobs other hosts accept, and must
 // not report that no jobs are waiting.
-func TestWaitingIsNotToldFromAnOldView(t *testing.T) {
+func TestStaleWaitingCountIsNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -231,7 +231,8 @@
 	})
 }
 
-// slowObserver is an observer that delays the loop, as on a host with too little processor.
+// slowObserver is an observer that delays the event loop, as on a host with too little processor
+// time.
 type slowObserver struct{}
 
 func (slowObserver) RecordEvent(sched.Note)             { pause.For(context.Background(), 400*time.Millisecond) }
@@ -239,7 +240,7 @@
 func (slowObserver) RecordTakeover(time.Duration)       {}
 
 // A leader that can't keep up releases the leadership, so that a larger host takes over.
-func TestLeaderThatCannotKeepUpResigns(t *testing.T) {
+func TestOverloadedLeaderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -254,7 +255,7 @@
 }
 
 // Rows of ended jobs are deleted; the next leader and the store still know their states.
-func TestEndedJobsKeepOnlyTheirState(t *testing.T) {
+func TestOnlyStateOfEndedJobsIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
@@ -286,7 +287,7 @@
 // The leader row keeps changing while the progress of all jobs is read, however long that
 // takes: otherwise other hosts would take over from each leader in turn, and none would finish
 // loading. Rows that hosts report meanwhile don't block them.
-func TestLeaderStaysWhileItLoads(t *testing.T) {
+func TestLeaderRemainsWhileLoading(t *testing.T) {
 	const (
 		load          = 3 * time.Second
 		unchanged     = 350 * time.Millisecond // others take over after it
--- a/leader/lostresponse_test.go
+++ b/leader/lostresponse_test.go
@@ -40,7 +40,7 @@
 // ten tasks of one second in sequence take little more than ten seconds. In the worst case each
 // task loses the responses to its start and to the renewal that reports its end, 0.09 s and
 // 0.11 s, and the first one an end before the loss is detected, 0.5 s: 12.46 s were measured.
-func TestLostAnswersCostLittleTime(t *testing.T) {
+func TestLostResponsesCauseLittleDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
--- a/leader/restart_test.go
+++ b/leader/restart_test.go
@@ -20,11 +20,11 @@
 const (
 	// restartAfter is the time from a worker's crash until it is back under its id.
 	restartAfter = 600 * time.Millisecond
-	// restartLate is the same, but longer than an order in flight is retried, and shorter than
-	// the lease.
+	// restartLate is a longer such time: an order in flight is no longer retried, but the
+	// lease has not expired.
 	restartLate = 3 * time.Second
-	// restartBeforeLate is after the last try of such an order, and before the order is
-	// carried out late.
+	// restartBeforeLate is a time after the last try of an order in flight, and before the
+	// order is carried out late.
 	restartBeforeLate = 1900 * time.Millisecond
 )
 
@@ -51,13 +51,13 @@
 
 // Guards against tasks that run again, 60 to 110 ms after they ended, on workers that crashed
 // and restarted under the same id half a second later. Each incarnation of a worker numbers
-// its ends from 1. The leader took the numbers up to the highest one of the former incarnation
-// for ends that it had counted, acknowledged them, and then found the runs neither running nor
-// ended:
+// its ends from 1. The leader mistook ends with numbers up to the highest one of the former
+// incarnation for ends that it had processed, acknowledged them, and then found the runs neither
+// running nor ended:
 //
 //	9.034 task ended, done, run 1 of one task
 //	9.034 run is gone, worker does not have it, run 4 of another
-func TestEndsOfAWorkerThatStartedAgainCount(t *testing.T) {
+func TestEndsOfRestartedWorkerAreProcessed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -76,12 +76,12 @@
 	})
 }
 
-// Guards against a task that is never started again because its start stays in doubt. The
-// worker crashed within a millisecond of carrying out the start, and restarted under the same
-// id. The start is settled once the worker's clock has passed the deadline of the order. That
-// deadline was on the clock of the former incarnation, at 17 min in this test, while the clock
-// of the next one starts from zero: the start was still in doubt after 120 s.
-func TestStartInDoubtAtAWorkerThatStartedAgainIsSettled(t *testing.T) {
+// Guards against a task that is never retried because its start remains unconfirmed. The worker
+// crashed within a millisecond of carrying out the start, and restarted under the same id. An
+// unconfirmed start is resolved once the worker's clock has passed the deadline of the order.
+// That deadline was on the clock of the former incarnation, at 17 min in this test, while the
+// clock of the next one starts from zero: the start was still unconfirmed after 120 s.
+func TestUnconfirmedStartIsResolvedAfterWorkerRestart(t *testing.T) {
 	for _, fault := range []cellfake.OrderFault{cellfake.OrderDrop, cellfake.OrderLose} {
 		synctest.Test(t, func(t *testing.T) {
 			x := newCell(t.Context(), t, 2)
@@ -112,10 +112,10 @@
 	}
 }
 
-// An order for a former incarnation is delivered late to the next one, which knows of no
-// fence and no stop, and by whose clock the order is in time. Its task must not run
-// elsewhere by then.
-func TestLateStartForAFormerIncarnationRunsBesideNoOther(t *testing.T) {
+// An order for a former incarnation is delivered late to the next one. That one has seen no
+// fence and no stop, and the order has not expired by its clock, so it carries the order out.
+// The task must not run on another worker at that time.
+func TestLateStartForFormerIncarnationRunsNoTaskTwice(t *testing.T) {
 	for _, by := range []time.Duration{2 * time.Second, 5 * time.Second, 11 * time.Second} {
 		t.Run(by.String(), func(t *testing.T) { testLateStart(t, by) })
 	}
@@ -159,7 +159,7 @@
 // answered for another worker, which proves that the incarnation is over. The leader treated
 // the id as dead instead, so that late entries would not revive it, and ignored the entries of
 // the next incarnation: two jobs of one core stayed pending with a worker of ten cores idle.
-func TestWorkerDeclaredDeadIsUsedAgainInItsNextIncarnation(t *testing.T) {
+func TestWorkerDeclaredDeadIsUsedAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -173,7 +173,7 @@
 	})
 }
 
-// submitAndWait is submitTasks, followed by the time that the jobs take.
+// submitAndWait submits jobs like submitTasks and waits for as long as they take.
 func (x *cell) submitAndWait(prefix string, n int) []spoolsill.JobID {
 	ids := x.submitTasks(prefix, n)
 	pause.For(x.ctx, 4*time.Second)
@@ -185,7 +185,7 @@
 // before it was first asked for its runs. That first call acknowledged the 12 ends of the
 // former incarnation, so that the worker discarded its only end unread, as an acknowledged
 // one.
-func TestEndsNotReceivedAreNotAcknowledgedToTheNextIncarnation(t *testing.T) {
+func TestUnreceivedEndsAreNotAcknowledgedAfterWorkerRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -237,7 +237,7 @@
 // Guards against a retry that starts a task twice. A worker had carried out a start whose
 // response was lost, had listed the run as ended, and had restarted before the last try, which
 // its next incarnation took for a new order. Once a worker has listed the run there is no retry.
-func TestStartIsNotTriedAgainOnceItsRunIsListed(t *testing.T) {
+func TestStartIsNotRetriedOnceRunIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
--- a/leader/slowheartbeat_test.go
+++ b/leader/slowheartbeat_test.go
@@ -13,10 +13,10 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Responses that become slow on a saturated link are read to their end. If each of them were
-// given up, the end of the task would never be received, its lease would expire, and the task
-// would start elsewhere although it is done.
-func TestHeartbeatsThatFlowAreReadToTheirEnd(t *testing.T) {
+// Responses that arrive slowly over a saturated link are read completely. If each of them were
+// abandoned, the leader would never receive the end of the task, the lease would expire, and the
+// task would start on another worker although it is done.
+func TestSlowHeartbeatResponsesAreReadCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
--- a/leader/slowresponse_test.go
+++ b/leader/slowresponse_test.go
@@ -18,7 +18,7 @@
 // Responses of all workers take 0.4 s, as on a saturated link, and the leader waits for them.
 // If it retried orders because of late responses, the retries would load the link further, and
 // no start would ever be confirmed.
-func TestSlowAnswersAreWaitedFor(t *testing.T) {
+func TestSlowResponsesCauseNoRetries(t *testing.T) {
 	const (
 		workers = 20
 		jobs    = 100
--- a/leader/stalefeed_test.go
+++ b/leader/stalefeed_test.go
@@ -42,7 +42,7 @@
 
 // The log reports feeds from which the leader receives nothing, also when their calls hang, and
 // no others.
-func TestLogTellsOfFeedsThatHang(t *testing.T) {
+func TestStaleFeedsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
--- a/leader/stop_test.go
+++ b/leader/stop_test.go
@@ -39,7 +39,7 @@
 
 // A job is cancelled while its worker is unreachable and the leader has just died: the next
 // leader has to stop it once the worker is reachable again.
-func TestJobCancelledDuringATakeOverIsStopped(t *testing.T) {
+func TestJobCancelledDuringTakeoverIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
--- a/leader/suspend_test.go
+++ b/leader/suspend_test.go
@@ -19,7 +19,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// callTimes are workers that record when each fence was last used.
+// callTimes wraps workers and records when each fence was last used.
 type callTimes struct {
 	*cellfake.Workers
 
@@ -65,7 +65,7 @@
 // various moments of its work, and twice in a row, each time for less than a lease. After it
 // resumes, it sends nothing more in its epoch and returns the reason. The next leader finishes
 // the work, and nothing runs twice.
-func TestSuspendedLeaderSendsNothingMore(t *testing.T) {
+func TestLeaderSendsNothingAfterSuspension(t *testing.T) {
 	for _, ms := range []int{0, 3, 7, 12, 19, 31, 140, 290} {
 		after := time.Duration(ms) * time.Millisecond
 		t.Run(after.String(), func(t *testing.T) {
@@ -108,7 +108,7 @@
 
 // A host whose machine was suspended before it leads works normally, with a clock that is an
 // hour ahead of the time of day and of its timers.
-func TestLeaderWorksAheadOfTheTimeOfDay(t *testing.T) {
+func TestLeaderWorksWithClockAheadOfTimeOfDay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
