--- a/node/configfaults_test.go
+++ b/node/configfaults_test.go
@@ -136,7 +136,7 @@
 
 // An offer from a host that is gone must not prevent fetching an older configuration
 // that others have.
-func TestOfferOfGoneHostHidesNoOther(t *testing.T) {
+func TestOfferOfStoppedHostDoesNotHideOthers(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
 		cut := (x.leader() + 1) % 3
 		p := peer.NewNode(peer.Config{
@@ -167,7 +167,7 @@
 }
 
 // A configuration that cannot be decoded must not be fetched repeatedly.
-func TestInvalidConfigurationIsRarelyFetched(t *testing.T) {
+func TestInvalidConfigurationIsNotFetchedRepeatedly(t *testing.T) {
 	run(t, 2, 1, func(x *cell) {
 		at := standin.Node{
 			Name:  "fake",
--- a/node/configs_test.go
+++ b/node/configs_test.go
@@ -13,7 +13,7 @@
 // A host that has been behind for longer than the grace period of the feed must fetch
 // what others offer, even while newer versions are offered every few hundred
 // milliseconds.
-func TestConsecutiveOffersBecomeDue(t *testing.T) {
+func TestFrequentlyReplacedOffersBecomeDue(t *testing.T) {
 	c := node.NewConfigs()
 	begun := time.Now()
 	now := begun
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -39,12 +39,12 @@
 type advice struct {
 	// asked and tickets are keyed by worker incarnation, since an answer of the advisor holds
 	// for one incarnation only.
-	asked   map[*worker]bool // with an answer: a ticket, or never allowed
+	asked   map[*worker]bool // covered by an answer; those without a ticket are never allowed
 	tickets map[*worker]ticket
 	allowed []*worker // workers with a ticket, valid or expired
-	// learning counts the outstanding questions about workers that are not known yet;
-	// warming is set while one renews the tickets of a waiting gang. Every question gets
-	// an answer, if only one that says that it was lost.
+	// learning counts the outstanding questions about workers that no answer covers yet;
+	// warming is set while a question that renews the tickets of a waiting gang is
+	// outstanding. Every question is answered, by an Advice with Lost set if need be.
 	learning    int
 	warming     bool
 	lastLearned time.Time // when the last answer about new workers was received
@@ -96,7 +96,7 @@
 	})
 }
 
-// askAboutMore asks about workers that are not known yet. A gang needs many workers, so
+// askAboutMore asks about workers that no answer covers yet. A gang needs many workers, so
 // its question is split over the hosts that are free to ask.
 func (d *decider) askAboutMore(g *stage, q *Queue, workers []spoolsill.WorkerIncarnation) {
 	parts := 1
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -48,8 +48,8 @@
 	x.c.Assert(o[0].Ticket, qt.Equals, "ticket-b")
 }
 
-// Guards against capacity that another task takes while a ticket is renewed, and against
-// repeated questions: those that no stage waits for any more would overload the advisor.
+// Guards against another task taking the capacity of a run whose ticket is being renewed, and
+// against repeated questions: those that no stage waits for any more would overload the advisor.
 func TestExpiredTicketIsRenewedWithCapacityHeld(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -131,7 +131,7 @@
 // Urgent questions are exempt from the bound only while their job can still be in time.
 // After an outage there may be many jobs that can't, whose questions would otherwise
 // delay those that matter.
-func TestOnlyTimelyUrgentQuestionsExceedTheBound(t *testing.T) {
+func TestUrgentQuestionsOfLateJobsAreBounded(t *testing.T) {
 	const hosts = 3
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
@@ -156,9 +156,9 @@
 	}
 }
 
-// Guards against questions about workers that don't answer: their runs are dropped, so
-// that they look idle, but nothing new is started there.
-func TestOnlyWorkersThatAnswerAreAskedAbout(t *testing.T) {
+// Guards against questions about workers that don't answer. They look idle, since their runs
+// are dropped, but nothing new is started there.
+func TestQuestionsOmitSilentWorkers(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("silent")
 	x.addWorker("busy")
@@ -172,8 +172,8 @@
 	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("busy")})
 }
 
-// Guards against capacity that stays idle until the advisor has answered: the tickets of a
-// gang that waits for capacity are renewed in advance.
+// The tickets of a gang that waits for capacity are renewed in advance. Guards against capacity
+// that stays idle until the advisor has answered.
 func TestTicketsOfAWaitingGangAreKeptValid(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -196,7 +196,7 @@
 
 // A question is split over free hosts since answers about parts of the workers arrive
 // sooner than one about all.
-func TestGangsAskInPartsAsFarAsHostsAreFree(t *testing.T) {
+func TestGangQuestionsAreSplitOverFreeHosts(t *testing.T) {
 	for hosts, parts := range map[int]int{1: 1, 4: 2, 20: 3} {
 		x := newCell(t)
 		x.state.SetMaxQuestions(hosts)
@@ -220,8 +220,8 @@
 	}
 }
 
-// Guards against a worker that comes back after it was closed being taken for a new one:
-// the advisor's answer for it still applies.
+// The advisor's answer for a worker still applies when the worker comes back after it was
+// closed. Guards against treating it as a new worker.
 func TestAdviceOutlivesAWorkersAbsence(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -243,7 +243,7 @@
 }
 
 // Guards against a flood of questions when the advisor refuses each one at once.
-func TestLostQuestionsAreAskedAgainAfterAPause(t *testing.T) {
+func TestLostQuestionsAreRetriedAfterDelay(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.SetMaxQuestions(2)
--- a/sched/capacity_test.go
+++ b/sched/capacity_test.go
@@ -27,7 +27,7 @@
 
 // A worker's capacity is reduced while orders to it are being written: only those that
 // fit are sent, and the other tasks are placed again.
-func TestOrdersThatNoLongerFitAreNotSent(t *testing.T) {
+func TestOrdersOverReducedCapacityAreNotSent(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(3, 3)), sched.Progress{})
@@ -46,7 +46,7 @@
 
 // A worker whose capacity was reduced gets nothing new until its runs, including those
 // being stopped, fit again. Added capacity is used at the next decision.
-func TestCapacityFollowsTheEntry(t *testing.T) {
+func TestCapacityFollowsWorkerEntry(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(2, 4)), sched.Progress{})
@@ -77,7 +77,7 @@
 
 // When the workers' entries are out of date, nothing is decided and recorded orders are
 // not sent until they are current again.
-func TestNothingStartsOnOldEntries(t *testing.T) {
+func TestNothingStartsOnStaleEntries(t *testing.T) {
 	x := newCell(t)
 	x.state = sched.New(sched.Config{
 		Lease:      lease,
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -12,8 +12,8 @@
 	// trialPeriod is how long after its start a run of a suspect task is on trial, which
 	// is the time within which a task that crashes its workers does so.
 	trialPeriod = maxRuntimePerCrash
-	// besideTrialCost is the cost of starting an unsuspected task beside a run on trial,
-	// with which it may be lost, as a fraction of its run time for each such run.
+	// besideTrialCost is the cost of starting an unsuspected task at a worker with runs on
+	// trial, which may crash the worker: a fraction of the task's run time for each of them.
 	besideTrialCost = 0.5
 	// runsAtRiskCost weighs the share of a worker that is in use, and that a crash would
 	// take down, against a trial there, as a factor on the run time. For strong
@@ -47,8 +47,8 @@
 	return !w.listed && w.graceUntil.IsZero() && w.answeredAt.After(w.unlistedAt)
 }
 
-// recordLoss records that a worker is gone with its runs. It is known to have crashed
-// (over), or has been unreachable for longer than its lease, or may have been
+// recordLoss records that a worker is gone with its runs. If crashed is set, the worker is known
+// to have crashed. Otherwise it has been unreachable for longer than its lease, or may have been
 // decommissioned.
 func (s *State) recordLoss(w *worker, rs []*run, over bool, reason string) {
 	if over && w.leftAsAnnounced() {
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordCrash remembers that the machine of a worker has just crashed.
+// recordCrash records when the machine of a worker crashed.
 func (s *State) recordCrash(w *worker) {
 	if w.machineKey() != "" {
 		s.crashedAt[w.machineKey()] = s.now
@@ -109,8 +109,8 @@
 	})
 }
 
-// retractLosses drops the losses that were recorded for a worker's silence: it answers
-// again.
+// retractLosses drops the losses that were recorded while a worker was silent. It is called when
+// the worker answers again.
 func (s *State) retractLosses(w *worker) {
 	for _, t := range s.suspects {
 		if t.evidence.retract(w.incarnation()) {
@@ -219,9 +219,9 @@
 }
 
 // trialCost returns the cost of starting a task at a worker that results from the risk
-// of crashes, as a factor on the run time. A suspect task is tried away from other
-// suspects, so that a second crash tells which of them caused it, and where a crash
-// takes few other runs down.
+// of crashes, as a factor on the run time. Suspect tasks are started on different workers, so
+// that a second crash tells which of them caused it, and where a crash takes few other runs
+// down.
 func (d *decider) trialCost(t *task, w *worker) float64 {
 	level := t.evidence.suspicion()
 	if level == noSuspicion && len(w.trials) == 0 {
@@ -242,7 +242,7 @@
 	return c
 }
 
-// gangTrialCost is trialCost for a gang, as for its most suspect member.
+// gangTrialCost returns the trialCost of the most suspect member of a gang.
 func (d *decider) gangTrialCost(g *stage, w *worker) float64 {
 	worst := g.tasks[0]
 	for _, t := range g.tasks {
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -123,7 +123,7 @@
 }
 
 // Only a loss that may have been caused by the task is stored with the job's progress.
-func TestWhichLossesCountAgainstATask(t *testing.T) {
+func TestLossesCountedAgainstTask(t *testing.T) {
 	for _, e := range lossCases() {
 		t.Run(e.name, func(t *testing.T) {
 			x := newCell(t)
@@ -303,7 +303,7 @@
 // The suspect tasks of one crash are started on different workers, even where one worker
 // has fewer runs at risk than the others, so that the next crash tells which of them
 // caused it.
-func TestSuspectsAreTriedApart(t *testing.T) {
+func TestSuspectTasksStartOnDifferentWorkers(t *testing.T) {
 	x := newCell(t)
 	x.listIncarnation(0, 0)
 	for i := range 4 {
@@ -356,7 +356,7 @@
 
 // Nothing else is started at a worker where a task with two losses is tried, until the
 // task has run for a second.
-func TestNothingElseStartsBesideAStrongSuspect(t *testing.T) {
+func TestNothingStartsBesideStrongSuspect(t *testing.T) {
 	x := newCell(t)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	for i := range 2 {
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -128,7 +128,7 @@
 	delete(f.runs, incarnationID(m, f.incarnations[m]))
 }
 
-// restartDue starts the machines whose time has come.
+// restartDue starts the machines whose downtime is over.
 func (f *crashLoad) restartDue() {
 	for m := range f.incarnations {
 		until, down := f.down[m]
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -116,7 +116,7 @@
 
 // Checks for any sequence of crashes, partitions, lost answers and changes of the leader
 // that a task is never started a third time after three workers have crashed with it.
-func TestNeverAThirdStartAfterThreeCrashes(t *testing.T) {
+func TestAtMostTwoStartsAfterThreeCrashes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &crashModel{
 			x:      newCell(t),
--- a/sched/crashrow_test.go
+++ b/sched/crashrow_test.go
@@ -110,7 +110,7 @@
 
 // A row stores a bounded number of losses: of a job whose thousand tasks were lost with
 // their workers, those of the tasks with the most losses.
-func TestCrashesKeptAreBounded(t *testing.T) {
+func TestStoredLossesAreBounded(t *testing.T) {
 	x := newCell(t)
 	j := job("j", "q", tasks(1000, 0))
 	x.state.AddJob(x.now, j, sched.Progress{})
@@ -166,7 +166,7 @@
 
 // Guards against rows that saturate the leader's link: the row of a job with many tasks
 // is written at each start and end of one of them.
-func TestRowsOfProgressAreShort(t *testing.T) {
+func TestProgressRowsAreShort(t *testing.T) {
 	const tasks = 25
 	p := running("i-c61488dfcf")
 	one := p.Stages[0].Tasks[0]
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -70,8 +70,8 @@
 // evidence is what suggests that a task crashes the workers that start it.
 type evidence struct {
 	losses []Loss
-	// lived is the total time that runs of the task have lasted since it became suspect,
-	// as far as their workers have reported.
+	// lived is the total run time of the task since it became suspect, as far as its workers
+	// have reported.
 	lived time.Duration
 }
 
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -91,7 +91,7 @@
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
 
-func TestBrokenGangStartsAgainOnlyWhenAllMembersAreGone(t *testing.T) {
+func TestBrokenGangRestartsOnceAllMembersAreGone(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("g", "q", gang(2, 3)), sched.Progress{})
--- a/sched/incarnations.go
+++ b/sched/incarnations.go
@@ -56,8 +56,8 @@
 		w.renewedUntil = w.answeredAt // renewals start over with the new incarnation
 		return w
 	default:
-		// Also when the former incarnation is known to have ended: otherwise the capacity of
-		// a worker that reuses its id would be lost to the cell.
+		// This applies even if the former incarnation is known to have ended: otherwise the
+		// capacity of a worker that reuses its id would be lost to the cell.
 		return s.beginNextIncarnation(w, l.Born, source)
 	}
 }
@@ -110,7 +110,7 @@
 	})
 }
 
-// doubtful counts the runs of which it is not known whether w has them.
+// doubtful returns the number of runs that w may or may not have.
 func (w *worker) doubtful() int {
 	n := 0
 	for _, r := range w.runs {
@@ -168,7 +168,7 @@
 func (s *State) dropAbsent(w *worker, rs []*run) {
 	former := slices.DeleteFunc(slices.Clone(rs), func(r *run) bool { return !r.forFormerIncarnation() })
 	if w.crashed || w.restarts == 0 {
-		// It is not known how an incarnation ended that only a former leader has seen.
+		// If only a former leader has seen the incarnation, it is not known how it ended.
 		s.addLosses(w, former, w.crashed, "it started again")
 	}
 	for _, r := range rs {
@@ -184,8 +184,8 @@
 	}
 }
 
-// noteUncounted logs an end that is taken for a duplicate although its run is still
-// counted at the worker.
+// noteUncounted logs an end that is ignored as a duplicate although its run is still counted at
+// the worker.
 func (s *State) noteUncounted(w *worker, e End) {
 	if w.runs[e.Run] == nil {
 		return
--- a/sched/incarnations_test.go
+++ b/sched/incarnations_test.go
@@ -55,8 +55,8 @@
 }
 
 // Guards against two concurrent runs of a task. A start that was given up is carried out
-// late, when its task waits to be started again. Stopping the run takes time, and the
-// next one would run beside it, so the late run is adopted instead.
+// late, when its task waits to be started again. Stopping the late run takes time, during which
+// the next run would start, so the late run is adopted instead.
 func TestLateRunIsAdopted(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
--- a/sched/invalidentry_test.go
+++ b/sched/invalidentry_test.go
@@ -47,7 +47,7 @@
 
 // An invalid entry of an unknown worker is ignored, and a worker of a service that no
 // queue uses is not contacted.
-func TestUnusableEntriesAreNotContacted(t *testing.T) {
+func TestIrrelevantWorkersAreNotContacted(t *testing.T) {
 	x := newCell(t)
 	x.state.WorkerEntryInvalid(x.now, "nobody")
 	x.state.WorkerListed(x.now, sched.Worker{
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -335,9 +335,9 @@
 	})
 }
 
-// A worker with many short tasks answers many times while it stops a run that is in no
-// record. Guards against a stop order for each answer; the order is repeated only when
-// it has had no effect.
+// A worker with many short tasks answers many times while it stops a run that the leader has no
+// record of. Guards against a stop order for each answer; the order is repeated only if it has
+// had no effect.
 func TestStopsOfUnknownRunsArePaced(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
--- a/sched/leaving_test.go
+++ b/sched/leaving_test.go
@@ -29,7 +29,7 @@
 
 // A worker may exit without an announcement: its entry is deleted, and it continues for
 // as long as one that drains. Checkpointed runs that it can't finish are moved.
-func TestCheckpointedWorkMovesOffAnUnlistedWorker(t *testing.T) {
+func TestCheckpointedRunsMoveOffUnlistedWorker(t *testing.T) {
 	x := newCell(t)
 	r := x.startCheckpointed()
 	x.state.WorkerUnlisted(x.now, "w")
@@ -78,7 +78,7 @@
 
 // The grace time after an outage of the store does not apply to a worker that is
 // draining.
-func TestDrainingWorkerGetsNothingNewAfterAnOutage(t *testing.T) {
+func TestNothingStartsAtDrainingWorkerAfterStoreOutage(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.listWorker("w", true)
@@ -89,7 +89,7 @@
 }
 
 // Guards against a lasting task that ends with its worker without a report.
-func TestLastingWorkMovesBeforeItsWorkerLeaves(t *testing.T) {
+func TestLastingTasksMoveBeforeTheirWorkerExits(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w1")
 	s := tasks(1, 1)
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -81,7 +81,7 @@
 	if k.priority <= q.Priority {
 		return false
 	}
-	// The slack of a rank counts the whole run as still to come.
+	// The slack of a rank assumes that the run has not begun.
 	slack := k.slack + d.expected(d.queue(g.job), g.step) - d.remaining(r)
 	return slack < 0 || slack > minVictimSlack
 }
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -253,8 +253,8 @@
 	})
 }
 
-// After any such sequence, once events cease, a team that uses less than half of its quota
-// has no waiting jobs if a worker has capacity.
+// After any sequence of such events, once they have ceased, a team that uses less than half of its
+// quota has no waiting jobs if a worker has capacity.
 func TestNoTeamUnderHalfOfItsQuotaWaits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newQuotaModel(t)
--- a/sched/reserve_test.go
+++ b/sched/reserve_test.go
@@ -34,7 +34,7 @@
 
 // Where smaller tasks take all freed capacity, a large task never finds enough at once. A
 // worker is reserved for it.
-func TestWorkerIsKeptForALargeTask(t *testing.T) {
+func TestWorkerIsReservedForLargeTask(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	running := x.fillWithSmallTasks("q", false)
@@ -52,7 +52,7 @@
 	x.c.Assert(o[0].Run.Task.Stage.Job, qt.Equals, spoolsill.JobID("large"))
 }
 
-func TestSavedWorkIsStoppedForALargeTask(t *testing.T) {
+func TestCheckpointedRunsArePreemptedForLargeTask(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		queue sched.QueueID // of the small tasks
@@ -95,7 +95,7 @@
 }
 
 // A run that would miss its objective after a restart is not preempted.
-func TestWorkWithoutTimeIsNotStopped(t *testing.T) {
+func TestRunsWithoutSlackAreNotPreempted(t *testing.T) {
 	x := newCell(t)
 	x.state.SetQueues([]sched.Queue{
 		{
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -108,7 +108,7 @@
 	r := w.runs[a.Run]
 	if a.Outcome == StartOtherIncarnation {
 		if r != nil && !a.Doubt {
-			// The run never began there, so that it can't have ended that incarnation.
+			// The run never began there, so it can't have caused the end of that incarnation.
 			s.dropRun(r, "start order: "+a.Outcome.String())
 		}
 		s.WorkerDied(now, a.WorkerIncarnation)
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -116,7 +116,7 @@
 	x.c.Assert(p.State, qt.Equals, sched.Completed)
 }
 
-func TestDrainingWorkerGetsNothingNew(t *testing.T) {
+func TestNothingStartsAtDrainingWorker(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.listWorker("w", true)
@@ -143,7 +143,7 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
-func TestSilentWorkersTasksStartElsewhereAfterItsLease(t *testing.T) {
+func TestTasksOfSilentWorkerRestartAfterLeaseExpires(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -441,7 +441,7 @@
 
 // Of two stages that can both meet their objective, the one of the queue with the higher
 // priority goes first, whatever their slack.
-func TestPriorityGoesBeforeSlack(t *testing.T) {
+func TestPriorityPrecedesSlack(t *testing.T) {
 	x := newCell(t)
 	x.state.SetQueues([]sched.Queue{
 		{
--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -40,25 +40,25 @@
 	return x.state.Stops()
 }
 
-func TestStopThatNobodyTookIsOrderedAgain(t *testing.T) {
+func TestUndeliveredStopIsRepeated(t *testing.T) {
 	x, o := cancelRunning(t)
 	x.answerStop(o, false)
 	x.c.Assert(x.stopsWithin(500*time.Millisecond, o.Run), qt.DeepEquals, []sched.StopOrder{o})
 }
 
-func TestStopWithoutEffectIsOrderedAgain(t *testing.T) {
+func TestStopWithoutEffectIsRepeated(t *testing.T) {
 	x, o := cancelRunning(t)
 	x.answerStop(o, true)
 	x.c.Assert(x.stopsWithin(500*time.Millisecond, o.Run), qt.HasLen, 0)
 	x.c.Assert(x.stopsWithin(500*time.Millisecond, o.Run), qt.DeepEquals, []sched.StopOrder{o})
 }
 
-func TestStopWhoseAnswerNeverComesIsOrderedAgain(t *testing.T) {
+func TestUnansweredStopIsRepeated(t *testing.T) {
 	x, o := cancelRunning(t)
 	x.c.Assert(x.stopsWithin(3*time.Second, o.Run), qt.Not(qt.HasLen), 0)
 }
 
-func TestStopEndsWithTheRun(t *testing.T) {
+func TestStopIsNotRepeatedAfterRunEnds(t *testing.T) {
 	x, o := cancelRunning(t)
 	x.answerStop(o, true)
 	x.advance(5*time.Second, map[spoolsill.WorkerID][]sched.RunID{
@@ -97,8 +97,8 @@
 	}
 }
 
-// A worker that lists an end again has not received the acknowledgement.
-func TestEndThatIsListedAgainIsAcknowledgedAgain(t *testing.T) {
+// A worker that lists an end again has not received its acknowledgement.
+func TestRepeatedEndIsAcknowledgedAgain(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -164,7 +164,7 @@
 
 // Checks that cancelled runs end within a bound once their worker answers again,
 // whichever orders and answers were lost before and whichever host led.
-func TestCancelledRunsAreGoneOnceTheirWorkerAnswers(t *testing.T) {
+func TestCancelledRunsEndOnceTheirWorkerAnswers(t *testing.T) {
 	const bound = 3 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
 		x := newCell(t)
--- a/sched/unresponsive_test.go
+++ b/sched/unresponsive_test.go
@@ -9,9 +9,9 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// A worker that leaves an order unanswered and answers nothing else may be cut off, so
-// that a start there would be in doubt.
-func TestUnresponsiveWorkerGetsNothingNewUntilItAnswers(t *testing.T) {
+// A worker that leaves an order unanswered and answers nothing else may be cut off. The outcome
+// of a start there might remain unknown, so nothing new is started until it answers.
+func TestNothingStartsAtUnresponsiveWorker(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.WorkerUnresponsive(x.now, incarnationOf("w"))
@@ -21,7 +21,7 @@
 	x.c.Assert(x.step(), qt.HasLen, 1)
 }
 
-func TestWorkerWithAnOldAnswerGetsNothingNew(t *testing.T) {
+func TestNothingStartsAtWorkerWithStaleAnswer(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.now = x.now.Add(time.Second)
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -16,8 +16,8 @@
 	Ready   int
 	Fitting int
 	Kept    int
-	// Asked counts the workers that the advisor was queried about, Questions the queries
-	// about further workers in flight.
+	// Asked counts the workers that the advisor's answers cover, Questions the queries about
+	// further workers that are in flight.
 	Asked     int
 	Questions int
 }
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -44,7 +44,7 @@
 	restarts int
 	listed   bool
 	dead     bool
-	// closed is set while the worker is not in State.order, since it is not listed and
+	// closed is set while the worker is not in State.workerList, since it is not listed and
 	// has no runs. It is reset when the worker comes back.
 	closed bool
 	used   spoolsill.Resources
@@ -107,8 +107,8 @@
 	}
 }
 
-// reopen adds a worker that is back to the order again. Its state is kept: the advisor's
-// answers for this incarnation and its health still apply.
+// reopen adds a closed worker that is back to the list of workers. Its state is kept: the
+// advisor's answers for this incarnation and its health still apply.
 func (s *State) reopen(w *worker) {
 	if !w.closed {
 		return
@@ -339,8 +339,8 @@
 	s.closeWorker(w)
 }
 
-// dropRuns drops the runs of a worker that is known to have crashed (over), or that may
-// be gone. The loss counts against their tasks: a task that crashes its workers never
+// dropRuns drops the runs of a worker that is known to have crashed, if crashed is set, or that
+// may be gone. The loss counts against their tasks: a task that crashes its workers never
 // reports an end, and would otherwise be restarted forever.
 func (s *State) dropRuns(w *worker, reason string, over bool) {
 	rs := sortedRuns(w)
@@ -363,7 +363,7 @@
 	return rs
 }
 
-// closeWorker removes a worker that is not listed and has no runs from the order. Dead
+// closeWorker removes a worker that is not listed and has no runs from the list of workers. Dead
 // workers stay, so that a late entry does not revive them.
 func (s *State) closeWorker(w *worker) {
 	if w.present(s.now) || len(w.runs) > 0 || w.dead {
