--- a/leader/advice.go
+++ b/leader/advice.go
@@ -22,7 +22,7 @@
 const (
 	// askMargin is added to the cost of a question to get its timeout.
 	askMargin = 300 * time.Millisecond
-	// longQuestionCost is the cost from which a question counts as long. The last
+	// longQuestionCost is the cost above which a question is long. The last
 	// reservedHosts hosts get no long questions, so that short ones soon find a free host.
 	longQuestionCost = 150 * time.Millisecond
 	reservedHosts    = 2
@@ -38,9 +38,9 @@
 	hostsCacheTime = 20 * time.Millisecond
 )
 
-// An adviceDispatcher distributes questions over hosts. Each host gets one at a time, or several
-// where answers travel for longer than the service needs for a question: otherwise the host would
-// be idle meanwhile.
+// An adviceDispatcher distributes questions over hosts. Each host gets one at a time, or several if
+// an answer spends more time in transit than the service needs for a question: otherwise the host
+// would be idle during the transit.
 type adviceDispatcher struct {
 	leader *Leader
 	queue  []sched.AdviceOrder // most urgent first
@@ -55,7 +55,7 @@
 	listed time.Time
 }
 
-// An answeredQuestion reports that a question of a host is over.
+// An answeredQuestion is the outcome of a question that a host was made to ask.
 type answeredQuestion struct {
 	host   spoolsill.HostID
 	failed bool
@@ -186,8 +186,9 @@
 	}
 }
 
-// pickHost returns the host with the fewest questions in flight. Long questions go to the first
-// hosts only, short ones to the last of those hosts.
+// pickHost returns the host with the fewest questions in flight, and the last one of several. Long
+// questions don't go to the last reservedHosts hosts, of which there are at most half of all, so
+// that short ones go there first.
 func (a *adviceDispatcher) pickHost(hosts []spoolsill.HostID, long bool) (spoolsill.HostID, bool) {
 	if long {
 		hosts = hosts[:max(len(hosts)-reservedHosts, (len(hosts)+1)/2)]
--- a/leader/advice_test.go
+++ b/leader/advice_test.go
@@ -21,7 +21,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
-		x.cutHost = "other"
+		x.hostWithoutAdvisor = "other"
 		l := x.lead("a")
 		var ids []spoolsill.JobID
 		for i := range 6 {
--- a/leader/cancelload_test.go
+++ b/leader/cancelload_test.go
@@ -14,9 +14,9 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A host reports a job and its cancellation to a leader that has not read all jobs yet, while
-// the store refuses the leader's write of the end. The job's rows must not be deleted before
-// the end is stored, or the job would be lost.
+// A host notifies a leader that has not read all jobs yet of a job and its cancellation, while the
+// store refuses to write the job's end. The job's rows must not be deleted before the end is
+// stored, or the job would be lost.
 func TestRowsOfCancelledJobAreKeptUntilItsEndIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// crashAfter is the time from the start of a task to the crash of its worker, as
-	// recorded in a deployment; backAfter is the time until the machine is back as another
+	// crashDelay is the time from the start of a task to the crash of its worker, as
+	// recorded in a deployment; machineRestartDelay is the time until the machine is back as another
 	// worker.
-	crashAfter = 10 * time.Millisecond
-	backAfter  = 3300 * time.Millisecond
+	crashDelay          = 10 * time.Millisecond
+	machineRestartDelay = 3300 * time.Millisecond
 )
 
 // A machines is a cell whose machines restart when their workers crash.
@@ -76,7 +76,7 @@
 }
 
 func (m *machines) crashed(id spoolsill.WorkerID, _ []sched.RunID) {
-	time.AfterFunc(backAfter, func() {
+	time.AfterFunc(machineRestartDelay, func() {
 		machine := m.machineOf(id)
 		m.mu.Lock()
 		m.incarnations[machine]++
@@ -106,7 +106,7 @@
 
 func (m *machines) submitCrashing() {
 	m.workers.Crashes = func(r sched.RunID) (time.Duration, bool) {
-		return crashAfter, r.Task == crashing
+		return crashDelay, r.Task == crashing
 	}
 	m.submit(sched.Job{
 		ID:    crashing.Stage.Job,
@@ -181,7 +181,7 @@
 // after a while. Such crashes are visible only as runs that the worker does not have, which did
 // not count as attempts.
 func TestTaskThatCrashesWorkersThatKeepTheirIDsIsGivenUp(t *testing.T) {
-	for _, back := range []time.Duration{0, 100 * time.Millisecond, backAfter} {
+	for _, back := range []time.Duration{0, 100 * time.Millisecond, machineRestartDelay} {
 		t.Run(back.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := newMachines(newCell(t.Context(), t, 8))
--- a/leader/fixture_test.go
+++ b/leader/fixture_test.go
@@ -44,8 +44,8 @@
 	clock *clock.Clock
 	// observer of the leaders; may be nil.
 	observer leader.Observer
-	// cutHost can't reach the advisor.
-	cutHost spoolsill.HostID
+	// hostWithoutAdvisor can't reach the advisor.
+	hostWithoutAdvisor spoolsill.HostID
 	// onQuestion is called for each question to the advisor; may be nil.
 	onQuestion func(stage sched.StageID)
 	// advisorDelay is added to the latency of the advisor.
@@ -122,7 +122,7 @@
 			Workers: cmp.Or[leader.Workers](x.orders, x.workers),
 			Advisor: &cellfake.Advisor{
 				HostIDs: []spoolsill.HostID{host, "other"},
-				Cut:     x.cutHost,
+				Cut:     x.hostWithoutAdvisor,
 				Asked:   x.onQuestion,
 				Takes:   x.advisorDelay,
 			},
--- a/leader/invalidentry_test.go
+++ b/leader/invalidentry_test.go
@@ -44,7 +44,7 @@
 		pause.For(x.ctx, 3*time.Second)
 		x.assertCompleted(l, []spoolsill.JobID{"j"})
 		x.c.Check(l.InvalidWorkerEntries(), qt.Equals, int64(len(strange)))
-		x.c.Check(linesOf(logs, "worker's entry can't be understood"), qt.Equals, len(strange))
+		x.c.Check(countMessages(logs, "worker's entry can't be understood"), qt.Equals, len(strange))
 		x.list("w1")
 		x.store.Delete(workerKey("strange0"))
 		pause.For(x.ctx, time.Second)
@@ -53,7 +53,7 @@
 	})
 }
 
-func linesOf(h *test.Hook, msg string) int {
+func countMessages(h *test.Hook, msg string) int {
 	n := 0
 	for _, e := range h.AllEntries() {
 		if e.Level <= logrus.InfoLevel && e.Message == msg {
--- a/leader/latency.go
+++ b/leader/latency.go
@@ -10,11 +10,11 @@
 	// order is retried or counted as unanswered: workers respond in 2 ms, and in about 20 ms
 	// where the host is slowed down.
 	minResponseTimeout = 60 * time.Millisecond
-	// maxOrderTimeout is the maximum time to wait for the response to an order; it leaves
-	// a start time for a second try.
+	// maxOrderTimeout is the maximum time to wait for the response to an order. It leaves
+	// time for a second try of a start.
 	maxOrderTimeout = startTimeout / 2
-	// maxHeartbeatTimeout is the same for a heartbeat. It equals the time after which a
-	// connection without acknowledged data is closed.
+	// maxHeartbeatTimeout is the maximum time to wait for the response to a heartbeat. It
+	// equals the time after which a connection without acknowledged data is closed.
 	maxHeartbeatTimeout = 2 * time.Second
 	// timeoutFactor is the multiple of the average latency after which a response is
 	// taken to be lost.
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// lateBound is within which a run of a cancelled job that starts late has to be stopped,
-	// by the strictest of the known deployments: 3 s, and 0.2 s for the stop itself.
+	// lateBound is the time within which a run of a cancelled job that starts late has to be
+	// stopped: 3 s in the strictest of the known deployments, and 0.2 s for the stop itself.
 	lateBound = 3200 * time.Millisecond
 	// lateValidity is the time from a late start to the deadline of its order.
 	lateValidity = 5 * time.Millisecond
@@ -28,8 +28,8 @@
 	writeOffTime = 5 * time.Second
 )
 
-// lateWorkers are workers that leave some starts unanswered and carry them out later on
-// demand, whatever their deadlines are.
+// lateWorkers simulates workers that leave some starts unanswered and carry them out later, on
+// demand, even after their deadlines.
 type lateWorkers struct {
 	*cellfake.Workers
 
@@ -46,8 +46,8 @@
 	stopsUnknown bool
 	// muteUntil is the time until which stops are carried out without a response.
 	muteUntil time.Time
-	// validity is the time from a late start to the deadline of its order, up to which the
-	// order alone keeps the run. After that it depends on the worker's lease.
+	// validity is the time from a late start to the deadline of its order. Until then the run
+	// continues without a lease renewal; after that it depends on the worker's lease.
 	validity time.Duration
 	// clock is the time of the worker's clock at clockAt.
 	clock   sched.ClockMillis
@@ -106,7 +106,7 @@
 	return leader.NoAnswer, true
 }
 
-// release carries out the held starts as if they were in time.
+// release carries out the held starts as if they had arrived in time.
 func (w *lateWorkers) release(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -216,97 +216,97 @@
 	return s
 }
 
-// An unanswered start is carried out late, with its job, its worker and the leadership in
-// various states: the run is stopped within the bound.
+// An unanswered start is carried out late, while its job, its worker and the leadership are in
+// various states. The run must be stopped within lateBound.
 func TestRunsThatStartLateAreStopped(t *testing.T) {
 	for name, c := range map[string]struct {
 		step sched.Step
-		// until runs before the start is carried out.
-		until func(x *lateCell)
-		// since runs after the start was carried out; may be nil.
-		since func(x *lateCell)
-		// barred means that the run must not start at all.
-		barred bool
+		// beforeStart runs before the start is carried out.
+		beforeStart func(x *lateCell)
+		// afterStart runs after the start was carried out; may be nil.
+		afterStart func(x *lateCell)
+		// mustNotStart means that the run must not start at all.
+		mustNotStart bool
 	}{
 		"cancelled": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.cancel()
 				pause.For(x.ctx, time.Second)
 			},
 		},
 		"written off and forgotten": {
-			step:  step(1, 1),
-			until: (*lateCell).cancelAndForget,
+			step:        step(1, 1),
+			beforeStart: (*lateCell).cancelAndForget,
 		},
 		"lasting": {
-			step:  lastingStep(),
-			until: (*lateCell).cancelAndForget,
+			step:        lastingStep(),
+			beforeStart: (*lateCell).cancelAndForget,
 		},
 		"one of a gang, soon": {
 			step: gangStep(),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.cancel()
 				pause.For(x.ctx, time.Second)
 			},
 		},
 		"one of a gang, forgotten": {
-			step:  gangStep(),
-			until: (*lateCell).cancelAndForget,
+			step:        gangStep(),
+			beforeStart: (*lateCell).cancelAndForget,
 		},
 		"cancelled afterwards": {
-			step:  step(1, 1),
-			until: func(x *lateCell) { pause.For(x.ctx, time.Second) },
-			since: (*lateCell).cancel,
+			step:        step(1, 1),
+			beforeStart: func(x *lateCell) { pause.For(x.ctx, time.Second) },
+			afterStart:  (*lateCell).cancel,
 		},
 		"starter removed, then cancelled": {
-			step:  step(1, 1),
-			until: (*lateCell).stopFirstLeader,
-			since: func(x *lateCell) {
+			step:        step(1, 1),
+			beforeStart: (*lateCell).stopFirstLeader,
+			afterStart: func(x *lateCell) {
 				x.cancel()
 				x.lead("b")
 			},
 		},
 		"starter removed, forgotten": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.cancelAndForget()
 				x.stopFirstLeader()
 			},
-			since: func(x *lateCell) { x.lead("b") },
+			afterStart: func(x *lateCell) { x.lead("b") },
 		},
 		"next leader was there before": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.cancel()
 				x.stopFirstLeader()
 				x.lead("b")
 				pause.For(x.ctx, time.Second)
 			},
-			barred: true,
+			mustNotStart: true,
 		},
 		"worker drains": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.drain()
 				x.cancelAndForget()
 			},
 		},
 		"worker's entry is gone": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.store.Delete(workerKey("w0"))
 				x.cancelAndForget()
 			},
 		},
 		"worker's entry goes meanwhile": {
-			step:  step(1, 1),
-			until: (*lateCell).cancelAndForget,
-			since: func(x *lateCell) { x.store.Delete(workerKey("w0")) },
+			step:        step(1, 1),
+			beforeStart: (*lateCell).cancelAndForget,
+			afterStart:  func(x *lateCell) { x.store.Delete(workerKey("w0")) },
 		},
 		"worker was cut off": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.validity = lease })
 				x.workers.Cut("w0", true)
 				x.cancel()
@@ -316,7 +316,7 @@
 		},
 		"worker was cut off and unlisted": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.validity = lease })
 				x.workers.Cut("w0", true)
 				x.store.Delete(workerKey("w0"))
@@ -324,14 +324,14 @@
 				pause.For(x.ctx, 2*lease+writeOffTime)
 				x.workers.Cut("w0", false)
 			},
-			since: func(x *lateCell) {
+			afterStart: func(x *lateCell) {
 				pause.For(x.ctx, 1500*time.Millisecond) // until the worker writes its entry again
 				x.list("w0")
 			},
 		},
 		"stops are not answered": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) {
 					w.stopsUnknown = true
 					w.muteUntil = time.Now().Add(2 * writeOffTime)
@@ -339,11 +339,11 @@
 				x.cancel()
 				pause.For(x.ctx, writeOffTime)
 			},
-			barred: true,
+			mustNotStart: true,
 		},
 		"rejected when sent again": {
 			step: step(1, 1),
-			until: func(x *lateCell) {
+			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.retryReply = leader.NoCapacity })
 				x.cancelAndForget()
 			},
@@ -362,13 +362,13 @@
 				})
 				pause.For(x.ctx, 500*time.Millisecond)
 				x.c.Assert(x.late.heldCount(), qt.Equals, 1)
-				c.until(x)
+				c.beforeStart(x)
 				starts := x.workers.Starts()
 				x.late.release(x.ctx)
-				x.c.Assert(x.workers.Starts() > starts, qt.Equals, !c.barred)
+				x.c.Assert(x.workers.Starts() > starts, qt.Equals, !c.mustNotStart)
 				since := time.Now()
-				if c.since != nil {
-					c.since(x)
+				if c.afterStart != nil {
+					c.afterStart(x)
 				}
 				x.waitUntilGone()
 				took := time.Since(since)
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -24,8 +24,9 @@
 	// jobs whose notification was lost wait for the feed; the most urgent work of a
 	// client tolerates this delay.
 	jobsPause = 60 * time.Millisecond
-	// workersPause is the same delay for worker entries, each of which is rewritten
-	// every second or two. A worker's request to drain is seen that much later.
+	// workersPause is the delay between requests for changes of worker entries, each of
+	// which is rewritten every second or two. It also delays the detection that a worker
+	// is draining.
 	workersPause = 200 * time.Millisecond
 	// keepAliveInterval is how often the leader writes its row when it has nothing else
 	// to write. Other hosts take over when the row has not changed for twice as long.
@@ -130,8 +131,8 @@
 	statuses       map[spoolsill.JobID]sched.JobStatus
 	waiting        map[sched.QueueID]int
 	jobsKnown      bool
-	// jobsAsOf is when the request for the latest response of the job feed was sent whose
-	// jobs the loop has handled.
+	// jobsAsOf is the time of the latest request to the job feed for which the loop has
+	// handled all jobs in the response.
 	jobsAsOf        time.Time
 	jobsAsOfChanged chan struct{} // closed when jobsAsOf changes
 }
@@ -342,9 +343,8 @@
 	return l.loop(ctx)
 }
 
-// inheritedLease returns how long after a takeover a worker may still hold a lease that
-// the former leader requested, which requests none that ends later than this after its
-// last write.
+// inheritedLease returns how long after a takeover a worker may still hold a lease that the former
+// leader requested. A leader requests no lease that ends later than that after its last write.
 func inheritedLease(lease time.Duration) time.Duration {
 	return sched.LeaseEnd(time.Time{}, 2*lease).Sub(time.Time{})
 }
@@ -474,7 +474,8 @@
 	l.advice.dispatch(ctx)
 	l.sweeper.sweep(ctx, now)
 	if l.loaded {
-		// Not earlier: the end of a run whose job is not known yet would be lost.
+		// Workers are not called before all jobs are loaded, since the end of a run whose
+		// job is not known would be lost.
 		l.reconcileRenewers(ctx, now)
 	}
 	l.logNotes()
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -61,22 +61,22 @@
 func TestNoTaskRunsTwiceAcrossLeaderChanges(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { changingLeaders(t, seed) })
+			synctest.Test(t, func(t *testing.T) { testLeaderChanges(t, seed) })
 		})
 	}
 }
 
-func changingLeaders(t *testing.T, seed uint64) {
+func testLeaderChanges(t *testing.T, seed uint64) {
 	x := newCell(t.Context(), t, 5)
 	defer x.end()
-	d := &dice{
+	d := &lockedRand{
 		r: rand.New(rand.NewPCG(seed, 1)),
 	}
 	x.store.SetFault(func(store.Transaction) cellfake.StoreFault {
-		return cellfake.StoreFault(d.roll(0.85, 0.05, 0.05, 0.05))
+		return cellfake.StoreFault(d.choose(0.85, 0.05, 0.05, 0.05))
 	})
 	x.workers.Fault = func(spoolsill.WorkerID) cellfake.OrderFault {
-		return cellfake.OrderFault(d.roll(0.85, 0.05, 0.05, 0.05))
+		return cellfake.OrderFault(d.choose(0.85, 0.05, 0.05, 0.05))
 	}
 	var ids []spoolsill.JobID
 	for i := range 5 {
@@ -84,9 +84,9 @@
 		if i == 0 {
 			ids = x.submitMixed(20)
 		}
-		cut := x.ids[d.below(len(x.ids))]
+		cut := x.ids[d.intN(len(x.ids))]
 		x.workers.Cut(cut, true)
-		pause.For(x.ctx, time.Duration(1500+d.below(3000))*time.Millisecond)
+		pause.For(x.ctx, time.Duration(1500+d.intN(3000))*time.Millisecond)
 		x.workers.Cut(cut, false)
 		x.store.Forget()
 	}
@@ -96,22 +96,22 @@
 	x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
 }
 
-// A dice makes random choices. It is safe for concurrent use.
-type dice struct {
+// A lockedRand is a random source that is safe for concurrent use.
+type lockedRand struct {
 	mu      sync.Mutex
 	r       *rand.Rand
 	stopped bool
 }
 
-// stop makes every later roll return 0.
-func (d *dice) stop() {
+// stop makes choose return 0 from now on.
+func (d *lockedRand) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopped = true
 }
 
-// roll returns an index, with the given probability of each.
-func (d *dice) roll(shares ...float64) int {
+// choose returns a random index, with the given probabilities.
+func (d *lockedRand) choose(shares ...float64) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stopped {
@@ -127,8 +127,8 @@
 	return 0
 }
 
-// below returns a number from 0 to n-1.
-func (d *dice) below(n int) int {
+// intN returns a random number from 0 to n-1.
+func (d *lockedRand) intN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.r.IntN(n)
--- a/leader/restart_test.go
+++ b/leader/restart_test.go
@@ -18,11 +18,10 @@
 )
 
 const (
-	// restartAfter is the time from a worker's crash until it is back under its id.
-	restartAfter = 600 * time.Millisecond
-	// restartLate is a longer such time: an order in flight is no longer retried, but the
-	// lease has not expired.
-	restartLate = 3 * time.Second
+	// restartDelay is the time from a worker's crash until it is back under its id.
+	restartDelay = 600 * time.Millisecond
+	// longRestartDelay is longer than an order in flight is retried, and shorter than the lease.
+	longRestartDelay = 3 * time.Second
 	// restartBeforeLate is a time after the last try of an order in flight, and before the
 	// order is carried out late.
 	restartBeforeLate = 1900 * time.Millisecond
@@ -66,7 +65,7 @@
 		pause.For(x.ctx, 3*time.Second)
 		x.assertCompleted(l, before)
 		x.workers.Crash("w0")
-		pause.For(x.ctx, restartAfter)
+		pause.For(x.ctx, restartDelay)
 		x.restart("w0")
 		after := x.submitTasks("after", 12)
 		pause.For(x.ctx, 4*time.Second)
@@ -101,7 +100,7 @@
 				x.workers.Crash(w)
 			}
 			faulty.Store(false)
-			pause.For(x.ctx, restartLate)
+			pause.For(x.ctx, longRestartDelay)
 			for _, w := range x.ids {
 				x.restart(w)
 			}
--- a/leader/restartmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -164,8 +164,8 @@
 	return strings.Join(matching, "\n")
 }
 
-// submitOver submits jobs at random times of the whole sequence.
-func (m *restartModel) submitOver(n int) []spoolsill.JobID {
+// submitAtRandomTimes submits n jobs at once and n more at random times of the sequence.
+func (m *restartModel) submitAtRandomTimes(n int) []spoolsill.JobID {
 	ids := m.submitMixed(n)
 	for i := range n {
 		id := spoolsill.JobID(fmt.Sprintf("later%02d", i))
@@ -194,7 +194,7 @@
 				x.workers.LateAtOnce = lateAtOnce
 				m := newRestartModel(x, seed)
 				m.lead("host0")
-				ids := m.submitOver(20)
+				ids := m.submitAtRandomTimes(20)
 				m.run()
 				pause.For(x.ctx, restartsEnd)
 				x.c.Check(x.workers.Broken(), qt.HasLen, 0)
@@ -214,9 +214,9 @@
 	runRestartSequences(t, false)
 }
 
-// The same when delayed orders also reach an incarnation that has not been called yet. It has
-// seen no fence by which to reject them, by its clock they are not late, and they name its id.
-// The window is the time from a worker's start to the first call to it.
+// Checks the same while delayed orders also reach an incarnation that the leader has not called
+// yet. It carries them out: it has seen no fence by which to reject them, by its clock they are not
+// late, and they name its id. This can happen from the start of a worker until the first call.
 func TestPromisesHoldWhereLateOrdersReachAWorkerFirst(t *testing.T) {
 	runRestartSequences(t, true)
 }
--- a/leader/stop_test.go
+++ b/leader/stop_test.go
@@ -13,13 +13,13 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// counter counts notes by kind.
-type counter struct {
+// noteCounter counts notes by kind.
+type noteCounter struct {
 	mu    sync.Mutex
 	notes map[sched.NoteKind]int
 }
 
-func (c *counter) RecordEvent(n sched.Note) {
+func (c *noteCounter) RecordEvent(n sched.Note) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.notes == nil {
@@ -28,10 +28,10 @@
 	c.notes[n.Kind]++
 }
 
-func (c *counter) RecordAdvice(string, time.Duration) {}
-func (c *counter) RecordTakeover(time.Duration)       {}
+func (c *noteCounter) RecordAdvice(string, time.Duration) {}
+func (c *noteCounter) RecordTakeover(time.Duration)       {}
 
-func (c *counter) of(k sched.NoteKind) int {
+func (c *noteCounter) count(k sched.NoteKind) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.notes[k]
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
-		c := &counter{}
+		c := &noteCounter{}
 		x.observer = c
 		x.workers.Lease = 30 * time.Second
 		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
@@ -64,6 +64,6 @@
 		x.workers.Cut(x.ids[0], false)
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 0)
-		x.c.Assert(c.of(sched.NoteNotStopped), qt.Not(qt.Equals), 0)
+		x.c.Assert(c.count(sched.NoteNotStopped), qt.Not(qt.Equals), 0)
 	})
 }
--- a/leader/suspend_test.go
+++ b/leader/suspend_test.go
@@ -27,14 +27,14 @@
 	last map[spoolsill.Epoch]time.Time
 }
 
-func (w *callTimes) note(e spoolsill.Epoch) {
+func (w *callTimes) recordCall(e spoolsill.Epoch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.last[e] = time.Now()
 }
 
-// of returns when the leadership of an epoch last made a call, with any of its fences.
-func (w *callTimes) of(e spoolsill.Epoch) time.Time {
+// lastCall returns when the leadership of an epoch last made a call, with any of its fences.
+func (w *callTimes) lastCall(e spoolsill.Epoch) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var last time.Time
@@ -47,17 +47,17 @@
 }
 
 func (w *callTimes) Renew(ctx context.Context, r leader.Renewal) (sched.Heartbeat, leader.Reply) {
-	w.note(r.Fence)
+	w.recordCall(r.Fence)
 	return w.Workers.Renew(ctx, r)
 }
 
 func (w *callTimes) Start(ctx context.Context, s leader.Start) leader.Reply {
-	w.note(s.Fence)
+	w.recordCall(s.Fence)
 	return w.Workers.Start(ctx, s)
 }
 
 func (w *callTimes) Stop(ctx context.Context, s leader.Stop) leader.Reply {
-	w.note(s.Fence)
+	w.recordCall(s.Fence)
 	return w.Workers.Stop(ctx, s)
 }
 
@@ -93,7 +93,7 @@
 				fresh := a.LastWriteTime()
 				x.c.Check(x.clock.Since(fresh) >= 5*time.Second, qt.IsTrue)
 				pause.For(x.ctx, time.Second)
-				x.c.Check(w.of(a.Epoch()).After(woke), qt.IsFalse)
+				x.c.Check(w.lastCall(a.Epoch()).After(woke), qt.IsFalse)
 				why, _ := x.endErrors.Load(a.Epoch())
 				x.c.Check(why, qt.Equals, leader.ErrSuspended)
 				x.clock = nil
--- a/leader/sweeper.go
+++ b/leader/sweeper.go
@@ -21,8 +21,8 @@
 	sweepTimeout = 2 * time.Second
 )
 
-// A sweeper deletes the rows of ended jobs. The progress row of an ended job says all that is
-// needed, and the next leader has less to load.
+// A sweeper deletes the rows of ended jobs from the jobs table, so that the next leader has less
+// to load. The progress row of an ended job holds all that is still needed.
 type sweeper struct {
 	leader *Leader
 	keys   map[spoolsill.JobID][]store.Key
--- a/node/admission.go
+++ b/node/admission.go
@@ -42,7 +42,7 @@
 	return n.measuredShedLocked(now, l)
 }
 
-// measuredShedLocked is measuredShed with the lock held.
+// measuredShedLocked is like measuredShed. The lock must be held.
 func (n *Node) measuredShedLocked(now time.Time, l *leader.Leader) shedStatus {
 	latency := l.ResponseLatency()
 	return shedStatus{
@@ -52,9 +52,9 @@
 	}
 }
 
-// effectiveShedLocked returns the shed status that applies to this host: measured here
-// while it leads, even if no other host asks for it, and otherwise the last one
-// reported by the leader unless it is outdated. The lock must be held.
+// effectiveShedLocked returns the shed status that applies to this host. While it leads, the
+// status is measured here, even if no other host asks for it. Otherwise it is the last one
+// reported by the leader, unless that is outdated. The lock must be held.
 func (n *Node) effectiveShedLocked(now time.Time) shedStatus {
 	switch {
 	case n.activeLeader != nil:
--- a/node/bootstrap_test.go
+++ b/node/bootstrap_test.go
@@ -50,7 +50,8 @@
 	})
 }
 
-// The same with a large configuration and small links.
+// A host that starts while it is cut off from the store must learn a large configuration from
+// other hosts over small links.
 func TestHostStartsWithoutStoreAndLargeConfiguration(t *testing.T) {
 	run(t, 2, 1, func(x *cell) {
 		x.configureMany(2, manyRoutes)
--- a/node/node.go
+++ b/node/node.go
@@ -448,7 +448,7 @@
 	n.metrics.RegisterGauge("spoolsill.delegates.resting", "of them, those that left a call unanswered and are passed over", func() int64 { _, resting := n.delegated.counts(); return int64(resting) })
 	n.metrics.RegisterGauge("spoolsill.tasks.suspect", "tasks under which workers went and that are not cleared, at the leader", func() int64 { tasks, _ := n.suspects(); return tasks })
 	n.metrics.RegisterGauge("spoolsill.workers.crashed", "machines whose workers crashed in the last minute, at the leader", func() int64 { _, crashed := n.suspects(); return crashed })
-	n.metrics.RegisterGauge("spoolsill.workers.unclear", "workers' entries that can't be understood, at the leader", n.unreadableWorkers)
+	n.metrics.RegisterGauge("spoolsill.workers.unclear", "workers' entries that can't be understood, at the leader", n.invalidWorkerEntries)
 	n.metrics.RegisterGauge("spoolsill.suspended.milliseconds", "for how long this machine has been suspended since the host started", func() int64 { return n.clock.SuspendedTime().Milliseconds() })
 	n.metrics.RegisterGauge("spoolsill.store.reachable", "1 while the store answers this host", func() int64 { return boolToInt(n.health.reachable(n.clock.Now())) })
 }
@@ -462,9 +462,9 @@
 	return 0, 0
 }
 
-// unreadableWorkers returns how many worker entries the leader cannot decode, or 0 if
+// invalidWorkerEntries returns how many worker entries the leader cannot decode, or 0 if
 // this host does not lead.
-func (n *Node) unreadableWorkers() int64 {
+func (n *Node) invalidWorkerEntries() int64 {
 	if l := n.localLeader(); l != nil {
 		return l.InvalidWorkerEntries()
 	}
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -50,19 +50,19 @@
 // recordLoss records that a worker is gone with its runs. If crashed is set, the worker is known
 // to have crashed. Otherwise it has been unreachable for longer than its lease, or may have been
 // decommissioned.
-func (s *State) recordLoss(w *worker, rs []*run, over bool, reason string) {
-	if over && w.leftAsAnnounced() {
+func (s *State) recordLoss(w *worker, rs []*run, crashed bool, reason string) {
+	if crashed && w.leftAsAnnounced() {
 		return
 	}
-	if over {
+	if crashed {
 		s.recordCrash(w)
 	}
-	s.addLosses(w, rs, over, reason)
+	s.addLosses(w, rs, crashed, reason)
 }
 
 // addLosses counts the loss of a worker against the tasks of its runs. Each loss names
 // the incarnation that the run was ordered for.
-func (s *State) addLosses(w *worker, rs []*run, over bool, reason string) {
+func (s *State) addLosses(w *worker, rs []*run, crashed bool, reason string) {
 	var affected []*run
 	for _, r := range rs {
 		if r.phase == phasePlanned || r.phase == phaseRecorded || r.task.stage.job.state.Final() {
@@ -72,7 +72,7 @@
 			Worker: w.id,
 			Born:   r.workerStartTime,
 			Begun:  r.phase == phaseConfirmed,
-			Over:   over,
+			Over:   crashed,
 		})
 		affected = append(affected, r)
 		if !slices.Contains(s.suspects, r.task) {
@@ -187,7 +187,7 @@
 		return
 	}
 	if r.phase == phaseConfirmed && !r.forFormerIncarnation() && w.answeredAt.After(r.startedAt) {
-		r.task.evidence.lived += w.answeredAt.Sub(r.startedAt)
+		r.task.evidence.runTime += w.answeredAt.Sub(r.startedAt)
 	}
 }
 
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -70,15 +70,15 @@
 // evidence is what suggests that a task crashes the workers that start it.
 type evidence struct {
 	losses []Loss
-	// lived is the total run time of the task since it became suspect, as far as its workers
+	// runTime is the total run time of the task since it became suspect, as far as its workers
 	// have reported.
-	lived time.Duration
+	runTime time.Duration
 }
 
 func (e *evidence) suspicion() suspicion {
 	n := e.crashes()
 	switch {
-	case len(e.losses) >= lossLimit, n >= crashLimit && e.lived <= time.Duration(n)*maxRuntimePerCrash:
+	case len(e.losses) >= lossLimit, n >= crashLimit && e.runTime <= time.Duration(n)*maxRuntimePerCrash:
 		return proven
 	case len(e.losses) > 1:
 		return strongSuspicion
@@ -107,7 +107,7 @@
 // clearedBy reports whether a run that has lasted for age and still goes on shows that
 // the task does not crash its workers.
 func (e *evidence) clearedBy(age time.Duration) bool {
-	return len(e.losses) > 0 && age > min(max(2*e.lived, minClearTime), maxClearTime)
+	return len(e.losses) > 0 && age > min(max(2*e.runTime, minClearTime), maxClearTime)
 }
 
 // retract drops the losses of an incarnation that has answered since, and reports whether
@@ -116,7 +116,7 @@
 	n := len(e.losses)
 	e.losses = slices.DeleteFunc(e.losses, func(l Loss) bool { return l.matches(x) && !l.Over })
 	if len(e.losses) == 0 {
-		e.lived = 0
+		e.runTime = 0
 	}
 	return len(e.losses) != n
 }
--- a/sched/incarnations.go
+++ b/sched/incarnations.go
@@ -105,13 +105,13 @@
 		Kind:   NoteWorkerRestarted,
 		Worker: w.id,
 		Reason: fmt.Sprintf("%s is of an incarnation started at %d; the one started at %d %s, with %d runs, %d of them in doubt, and ends received up to %d",
-			source, w.startTime, old.startTime, ended, len(old.runs), old.doubtful(), old.lastEndSeen),
+			source, w.startTime, old.startTime, ended, len(old.runs), old.uncertainRuns(), old.lastEndSeen),
 		Age: s.now.Sub(old.answeredAt),
 	})
 }
 
-// doubtful returns the number of runs that w may or may not have.
-func (w *worker) doubtful() int {
+// uncertainRuns returns the number of runs that w may or may not have.
+func (w *worker) uncertainRuns() int {
 	n := 0
 	for _, r := range w.runs {
 		if r.phase == phaseUncertain || r.phase == phaseInherited {
--- a/sched/jobs.go
+++ b/sched/jobs.go
@@ -154,8 +154,8 @@
 		}
 		t := g.tasks[c.Index]
 		t.evidence = evidence{
-			losses: c.Losses,
-			lived:  c.Lived,
+			losses:  c.Losses,
+			runTime: c.Lived,
 		}
 		s.suspects = append(s.suspects, t)
 		if t.run != nil {
--- a/sched/load.go
+++ b/sched/load.go
@@ -40,7 +40,7 @@
 		}
 		l.Workers++
 		l.Runs += len(w.runs)
-		l.Doubtful += w.doubtful()
+		l.Doubtful += w.uncertainRuns()
 		if !w.ready {
 			continue
 		}
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -230,7 +230,7 @@
 			Round:  g.id.Round,
 			Step:   g.id.Step,
 			Index:  t.index,
-			Lived:  t.evidence.lived,
+			Lived:  t.evidence.runTime,
 			Losses: t.evidence.losses,
 		})
 	}
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -342,9 +342,9 @@
 // dropRuns drops the runs of a worker that is known to have crashed, if crashed is set, or that
 // may be gone. The loss counts against their tasks: a task that crashes its workers never
 // reports an end, and would otherwise be restarted forever.
-func (s *State) dropRuns(w *worker, reason string, over bool) {
+func (s *State) dropRuns(w *worker, reason string, crashed bool) {
 	rs := sortedRuns(w)
-	s.recordLoss(w, rs, over, reason)
+	s.recordLoss(w, rs, crashed, reason)
 	for _, r := range rs {
 		r.task.stage.job.account.Lost++
 		s.dropRun(r, reason)
