--- a/leader/advice.go
+++ b/leader/advice.go
@@ -187,7 +187,7 @@
 }
 
 // pickHost returns the host with the fewest questions in flight, and the last one of several. Long
-// questions don't go to the last reservedHosts hosts, of which there are at most half of all, so
+// questions don't go to the last reservedHosts hosts, or the last half if there are fewer, so
 // that short ones go there first.
 func (a *adviceDispatcher) pickHost(hosts []spoolsill.HostID, long bool) (spoolsill.HostID, bool) {
 	if long {
