--- a/leader/write.go
+++ b/leader/write.go
@@ -65,7 +65,7 @@
 	l.writing = false
 	if now.Sub(e.begun) > outageThreshold {
 		l.config.Log.WithField("took_ms", now.Sub(e.begun).Milliseconds()).Info("store is back")
-		l.state.StoreBack(now)
+		l.state.StoreRecovered(now)
 	}
 	l.lastWrite = e.begun
 	l.updateWriteCount()
--- a/sched/leaving_test.go
+++ b/sched/leaving_test.go
@@ -47,12 +47,12 @@
 func TestWorkersStayInUseWhenAnOutageDropsTheirEntries(t *testing.T) {
 	for name, unlist := range map[string]func(x *cell){
 		"entries are deleted after the store is back": func(x *cell) {
-			x.state.StoreBack(x.now)
+			x.state.StoreRecovered(x.now)
 			x.state.WorkerUnlisted(x.now, "w")
 		},
 		"entries are deleted before that is known": func(x *cell) {
 			x.state.WorkerUnlisted(x.now, "w")
-			x.state.StoreBack(x.now)
+			x.state.StoreRecovered(x.now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 	x.addWorker("w")
 	x.listWorker("w", true)
 	x.state.WorkerUnlisted(x.now, "w")
-	x.state.StoreBack(x.now)
+	x.state.StoreRecovered(x.now)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -240,10 +240,10 @@
 // to reappear; the platform specifies about two seconds.
 const relistDelay = 2 * time.Second
 
-// StoreBack records that the store accepts writes again after an outage. Until
+// StoreRecovered records that the store accepts writes again after an outage. Until
 // relistDelay has passed, an entry that was lost in the outage does not mean that its
 // worker has left.
-func (s *State) StoreBack(now time.Time) {
+func (s *State) StoreRecovered(now time.Time) {
 	s.now = now
 	s.storeRecoveredAt = now
 	for _, w := range s.workerList {
