--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -42,7 +42,7 @@
 	for i, id := range x.ids {
 		m.listIncarnation(id, fmt.Sprintf("m%d", i))
 	}
-	x.workers.Crashed = m.crashed
+	x.workers.Crashed = m.scheduleRestart
 	return m
 }
 
@@ -75,7 +75,7 @@
 	})
 }
 
-func (m *machines) crashed(id spoolsill.WorkerID, _ []sched.RunID) {
+func (m *machines) scheduleRestart(id spoolsill.WorkerID, _ []sched.RunID) {
 	time.AfterFunc(machineRestartDelay, func() {
 		machine := m.machineOf(id)
 		m.mu.Lock()
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -286,7 +286,7 @@
 
 // The leader row keeps changing while the progress of all jobs is read, however long that
 // takes: otherwise other hosts would take over from each leader in turn, and none would finish
-// loading. Rows that hosts report meanwhile don't block them.
+// loading. Hosts that notify the leader of rows meanwhile are not blocked.
 func TestLeaderRemainsWhileLoading(t *testing.T) {
 	const (
 		load          = 3 * time.Second
--- a/leader/lostresponse_test.go
+++ b/leader/lostresponse_test.go
@@ -36,10 +36,11 @@
 func (s *taskTimer) RecordAdvice(string, time.Duration) {}
 func (s *taskTimer) RecordTakeover(time.Duration)       {}
 
-// With one response in three lost, starts are retried and ends asked for again soon, so that
-// ten tasks of one second in sequence take little more than ten seconds. In the worst case each
-// task loses the responses to its start and to the renewal that reports its end, 0.09 s and
-// 0.11 s, and the first one an end before the loss is detected, 0.5 s: 12.46 s were measured.
+// With one response in three lost, starts and renewals are retried soon, so that ten tasks of one
+// second in sequence take little more than ten seconds. In the worst case each task loses the
+// response to its start, which costs 0.09 s, and the one that reports its end, which costs 0.11 s.
+// The first lost report costs another 0.5 s, since the losses are not detected yet. 12.46 s were
+// measured.
 func TestLostResponsesCauseLittleDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
--- a/leader/order.go
+++ b/leader/order.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// startWindow is how long after it is sent a start order may still be carried out:
+	// startWindow is the maximum time from sending a start order to carrying it out:
 	// slightly longer than all its tries take.
 	startWindow = 1500 * time.Millisecond
-	// maxStartTries is how often a start order is sent at most, within startTimeout. The
-	// timeout of a try doubles with each of them, up to maxOrderTimeout.
+	// maxStartTries is the maximum number of tries of a start order, all of them within
+	// startTimeout. The timeout doubles with each try, up to maxOrderTimeout.
 	maxStartTries = 5
 	startTimeout  = 1350 * time.Millisecond
 	// stopTimeout is the timeout of one try of a stop order.
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -12,8 +12,9 @@
 
 const (
 	// baseEndWait is how long a worker waits for the end of a run before it responds to a
-	// renewal. An end whose response is lost is learnt of that much later, and so is a
-	// silent worker. On a busy worker runs end more often.
+	// renewal. A lost response delays the report of an end by that long, and a worker that
+	// falls silent is detected that much later. Busy workers respond sooner, since runs end
+	// more often there.
 	baseEndWait = 500 * time.Millisecond
 	// lossyEndWait replaces baseEndWait while calls get lost. It causes more calls:
 	// lossyCallInterval is the minimum average interval between those to all workers.
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -64,7 +64,7 @@
 	noSuspicion     suspicion = iota
 	weakSuspicion             // one worker was lost with it, as with all other runs there
 	strongSuspicion           // several workers were lost with it
-	proven                    // its job is to fail
+	proven                    // the job of the task is failed
 )
 
 // evidence is what suggests that a task crashes the workers that start it.
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -17,9 +17,10 @@
 	// cancelBound is the time within which nothing of a cancelled job may be left. The
 	// strictest platform requires 3 s, and a stop takes 0.2 s.
 	cancelBound = 3200 * time.Millisecond
-	// maxStartDelay is how long after it is sent a start may be carried out.
+	// maxStartDelay is the maximum time from sending a start to carrying it out.
 	maxStartDelay = 12 * time.Second
-	// startLease is how long after it is sent a start keeps its run without a renewal.
+	// startLease is the time after sending a start for which its run continues without a
+	// lease renewal.
 	startLease        = 1500 * time.Millisecond
 	heartbeatInterval = 500 * time.Millisecond
 	tickLength        = 50 * time.Millisecond
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -26,8 +26,8 @@
 	Team spoolsill.TeamID `msgpack:"-"`
 	// StartTimes has the start times of the incarnations that Stages and Crashes name, in
 	// the order of eachStartTime, or is empty if none is known. It is stored after Team.
-	// Programs that don't know it identify incarnations by worker id alone, and so are rows
-	// without it read.
+	// In rows without it, and for programs that don't know it, the worker id alone
+	// identifies an incarnation.
 	StartTimes []spoolsill.StartTime `msgpack:"-"`
 }
 
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -254,7 +254,7 @@
 func (s *State) updateRunning(w *worker, x RunningTask) {
 	r := w.runs[x.Run]
 	if r == nil {
-		return // in no record, see reconcileUnknownRuns
+		return // there is no record of it; see reconcileUnknownRuns
 	}
 	if r.phase != phaseRecorded && r.phase != phasePlanned {
 		s.confirm(r)
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -63,10 +63,10 @@
 	return s.now.Add(s.config.StopTime + stopMargin)
 }
 
-// stopUnknownRun orders a run that a worker lists and that is in no record to be
-// stopped, if such an order is due. A worker with many short tasks answers fifty times a
-// second and lists a run until it is stopped: one order for each answer would be 150 in
-// 3 s; with the delay it is 5 (TestStopsOfUnknownRunsArePaced).
+// stopUnknownRun orders a worker to stop a run that it lists and of which there is no record, if
+// such an order is due. A worker with many short tasks answers fifty times a second and lists a
+// run until it is stopped: one order for each answer would be 150 in 3 s; with the delay it is 5
+// (TestStopsOfUnknownRunsArePaced).
 func (s *State) stopUnknownRun(w *worker, id RunID) {
 	if s.now.Before(w.unknownRuns[id]) {
 		return
--- a/sched/unknown.go
+++ b/sched/unknown.go
@@ -1,9 +1,9 @@
 package sched
 
-// reconcileUnknownRuns handles the runs that a worker lists and that are in no record:
-// their orders were carried out after they had been given up. If the task of such a run
-// waits to be started again, the run is adopted, as otherwise it would run beside the
-// next one until it is stopped. The others are ordered to stop.
+// reconcileUnknownRuns handles the runs that a worker lists and of which there is no record: their
+// orders were carried out after they had been given up. If the task of such a run waits to be
+// started again, the run is adopted, since it would otherwise run concurrently with the next one
+// until it is stopped. The others are ordered to stop.
 func (s *State) reconcileUnknownRuns(w *worker, h Heartbeat) {
 	for _, x := range h.Running {
 		if w.runs[x.Run] != nil {
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -59,8 +59,8 @@
 	// renewedUntil is the time until which we have requested it.
 	leaseUntil   time.Time
 	renewedUntil time.Time
-	// unknownRuns are the runs that it lists and that are in no record, with the time at
-	// which the next order to stop them is due.
+	// unknownRuns are the runs that it lists and of which there is no record, with the time
+	// at which the next order to stop them is due.
 	unknownRuns map[RunID]time.Time
 	// earliestExit is the earliest time at which a worker that drains, or is no longer
 	// listed, may exit; unlistedAt is when its entry was deleted.
