--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -40,7 +40,7 @@
 	return x.state.Stops()
 }
 
-func TestUndeliveredStopIsRepeated(t *testing.T) {
+func TestUnacceptedStopIsRepeated(t *testing.T) {
 	x, o := cancelRunning(t)
 	x.answerStop(o, false)
 	x.c.Assert(x.stopsWithin(500*time.Millisecond, o.Run), qt.DeepEquals, []sched.StopOrder{o})
