--- a/leader/cancelload_test.go
+++ b/leader/cancelload_test.go
@@ -26,7 +26,7 @@
 			Queue: "plain",
 			Steps: []sched.Step{step(1, 1)},
 		}
-		x.store.SlowLists(jobstore.JobsTable, time.Second)
+		x.store.SetListLatency(jobstore.JobsTable, time.Second)
 		l := x.lead("a")
 		pause.For(x.ctx, 300*time.Millisecond) // the progress is read, the jobs are not
 		x.submit(j)
@@ -36,7 +36,7 @@
 					return cellfake.StoreRefuse
 				}
 			}
-			return cellfake.StoreWell
+			return cellfake.StoreOK
 		})
 		v, err := jobstore.EncodeJob(j)
 		x.c.Assert(err, qt.IsNil)
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -42,7 +42,7 @@
 	for i, id := range x.ids {
 		m.listIncarnation(id, fmt.Sprintf("m%d", i))
 	}
-	x.workers.Crashed = m.scheduleRestart
+	x.workers.OnCrash = m.scheduleRestart
 	return m
 }
 
@@ -60,7 +60,7 @@
 func (m *machines) listIncarnation(id spoolsill.WorkerID, machine string) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
-		Born:    m.workers.LifeOf(id).Born,
+		Born:    m.workers.CurrentLife(id).Born,
 		Machine: machine,
 		Service: "work",
 		Address: string(id),
@@ -90,7 +90,7 @@
 
 // keepIDs makes workers that crash restart under their ids after a time.
 func (m *machines) keepIDs(back time.Duration) {
-	m.workers.Crashed = func(id spoolsill.WorkerID, _ []sched.RunID) {
+	m.workers.OnCrash = func(id spoolsill.WorkerID, _ []sched.RunID) {
 		time.AfterFunc(back, func() {
 			m.workers.Restart(id)
 			m.listIncarnation(id, m.machineOf(id))
@@ -105,7 +105,7 @@
 }
 
 func (m *machines) submitCrashing() {
-	m.workers.Crashes = func(r sched.RunID) (time.Duration, bool) {
+	m.workers.CrashAfter = func(r sched.RunID) (time.Duration, bool) {
 		return crashDelay, r.Task == crashing
 	}
 	m.submit(sched.Job{
@@ -144,7 +144,7 @@
 		m.c.Check(tasks, qt.Equals, int64(0))
 		m.c.Check(crashed > 0, qt.IsTrue)
 		pause.For(m.ctx, 30*time.Second)
-		m.c.Check(m.workers.Broken(), qt.HasLen, 0)
+		m.c.Check(m.workers.Violations(), qt.HasLen, 0)
 		s, ok := l.Status(crashing.Stage.Job)
 		m.c.Assert(ok, qt.IsTrue)
 		m.c.Check(s.State, qt.Equals, sched.Failed)
@@ -168,7 +168,7 @@
 					l = m.lead(spoolsill.HostID(fmt.Sprintf("host%d", i+1)))
 				}
 				pause.For(m.ctx, 40*time.Second)
-				m.c.Check(m.workers.Broken(), qt.HasLen, 0)
+				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
 				s, ok := l.Status(crashing.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
@@ -191,8 +191,8 @@
 				m.submitCrashing()
 				ids := m.submitTasks("job", 24)
 				pause.For(m.ctx, 40*time.Second)
-				m.c.Check(m.workers.Broken(), qt.HasLen, 0)
-				m.c.Check(m.workers.CrashesOf(crashing) <= 5, qt.IsTrue)
+				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
+				m.c.Check(m.workers.CrashCount(crashing) <= 5, qt.IsTrue)
 				s, ok := l.Status(crashing.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
@@ -219,7 +219,7 @@
 					l = m.lead(spoolsill.HostID(fmt.Sprintf("host%d", i+1)))
 				}
 				pause.For(m.ctx, 40*time.Second)
-				m.c.Check(m.workers.Broken(), qt.HasLen, 0)
+				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
 				s, ok := l.Status(crashing.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
--- a/leader/fixture_test.go
+++ b/leader/fixture_test.go
@@ -80,7 +80,7 @@
 func (x *cell) list(id spoolsill.WorkerID) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
-		Born:    x.workers.LifeOf(id).Born,
+		Born:    x.workers.CurrentLife(id).Born,
 		Service: "work",
 		Address: string(id),
 		Capacity: spoolsill.Resources{
@@ -123,7 +123,7 @@
 			Advisor: &cellfake.Advisor{
 				HostIDs: []spoolsill.HostID{host, "other"},
 				Cut:     x.hostWithoutAdvisor,
-				Asked:   x.onQuestion,
+				OnQuery: x.onQuestion,
 				Takes:   x.advisorDelay,
 			},
 			WorkersTable: workersTable,
--- a/leader/invalidentry_test.go
+++ b/leader/invalidentry_test.go
@@ -49,7 +49,7 @@
 		x.store.Delete(workerKey("strange0"))
 		pause.For(x.ctx, time.Second)
 		x.c.Check(l.InvalidWorkerEntries(), qt.Equals, int64(1))
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -150,7 +150,7 @@
 	x := &lateCell{
 		cell: newCell(ctx, t, 1),
 	}
-	x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
+	x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
 	x.late = &lateWorkers{
 		Workers:    x.workers,
 		late:       1,
@@ -308,21 +308,21 @@
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.validity = lease })
-				x.workers.Cut("w0", true)
+				x.workers.SetUnreachable("w0", true)
 				x.cancel()
 				pause.For(x.ctx, 2*lease+writeOffTime)
-				x.workers.Cut("w0", false)
+				x.workers.SetUnreachable("w0", false)
 			},
 		},
 		"worker was cut off and unlisted": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.validity = lease })
-				x.workers.Cut("w0", true)
+				x.workers.SetUnreachable("w0", true)
 				x.store.Delete(workerKey("w0"))
 				x.cancel()
 				pause.For(x.ctx, 2*lease+writeOffTime)
-				x.workers.Cut("w0", false)
+				x.workers.SetUnreachable("w0", false)
 			},
 			afterStart: func(x *lateCell) {
 				pause.For(x.ctx, 1500*time.Millisecond) // until the worker writes its entry again
@@ -374,7 +374,7 @@
 				took := time.Since(since)
 				t.Logf("gone after %v", took)
 				x.c.Assert(took <= lateBound, qt.IsTrue, qt.Commentf("gone after %v", took))
-				x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+				x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 			})
 		})
 	}
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -52,7 +52,7 @@
 		ids := x.submitMixed(12)
 		pause.For(x.ctx, 20*time.Second)
 		x.assertCompleted(l, ids)
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
@@ -85,15 +85,15 @@
 			ids = x.submitMixed(20)
 		}
 		cut := x.ids[d.intN(len(x.ids))]
-		x.workers.Cut(cut, true)
+		x.workers.SetUnreachable(cut, true)
 		pause.For(x.ctx, time.Duration(1500+d.intN(3000))*time.Millisecond)
-		x.workers.Cut(cut, false)
-		x.store.Forget()
+		x.workers.SetUnreachable(cut, false)
+		x.store.DropHistory()
 	}
 	d.stop()
 	pause.For(x.ctx, time.Minute)
 	x.assertCompleted(x.leaders[len(x.leaders)-1], ids)
-	x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+	x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 }
 
 // A lockedRand is a random source that is safe for concurrent use.
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
-		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) {
+		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) {
 			return 3 * time.Second, sched.EndDone
 		}
 		l := x.lead("a")
@@ -151,7 +151,7 @@
 		})
 		pause.For(x.ctx, time.Second)
 		x.c.Assert(x.workers.Starts(), qt.Equals, 1)
-		x.workers.Cut("w0", true)
+		x.workers.SetUnreachable("w0", true)
 		x.store.Delete(workerKey("w0"))
 		pause.For(x.ctx, time.Second)
 		x.workers.Add("w1")
@@ -159,7 +159,7 @@
 		pause.For(x.ctx, 14*time.Second)
 		s, _ := l.Status("j")
 		x.c.Assert(s.State, qt.Equals, sched.Completed)
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
@@ -176,11 +176,11 @@
 		x.hosts.Wait()
 		pause.For(x.ctx, 2*time.Second) // the tasks end meanwhile
 		starts := x.workers.Starts()
-		x.store.SlowLists(jobstore.JobsTable, 300*time.Millisecond)
+		x.store.SetListLatency(jobstore.JobsTable, 300*time.Millisecond)
 		l := x.lead("b")
 		pause.For(x.ctx, 20*time.Second)
 		x.assertCompleted(l, ids)
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 		x.c.Assert(x.workers.Starts() >= starts, qt.IsTrue)
 	})
 }
@@ -220,11 +220,11 @@
 		n, ok := l.WaitingJobs("plain")
 		x.c.Assert(ok, qt.IsTrue)
 		x.c.Assert(n, qt.Equals, 0)
-		x.store.TurnAway(true)
+		x.store.SetUnavailable(true)
 		pause.For(x.ctx, 3*time.Second)
 		_, ok = l.WaitingJobs("plain")
 		x.c.Assert(ok, qt.IsFalse)
-		x.store.TurnAway(false)
+		x.store.SetUnavailable(false)
 		pause.For(x.ctx, 2*time.Second)
 		_, ok = l.WaitingJobs("plain")
 		x.c.Assert(ok, qt.IsTrue)
@@ -306,7 +306,7 @@
 		row, err := jobstore.JobRow("host", begunJob)
 		x.c.Assert(err, qt.IsNil)
 		ids = append(ids, begunJob.ID)
-		x.store.SlowLists(jobstore.ProgressTable, load)
+		x.store.SetListLatency(jobstore.ProgressTable, load)
 		l := x.lead("a")
 		var at store.Version
 		begun := time.Now()
@@ -324,19 +324,19 @@
 		}
 		x.c.Check(longest < unchanged, qt.IsTrue, qt.Commentf("the row did not change for %s", longest))
 		x.c.Check(time.Since(l.LastWriteTime()) < unchanged, qt.IsTrue, qt.Commentf("latest write %s ago", time.Since(l.LastWriteTime())))
-		x.store.SlowLists(jobstore.ProgressTable, 0)
+		x.store.SetListLatency(jobstore.ProgressTable, 0)
 		pause.For(x.ctx, 20*time.Second)
 		x.assertCompleted(l, ids)
 
 		starts := x.workers.Starts()
-		x.store.SlowLists(jobstore.ProgressTable, load)
+		x.store.SetListLatency(jobstore.ProgressTable, load)
 		l = x.lead("b")
 		begun = time.Now()
 		for range notifications {
 			l.NotifyRow(row)
 		}
 		x.c.Check(time.Since(begun) < load/2, qt.IsTrue, qt.Commentf("%s for the notifications", time.Since(begun)))
-		x.store.SlowLists(jobstore.ProgressTable, 0)
+		x.store.SetListLatency(jobstore.ProgressTable, 0)
 		pause.For(x.ctx, 5*time.Second)
 		x.assertCompleted(l, ids)
 		x.c.Check(x.workers.Starts(), qt.Equals, starts)
--- a/leader/lostresponse_test.go
+++ b/leader/lostresponse_test.go
@@ -48,9 +48,9 @@
 		var orders atomic.Int64
 		x.workers.Fault = func(spoolsill.WorkerID) cellfake.OrderFault {
 			if orders.Add(1)%3 == 0 {
-				return cellfake.OrderLose
+				return cellfake.OrderLoseReply
 			}
-			return cellfake.OrderWell
+			return cellfake.OrderOK
 		}
 		w := &taskTimer{
 			placed: map[sched.TaskID]time.Time{},
--- a/leader/restart_test.go
+++ b/leader/restart_test.go
@@ -69,7 +69,7 @@
 		x.restart("w0")
 		after := x.submitTasks("after", 12)
 		pause.For(x.ctx, 4*time.Second)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 		x.c.Check(x.workers.Starts(), qt.Equals, len(before)+len(after))
 		x.assertCompleted(l, after)
 	})
@@ -81,7 +81,7 @@
 // That deadline was on the clock of the former incarnation, at 17 min in this test, while the
 // clock of the next one starts from zero: the start was still unconfirmed after 120 s.
 func TestUnconfirmedStartIsResolvedAfterWorkerRestart(t *testing.T) {
-	for _, fault := range []cellfake.OrderFault{cellfake.OrderDrop, cellfake.OrderLose} {
+	for _, fault := range []cellfake.OrderFault{cellfake.OrderDrop, cellfake.OrderLoseReply} {
 		synctest.Test(t, func(t *testing.T) {
 			x := newCell(t.Context(), t, 2)
 			defer x.end()
@@ -90,7 +90,7 @@
 				if faulty.Load() {
 					return fault
 				}
-				return cellfake.OrderWell
+				return cellfake.OrderOK
 			}
 			l := x.lead("a")
 			pause.For(x.ctx, 2*time.Second)
@@ -105,7 +105,7 @@
 				x.restart(w)
 			}
 			pause.For(x.ctx, 10*time.Second)
-			x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+			x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 			x.assertCompleted(l, ids)
 		})
 	}
@@ -129,10 +129,10 @@
 			if late.Load() {
 				return cellfake.OrderLate
 			}
-			return cellfake.OrderWell
+			return cellfake.OrderOK
 		}
 		x.workers.LateBy = by
-		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) {
+		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) {
 			return 4 * time.Second, sched.EndDone
 		}
 		l := x.lead("a")
@@ -149,7 +149,7 @@
 		}
 		late.Store(false)
 		pause.For(x.ctx, 20*time.Second)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 		x.assertCompleted(l, ids)
 	})
 }
@@ -193,9 +193,9 @@
 			if drop.Load() {
 				return cellfake.OrderDrop
 			}
-			return cellfake.OrderWell
+			return cellfake.OrderOK
 		}
-		x.workers.Work = func(r sched.RunID) (time.Duration, sched.EndKind) {
+		x.workers.RunResult = func(r sched.RunID) (time.Duration, sched.EndKind) {
 			return 5 * time.Millisecond, sched.EndDone
 		}
 		l := x.lead("a")
@@ -209,7 +209,7 @@
 		pause.For(x.ctx, 2*time.Second)
 		x.list("w0")
 		pause.For(x.ctx, 8*time.Second)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 		x.assertCompleted(l, ids)
 	})
 }
@@ -244,7 +244,7 @@
 			Workers: x.workers,
 		}
 		x.orders = w
-		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) {
+		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) {
 			return 5 * time.Millisecond, sched.EndDone
 		}
 		l := x.lead("a")
@@ -260,7 +260,7 @@
 		w.lossy.Store(false)
 		x.list("w0")
 		pause.For(x.ctx, 4*time.Second)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 		x.assertCompleted(l, ids)
 	})
 }
--- a/leader/restartmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -55,7 +55,7 @@
 		m.log.add(fmt.Sprint("BEGAN ", l, " ", r.Task, "#", r.Number, " ", remark))
 	}
 	x.workers.LateBy = time.Duration(2+m.random.IntN(10)) * time.Second
-	x.workers.Work = m.work
+	x.workers.RunResult = m.work
 	return m
 }
 
@@ -63,7 +63,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.orders.Float64() >= m.faults {
-		return cellfake.OrderWell
+		return cellfake.OrderOK
 	}
 	return cellfake.OrderFault(1 + m.orders.IntN(3))
 }
@@ -98,7 +98,7 @@
 			pause.For(m.ctx, back)
 			restarted := m.workers.Restart(id)
 			pause.For(m.ctx, entry)
-			if m.workers.LifeOf(id) == restarted {
+			if m.workers.CurrentLife(id) == restarted {
 				m.list(id)
 			}
 		})
@@ -197,10 +197,10 @@
 				ids := m.submitAtRandomTimes(20)
 				m.run()
 				pause.For(x.ctx, restartsEnd)
-				x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+				x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 				x.assertEnded(ids)
 				if t.Failed() {
-					t.Log(m.log.linesAbout(x.workers.Broken()))
+					t.Log(m.log.linesAbout(x.workers.Violations()))
 				}
 			})
 		})
--- a/leader/slowheartbeat_test.go
+++ b/leader/slowheartbeat_test.go
@@ -43,6 +43,6 @@
 		s, _ := l.Status("j")
 		x.c.Check(s.State, qt.Equals, sched.Completed)
 		x.c.Check(x.workers.Starts(), qt.Equals, 1)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
--- a/leader/slowresponse_test.go
+++ b/leader/slowresponse_test.go
@@ -38,7 +38,7 @@
 		}
 		x.workers.Fault = func(spoolsill.WorkerID) cellfake.OrderFault {
 			orders.Add(1)
-			return cellfake.OrderWell
+			return cellfake.OrderOK
 		}
 		l := x.lead("a")
 		pause.For(x.ctx, 3*time.Second)
@@ -63,6 +63,6 @@
 		most := int64(jobs*tasks*5/4 + workers*16*5/2)
 		sent := orders.Load() - before
 		x.c.Check(sent <= most, qt.IsTrue, qt.Commentf("%d orders and heartbeats, want %d at most", sent, most))
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
--- a/leader/stalefeed_test.go
+++ b/leader/stalefeed_test.go
@@ -53,13 +53,13 @@
 		x.lead("a")
 		pause.For(x.ctx, 20*time.Second)
 		x.c.Assert(o.tables, qt.HasLen, 0)
-		x.store.SlowLists(workersTable, time.Minute)
+		x.store.SetListLatency(workersTable, time.Minute)
 		x.list("w0")
-		x.store.Forget() // makes the feed list the table again
+		x.store.DropHistory() // makes the feed list the table again
 		pause.For(x.ctx, 20*time.Second)
 		x.c.Check(o.count(workersTable) > 5, qt.IsTrue, qt.Commentf("logged %d times", o.count(workersTable)))
 		x.c.Check(o.count("jobs"), qt.Equals, 0)
-		x.store.SlowLists(workersTable, 0)
+		x.store.SetListLatency(workersTable, 0)
 		pause.For(x.ctx, time.Minute)
 		logged := o.count(workersTable)
 		pause.For(x.ctx, 20*time.Second)
--- a/leader/stop_test.go
+++ b/leader/stop_test.go
@@ -46,7 +46,7 @@
 		c := &noteCounter{}
 		x.observer = c
 		x.workers.Lease = 30 * time.Second
-		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
+		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
 		x.lead("a")
 		x.submit(sched.Job{
 			ID:    "j",
@@ -56,12 +56,12 @@
 		pause.For(x.ctx, time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 2)
 		x.cancels[0]()
-		x.workers.Cut(x.ids[0], true)
+		x.workers.SetUnreachable(x.ids[0], true)
 		x.c.Assert(jobstore.Cancel(x.ctx, x.store, "host", "j"), qt.IsNil)
 		x.lead("b")
 		pause.For(x.ctx, 4*time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 2)
-		x.workers.Cut(x.ids[0], false)
+		x.workers.SetUnreachable(x.ids[0], false)
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 0)
 		x.c.Assert(c.count(sched.NoteNotStopped), qt.Not(qt.Equals), 0)
--- a/leader/suspend_test.go
+++ b/leader/suspend_test.go
@@ -100,7 +100,7 @@
 				b := x.lead("b")
 				pause.For(x.ctx, 30*time.Second)
 				x.assertCompleted(b, ids)
-				x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+				x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 			})
 		})
 	}
@@ -123,6 +123,6 @@
 			pause.For(x.ctx, 15*time.Second)
 			x.assertCompleted(l, ids)
 		}
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
--- a/node/backoff_test.go
+++ b/node/backoff_test.go
@@ -25,7 +25,7 @@
 					return cellfake.StoreRefuse
 				}
 			}
-			return cellfake.StoreWell
+			return cellfake.StoreOK
 		})
 		before, _, err := leader.ReadHead(x.ctx, x.store)
 		x.c.Assert(err, qt.IsNil)
--- a/node/bootstrap_test.go
+++ b/node/bootstrap_test.go
@@ -39,7 +39,7 @@
 		}
 		x.start(small)
 		pause.For(x.ctx, time.Second)
-		x.store.SlowLists(platform.OperatorTable, 2*time.Second)
+		x.store.SetListLatency(platform.OperatorTable, 2*time.Second)
 		x.network.SetPartitioned(hostName(2), hostName(0), true)
 		x.network.SetPartitioned(hostName(2), hostName(1), true)
 		x.start(2)
@@ -92,7 +92,7 @@
 // and their mutual confirmations must not count.
 func TestNoHostDeniesRoutesWhileStoreIsUnreachable(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
-		x.store.TurnAway(true)
+		x.store.SetUnavailable(true)
 		pause.For(x.ctx, 4*time.Second)
 		for i := range x.hosts {
 			x.c.Check(x.call(i, http.MethodGet, "/none/", "").status, qt.Equals, http.StatusBadGateway)
--- a/node/delegated_test.go
+++ b/node/delegated_test.go
@@ -60,7 +60,7 @@
 		pause.For(x.ctx, 6*time.Second)
 		x.assertCompleted(x.leader(), ids)
 		x.c.Check(x.workers.Starts(), qt.Equals, 40)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
@@ -96,7 +96,7 @@
 					pause.For(x.ctx, time.Second)
 				}
 				x.c.Check(x.workers.Starts(), qt.Equals, 2*(next-1))
-				x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+				x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 			})
 		})
 	}
@@ -124,7 +124,7 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		orderRand := rand.New(rand.NewPCG(seed, 2))
 		var orderFaults faultRate
-		x.workers.Room = 8
+		x.workers.Capacity = 8
 		x.workers.Fault = func(spoolsill.WorkerID) cellfake.OrderFault {
 			return orderFaults.draw(orderRand)
 		}
@@ -149,7 +149,7 @@
 		orderFaults.set(0)
 		pause.For(x.ctx, 30*time.Second)
 		x.assertCompleted(x.leader(), ids)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
@@ -201,9 +201,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.IntN(100) >= a.percent {
-		return cellfake.OrderWell
+		return cellfake.OrderOK
 	}
-	return cellfake.OrderLose + cellfake.OrderFault(r.IntN(3))
+	return cellfake.OrderLoseReply + cellfake.OrderFault(r.IntN(3))
 }
 
 // Only errors that a delegate returns before it calls a worker prove that the call was
@@ -245,7 +245,7 @@
 		}
 		pause.For(x.ctx, 8*time.Second)
 		x.assertCompleted(x.leader(), after)
-		x.c.Check(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 		x.c.Check(x.workers.Starts(), qt.Equals, 48)
 	})
 }
--- a/node/election_test.go
+++ b/node/election_test.go
@@ -35,7 +35,7 @@
 		for _, i := range []int{0, 1, 2, 3, 4, 5, 9} {
 			x.c.Assert(x.state(next, jobID(i)), qt.Equals, completed, qt.Commentf("job %d", i))
 		}
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
@@ -47,13 +47,13 @@
 	run(t, 5, 3, func(x *cell) {
 		before, _, err := leader.ReadHead(x.ctx, x.store)
 		x.c.Assert(err, qt.IsNil)
-		x.store.Slow(480 * time.Millisecond)
+		x.store.SetExtraLatency(480 * time.Millisecond)
 		pause.For(x.ctx, 300*time.Millisecond)
 		for i := range 5 {
 			x.call(i, http.MethodPost, "/q/"+jobID(i), body)
 		}
 		pause.For(x.ctx, 5*time.Second)
-		x.store.Slow(0)
+		x.store.SetExtraLatency(0)
 		pause.For(x.ctx, 3*time.Second)
 		after, _, err := leader.ReadHead(x.ctx, x.store)
 		x.c.Assert(err, qt.IsNil)
@@ -117,16 +117,16 @@
 		writes := map[string]int{} // by partition
 		x.store.SetFault(func(t store.Transaction) cellfake.StoreFault {
 			if len(t.Puts) == 0 {
-				return cellfake.StoreLose // a write of the sweeper, which only deletes rows
+				return cellfake.StoreLoseReply // a write of the sweeper, which only deletes rows
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			p := t.Puts[0].Key.Partition
 			writes[p]++
 			if writes[p]%4 == 0 {
-				return cellfake.StoreWell
+				return cellfake.StoreOK
 			}
-			return cellfake.StoreLose
+			return cellfake.StoreLoseReply
 		})
 		var clients sync.WaitGroup
 		for i := range 5 {
@@ -158,7 +158,7 @@
 				attempts++
 				mu.Unlock()
 			}
-			return cellfake.StoreWell
+			return cellfake.StoreOK
 		})
 		const hosts = 60
 		for i := range hosts {
@@ -178,7 +178,7 @@
 		if writerOf(t) == hostName(host) {
 			return f
 		}
-		return cellfake.StoreWell
+		return cellfake.StoreOK
 	})
 }
 
--- a/node/large_bench_test.go
+++ b/node/large_bench_test.go
@@ -30,7 +30,7 @@
 		runSynctest(b, func(t *testing.T) {
 			x := newCell(t, 0, workers)
 			defer x.end()
-			x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) {
+			x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) {
 				return time.Second, sched.EndDone
 			}
 			for i := range hosts {
--- a/node/largeconfig_test.go
+++ b/node/largeconfig_test.go
@@ -143,7 +143,7 @@
 // hosts.
 func TestLeaderWithSilentFeedLearnsConfiguration(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
-		x.store.Deafen(true)
+		x.store.SetFeedStalled(true)
 		current := x.leader()
 		x.network.SetRate(hostName(current), smallLink)
 		x.configureMany(2, manyRoutes)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -141,7 +141,7 @@
 	id := spoolsill.WorkerID(workerName(i))
 	x.c.Assert(wire.PutWorker(x.store, wire.WorkerEntry{
 		ID:      id,
-		Born:    x.workers.LifeOf(id).Born,
+		Born:    x.workers.CurrentLife(id).Born,
 		Address: workerAddress(i),
 		Machine: "m" + string(id),
 		Rack:    "r1-1",
@@ -325,7 +325,7 @@
 			x.c.Assert(x.state((i+1)%3, jobID(i)), qt.Equals, completed)
 		}
 		x.c.Assert(x.workers.Starts(), qt.Equals, 6)
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
@@ -380,7 +380,7 @@
 		cut := (x.leader() + 1) % 3
 		x.network.SetPartitioned(hostName(cut), platformNode.Name, true)
 		x.configure(2, false)
-		x.store.Forget()
+		x.store.DropHistory()
 		pause.For(x.ctx, 1900*time.Millisecond)
 		for i := range 3 {
 			x.c.Assert(x.call(i, http.MethodGet, "/extra/", "").status, qt.Equals, http.StatusNotFound, qt.Commentf("host %d", i))
@@ -421,13 +421,13 @@
 // to retry, and never that the job did not run and will not run.
 func TestUnreachableStoreIsReportedAtOnce(t *testing.T) {
 	run(t, 2, 1, func(x *cell) {
-		x.store.TurnAway(true)
+		x.store.SetUnavailable(true)
 		pause.For(x.ctx, 2*time.Second)
 		begun := time.Now()
 		r := x.call(0, http.MethodPost, "/q/"+jobID(1), body)
 		x.c.Assert(r.status, qt.Equals, http.StatusBadGateway)
 		x.c.Assert(time.Since(begun) < 500*time.Millisecond, qt.IsTrue)
-		x.store.TurnAway(false)
+		x.store.SetUnavailable(false)
 		pause.For(x.ctx, time.Second)
 		x.c.Assert(x.call(0, http.MethodPost, "/q/"+jobID(1), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, 3*time.Second)
@@ -456,7 +456,7 @@
 // A client that requests a deadline of an hour must not be kept waiting for that long.
 func TestLongDeadlinesAreBounded(t *testing.T) {
 	run(t, 1, 0, func(x *cell) {
-		x.store.SetFault(func(store.Transaction) cellfake.StoreFault { return cellfake.StoreLose })
+		x.store.SetFault(func(store.Transaction) cellfake.StoreFault { return cellfake.StoreLoseReply })
 		r, err := http.NewRequestWithContext(x.ctx, http.MethodPost, "http://"+x.hosts[0].Settings.ClientAddress+"/q/"+jobID(1), strings.NewReader(body))
 		x.c.Assert(err, qt.IsNil)
 		r.Host = wire.Domain
@@ -475,7 +475,7 @@
 // Jobs must reach the leader even while its feed delivers nothing.
 func TestJobsReachTheLeaderWithoutTheFeed(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
-		x.store.Deafen(true)
+		x.store.SetFeedStalled(true)
 		for i := range 3 {
 			x.c.Assert(x.call(i, http.MethodPost, "/q/"+jobID(i), body).status, qt.Equals, http.StatusOK)
 		}
@@ -501,6 +501,6 @@
 		for i := range 20 {
 			x.c.Assert(x.state(1-old, jobID(i)), qt.Equals, completed)
 		}
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
--- a/node/notify_test.go
+++ b/node/notify_test.go
@@ -20,7 +20,7 @@
 // host while there is no leader. The tasks must still be stopped in time.
 func TestLateStartsOfRemovedLeaderAreStopped(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
-		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
+		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
 		old := x.leader()
 		other := (old + 1) % len(x.hosts)
 		pause.For(x.ctx, 2*time.Second)
@@ -43,19 +43,19 @@
 		t.Logf("stopped after %v", took)
 		x.c.Assert(took <= cancelBound, qt.IsTrue, qt.Commentf("stopped after %v", took))
 		x.c.Assert(x.leader(), qt.Not(qt.Equals), old)
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
 
 // Cancellations must reach the leader even while its feed delivers nothing.
 func TestCancelReachesTheLeaderWithoutTheFeed(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
-		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
+		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
 		other := (x.leader() + 1) % len(x.hosts)
 		x.c.Assert(x.call(other, http.MethodPost, "/q/"+jobID(1), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, 2*time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 2)
-		x.store.Deafen(true)
+		x.store.SetFeedStalled(true)
 		x.c.Assert(x.call(other, http.MethodDelete, "/q/"+jobID(1), "").status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 0)
@@ -69,18 +69,18 @@
 		l := x.leader()
 		h := (l + 1) % len(x.hosts)
 		for i := range 10 {
-			x.store.TurnAway(true)
+			x.store.SetUnavailable(true)
 			x.network.SetPartitioned(hostName(h), hostName(l), true)
 			pause.For(x.ctx, 500*time.Millisecond+time.Duration(i)*23*time.Millisecond)
-			x.store.Deafen(true)
-			x.store.TurnAway(false)
+			x.store.SetFeedStalled(true)
+			x.store.SetUnavailable(false)
 			x.network.SetPartitioned(hostName(h), hostName(l), false)
 			if x.call(h, http.MethodPost, "/q/"+jobID(i), body).status != http.StatusOK {
 				continue // the host has not noticed yet that the store is reachable
 			}
 			r := x.call(l, http.MethodGet, "/q/"+jobID(i), "")
 			x.c.Check(r.status, qt.Not(qt.Equals), http.StatusGone, qt.Commentf("job %d", i))
-			x.store.Deafen(false)
+			x.store.SetFeedStalled(false)
 			pause.For(x.ctx, 2*time.Second)
 		}
 	})
--- a/node/specs_test.go
+++ b/node/specs_test.go
@@ -33,7 +33,7 @@
 func (x *cell) checkSpecs(specs map[spoolsill.JobID]string) (starts func() int) {
 	var mu sync.Mutex
 	n := 0
-	x.workers.Ordered = func(o sched.StartOrder) {
+	x.workers.OnStartOrder = func(o sched.StartOrder) {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -37,19 +37,19 @@
 // as running from memory, since the next leader may have completed it.
 func TestSuspendedLeaderReportsNoCachedState(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
-		x.workers.Work = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
+		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) { return time.Minute, sched.EndDone }
 		l := x.leader()
 		x.c.Assert(x.call(l, http.MethodPost, "/q/"+jobID(1), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, time.Second)
 		x.c.Assert(x.state(l, jobID(1)), qt.Equals, `{"state":"running"}`)
 		// The store prevents the leader from learning that by itself.
-		x.store.TurnAway(true)
+		x.store.SetUnavailable(true)
 		x.hosts[l].simulateSuspension(5 * time.Second)
 		r := x.call(l, http.MethodGet, "/q/"+jobID(1), "")
 		x.c.Assert(r.status, qt.Not(qt.Equals), http.StatusOK, qt.Commentf("%v", r))
-		x.store.TurnAway(false)
+		x.store.SetUnavailable(false)
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.state(l, jobID(1)), qt.Equals, `{"state":"running"}`)
-		x.c.Assert(x.workers.Broken(), qt.HasLen, 0)
+		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
