--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -17,10 +17,11 @@
 )
 
 const (
-	// crashAfter is the time from the start of a task to the crash of its worker, as was
-	// recorded; backAfter is the time until the machine is back as another worker.
-	crashAfter = 10 * time.Millisecond
-	backAfter  = 3300 * time.Millisecond
+	// crashDelay is the time from the start of a task to the crash of its worker, as
+	// recorded in a deployment; machineRestartDelay is the time until the machine is back as another
+	// worker.
+	crashDelay          = 10 * time.Millisecond
+	machineRestartDelay = 3300 * time.Millisecond
 )
 
 // A machines is a cell whose machines restart when their workers crash.
@@ -41,7 +42,7 @@
 	for i, id := range x.ids {
 		m.listIncarnation(id, fmt.Sprintf("m%d", i))
 	}
-	x.workers.OnCrash = m.crashed
+	x.workers.OnCrash = m.scheduleRestart
 	return m
 }
 
@@ -74,8 +75,8 @@
 	})
 }
 
-func (m *machines) crashed(id spoolsill.WorkerID, _ []sched.RunID) {
-	time.AfterFunc(backAfter, func() {
+func (m *machines) scheduleRestart(id spoolsill.WorkerID, _ []sched.RunID) {
+	time.AfterFunc(machineRestartDelay, func() {
 		machine := m.machineOf(id)
 		m.mu.Lock()
 		m.incarnations[machine]++
@@ -105,7 +106,7 @@
 
 func (m *machines) submitCrashing() {
 	m.workers.CrashAfter = func(r sched.RunID) (time.Duration, bool) {
-		return crashAfter, r.Task == crashing
+		return crashDelay, r.Task == crashing
 	}
 	m.submit(sched.Job{
 		ID:    crashing.Stage.Job,
@@ -176,11 +177,11 @@
 	}
 }
 
-// The same when workers come back under their ids, at once or after a while. Such crashes showed
-// only as runs that the worker does not have, which did not count as attempts: the task was
-// started again each time.
+// Guards against unlimited retries of a task whose workers restart under their ids, at once or
+// after a while. Such crashes are visible only as runs that the worker does not have, which did
+// not count as attempts.
 func TestTaskThatCrashesWorkersThatKeepTheirIDsIsGivenUp(t *testing.T) {
-	for _, back := range []time.Duration{0, 100 * time.Millisecond, backAfter} {
+	for _, back := range []time.Duration{0, 100 * time.Millisecond, machineRestartDelay} {
 		t.Run(back.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := newMachines(newCell(t.Context(), t, 8))
@@ -201,8 +202,8 @@
 	}
 }
 
-// The same when the leader is replaced between the crashes: the next one knows from the store
-// which incarnations have crashed.
+// Workers restart under their ids while the leader is replaced between the crashes. The next
+// leader reads from the store which incarnations have crashed.
 func TestCrashesOfWorkersThatKeepTheirIDsLastOverTakeOvers(t *testing.T) {
 	for seed := range 8 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -22,7 +22,7 @@
 
 // Configurations may reach a leader in any order; an older one must not replace a newer
 // one.
-func TestOlderQueuesChangeNothing(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestJobsAreDone(t *testing.T) {
+func TestJobsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
@@ -58,25 +58,25 @@
 
 // The leader changes every few seconds without the former one being notified, while
 // responses of the store and of workers are lost and some orders are delayed.
-func TestNothingRunsTwiceWhileLeadersChange(t *testing.T) {
+func TestNoTaskRunsTwiceAcrossLeaderChanges(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { changingLeaders(t, seed) })
+			synctest.Test(t, func(t *testing.T) { testLeaderChanges(t, seed) })
 		})
 	}
 }
 
-func changingLeaders(t *testing.T, seed uint64) {
+func testLeaderChanges(t *testing.T, seed uint64) {
 	x := newCell(t.Context(), t, 5)
 	defer x.end()
-	d := &dice{
+	d := &lockedRand{
 		r: rand.New(rand.NewPCG(seed, 1)),
 	}
 	x.store.SetFault(func(store.Transaction) cellfake.StoreFault {
-		return cellfake.StoreFault(d.roll(0.85, 0.05, 0.05, 0.05))
+		return cellfake.StoreFault(d.choose(0.85, 0.05, 0.05, 0.05))
 	})
 	x.workers.Fault = func(spoolsill.WorkerID) cellfake.OrderFault {
-		return cellfake.OrderFault(d.roll(0.85, 0.05, 0.05, 0.05))
+		return cellfake.OrderFault(d.choose(0.85, 0.05, 0.05, 0.05))
 	}
 	var ids []spoolsill.JobID
 	for i := range 5 {
@@ -84,9 +84,9 @@
 		if i == 0 {
 			ids = x.submitMixed(20)
 		}
-		cut := x.ids[d.below(len(x.ids))]
+		cut := x.ids[d.intN(len(x.ids))]
 		x.workers.SetUnreachable(cut, true)
-		pause.For(x.ctx, time.Duration(1500+d.below(3000))*time.Millisecond)
+		pause.For(x.ctx, time.Duration(1500+d.intN(3000))*time.Millisecond)
 		x.workers.SetUnreachable(cut, false)
 		x.store.DropHistory()
 	}
@@ -96,22 +96,22 @@
 	x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 }
 
-// A dice makes random choices. It is safe for concurrent use.
-type dice struct {
+// A lockedRand is a random source that is safe for concurrent use.
+type lockedRand struct {
 	mu      sync.Mutex
 	r       *rand.Rand
 	stopped bool
 }
 
-// stop makes every later roll return 0.
-func (d *dice) stop() {
+// stop makes choose return 0 from now on.
+func (d *lockedRand) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopped = true
 }
 
-// roll returns an index, with the given probability of each.
-func (d *dice) roll(shares ...float64) int {
+// choose returns a random index, with the given probabilities.
+func (d *lockedRand) choose(shares ...float64) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stopped {
@@ -127,16 +127,16 @@
 	return 0
 }
 
-// below returns a number from 0 to n-1.
-func (d *dice) below(n int) int {
+// intN returns a random number from 0 to n-1.
+func (d *lockedRand) intN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.r.IntN(n)
 }
 
-// The tasks of a worker that is gone for good are started elsewhere: unanswered calls must
-// not extend its lease.
-func TestGoneWorkersTasksStartElsewhere(t *testing.T) {
+// The tasks of a permanently lost worker are started on another one: unanswered calls must
+// not extend the lease of the lost worker.
+func TestTasksOfLostWorkerRestartOnAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -165,7 +165,7 @@
 
 // A leader that takes long to load must not process ends of jobs that it does not know yet:
 // the ends would be acknowledged and the tasks run again.
-func TestEndsWaitUntilJobsAreLoaded(t *testing.T) {
+func TestEndsAreProcessedAfterJobsAreLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -187,7 +187,7 @@
 
 // A planned stop first finishes the write in flight and then releases the leadership, so that
 // the next leader does not have to wait for a timeout.
-func TestPlannedStopReleasesTheLeadership(t *testing.T) {
+func TestPlannedStopReleasesLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -209,9 +209,9 @@
 	})
 }
 
-// A leader that can't read from the store does not know what other hosts accept, and must
+// A leader that can't read from the store does not know which jobs other hosts accept, and must
 // not report that no jobs are waiting.
-func TestWaitingIsNotToldFromAnOldView(t *testing.T) {
+func TestStaleWaitingCountIsNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
@@ -231,7 +231,8 @@
 	})
 }
 
-// slowObserver is an observer that delays the loop, as on a host with too little processor.
+// slowObserver is an observer that delays the event loop, as on a host with too little processor
+// time.
 type slowObserver struct{}
 
 func (slowObserver) RecordEvent(sched.Note)             { pause.For(context.Background(), 400*time.Millisecond) }
@@ -239,7 +240,7 @@
 func (slowObserver) RecordTakeover(time.Duration)       {}
 
 // A leader that can't keep up releases the leadership, so that a larger host takes over.
-func TestLeaderThatCannotKeepUpResigns(t *testing.T) {
+func TestOverloadedLeaderResigns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -254,7 +255,7 @@
 }
 
 // Rows of ended jobs are deleted; the next leader and the store still know their states.
-func TestEndedJobsKeepOnlyTheirState(t *testing.T) {
+func TestOnlyStateOfEndedJobsIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
@@ -285,8 +286,8 @@
 
 // The leader row keeps changing while the progress of all jobs is read, however long that
 // takes: otherwise other hosts would take over from each leader in turn, and none would finish
-// loading. Rows that hosts report meanwhile don't block them.
-func TestLeaderStaysWhileItLoads(t *testing.T) {
+// loading. Hosts that notify the leader of rows meanwhile are not blocked.
+func TestLeaderRemainsWhileLoading(t *testing.T) {
 	const (
 		load          = 3 * time.Second
 		unchanged     = 350 * time.Millisecond // others take over after it
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -17,9 +17,10 @@
 	// cancelBound is the time within which nothing of a cancelled job may be left. The
 	// strictest platform requires 3 s, and a stop takes 0.2 s.
 	cancelBound = 3200 * time.Millisecond
-	// maxStartDelay is how long after it is sent a start may be carried out.
+	// maxStartDelay is the maximum time from sending a start to carrying it out.
 	maxStartDelay = 12 * time.Second
-	// startLease is how long after it is sent a start keeps its run without a renewal.
+	// startLease is the time after sending a start for which its run continues without a
+	// lease renewal.
 	startLease        = 1500 * time.Millisecond
 	heartbeatInterval = 500 * time.Millisecond
 	tickLength        = 50 * time.Millisecond
@@ -335,9 +336,9 @@
 	})
 }
 
-// A worker with many short tasks answers many times while it stops a run that is in no
-// record. Guards against a stop order for each answer; the order is repeated only when
-// it has had no effect.
+// A worker with many short tasks answers many times while it stops a run that the leader has no
+// record of. Guards against a stop order for each answer; the order is repeated only if it has
+// had no effect.
 func TestStopsOfUnknownRunsArePaced(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		t.Run(fmt.Sprintf("answered %v", answered), func(t *testing.T) {
--- a/sched/leaving_test.go
+++ b/sched/leaving_test.go
@@ -29,7 +29,7 @@
 
 // A worker may exit without an announcement: its entry is deleted, and it continues for
 // as long as one that drains. Checkpointed runs that it can't finish are moved.
-func TestCheckpointedWorkMovesOffAnUnlistedWorker(t *testing.T) {
+func TestCheckpointedRunsMoveOffUnlistedWorker(t *testing.T) {
 	x := newCell(t)
 	r := x.startCheckpointed()
 	x.state.WorkerUnlisted(x.now, "w")
@@ -47,12 +47,12 @@
 func TestWorkersStayInUseWhenAnOutageDropsTheirEntries(t *testing.T) {
 	for name, unlist := range map[string]func(x *cell){
 		"entries are deleted after the store is back": func(x *cell) {
-			x.state.StoreBack(x.now)
+			x.state.StoreRecovered(x.now)
 			x.state.WorkerUnlisted(x.now, "w")
 		},
 		"entries are deleted before that is known": func(x *cell) {
 			x.state.WorkerUnlisted(x.now, "w")
-			x.state.StoreBack(x.now)
+			x.state.StoreRecovered(x.now)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -78,18 +78,18 @@
 
 // The grace time after an outage of the store does not apply to a worker that is
 // draining.
-func TestDrainingWorkerGetsNothingNewAfterAnOutage(t *testing.T) {
+func TestNothingStartsAtDrainingWorkerAfterStoreOutage(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.listWorker("w", true)
 	x.state.WorkerUnlisted(x.now, "w")
-	x.state.StoreBack(x.now)
+	x.state.StoreRecovered(x.now)
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
 }
 
 // Guards against a lasting task that ends with its worker without a report.
-func TestLastingWorkMovesBeforeItsWorkerLeaves(t *testing.T) {
+func TestLastingTasksMoveBeforeTheirWorkerExits(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w1")
 	s := tasks(1, 1)
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -108,7 +108,7 @@
 	r := w.runs[a.Run]
 	if a.Outcome == StartOtherIncarnation {
 		if r != nil && !a.Doubt {
-			// The run never began there, so that it can't have ended that incarnation.
+			// The run never began there, so it can't have caused the end of that incarnation.
 			s.dropRun(r, "start order: "+a.Outcome.String())
 		}
 		s.WorkerDied(now, a.WorkerIncarnation)
@@ -254,7 +254,7 @@
 func (s *State) updateRunning(w *worker, x RunningTask) {
 	r := w.runs[x.Run]
 	if r == nil {
-		return // in no record, see reconcileUnknownRuns
+		return // there is no record of it; see reconcileUnknownRuns
 	}
 	if r.phase != phaseRecorded && r.phase != phasePlanned {
 		s.confirm(r)
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -44,7 +44,7 @@
 	restarts int
 	listed   bool
 	dead     bool
-	// closed is set while the worker is not in State.order, since it is not listed and
+	// closed is set while the worker is not in State.workerList, since it is not listed and
 	// has no runs. It is reset when the worker comes back.
 	closed bool
 	used   spoolsill.Resources
@@ -59,8 +59,8 @@
 	// renewedUntil is the time until which we have requested it.
 	leaseUntil   time.Time
 	renewedUntil time.Time
-	// unknownRuns are the runs that it lists and that are in no record, with the time at
-	// which the next order to stop them is due.
+	// unknownRuns are the runs that it lists and of which there is no record, with the time
+	// at which the next order to stop them is due.
 	unknownRuns map[RunID]time.Time
 	// earliestExit is the earliest time at which a worker that drains, or is no longer
 	// listed, may exit; unlistedAt is when its entry was deleted.
@@ -107,8 +107,8 @@
 	}
 }
 
-// reopen adds a worker that is back to the order again. Its state is kept: the advisor's
-// answers for this incarnation and its health still apply.
+// reopen adds a closed worker that is back to the list of workers. Its state is kept: the
+// advisor's answers for this incarnation and its health still apply.
 func (s *State) reopen(w *worker) {
 	if !w.closed {
 		return
@@ -240,10 +240,10 @@
 // to reappear; the platform specifies about two seconds.
 const relistDelay = 2 * time.Second
 
-// StoreBack records that the store accepts writes again after an outage. Until
+// StoreRecovered records that the store accepts writes again after an outage. Until
 // relistDelay has passed, an entry that was lost in the outage does not mean that its
 // worker has left.
-func (s *State) StoreBack(now time.Time) {
+func (s *State) StoreRecovered(now time.Time) {
 	s.now = now
 	s.storeRecoveredAt = now
 	for _, w := range s.workerList {
@@ -339,12 +339,12 @@
 	s.closeWorker(w)
 }
 
-// dropRuns drops the runs of a worker that is known to have crashed (over), or that may
-// be gone. The loss counts against their tasks: a task that crashes its workers never
+// dropRuns drops the runs of a worker that is known to have crashed, if crashed is set, or that
+// may be gone. The loss counts against their tasks: a task that crashes its workers never
 // reports an end, and would otherwise be restarted forever.
-func (s *State) dropRuns(w *worker, reason string, over bool) {
+func (s *State) dropRuns(w *worker, reason string, crashed bool) {
 	rs := sortedRuns(w)
-	s.recordLoss(w, rs, over, reason)
+	s.recordLoss(w, rs, crashed, reason)
 	for _, r := range rs {
 		r.task.stage.job.account.Lost++
 		s.dropRun(r, reason)
@@ -363,7 +363,7 @@
 	return rs
 }
 
-// closeWorker removes a worker that is not listed and has no runs from the order. Dead
+// closeWorker removes a worker that is not listed and has no runs from the list of workers. Dead
 // workers stay, so that a late entry does not revive them.
 func (s *State) closeWorker(w *worker) {
 	if w.present(s.now) || len(w.runs) > 0 || w.dead {
