--- a/place/apply.go
+++ b/place/apply.go
@@ -29,10 +29,10 @@
 func (s *State) applyTask(r Record) error {
 	t := s.task(r.Task)
 	if t == nil {
-		return invalid(r, "no such task")
+		return invalidRecord(r, "no such task")
 	}
 	if t.state.Final() {
-		return invalid(r, "it is %s", t.state)
+		return invalidRecord(r, "it is %s", t.state)
 	}
 	switch r.Kind {
 	case TaskPlaced:
@@ -48,22 +48,22 @@
 	case TaskEnded:
 		return s.endTask(t, r)
 	default:
-		return invalid(r, "unknown kind")
+		return invalidRecord(r, "unknown kind")
 	}
 }
 
 func (s *State) addJob(r Record) error {
 	if r.Job == nil {
-		return invalid(r, "no job")
+		return invalidRecord(r, "no job")
 	}
 	if _, ok := s.jobs[r.Job.ID]; ok {
-		return invalid(r, "job %s is known", r.Job.ID)
+		return invalidRecord(r, "job %s is known", r.Job.ID)
 	}
-	s.added++
+	s.jobsAdded++
 	j := &job{
 		spec:       *r.Job,
 		team:       s.team(r.Job.Team),
-		seq:        s.added,
+		seq:        s.jobsAdded,
 		added:      r.Time(),
 		unfinished: r.Job.Tasks,
 		tasks:      make([]task, r.Job.Tasks),
@@ -92,7 +92,7 @@
 func (s *State) cancelJob(r Record) error {
 	j, ok := s.jobs[r.Task.Job]
 	if !ok {
-		return invalid(r, "no such job")
+		return invalidRecord(r, "no such job")
 	}
 	if j.cancelled {
 		return nil
@@ -113,20 +113,20 @@
 
 func (s *State) placeTask(t *task, r Record) error {
 	if t.state.HoldsCapacity() {
-		return invalid(r, "it holds worker %s", t.worker.ID)
+		return invalidRecord(r, "it holds worker %s", t.worker.ID)
 	}
 	if t.job.cancelled {
-		return invalid(r, "its job is cancelled")
+		return invalidRecord(r, "its job is cancelled")
 	}
 	if r.State == stateSnapshot {
 		t.attempt = r.Attempt - 1
 	}
 	if r.Attempt != t.attempt+1 {
-		return invalid(r, "attempt %d, want %d", r.Attempt, t.attempt+1)
+		return invalidRecord(r, "attempt %d, want %d", r.Attempt, t.attempt+1)
 	}
 	w := s.worker(r.Worker)
 	if w.listed && !t.job.spec.Shape.FitsIn(w.free) {
-		return invalid(r, "worker %s has %s free, it needs %s", w.ID, w.free, t.job.spec.Shape)
+		return invalidRecord(r, "worker %s has %s free, it needs %s", w.ID, w.free, t.job.spec.Shape)
 	}
 	s.removeWaiting(t)
 	s.clearNomination(t)
@@ -144,7 +144,7 @@
 
 func (s *State) runTask(t *task, r Record) error {
 	if !t.state.HoldsCapacity() {
-		return invalid(r, "it is %s", t.state)
+		return invalidRecord(r, "it is %s", t.state)
 	}
 	if t.state != spoolsill.TaskPlaced {
 		return nil
@@ -154,9 +154,11 @@
 	return nil
 }
 
+// setLeavingState moves t to a state in which its worker has been asked to stop
+// it.
 func (s *State) setLeavingState(t *task, r Record, state spoolsill.TaskState) error {
 	if !t.state.HoldsCapacity() {
-		return invalid(r, "it is %s", t.state)
+		return invalidRecord(r, "it is %s", t.state)
 	}
 	s.setState(t, state, r.Time(), r.Cause)
 	return nil
@@ -164,20 +166,20 @@
 
 func (s *State) requeueTask(t *task, r Record) error {
 	if t.job.cancelled {
-		return invalid(r, "its job is cancelled")
+		return invalidRecord(r, "its job is cancelled")
 	}
 	s.recordOutcome(t, r)
 	s.release(t)
 	t.retryAt = time.UnixMicro(r.Ready)
 	s.setState(t, spoolsill.TaskQueued, r.Time(), r.Cause)
-	s.backingOff = append(s.backingOff, t)
+	s.tasksBackingOff = append(s.tasksBackingOff, t)
 	s.refreshQueue(t.job)
 	return nil
 }
 
 func (s *State) endTask(t *task, r Record) error {
 	if !r.State.Final() {
-		return invalid(r, "%s is not final", r.State)
+		return invalidRecord(r, "%s is not final", r.State)
 	}
 	s.recordOutcome(t, r)
 	s.removeWaiting(t)
@@ -221,10 +223,10 @@
 	}
 	s.dequeue(j)
 	j.finishedAt = at
-	s.finished = append(s.finished, j)
-	for len(s.finished) > s.config.FinishedJobs {
-		delete(s.jobs, s.finished[0].spec.ID)
-		s.finished = s.finished[1:]
+	s.finishedJobs = append(s.finishedJobs, j)
+	for len(s.finishedJobs) > s.config.FinishedJobs {
+		delete(s.jobs, s.finishedJobs[0].spec.ID)
+		s.finishedJobs = s.finishedJobs[1:]
 	}
 }
 
@@ -236,8 +238,8 @@
 	return &j.tasks[id.Index]
 }
 
-// removeWaiting removes t from the pending tasks of its job, or from the tasks
-// that are backing off.
+// removeWaiting removes t from the pending tasks of its job or from the tasks
+// that are backing off. It does nothing if t holds capacity.
 func (s *State) removeWaiting(t *task) {
 	if t.state.HoldsCapacity() {
 		return
@@ -258,9 +260,9 @@
 }
 
 func (s *State) removeBackingOff(t *task) {
-	for i, x := range s.backingOff {
+	for i, x := range s.tasksBackingOff {
 		if x == t {
-			s.backingOff = append(s.backingOff[:i], s.backingOff[i+1:]...)
+			s.tasksBackingOff = append(s.tasksBackingOff[:i], s.tasksBackingOff[i+1:]...)
 			return
 		}
 	}
--- a/place/check.go
+++ b/place/check.go
@@ -9,22 +9,22 @@
 // CheckInvariants verifies the invariants of the whole state and returns an
 // error for the first that is violated. Cost: O(tasks + workers).
 func (s *State) CheckInvariants() error {
-	held := map[*worker]spoolsill.Resources{}
+	allocations := map[*worker]spoolsill.Resources{}
 	used := map[*team]spoolsill.Resources{}
 	for _, j := range s.jobs {
-		if err := j.check(held, used); err != nil {
+		if err := j.check(allocations, used); err != nil {
 			return err
 		}
 	}
 	for _, w := range s.workers {
-		if got := w.Capacity.Sub(w.free); got != held[w] {
-			return fmt.Errorf("worker %s: %s is taken, its tasks hold %s", w.ID, got, held[w])
+		if got := w.Capacity.Sub(w.free); got != allocations[w] {
+			return fmt.Errorf("worker %s: %s is taken, its tasks hold %s", w.ID, got, allocations[w])
 		}
 		if w.listed && w.free.Negative() {
 			return fmt.Errorf("worker %s: over its capacity: %s free", w.ID, w.free)
 		}
-		if w.nominated.Negative() {
-			return fmt.Errorf("worker %s: %s held for nominated tasks", w.ID, w.nominated)
+		if w.nominatedCapacity.Negative() {
+			return fmt.Errorf("worker %s: %s held for nominated tasks", w.ID, w.nominatedCapacity)
 		}
 	}
 	for _, t := range s.teams {
@@ -35,12 +35,13 @@
 	return nil
 }
 
-func (j *job) check(held map[*worker]spoolsill.Resources, used map[*team]spoolsill.Resources) error {
-	live, holding := 0, 0
+// check verifies the tasks of j, and adds what they hold to allocations and used.
+func (j *job) check(allocations map[*worker]spoolsill.Resources, used map[*team]spoolsill.Resources) error {
+	unfinishedTasks, allocatedTasks := 0, 0
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if !t.state.Final() {
-			live++
+			unfinishedTasks++
 		}
 		if t.state.HoldsCapacity() != (t.worker != nil) {
 			return fmt.Errorf("task %s: %s with worker %v", t.id, t.state, t.worker != nil)
@@ -48,15 +49,15 @@
 		if t.worker == nil {
 			continue
 		}
-		holding++
+		allocatedTasks++
 		if t.worker.tasks[t.id] != t {
 			return fmt.Errorf("task %s: worker %s does not list it", t.id, t.worker.ID)
 		}
-		held[t.worker] = held[t.worker].Add(j.spec.Shape)
+		allocations[t.worker] = allocations[t.worker].Add(j.spec.Shape)
 		used[j.team] = used[j.team].Add(j.spec.Shape)
 	}
-	if live != j.unfinished || holding != j.allocated {
-		return fmt.Errorf("job %s: %d live and %d holding, counted %d and %d", j.spec.ID, live, holding, j.unfinished, j.allocated)
+	if unfinishedTasks != j.unfinished || allocatedTasks != j.allocated {
+		return fmt.Errorf("job %s: %d live and %d holding, counted %d and %d", j.spec.ID, unfinishedTasks, allocatedTasks, j.unfinished, j.allocated)
 	}
 	return nil
 }
--- a/place/decide.go
+++ b/place/decide.go
@@ -35,13 +35,16 @@
 }
 
 // maxPreemptionSearches bounds the searches for tasks to preempt in one Decide
-// call, since each looks at all tasks of the hall.
+// call, since each looks at all tasks of the hall. It also bounds the pending
+// tasks of a job that are tried one by one.
 const maxPreemptionSearches = 16
 
 func (d *decider) full() bool {
 	return len(d.records) >= d.state.config.Decisions
 }
 
+// startClass starts jobs of class c until none that is left fits or the call has
+// all the records that it may have.
 func (d *decider) startClass(c spoolsill.Class) {
 	for !d.full() {
 		j := d.state.nextJob(c, d.now)
@@ -99,7 +102,7 @@
 // startNominated places a task of j on its nominated worker if the preempted
 // tasks have left it.
 func (d *decider) startNominated(j *job) bool {
-	for _, t := range d.state.nominated {
+	for _, t := range d.state.nominatedTasks {
 		if t.job != j || d.state.exclusion(t, t.nominatedWorker, d.now) != exclusionNone {
 			continue
 		}
@@ -138,9 +141,9 @@
 }
 
 // quotaAllows reports whether the team's quota allows the next task of j, or
-// all pending tasks if j is a gang. Jobs of class Patient may exceed the quota
-// while the hall has free capacity; see [decider.preemptible] for how it is
-// reclaimed.
+// all pending tasks if j is a gang, and the reason if it does not. Jobs of class
+// Patient may exceed the quota while the hall has free capacity; see
+// [decider.preemptible] for how it is reclaimed.
 func (s *State) quotaAllows(j *job) (Reason, bool) {
 	q := j.team.quota
 	if !j.team.limited || j.spec.Class == spoolsill.ClassPatient {
--- a/place/fit.go
+++ b/place/fit.go
@@ -68,11 +68,11 @@
 // availableFor returns the free capacity of w that t may use. Capacity held for
 // other nominated tasks is excluded, unless they belong to the same gang.
 func (s *State) availableFor(t *task, w *worker) spoolsill.Resources {
-	if w.nominated.IsZero() {
+	if w.nominatedCapacity.IsZero() {
 		return w.free
 	}
-	f := w.free.Sub(w.nominated)
-	for _, x := range s.nominated {
+	f := w.free.Sub(w.nominatedCapacity)
+	for _, x := range s.nominatedTasks {
 		if x.nominatedWorker == w && (x == t || t.job.spec.Kind == spoolsill.KindGang && x.job == t.job) {
 			f = f.Add(x.job.spec.Shape)
 		}
@@ -96,9 +96,9 @@
 	var bestCost float64
 	var counts [exclusionCount]int
 	for _, w := range s.workerList {
-		o := s.exclusion(t, w, now)
-		counts[o]++
-		if o != exclusionNone {
+		e := s.exclusion(t, w, now)
+		counts[e]++
+		if e != exclusionNone {
 			continue
 		}
 		c := t.job.cost(w)
@@ -177,21 +177,23 @@
 	return false
 }
 
-// copiesThatFit returns how many times shape fits into free.
+// copiesThatFit returns how many times shape fits into free, at most
+// [spoolsill.MaxTasks].
 func copiesThatFit(shape, free spoolsill.Resources) int {
 	if free.Negative() {
 		return 0
 	}
 	n := int64(spoolsill.MaxTasks)
-	n = min(n, copiesOf(int64(free.Processors), int64(shape.Processors)))
-	n = min(n, copiesOf(int64(free.Memory), int64(shape.Memory)))
-	n = min(n, copiesOf(int64(free.Accelerators), int64(shape.Accelerators)))
+	n = min(n, fitCount(int64(free.Processors), int64(shape.Processors)))
+	n = min(n, fitCount(int64(free.Memory), int64(shape.Memory)))
+	n = min(n, fitCount(int64(free.Accelerators), int64(shape.Accelerators)))
 	return int(n)
 }
 
-func copiesOf(a, b int64) int64 {
-	if b <= 0 {
+// fitCount returns how many times need fits into free. A need of 0 sets no limit.
+func fitCount(free, need int64) int64 {
+	if need <= 0 {
 		return spoolsill.MaxTasks
 	}
-	return a / b
+	return free / need
 }
--- a/place/fixture_test.go
+++ b/place/fixture_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func add(c *qt.C, s *place.State, at time.Time, j spoolsill.Job) {
+func addJob(c *qt.C, s *place.State, at time.Time, j spoolsill.Job) {
 	c.Assert(s.Apply(place.Record{
 		Kind: place.JobAdded,
 		At:   at.UnixMicro(),
@@ -54,7 +54,7 @@
 	}), qt.IsNil)
 }
 
-// decide calls Decide and returns its records of kind k.
+// decide calls Decide, verifies the invariants and returns the records of kind k.
 func decide(c *qt.C, s *place.State, at time.Time, k place.RecordKind) []place.Record {
 	records, _ := s.Decide(at)
 	c.Assert(s.CheckInvariants(), qt.IsNil)
@@ -67,8 +67,8 @@
 	return out
 }
 
-// run confirms the starts in records.
-func run(s *place.State, at time.Time, records []place.Record) {
+// confirmStarts confirms the starts in records.
+func confirmStarts(s *place.State, at time.Time, records []place.Record) {
 	for _, r := range records {
 		s.Report(at, place.Report{
 			Task:    r.Task,
@@ -78,7 +78,8 @@
 	}
 }
 
-func end(s *place.State, at time.Time, r place.Record, outcome place.Outcome) {
+// report reports the outcome of the attempt that r started.
+func report(s *place.State, at time.Time, r place.Record, outcome place.Outcome) {
 	s.Report(at, place.Report{
 		Task:    r.Task,
 		Attempt: r.Attempt,
--- a/place/gang.go
+++ b/place/gang.go
@@ -17,8 +17,8 @@
 		}
 		return false
 	}
-	workers, y := s.gangWorkers(j, d.now)
-	j.reason = y
+	workers, fitReason := s.gangWorkers(j, d.now)
+	j.reason = fitReason
 	if workers == nil {
 		d.preemptForGang(j)
 		return false
@@ -45,12 +45,12 @@
 	var counts [exclusionCount]int
 	var eligible []*worker
 	for _, w := range s.workerList {
-		o := s.exclusion(tasks[0], w, now)
-		if o == exclusionNone && anyAvoids(tasks, w) {
-			o = exclusionAvoided
+		e := s.exclusion(tasks[0], w, now)
+		if e == exclusionNone && anyAvoids(tasks, w) {
+			e = exclusionAvoided
 		}
-		counts[o]++
-		if o == exclusionNone {
+		counts[e]++
+		if e == exclusionNone {
 			eligible = append(eligible, w)
 		}
 	}
@@ -108,7 +108,7 @@
 
 // blocks reports whether the reservation prevents placing a task of j on w. It
 // never blocks jobs of class Urgent.
-func (r *reservation) blocks(j *job, w *worker, now time.Time, l runtimeStats) bool {
+func (r *reservation) blocks(j *job, w *worker, now time.Time, stats runtimeStats) bool {
 	if r.job == nil || r.job == j || j.spec.Class == spoolsill.ClassUrgent {
 		return false
 	}
@@ -116,9 +116,10 @@
 	if !r.workers[w] && copiesThatFit(shape, w.free.Sub(j.spec.Shape)) == copiesThatFit(shape, w.free) {
 		return false
 	}
-	return j.spec.Kind == spoolsill.KindService || now.Add(l.runtimeQuantile(&j.spec, highPerMille)).After(r.expectedStart)
+	return j.spec.Kind == spoolsill.KindService || now.Add(stats.runtimeQuantile(&j.spec, highPerMille)).After(r.expectedStart)
 }
 
+// dropReservation ends the reservation if it is for j.
 func (s *State) dropReservation(j *job) {
 	if s.reservation.job == j {
 		s.reservation = reservation{}
@@ -126,8 +127,7 @@
 	}
 }
 
-// refreshReservation plans the reservation for the oldest gang that has been
-// tried and does not fit.
+// refreshReservation plans the reservation for the oldest blocked gang.
 func (s *State) refreshReservation(now time.Time) {
 	if s.config.NoReservation || len(s.waitingGangs) == 0 {
 		return
@@ -153,14 +153,14 @@
 	}
 	s.reservation.job = j
 	s.reservation.expectedStart = expectedStart
-	s.reservation.workers = s.chooseReserved(j, now)
+	s.reservation.workers = s.workersToReserve(j, now)
 	s.capacityVersion++
 }
 
-// chooseReserved returns the workers whose capacity is reserved for a gang:
+// workersToReserve returns the workers whose capacity is reserved for a gang:
 // those with the most free capacity, as many as hold the gang if each gains
 // capacity for one more task.
-func (s *State) chooseReserved(j *job, now time.Time) map[*worker]bool {
+func (s *State) workersToReserve(j *job, now time.Time) map[*worker]bool {
 	var list []*worker
 	for _, w := range s.workerList {
 		if w.listed && !w.Leaving && !w.unresponsive && w.health.available(w, now) && j.spec.Shape.FitsIn(w.Capacity) {
@@ -182,6 +182,8 @@
 	return out
 }
 
+// oldestBlockedGang returns the oldest gang that has been tried and does not fit,
+// or nil.
 func (s *State) oldestBlockedGang() *job {
 	var oldest *job
 	for _, j := range s.waitingGangs {
@@ -230,13 +232,13 @@
 	return at, copies >= len(j.pending)
 }
 
-// expectedEnds returns the expected ends of the tasks on the given workers, in
+// expectedEnds returns the expected ends of the tasks on the workers in free, in
 // order of time. A task that has outlived its estimate is expected to run as
 // long again as it has so far. Services are left out.
-func (s *State) expectedEnds(on map[*worker]spoolsill.Resources, now time.Time) []expectedEnd {
+func (s *State) expectedEnds(free map[*worker]spoolsill.Resources, now time.Time) []expectedEnd {
 	var out []expectedEnd
 	for _, w := range s.workerList {
-		if _, ok := on[w]; !ok {
+		if _, ok := free[w]; !ok {
 			continue
 		}
 		for _, t := range w.tasks {
--- a/place/gang_test.go
+++ b/place/gang_test.go
@@ -14,11 +14,11 @@
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 2)
-	add(c, s, start, job("first", 1, 4))
+	addJob(c, s, start, job("first", 1, 4))
 	decide(c, s, start, place.TaskPlaced)
 	g := job("gang", 2, 8)
 	g.Kind = spoolsill.KindGang
-	add(c, s, start, g)
+	addJob(c, s, start, g)
 	c.Assert(decide(c, s, start, place.TaskPlaced), qt.HasLen, 0)
 	v, _, _ := s.Job("gang")
 	c.Assert(v.Reason, qt.Contains, "not all 2 tasks fit at once")
@@ -34,25 +34,25 @@
 				NoReservation: off,
 				GangPatience:  -1,
 			}, 2)
-			add(c, s, start, job("first", 4, 4))
+			addJob(c, s, start, job("first", 4, 4))
 			running := decide(c, s, start, place.TaskPlaced)
-			run(s, start, running)
+			confirmStarts(s, start, running)
 			g := job("gang", 2, 8)
 			g.Kind = spoolsill.KindGang
-			add(c, s, start, g)
+			addJob(c, s, start, g)
 			started := false
 			now := start
 			for i := 0; i < 40 && !started; i++ {
-				add(c, s, now, job(fmt.Sprintf("small%d", i), 2, 4))
+				addJob(c, s, now, job(fmt.Sprintf("small%d", i), 2, 4))
 				placed := decide(c, s, now, place.TaskPlaced)
 				for _, r := range placed {
 					started = started || r.Task.Job == "gang"
 				}
-				run(s, now, placed)
+				confirmStarts(s, now, placed)
 				running = append(running, placed...)
 				now = now.Add(5 * time.Second)
 				for range min(2, len(running)) {
-					end(s, now, running[0], place.Exited)
+					report(s, now, running[0], place.Exited)
 					running = running[1:]
 				}
 			}
@@ -69,17 +69,17 @@
 	s := newHall(place.Config{}, 2)
 	p := job("patient", 4, 4)
 	p.Class = spoolsill.ClassPatient
-	add(c, s, start, p)
-	run(s, start, decide(c, s, start, place.TaskPlaced))
+	addJob(c, s, start, p)
+	confirmStarts(s, start, decide(c, s, start, place.TaskPlaced))
 	g := job("gang", 2, 8)
 	g.Kind = spoolsill.KindGang
-	add(c, s, start, g)
+	addJob(c, s, start, g)
 	c.Assert(decide(c, s, start, place.TaskCheckpointing), qt.HasLen, 0)
 	now := start.Add(place.DefaultGangPatience)
 	out := decide(c, s, now, place.TaskCheckpointing)
 	c.Assert(out, qt.HasLen, 4)
 	for _, r := range out {
-		end(s, now, r, place.Checkpointed)
+		report(s, now, r, place.Checkpointed)
 	}
 	placed := decide(c, s, now, place.TaskPlaced)
 	c.Assert(placed, qt.HasLen, 2)
--- a/place/health.go
+++ b/place/health.go
@@ -8,22 +8,22 @@
 
 // Thresholds that distinguish a faulty worker from a faulty job.
 const (
-	maxStrikes        = 2  // counted failures without a success in between that quarantine a worker
-	faultyJobWorkers  = 3  // a job that failed on this many workers and never succeeded is itself faulty
-	maxAvoidedWorkers = 8  // workers that one task avoids
-	maxStrikeJobs     = 4  // jobs remembered in health.strikeJobs
-	maxDoublings      = 6  // of the length of the quarantine
-	probationTasks    = 1  // concurrent tasks after a quarantine, until one succeeds
-	maxFailedOn       = 16 // workers remembered in job.failedOn
+	quarantineThreshold = 2  // consecutive counted failures that quarantine a worker
+	faultyJobWorkers    = 3  // a job that failed on this many workers and never succeeded is itself faulty
+	maxAvoidedWorkers   = 8  // workers that one task avoids
+	maxFailedJobs       = 4  // jobs remembered in health.failedJobs
+	maxDoublings        = 6  // of the length of the quarantine
+	probationTasks      = 1  // concurrent tasks after a quarantine, until one succeeds
+	maxFailedOn         = 16 // workers remembered in job.failedOn
 )
 
 // health tracks the failures on a worker.
 type health struct {
-	strikes          int
-	strikeJobs       []spoolsill.JobID // with failures counted since the last success or quarantine
-	quarantinedUntil time.Time
-	quarantines      int // consecutive ones, without a success in between
-	probation        bool
+	consecutiveFailures int               // counted ones, since the last success or quarantine
+	failedJobs          []spoolsill.JobID // with failures counted since the last success or quarantine
+	quarantinedUntil    time.Time
+	quarantines         int // consecutive ones, without a success in between
+	probation           bool
 }
 
 // available reports whether w, whose health is h, may get a new task.
@@ -52,9 +52,9 @@
 	t.job.completions++
 	t.failures = 0
 	h := &t.worker.health
-	h.strikes = 0
+	h.consecutiveFailures = 0
 	h.quarantines = 0
-	h.strikeJobs = h.strikeJobs[:0]
+	h.failedJobs = h.failedJobs[:0]
 	h.probation = false
 	s.runtimes.add(&t.job.spec, r.Time().Sub(t.runningSince))
 }
@@ -66,31 +66,32 @@
 	j.failures++
 	t.avoided = appendBounded(t.avoided, w.ID, maxAvoidedWorkers)
 	j.failedOn = appendBounded(j.failedOn, w.ID, maxFailedOn)
-	if !s.countsAgainst(w, j) {
+	if !s.countsAsWorkerFailure(w, j) {
 		return
 	}
-	w.health.strikes++
-	w.health.strikeJobs = append(w.health.strikeJobs, j.spec.ID)
-	if len(w.health.strikeJobs) > maxStrikeJobs {
-		w.health.strikeJobs = w.health.strikeJobs[1:]
+	w.health.consecutiveFailures++
+	w.health.failedJobs = append(w.health.failedJobs, j.spec.ID)
+	if len(w.health.failedJobs) > maxFailedJobs {
+		w.health.failedJobs = w.health.failedJobs[1:]
 	}
-	if w.health.strikes >= maxStrikes || w.health.probation {
+	if w.health.consecutiveFailures >= quarantineThreshold || w.health.probation {
 		s.quarantine(w, r.Time())
 	}
 }
 
-// countsAgainst reports whether a failure of j counts as a strike against w.
-// Each failure counts for a job that has succeeded, unless it fails much more
-// often than it succeeds. For a job that has never succeeded only the first on
-// w counts, and none after it has failed on several workers.
-func (s *State) countsAgainst(w *worker, j *job) bool {
+// countsAsWorkerFailure reports whether a failure of j counts as a failure of w.
+// Each failure counts for a job that has succeeded, unless it has failed about
+// faultyJobWorkers times as often as it has succeeded. For a job that has never
+// succeeded only the first on w counts, and none once it has failed on
+// faultyJobWorkers workers.
+func (s *State) countsAsWorkerFailure(w *worker, j *job) bool {
 	if j.completions > 0 {
 		return j.completions > j.failures/faultyJobWorkers
 	}
 	if len(j.failedOn) >= faultyJobWorkers {
 		return false
 	}
-	for _, id := range w.health.strikeJobs {
+	for _, id := range w.health.failedJobs {
 		if id == j.spec.ID {
 			return false
 		}
@@ -98,6 +99,8 @@
 	return true
 }
 
+// quarantine excludes w from new tasks for a while, unless the limit of workers in
+// quarantine is reached.
 func (s *State) quarantine(w *worker, now time.Time) {
 	if s.config.NoQuarantine || s.quarantined(now) >= s.maxQuarantined() {
 		return
@@ -105,8 +108,8 @@
 	d := s.config.Quarantine << min(w.health.quarantines, maxDoublings)
 	w.health.quarantinedUntil = now.Add(d)
 	w.health.quarantines++
-	w.health.strikes = 0
-	w.health.strikeJobs = nil
+	w.health.consecutiveFailures = 0
+	w.health.failedJobs = nil
 	w.health.probation = true
 }
 
@@ -124,6 +127,8 @@
 	return max(1, len(s.workerList)*s.config.QuarantinedPerMille/1000)
 }
 
+// appendBounded adds id to list if it is not in it, and drops the oldest entry if
+// list is at the limit.
 func appendBounded(list []spoolsill.WorkerID, id spoolsill.WorkerID, limit int) []spoolsill.WorkerID {
 	for _, x := range list {
 		if x == id {
--- a/place/outcome_test.go
+++ b/place/outcome_test.go
@@ -11,9 +11,9 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// TestBadWorkerIsQuarantined guards against a worker that fails every task at
+// TestFailingWorkerIsQuarantined guards against a worker that fails every task at
 // once and therefore always has free capacity, so that it attracts new tasks.
-func TestBadWorkerIsQuarantined(t *testing.T) {
+func TestFailingWorkerIsQuarantined(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		t.Run(fmt.Sprintf("quarantine off=%t", off), func(t *testing.T) {
 			c := qt.New(t)
@@ -24,15 +24,15 @@
 			failed := 0
 			now := start
 			for i := range 40 {
-				add(c, s, now, job(fmt.Sprintf("job%d", i), 10, 4))
+				addJob(c, s, now, job(fmt.Sprintf("job%d", i), 10, 4))
 				for _, r := range decide(c, s, now, place.TaskPlaced) {
 					if r.Worker == "w0" {
 						failed++
-						end(s, now, r, place.Failed)
+						report(s, now, r, place.Failed)
 						continue
 					}
-					run(s, now, []place.Record{r})
-					end(s, now, r, place.Exited)
+					confirmStarts(s, now, []place.Record{r})
+					report(s, now, r, place.Exited)
 				}
 				now = now.Add(100 * time.Millisecond)
 			}
@@ -45,16 +45,16 @@
 	}
 }
 
-func TestBadJobDoesNotQuarantineWorkers(t *testing.T) {
+func TestFailingJobDoesNotQuarantineWorkers(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{
 		MaxAttempts: 20,
 	}, 10)
-	add(c, s, start, job("bad", 40, 1))
+	addJob(c, s, start, job("bad", 40, 1))
 	now := start
 	for range 20 {
 		for _, r := range decide(c, s, now, place.TaskPlaced) {
-			end(s, now, r, place.Failed)
+			report(s, now, r, place.Failed)
 		}
 		now = now.Add(time.Minute)
 	}
@@ -66,14 +66,14 @@
 func TestFailedTaskAvoidsItsWorkersAndHasLimitedAttempts(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 8)
-	add(c, s, start, job("job", 1, 1))
+	addJob(c, s, start, job("job", 1, 1))
 	seen := map[spoolsill.WorkerID]bool{}
 	now := start
 	for range 10 {
 		for _, r := range decide(c, s, now, place.TaskPlaced) {
 			c.Assert(seen[r.Worker], qt.IsFalse)
 			seen[r.Worker] = true
-			end(s, now, r, place.Failed)
+			report(s, now, r, place.Failed)
 		}
 		now = now.Add(time.Minute)
 	}
@@ -87,10 +87,10 @@
 	s := newHall(place.Config{}, 2)
 	j := job("once", 1, 1)
 	j.Unrepeatable = true
-	add(c, s, start, j)
+	addJob(c, s, start, j)
 	r := decide(c, s, start, place.TaskPlaced)[0]
-	run(s, start, []place.Record{r})
-	end(s, start, r, place.Lost)
+	confirmStarts(s, start, []place.Record{r})
+	report(s, start, r, place.Lost)
 	c.Assert(decide(c, s, start.Add(time.Hour), place.TaskPlaced), qt.HasLen, 0)
 	_, tasks, _ := s.Job("once")
 	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskLost)
@@ -102,17 +102,17 @@
 	var ids []spoolsill.JobID
 	for i := range 500 {
 		j := job(fmt.Sprintf("j%d", i), 4, 4)
-		add(c, s, start, j)
+		addJob(c, s, start, j)
 		ids = append(ids, j.ID)
 	}
-	run(s, start, decide(c, s, start, place.TaskPlaced))
+	confirmStarts(s, start, decide(c, s, start, place.TaskPlaced))
 	records := s.Cancel(start, ids)
 	c.Assert(s.CheckInvariants(), qt.IsNil)
 	stops := 0
 	for _, r := range records {
 		if r.Kind == place.TaskStopping {
 			stops++
-			end(s, start, r, place.Stopped)
+			report(s, start, r, place.Stopped)
 		}
 	}
 	c.Assert(stops, qt.Equals, 8)
@@ -123,16 +123,16 @@
 func TestOverusingTaskIsThrottledThenCheckpointedThenStopped(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
-	add(c, s, start, job("greedy", 1, 1))
+	addJob(c, s, start, job("greedy", 1, 1))
 	r := decide(c, s, start, place.TaskPlaced)[0]
-	run(s, start, []place.Record{r})
+	confirmStarts(s, start, []place.Record{r})
 	used := spoolsill.Resources{
 		Processors: 4 * spoolsill.Core,
 	}
 	var got []place.Enforcement
 	for range 6 {
-		m, _ := s.ReportUsage(start, r.Task, used)
-		got = append(got, m)
+		e, _ := s.ReportUsage(start, r.Task, used)
+		got = append(got, e)
 	}
 	c.Assert(got, qt.DeepEquals, []place.Enforcement{
 		place.EnforceThrottle,
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -17,7 +17,7 @@
 	s := newHall(place.Config{}, 6)
 	j := job("web", 3, 1)
 	j.Kind = spoolsill.KindService
-	add(c, s, start, j)
+	addJob(c, s, start, j)
 	racks := map[byte]bool{}
 	for _, r := range decide(c, s, start, place.TaskPlaced) {
 		racks[(r.Worker[1]-'0')/2] = true
@@ -28,9 +28,9 @@
 func TestBatchLeavesRoomForLargeShapes(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 2)
-	add(c, s, start, job("small", 4, 2))
+	addJob(c, s, start, job("small", 4, 2))
 	decide(c, s, start, place.TaskPlaced)
-	add(c, s, start, job("large", 1, 8))
+	addJob(c, s, start, job("large", 1, 8))
 	c.Assert(decide(c, s, start, place.TaskPlaced), qt.HasLen, 1)
 }
 
@@ -41,16 +41,16 @@
 		j := job(fmt.Sprintf("patient%d", i), 1, 8)
 		j.Class = spoolsill.ClassPatient
 		j.Worth = worth
-		add(c, s, start, j)
+		addJob(c, s, start, j)
 	}
-	run(s, start, decide(c, s, start, place.TaskPlaced))
+	confirmStarts(s, start, decide(c, s, start, place.TaskPlaced))
 	u := job("urgent", 1, 4)
 	u.Class = spoolsill.ClassUrgent
-	add(c, s, start, u)
+	addJob(c, s, start, u)
 	out := decide(c, s, start, place.TaskCheckpointing)
 	c.Assert(out, qt.HasLen, 1)
 	c.Assert(out[0].Task.Job, qt.Equals, spoolsill.JobID("patient1"))
-	end(s, start, out[0], place.Checkpointed)
+	report(s, start, out[0], place.Checkpointed)
 	placed := decide(c, s, start, place.TaskPlaced)
 	c.Assert(placed[0].Task.Job, qt.Equals, spoolsill.JobID("urgent"))
 }
@@ -61,11 +61,11 @@
 	j := job("patient", 1, 8)
 	j.Class = spoolsill.ClassPatient
 	j.Unrepeatable = true
-	add(c, s, start, j)
-	run(s, start, decide(c, s, start, place.TaskPlaced))
+	addJob(c, s, start, j)
+	confirmStarts(s, start, decide(c, s, start, place.TaskPlaced))
 	u := job("urgent", 1, 4)
 	u.Class = spoolsill.ClassUrgent
-	add(c, s, start, u)
+	addJob(c, s, start, u)
 	c.Assert(decide(c, s, start, place.TaskCheckpointing), qt.HasLen, 0)
 }
 
@@ -76,14 +76,14 @@
 	s := newHall(place.Config{}, 1)
 	j := job("patient", 1, 8)
 	j.Class = spoolsill.ClassPatient
-	add(c, s, start, j)
-	run(s, start, decide(c, s, start, place.TaskPlaced))
+	addJob(c, s, start, j)
+	confirmStarts(s, start, decide(c, s, start, place.TaskPlaced))
 	u := job("urgent", 1, 8)
 	u.Class = spoolsill.ClassUrgent
-	add(c, s, start, u)
+	addJob(c, s, start, u)
 	out := decide(c, s, start, place.TaskCheckpointing)
-	add(c, s, start, job("thief", 1, 8))
-	end(s, start, out[0], place.Checkpointed)
+	addJob(c, s, start, job("thief", 1, 8))
+	report(s, start, out[0], place.Checkpointed)
 	placed := decide(c, s, start, place.TaskPlaced)
 	c.Assert(placed, qt.HasLen, 1)
 	c.Assert(placed[0].Task.Job, qt.Equals, spoolsill.JobID("urgent"))
@@ -108,7 +108,7 @@
 			Limited: true,
 		},
 	})
-	add(c, s, start, job("normal", 3, 4))
+	addJob(c, s, start, job("normal", 3, 4))
 	c.Assert(decide(c, s, start, place.TaskPlaced), qt.HasLen, 2)
 	v, _, _ := s.Job("normal")
 	c.Assert(v.Reason, qt.Contains, "quota of team team")
@@ -122,13 +122,13 @@
 	}})
 	p := job("patient", 4, 4)
 	p.Class = spoolsill.ClassPatient
-	add(c, s, start, p)
+	addJob(c, s, start, p)
 	lent := decide(c, s, start, place.TaskPlaced)
 	c.Assert(lent, qt.HasLen, 4)
-	run(s, start, lent)
+	confirmStarts(s, start, lent)
 	o := job("owner", 1, 4)
 	o.Team = "other"
-	add(c, s, start, o)
+	addJob(c, s, start, o)
 	c.Assert(decide(c, s, start, place.TaskCheckpointing), qt.HasLen, 1)
 }
 
@@ -138,13 +138,13 @@
 	for i := range 20 {
 		j := job(fmt.Sprintf("flood%d", i), 2, 2)
 		j.Class = spoolsill.ClassUrgent
-		add(c, s, start, j)
+		addJob(c, s, start, j)
 	}
-	run(s, start, decide(c, s, start, place.TaskPlaced))
+	confirmStarts(s, start, decide(c, s, start, place.TaskPlaced))
 	o := job("other", 1, 2)
 	o.Team = "other"
 	o.Class = spoolsill.ClassUrgent
-	add(c, s, start.Add(time.Millisecond), o)
+	addJob(c, s, start.Add(time.Millisecond), o)
 	_, tasks, _ := s.Job("flood0")
 	s.Report(start, place.Report{
 		Task:    spoolsill.TaskID{Job: "flood0"},
@@ -159,8 +159,8 @@
 func TestUnschedulableJobIsReportedAtOnceAndReclassified(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
-	add(c, s, start, job("huge", 1, 16))
-	add(c, s, start, job("small", 1, 1))
+	addJob(c, s, start, job("huge", 1, 16))
+	addJob(c, s, start, job("small", 1, 1))
 	c.Assert(decide(c, s, start, place.TaskPlaced), qt.HasLen, 1)
 	v, tasks, _ := s.Job("huge")
 	c.Assert(tasks[0].State, qt.Equals, spoolsill.TaskUnschedulable)
@@ -185,17 +185,17 @@
 		j := job(fmt.Sprintf("past%d", i), 1, 1)
 		j.Runtime = time.Second
 		j.Team = "late"
-		add(c, s, start, j)
+		addJob(c, s, start, j)
 		r := decide(c, s, start, place.TaskPlaced)[0]
-		run(s, start, []place.Record{r})
-		end(s, start.Add(10*time.Second), r, place.Exited)
+		confirmStarts(s, start, []place.Record{r})
+		report(s, start.Add(10*time.Second), r, place.Exited)
 	}
 	now := start.Add(time.Minute)
-	add(c, s, now, job("first", 1, 8))
-	run(s, now, decide(c, s, now, place.TaskPlaced))
+	addJob(c, s, now, job("first", 1, 8))
+	confirmStarts(s, now, decide(c, s, now, place.TaskPlaced))
 	g := job("gang", 2, 8)
 	g.Kind = spoolsill.KindGang
-	add(c, s, now, g)
+	addJob(c, s, now, g)
 	decide(c, s, now, place.TaskPlaced)
 	now = now.Add(2 * time.Second)
 	decide(c, s, now, place.TaskPlaced)
@@ -203,7 +203,7 @@
 		j := job("fill-"+string(team), 1, 4)
 		j.Team = team
 		j.Runtime = 2 * time.Second
-		add(c, s, now, j)
+		addJob(c, s, now, j)
 	}
 	placed := decide(c, s, now, place.TaskPlaced)
 	c.Assert(placed, qt.HasLen, 1)
--- a/place/plan.go
+++ b/place/plan.go
@@ -159,8 +159,8 @@
 	return append(records, r), nil
 }
 
-// Confirmed reports whether a plan was confirmed. Only the last few thousand
-// confirmed plans are retained.
+// Confirmed reports whether a plan was confirmed. Only the last maxConfirmedPlans
+// are retained.
 func (s *State) Confirmed(id spoolsill.PlanID) bool {
 	return s.confirmedPlans.has(id)
 }
@@ -219,6 +219,8 @@
 	return nil
 }
 
+// verifyAllocated returns a [*StaleError] if the attempt that r stops is no longer
+// on its worker or is being stopped already.
 func (s *State) verifyAllocated(r Record) error {
 	t := s.task(r.Task)
 	if t == nil || t.worker == nil || t.worker.ID != r.Worker || t.attempt != r.Attempt {
@@ -230,6 +232,8 @@
 	return nil
 }
 
+// verifyCapacity returns a [*StaleError] if the workers can't take what a plan
+// places on them, or if that exceeds the quota of the team of j.
 func (s *State) verifyCapacity(now time.Time, j *spoolsill.Job, need map[spoolsill.WorkerID]spoolsill.Resources) error {
 	var sum spoolsill.Resources
 	for id, n := range need {
@@ -238,7 +242,7 @@
 		if !ok || !w.listed || w.Leaving || w.unresponsive || !w.health.available(w, now) {
 			return newStaleError("worker %s takes no new work any more", id)
 		}
-		if !n.FitsIn(w.free.Sub(w.nominated)) {
+		if !n.FitsIn(w.free.Sub(w.nominatedCapacity)) {
 			return newStaleError("worker %s has no room for %s any more", id, n)
 		}
 	}
@@ -261,7 +265,7 @@
 		t.TeamUsed = x.used
 		t.TeamQuota = x.quota
 	}
-	for _, x := range s.active {
+	for _, x := range s.activeTeams {
 		for c := range x.queues {
 			for _, j := range x.queues[c].jobs {
 				t.Queued += len(j.pending)
--- a/place/plan_test.go
+++ b/place/plan_test.go
@@ -28,9 +28,9 @@
 	c.Assert(s.CheckInvariants(), qt.IsNil)
 }
 
-// TestRacingPlansNeverMix confirms two plans that were made for the same
-// capacity: the second must be stale.
-func TestRacingPlansNeverMix(t *testing.T) {
+// TestSecondPlanForTheSameCapacityIsStale confirms two plans that were made for
+// the same capacity: only the first may be applied.
+func TestSecondPlanForTheSameCapacityIsStale(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
 	a, err := s.PlanSubmit(start, job("a", 1, 8))
@@ -51,7 +51,7 @@
 func TestCancelPlanIsStaleWhenMoreHasStarted(t *testing.T) {
 	c := qt.New(t)
 	s := newHall(place.Config{}, 1)
-	add(c, s, start, job("job", 1, 1))
+	addJob(c, s, start, job("job", 1, 1))
 	p, err := s.PlanCancel(start, []spoolsill.JobID{"job"})
 	c.Assert(err, qt.IsNil)
 	decide(c, s, start, place.TaskPlaced)
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -22,11 +22,11 @@
 
 // less orders preemptions by the worth of the victims, then by the run time
 // that is lost.
-func (r preemption) less(o preemption) bool {
-	if r.lostWorth != o.lostWorth {
-		return r.lostWorth < o.lostWorth
+func (p preemption) less(o preemption) bool {
+	if p.lostWorth != o.lostWorth {
+		return p.lostWorth < o.lostWorth
 	}
-	return r.lostTime < o.lostTime
+	return p.lostTime < o.lostTime
 }
 
 // preemptFor preempts tasks of class Patient for tasks of one job that do not
@@ -46,20 +46,20 @@
 		if t.nominatedWorker != nil {
 			continue
 		}
-		r, ok := d.findPreemption(t, taken)
+		p, ok := d.findPreemption(t, taken)
 		if !ok {
 			d.withdrawNominations(nominated)
 			return
 		}
-		for _, v := range r.victims {
+		for _, v := range p.victims {
 			taken[v] = true
 		}
-		d.nominate(t, r.onWorker)
+		d.nominate(t, p.onWorker)
 		nominated = append(nominated, t)
-		preemptions = append(preemptions, r)
+		preemptions = append(preemptions, p)
 	}
-	for _, r := range preemptions {
-		d.checkpoint(r)
+	for _, p := range preemptions {
+		d.checkpoint(p)
 	}
 	if len(preemptions) > 0 {
 		j.reason.Code = ReasonPreempting
@@ -71,8 +71,8 @@
 // preempt for the same gang.
 const gangPreemptionInterval = 250 * time.Millisecond
 
-// preemptForGang preempts tasks for all tasks of a gang at once: for an urgent
-// gang immediately, for others after Config.GangPatience. The reservation alone
+// preemptForGang preempts tasks for all tasks of a gang at once: immediately for
+// class Urgent, after Config.GangPatience for class Normal. The reservation alone
 // gathers capacity slowly in a full hall, and delays other jobs meanwhile.
 func (d *decider) preemptForGang(j *job) {
 	if d.state.config.NoPreemption || (j.spec.Class != spoolsill.ClassUrgent && !d.gangPatienceOver(j)) {
@@ -120,7 +120,7 @@
 	victims := d.victims(t, w, nil)
 	var out []preemption
 	for range j.pending {
-		r := preemption{
+		p := preemption{
 			onWorker: w,
 		}
 		for !j.spec.Shape.FitsIn(free) {
@@ -130,10 +130,10 @@
 			v := victims[0]
 			victims = victims[1:]
 			free = free.Add(v.job.spec.Shape)
-			r.add(v, d.now)
+			p.add(v, d.now)
 		}
 		free = free.Sub(j.spec.Shape)
-		out = append(out, r)
+		out = append(out, p)
 	}
 	return out
 }
@@ -151,19 +151,19 @@
 }
 
 // add adds a victim.
-func (r *preemption) add(v *task, now time.Time) {
-	r.victims = append(r.victims, v)
-	r.lostWorth += v.job.spec.Worth
-	r.lostTime += now.Sub(v.stateSince)
+func (p *preemption) add(v *task, now time.Time) {
+	p.victims = append(p.victims, v)
+	p.lostWorth += v.job.spec.Worth
+	p.lostTime += now.Sub(v.stateSince)
 }
 
-func (d *decider) checkpoint(r preemption) {
-	for _, v := range r.victims {
+func (d *decider) checkpoint(p preemption) {
+	for _, v := range p.victims {
 		d.add(Record{
 			Kind:    TaskCheckpointing,
 			At:      d.now.UnixMicro(),
 			Task:    v.id,
-			Worker:  r.onWorker.ID,
+			Worker:  p.onWorker.ID,
 			Attempt: v.attempt,
 			Cause:   CausePreempted,
 		})
@@ -178,8 +178,8 @@
 func (d *decider) nominate(t *task, w *worker) {
 	t.nominatedWorker = w
 	t.nominationExpiry = d.now.Add(nominationTTL)
-	w.nominated = w.nominated.Add(t.job.spec.Shape)
-	d.state.nominated = append(d.state.nominated, t)
+	w.nominatedCapacity = w.nominatedCapacity.Add(t.job.spec.Shape)
+	d.state.nominatedTasks = append(d.state.nominatedTasks, t)
 }
 
 func (d *decider) withdrawNominations(tasks []*task) {
@@ -193,11 +193,11 @@
 	if t.nominatedWorker == nil {
 		return
 	}
-	t.nominatedWorker.nominated = t.nominatedWorker.nominated.Sub(t.job.spec.Shape)
+	t.nominatedWorker.nominatedCapacity = t.nominatedWorker.nominatedCapacity.Sub(t.job.spec.Shape)
 	t.nominatedWorker = nil
-	for i, x := range s.nominated {
+	for i, x := range s.nominatedTasks {
 		if x == t {
-			s.nominated = append(s.nominated[:i], s.nominated[i+1:]...)
+			s.nominatedTasks = append(s.nominatedTasks[:i], s.nominatedTasks[i+1:]...)
 			break
 		}
 	}
@@ -205,8 +205,8 @@
 }
 
 func (s *State) expireNominations(now time.Time) {
-	for i := len(s.nominated) - 1; i >= 0; i-- {
-		t := s.nominated[i]
+	for i := len(s.nominatedTasks) - 1; i >= 0; i-- {
+		t := s.nominatedTasks[i]
 		if now.After(t.nominationExpiry) {
 			s.clearNomination(t)
 		}
@@ -225,15 +225,16 @@
 		if !d.mayPreemptOn(t, w) {
 			continue
 		}
-		r, ok := d.preemptionOn(t, w, taken)
-		if ok && (!found || r.less(best)) {
-			best = r
+		p, ok := d.preemptionOn(t, w, taken)
+		if ok && (!found || p.less(best)) {
+			best = p
 			found = true
 		}
 	}
 	return best, found
 }
 
+// mayPreemptOn reports whether t could be placed on w if enough tasks left it.
 func (d *decider) mayPreemptOn(t *task, w *worker) bool {
 	return w.listed && !w.Leaving && !w.unresponsive &&
 		w.health.available(w, d.now) &&
@@ -245,7 +246,7 @@
 // preemptionOn returns the preemption on w that makes t fit, and whether there
 // is one. Tasks in taken are victims of an earlier preemption.
 func (d *decider) preemptionOn(t *task, w *worker, taken map[*task]bool) (preemption, bool) {
-	r := preemption{
+	p := preemption{
 		onWorker: w,
 	}
 	free := d.state.availableFor(t, w)
@@ -260,9 +261,9 @@
 			break
 		}
 		free = free.Add(v.job.spec.Shape)
-		r.add(v, d.now)
+		p.add(v, d.now)
 	}
-	return r, t.job.spec.Shape.FitsIn(free)
+	return p, t.job.spec.Shape.FitsIn(free)
 }
 
 // victims returns the tasks of w that may be preempted for t, except those in
--- a/place/queue.go
+++ b/place/queue.go
@@ -33,8 +33,8 @@
 
 // classifyAll classifies all waiting jobs again after the workers have changed.
 func (s *State) classifyAll() {
-	waiting := append([]*job(nil), s.unschedulable...)
-	for _, t := range s.active {
+	waiting := append([]*job(nil), s.unschedulableJobs...)
+	for _, t := range s.activeTeams {
 		for c := range t.queues {
 			waiting = append(waiting, t.queues[c].jobs...)
 		}
@@ -51,17 +51,18 @@
 	}
 	s.dequeue(j)
 	j.unschedulable = true
-	s.unschedulable = append(s.unschedulable, j)
-	s.replaceState(j, spoolsill.TaskQueued, spoolsill.TaskUnschedulable)
+	s.unschedulableJobs = append(s.unschedulableJobs, j)
+	s.replaceTaskState(j, spoolsill.TaskQueued, spoolsill.TaskUnschedulable)
 }
 
 func (s *State) markSchedulable(j *job) {
 	j.unschedulable = false
-	s.unschedulable = removeJob(s.unschedulable, j)
-	s.replaceState(j, spoolsill.TaskUnschedulable, spoolsill.TaskQueued)
+	s.unschedulableJobs = removeJob(s.unschedulableJobs, j)
+	s.replaceTaskState(j, spoolsill.TaskUnschedulable, spoolsill.TaskQueued)
 }
 
-func (s *State) replaceState(j *job, from, to spoolsill.TaskState) {
+// replaceTaskState sets the state of all tasks of j in state from to state to.
+func (s *State) replaceTaskState(j *job, from, to spoolsill.TaskState) {
 	for i := range j.tasks {
 		if j.tasks[i].state == from {
 			j.tasks[i].state = to
@@ -101,7 +102,7 @@
 func (s *State) dequeue(j *job) {
 	if j.unschedulable {
 		j.unschedulable = false
-		s.unschedulable = removeJob(s.unschedulable, j)
+		s.unschedulableJobs = removeJob(s.unschedulableJobs, j)
 	}
 	if !j.queued {
 		return
@@ -138,34 +139,34 @@
 		return
 	}
 	t.isActive = true
-	at := sort.Search(len(s.active), func(i int) bool {
-		return s.active[i].id > t.id
+	at := sort.Search(len(s.activeTeams), func(i int) bool {
+		return s.activeTeams[i].id > t.id
 	})
-	s.active = append(s.active, nil)
-	copy(s.active[at+1:], s.active[at:])
-	s.active[at] = t
+	s.activeTeams = append(s.activeTeams, nil)
+	copy(s.activeTeams[at+1:], s.activeTeams[at:])
+	s.activeTeams[at] = t
 }
 
 // pruneTeams removes the teams without waiting jobs from the active teams.
 func (s *State) pruneTeams() {
-	kept := s.active[:0]
-	for _, t := range s.active {
+	kept := s.activeTeams[:0]
+	for _, t := range s.activeTeams {
 		if t.waitingJobs > 0 {
 			kept = append(kept, t)
 			continue
 		}
 		t.isActive = false
 	}
-	s.active = kept
+	s.activeTeams = kept
 }
 
 // requeueReady makes tasks pending whose retry time has come.
 func (s *State) requeueReady(now time.Time) {
-	if len(s.backingOff) == 0 {
+	if len(s.tasksBackingOff) == 0 {
 		return
 	}
-	kept := s.backingOff[:0]
-	for _, t := range s.backingOff {
+	kept := s.tasksBackingOff[:0]
+	for _, t := range s.tasksBackingOff {
 		switch {
 		case t.state != spoolsill.TaskQueued:
 		case t.retryAt.After(now):
@@ -177,14 +178,14 @@
 			s.refreshQueue(t.job)
 		}
 	}
-	s.backingOff = kept
+	s.tasksBackingOff = kept
 }
 
 // NextReady returns the earliest retry time of the tasks that are backing off,
 // and whether there is one.
 func (s *State) NextReady() (time.Time, bool) {
 	var first time.Time
-	for _, t := range s.backingOff {
+	for _, t := range s.tasksBackingOff {
 		if first.IsZero() || t.retryAt.Before(first) {
 			first = t.retryAt
 		}
@@ -202,7 +203,7 @@
 func (s *State) nextJob(c spoolsill.Class, now time.Time) *job {
 	var best *job
 	var bestRank float64
-	for _, t := range s.active {
+	for _, t := range s.activeTeams {
 		j := t.queues[c].firstUnblocked(s, now)
 		if j == nil {
 			continue
@@ -216,6 +217,8 @@
 	return best
 }
 
+// teamRank returns the rank of t, whose next job is j, in the order of teams. The
+// lowest rank goes first.
 func (s *State) teamRank(t *team, j *job, now time.Time) float64 {
 	used := t.used.DominantShare(s.total) / float64(t.weight)
 	age := float64(now.Sub(j.added)) / float64(agingPeriod)
--- a/place/rapid_test.go
+++ b/place/rapid_test.go
@@ -51,7 +51,9 @@
 	m.ledger.SetWorkers(m.workers)
 }
 
-func (m *stateMachine) applied(t *rapid.T, records []place.Record) {
+// applyToLedger applies records of the state to the ledger, which rejects those that
+// violate an invariant, and verifies the invariants of the state.
+func (m *stateMachine) applyToLedger(t *rapid.T, records []place.Record) {
 	m.records = append(m.records, records...)
 	if err := m.ledger.Apply(records); err != nil {
 		t.Fatal(err)
@@ -87,13 +89,13 @@
 	if err := m.state.Apply(r); err != nil {
 		t.Fatal(err)
 	}
-	m.applied(t, []place.Record{r})
+	m.applyToLedger(t, []place.Record{r})
 }
 
 func (m *stateMachine) decide(t *rapid.T) {
 	for {
 		records, full := m.state.Decide(m.now)
-		m.applied(t, records)
+		m.applyToLedger(t, records)
 		if !full {
 			break
 		}
@@ -112,23 +114,24 @@
 	}
 }
 
-// end reports a random outcome of a random task that holds capacity.
-func (m *stateMachine) end(t *rapid.T) {
-	holds := m.allocations()
-	if len(holds) == 0 {
+// reportOutcome reports a random outcome of a random task that holds capacity.
+func (m *stateMachine) reportOutcome(t *rapid.T) {
+	allocations := m.allocations()
+	if len(allocations) == 0 {
 		return
 	}
-	h := rapid.SampledFrom(holds).Draw(t, "task")
-	f := rapid.SampledFrom([]place.Outcome{
+	a := rapid.SampledFrom(allocations).Draw(t, "task")
+	outcome := rapid.SampledFrom([]place.Outcome{
 		place.Started, place.Exited, place.Failed, place.Checkpointed, place.Stopped, place.Refused, place.NotFound, place.Lost,
-	}).Draw(t, "fate")
-	m.applied(t, m.state.Report(m.now, place.Report{
-		Task:    h.Task,
-		Attempt: h.Attempt,
-		Outcome: f,
+	}).Draw(t, "outcome")
+	m.applyToLedger(t, m.state.Report(m.now, place.Report{
+		Task:    a.Task,
+		Attempt: a.Attempt,
+		Outcome: outcome,
 	}))
 }
 
+// allocations returns all tasks that hold capacity.
 func (m *stateMachine) allocations() []place.Allocation {
 	var out []place.Allocation
 	for _, w := range m.workers {
@@ -142,7 +145,7 @@
 		return
 	}
 	id := spoolsill.JobID(fmt.Sprintf("j%d", rapid.IntRange(1, m.jobs).Draw(t, "job")))
-	m.applied(t, m.state.Cancel(m.now, []spoolsill.JobID{id}))
+	m.applyToLedger(t, m.state.Cancel(m.now, []spoolsill.JobID{id}))
 }
 
 func (m *stateMachine) advance(t *rapid.T) {
@@ -201,7 +204,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"submit":  m.submit,
 			"decide":  m.decideAll,
-			"end":     m.end,
+			"end":     m.reportOutcome,
 			"cancel":  m.cancel,
 			"pass":    m.advance,
 			"leave":   m.toggleLeaving,
--- a/place/record.go
+++ b/place/record.go
@@ -99,6 +99,6 @@
 	return time.UnixMicro(r.At)
 }
 
-func invalid(r Record, format string, args ...any) error {
+func invalidRecord(r Record, format string, args ...any) error {
 	return fmt.Errorf("%w: kind %d task %s: %s", ErrInvalidRecord, r.Kind, r.Task, fmt.Sprintf(format, args...))
 }
--- a/place/report.go
+++ b/place/report.go
@@ -102,6 +102,8 @@
 	return r
 }
 
+// exitedRecord returns the record for an attempt that ended by itself. Services
+// are started again.
 func (s *State) exitedRecord(t *task, now time.Time) Record {
 	switch {
 	case t.job.cancelled:
@@ -113,6 +115,8 @@
 	}
 }
 
+// failedRecord returns the record for an attempt that failed or that the worker
+// refused. A refused task did not run, so even an unrepeatable one is retried.
 func (s *State) failedRecord(t *task, now time.Time, c Cause) Record {
 	spec := &t.job.spec
 	switch {
@@ -127,6 +131,8 @@
 	}
 }
 
+// stoppedRecord returns the record for an attempt that was checkpointed or
+// stopped. An unrepeatable task may have run and is not started again.
 func (s *State) stoppedRecord(t *task, now time.Time) Record {
 	if t.job.cancelled {
 		return s.endedRecord(t, now, spoolsill.TaskCancelled, CauseCancelled)
@@ -159,11 +165,11 @@
 func (s *State) stopGangMembers(t *task, now time.Time) []Record {
 	var out []Record
 	for i := range t.job.tasks {
-		p := &t.job.tasks[i]
-		if p.state != spoolsill.TaskPlaced && p.state != spoolsill.TaskRunning {
+		m := &t.job.tasks[i]
+		if m.state != spoolsill.TaskPlaced && m.state != spoolsill.TaskRunning {
 			continue
 		}
-		r := s.taskRecord(TaskStopping, p, now, CauseGangMemberLost)
+		r := s.taskRecord(TaskStopping, m, now, CauseGangMemberLost)
 		mustApply(s, r)
 		out = append(out, r)
 	}
@@ -277,6 +283,7 @@
 	}
 }
 
+// enforce applies a record of kind k to t if t is in state from.
 func (s *State) enforce(t *task, now time.Time, k RecordKind, from spoolsill.TaskState) []Record {
 	if t.state != from {
 		return nil
--- a/place/runtimes.go
+++ b/place/runtimes.go
@@ -42,26 +42,26 @@
 	}
 }
 
-func (l runtimeStats) set(t spoolsill.TeamID, k spoolsill.Kind, r *RuntimeRatios) {
+func (s runtimeStats) set(t spoolsill.TeamID, k spoolsill.Kind, r *RuntimeRatios) {
 	if r == nil {
 		return
 	}
 	c := *r
-	l[runtimeKey{
+	s[runtimeKey{
 		team: t,
 		kind: k,
 	}] = &c
 }
 
 // add counts the run time of one attempt.
-func (l runtimeStats) add(j *spoolsill.Job, took time.Duration) {
+func (s runtimeStats) add(j *spoolsill.Job, took time.Duration) {
 	if j.Runtime <= 0 || took <= 0 {
 		return
 	}
-	r, ok := l[runtimeKeyOf(j)]
+	r, ok := s[runtimeKeyOf(j)]
 	if !ok {
 		r = &RuntimeRatios{}
-		l[runtimeKeyOf(j)] = r
+		s[runtimeKeyOf(j)] = r
 	}
 	b := ratioCenter + int(math.Round(2*math.Log2(float64(took)/float64(j.Runtime))))
 	b = min(max(b, 0), ratioBuckets-1)
@@ -99,12 +99,12 @@
 
 // runtimeQuantile returns the expected run time of a task of j at the given
 // quantile: the declared run time scaled by the ratios of j's team and kind.
-func (l runtimeStats) runtimeQuantile(j *spoolsill.Job, perMille int) time.Duration {
+func (s runtimeStats) runtimeQuantile(j *spoolsill.Job, perMille int) time.Duration {
 	d := j.Runtime
 	if d <= 0 {
 		d = defaultRuntime
 	}
-	r, ok := l[runtimeKeyOf(j)]
+	r, ok := s[runtimeKeyOf(j)]
 	if !ok {
 		return d
 	}
--- a/place/snapshot.go
+++ b/place/snapshot.go
@@ -67,7 +67,7 @@
 	case t.state.Final():
 		r.Kind = TaskEnded
 		r.State = t.state
-		return []Record{t.attemptsRecord(r), r}[t.firstRecord():]
+		return []Record{t.attemptsRecord(r), r}[t.recordsToSkip():]
 	case t.state.HoldsCapacity():
 		r.Worker = t.worker.ID
 		return t.allocationRecords(r)
@@ -80,7 +80,9 @@
 	}
 }
 
-func (t *task) firstRecord() int {
+// recordsToSkip returns how many of the records of an ended task are not needed: a
+// task that never started has no placement.
+func (t *task) recordsToSkip() int {
 	if t.attempt == 0 {
 		return 1
 	}
@@ -103,6 +105,8 @@
 // the task so far, so its attempt number need not be the next one.
 const stateSnapshot spoolsill.TaskState = "snapshot"
 
+// allocationRecords returns the records that take a newly added task to the state
+// of t, which holds capacity.
 func (t *task) allocationRecords(r Record) []Record {
 	placed := t.attemptsRecord(r)
 	placed.Worker = r.Worker
@@ -176,10 +180,10 @@
 		x.listed = w.listed
 		x.unresponsive = w.unresponsive
 		x.free = w.free
-		x.nominated = w.nominated
+		x.nominatedCapacity = w.nominatedCapacity
 		x.rack = c.rackByID(w.Rack)
 		x.health = w.health
-		x.health.strikeJobs = append([]spoolsill.JobID(nil), w.health.strikeJobs...)
+		x.health.failedJobs = append([]spoolsill.JobID(nil), w.health.failedJobs...)
 	}
 	for id, t := range s.teams {
 		c.team(id).quota = t.quota
--- a/place/state.go
+++ b/place/state.go
@@ -65,22 +65,22 @@
 
 // A State holds the workers, jobs and tasks of one hall.
 type State struct {
-	config         Config
-	workers        map[spoolsill.WorkerID]*worker
-	workerList     []*worker // sorted by ID, so that decisions do not depend on map order
-	jobs           map[spoolsill.JobID]*job
-	teams          map[spoolsill.TeamID]*team
-	active         []*team // teams with waiting jobs, sorted by ID
-	total          spoolsill.Resources
-	added          uint64       // number of jobs added so far
-	finished       []*job       // finished jobs, oldest first
-	unschedulable  []*job       // jobs that would not fit even in an empty hall
-	backingOff     []*task      // requeued tasks whose retry time has not come
-	waitingGangs   []*job       // in the order in which they were queued
-	reservation    reservation  // capacity kept for the oldest waiting gang
-	nominated      []*task      // tasks for which capacity is held on a worker
-	runtimes       runtimeStats // measured against declared run times
-	confirmedPlans planLog
+	config            Config
+	workers           map[spoolsill.WorkerID]*worker
+	workerList        []*worker // sorted by ID, so that decisions do not depend on map order
+	jobs              map[spoolsill.JobID]*job
+	teams             map[spoolsill.TeamID]*team
+	activeTeams       []*team // teams with waiting jobs, sorted by ID
+	total             spoolsill.Resources
+	jobsAdded         uint64       // number of jobs added so far, the seq of the last
+	finishedJobs      []*job       // finished jobs, oldest first
+	unschedulableJobs []*job       // jobs that would not fit even in an empty hall
+	tasksBackingOff   []*task      // requeued tasks whose retry time has not come
+	waitingGangs      []*job       // in the order in which they were queued
+	reservation       reservation  // capacity kept for the oldest waiting gang
+	nominatedTasks    []*task      // tasks for which capacity is held on a worker
+	runtimes          runtimeStats // measured against declared run times
+	confirmedPlans    planLog
 	// capacityVersion is incremented by each change that may let a waiting job
 	// start.
 	capacityVersion uint64
@@ -90,14 +90,14 @@
 
 type worker struct {
 	spoolsill.Worker
-	index        int
-	listed       bool // on the platform's list
-	unresponsive bool
-	free         spoolsill.Resources
-	nominated    spoolsill.Resources // held for tasks that preempt others here
-	tasks        map[spoolsill.TaskID]*task
-	rack         *rack
-	health       health
+	index             int
+	listed            bool // on the platform's list
+	unresponsive      bool
+	free              spoolsill.Resources
+	nominatedCapacity spoolsill.Resources // held for tasks that preempt others here
+	tasks             map[spoolsill.TaskID]*task
+	rack              *rack
+	health            health
 }
 
 type rack struct {
@@ -107,7 +107,7 @@
 type job struct {
 	spec              spoolsill.Job
 	team              *team
-	seq               uint64
+	seq               uint64 // orders jobs by when they were added
 	added             time.Time
 	tasks             []task
 	pending           []int // indexes of the tasks that wait and are not backing off
@@ -117,12 +117,12 @@
 	queued            bool
 	unschedulable     bool
 	reason            Reason
-	preemptionTriedAt time.Time // last search for tasks to preempt for this gang
-	blockedVersion    uint64    // State.capacityVersion at which it last did not fit
-	spread            *spread
-	failedOn          []spoolsill.WorkerID
-	completions       int // attempts that exited by themselves
-	failures          int // attempts that failed or were refused
+	preemptionTriedAt time.Time            // last search for tasks to preempt for this gang
+	blockedVersion    uint64               // State.capacityVersion at which it last did not fit
+	spread            *spread              // nil unless it is a service
+	failedOn          []spoolsill.WorkerID // the last few, each once
+	completions       int                  // attempts that exited by themselves
+	failures          int                  // attempts that failed or were refused
 	finishedAt        time.Time
 }
 
@@ -132,7 +132,7 @@
 	state            spoolsill.TaskState
 	worker           *worker
 	attempt          spoolsill.Attempt
-	failures         int
+	failures         int // since the last success
 	stateSince       time.Time
 	runningSince     time.Time // when the worker last confirmed a start
 	retryAt          time.Time
--- a/route/dispatch.go
+++ b/route/dispatch.go
@@ -18,11 +18,11 @@
 
 // Arrive handles a new request.
 func (s *State) Arrive(now time.Time, a Arrival) []Action {
-	x := &item{
+	x := &activeRequest{
 		ticket:  a.Ticket,
 		request: a.Request,
 	}
-	s.items[x.ticket] = x
+	s.requests[x.ticket] = x
 	switch {
 	case s.draining:
 		s.fail(x, spoolsill.OutcomeNotRun, CauseStopping)
@@ -36,7 +36,8 @@
 	return s.takeActions()
 }
 
-func (s *State) admit(x *item, now time.Time) {
+// admit queues x, dispatches what it can and sheds requests if too many are left.
+func (s *State) admit(x *activeRequest, now time.Time) {
 	s.load.observeSlack(x.request.Expires().Sub(now))
 	s.retryBudget = min(s.retryBudget+float64(s.config.RetriesPerMille)/1000, maxRetryBudget)
 	s.seq++
@@ -78,11 +79,11 @@
 // slots as needed.
 func (s *State) dispatch(now time.Time) {
 	s.expire(now)
-	var skipped []*item
+	var skipped []*activeRequest
 	for s.Waiting() > 0 && len(skipped) < maxSkipped {
-		x := s.nextItem(now)
+		x := s.nextRequest(now)
 		s.dequeue(x)
-		if !s.dispatchItem(x, now) {
+		if !s.dispatchRequest(x, now) {
 			skipped = append(skipped, x)
 			if len(x.failedOn) == 0 {
 				break
@@ -96,9 +97,9 @@
 	s.returnIdle(now)
 }
 
-// nextItem returns the request to dispatch next: by class and fair order or,
+// nextRequest returns the request to dispatch next: by class and fair order or,
 // under overload, by worth.
-func (s *State) nextItem(now time.Time) *item {
+func (s *State) nextRequest(now time.Time) *activeRequest {
 	if s.load.overloaded(now) {
 		return s.heaps[byMostWorth].first()
 	}
@@ -116,9 +117,9 @@
 	}
 }
 
-// dispatchItem dispatches x to a free own or borrowed slot and reports whether
+// dispatchRequest dispatches x to a free own or borrowed slot and reports whether
 // there was one.
-func (s *State) dispatchItem(x *item, now time.Time) bool {
+func (s *State) dispatchRequest(x *activeRequest, now time.Time) bool {
 	r := s.pickRunner(x, now)
 	if r != nil {
 		r.ownBusy++
@@ -140,7 +141,8 @@
 	return true
 }
 
-func (s *State) recordDispatch(x *item, r *runner, now time.Time, a Action) {
+// recordDispatch marks x as sent to r and emits a with its remaining fields set.
+func (s *State) recordDispatch(x *activeRequest, r *runner, now time.Time, a Action) {
 	x.runner = r
 	x.sentAt = now
 	x.dispatches++
@@ -151,7 +153,7 @@
 	s.emit(a)
 }
 
-func (x *item) avoids(r *runner) bool {
+func (x *activeRequest) avoids(r *runner) bool {
 	for _, id := range x.failedOn {
 		if id == r.id {
 			return true
@@ -162,7 +164,7 @@
 
 // pickRunner returns the runner with the fewest requests among those with a
 // usable own slot, or nil. Cost: O(runners).
-func (s *State) pickRunner(x *item, now time.Time) *runner {
+func (s *State) pickRunner(x *activeRequest, now time.Time) *runner {
 	var best *runner
 	for i := range s.runnerList {
 		r := s.runnerList[(s.firstRunner+i)%len(s.runnerList)]
@@ -196,7 +198,7 @@
 
 // Finish handles the result of a dispatch.
 func (s *State) Finish(now time.Time, t Ticket, res Result) []Action {
-	x, ok := s.items[t]
+	x, ok := s.requests[t]
 	if !ok || x.runner == nil || x.queued {
 		return nil
 	}
@@ -219,9 +221,9 @@
 
 // concludeDispatch removes a request after a dispatch, queues it again or fails
 // it.
-func (s *State) concludeDispatch(x *item, r *runner, res Result, now time.Time) {
+func (s *State) concludeDispatch(x *activeRequest, r *runner, res Result, now time.Time) {
 	if res == Answered {
-		delete(s.items, x.ticket)
+		delete(s.requests, x.ticket)
 		return
 	}
 	if res != NotSent {
@@ -246,7 +248,7 @@
 
 // mayRetry reports whether x may be dispatched again. Requests that may have run
 // are retried only if they are repeatable and the retry budget allows it.
-func (s *State) mayRetry(x *item, res Result, now time.Time) bool {
+func (s *State) mayRetry(x *activeRequest, res Result, now time.Time) bool {
 	if !now.Before(x.request.Expires()) || x.dispatches >= maxDispatches || !s.hasAlternative(x) {
 		return false
 	}
@@ -262,7 +264,7 @@
 
 // hasAlternative reports whether there is a runner at which x has not failed. If
 // there is none, queueing x again would only delay other requests.
-func (s *State) hasAlternative(x *item) bool {
+func (s *State) hasAlternative(x *activeRequest) bool {
 	for _, r := range s.runnerList {
 		if !r.leaving && !r.gone && !x.avoids(r) {
 			return true
@@ -271,6 +273,7 @@
 	return false
 }
 
+// spendRetry takes a retry from the budget and reports whether there was one.
 func (s *State) spendRetry() bool {
 	if s.retryBudget < 1 {
 		return false
@@ -282,7 +285,7 @@
 // Cancel removes a queued request whose caller has gone away. It has no effect
 // on a request that has been dispatched.
 func (s *State) Cancel(now time.Time, t Ticket) []Action {
-	x, ok := s.items[t]
+	x, ok := s.requests[t]
 	if !ok || !x.queued {
 		return nil
 	}
@@ -310,6 +313,8 @@
 	return s.takeActions(), s.nextDue(now)
 }
 
+// nextDue returns the next time at which a timer is due. Timers that only matter
+// to queued requests are left out if there are none.
 func (s *State) nextDue(now time.Time) time.Time {
 	var due time.Time
 	add := func(t time.Time) {
--- a/route/heap.go
+++ b/route/heap.go
@@ -1,31 +1,32 @@
 package route
 
-// A heap is a binary heap of items in one of several orders. Each item holds its
-// index in every heap, so that it can be removed from all of them.
+// A heap is a binary heap of the queued requests in one of several orders. Each
+// request holds its index in every heap, so that it can be removed from all of them.
 type heap struct {
 	order int
-	less  func(a, b *item) bool
-	items []*item
+	less  func(a, b *activeRequest) bool
+	items []*activeRequest
 }
 
 func (h *heap) len() int {
 	return len(h.items)
 }
 
-func (h *heap) first() *item {
+// first returns the first request, or nil if h is empty.
+func (h *heap) first() *activeRequest {
 	if len(h.items) == 0 {
 		return nil
 	}
 	return h.items[0]
 }
 
-func (h *heap) push(x *item) {
+func (h *heap) push(x *activeRequest) {
 	x.heapIndex[h.order] = len(h.items)
 	h.items = append(h.items, x)
 	h.up(len(h.items) - 1)
 }
 
-func (h *heap) remove(x *item) {
+func (h *heap) remove(x *activeRequest) {
 	i := x.heapIndex[h.order]
 	last := len(h.items) - 1
 	h.swap(i, last)
--- a/route/held.go
+++ b/route/held.go
@@ -15,7 +15,7 @@
 
 // holdSlot keeps the slot of x occupied until [State.Release] or until the
 // lifetime of the slot has passed.
-func (s *State) holdSlot(x *item) {
+func (s *State) holdSlot(x *activeRequest) {
 	s.heldSlots = append(s.heldSlots, heldSlot{
 		ticket:    x.ticket,
 		runner:    x.runner,
@@ -38,6 +38,7 @@
 	return s.takeActions()
 }
 
+// releaseExpired frees the held slots whose lifetime has passed.
 func (s *State) releaseExpired(now time.Time) {
 	kept := s.heldSlots[:0]
 	for _, h := range s.heldSlots {
@@ -50,6 +51,8 @@
 	s.heldSlots = kept
 }
 
+// freeSlot frees the own slot of r that a request occupied or, if id is set, the
+// borrowed one.
 func (s *State) freeSlot(r *runner, id LoanID) {
 	if id == (LoanID{}) {
 		r.ownBusy--
--- a/route/load.go
+++ b/route/load.go
@@ -31,6 +31,8 @@
 	l.meanServiceTime = ewma(l.meanServiceTime, took.Seconds())
 }
 
+// ewma adds x to an exponentially weighted moving average. An average of 0 has no
+// values yet.
 func ewma(old, x float64) float64 {
 	if old == 0 {
 		return x
@@ -49,6 +51,7 @@
 	return max(minQueueLimit, int(per*float64(running)))
 }
 
+// overloaded reports whether a request was shed within the last overloadPeriod.
 func (l *load) overloaded(now time.Time) bool {
 	return now.Sub(l.lastShed) < overloadPeriod
 }
--- a/route/loan.go
+++ b/route/loan.go
@@ -47,14 +47,15 @@
 	busy        bool
 }
 
+// loans holds the slots that a host has lent and borrowed.
 type loans struct {
-	lastNumber uint64
+	lastNumber uint64 // of the last slot lent
 	lent       map[LoanID]lentSlot
 	borrowed   map[LoanID]*borrowedSlot
-	idle       []*borrowedSlot
-	borrowing  bool
-	backoff    time.Duration
-	nextBorrow time.Time
+	idle       []*borrowedSlot // borrowed slots without a request
+	borrowing  bool            // a Borrow action has no result yet
+	backoff    time.Duration   // after the next request for slots that yields none
+	nextBorrow time.Time       // no Borrow action before then
 }
 
 func newLoans(first uint64) loans {
@@ -111,6 +112,7 @@
 	return s.takeActions()
 }
 
+// reclaim makes a lent slot usable here again.
 func (s *State) reclaim(id LoanID) {
 	l, ok := s.loans.lent[id]
 	if !ok {
@@ -212,7 +214,7 @@
 
 // takeBorrowed marks an idle borrowed slot that x may use as busy and returns
 // it, or nil if there is none.
-func (s *State) takeBorrowed(x *item, now time.Time) *borrowedSlot {
+func (s *State) takeBorrowed(x *activeRequest, now time.Time) *borrowedSlot {
 	l := &s.loans
 	for i, b := range l.idle {
 		if !now.Before(b.usableUntil) || !b.runner.available(now) || x.avoids(b.runner) {
--- a/route/rapid_test.go
+++ b/route/rapid_test.go
@@ -21,17 +21,17 @@
 	states         map[spoolsill.HostID]*route.State
 	incarnations   map[spoolsill.HostID]int
 	tickets        route.Ticket
-	inFlight       []*flight
+	inFlight       []*inFlightRequest
 	runs           map[spoolsill.RequestKey]int // dispatches that may have run
 	requests       map[spoolsill.HostID]map[route.Ticket]spoolsill.Request
-	failed         map[string]bool
+	failed         map[string]bool // by host, incarnation and ticket
 	borrowRequests []borrowRequest
 	config         route.Config
 	ownSlotsDelay  time.Duration // from a restart of a host until it uses its own slots
 }
 
-// A flight is a request that occupies a runner.
-type flight struct {
+// An inFlightRequest is a request that occupies a runner.
+type inFlightRequest struct {
 	host        spoolsill.HostID
 	incarnation int
 	ticket      route.Ticket
@@ -82,8 +82,9 @@
 	return h
 }
 
-// startHost starts or restarts a host that may use its own slots from a time on.
-func (h *hall) startHost(id spoolsill.HostID, open time.Time) {
+// startHost starts or restarts a host that may use its own slots from ownSlotsFrom
+// on.
+func (h *hall) startHost(id spoolsill.HostID, ownSlotsFrom time.Time) {
 	c := h.config
 	c.Host = id
 	c.Hosts = h.hosts
@@ -97,7 +98,7 @@
 	s := route.NewState(c)
 	h.states[id] = s
 	h.requests[id] = map[route.Ticket]spoolsill.Request{}
-	s.EnableOwnSlots(h.now, open)
+	s.EnableOwnSlots(h.now, ownSlotsFrom)
 	s.SetRunners(h.now, testRunners)
 }
 
@@ -139,7 +140,7 @@
 	if r.Unrepeatable && h.runs[r.Key] > 1 {
 		t.Fatalf("%s: unrepeatable %s is dispatched after it may have run", id, r.Key)
 	}
-	h.inFlight = append(h.inFlight, &flight{
+	h.inFlight = append(h.inFlight, &inFlightRequest{
 		host:        id,
 		incarnation: h.incarnations[id],
 		ticket:      a.Ticket,
@@ -189,7 +190,7 @@
 
 // finish reports a random result of a random request in flight to its host.
 func (h *hall) finish(t *rapid.T) {
-	var open []*flight
+	var open []*inFlightRequest
 	for _, f := range h.inFlight {
 		if !f.finished && f.incarnation == h.incarnations[f.host] {
 			open = append(open, f)
@@ -198,7 +199,7 @@
 	if len(open) == 0 {
 		return
 	}
-	f := rapid.SampledFrom(open).Draw(t, "flight")
+	f := rapid.SampledFrom(open).Draw(t, "request")
 	res := rapid.SampledFrom([]route.Result{
 		route.Answered, route.Refused, route.Failed, route.ConnectionLost, route.TimedOut, route.NotSent,
 	}).Draw(t, "result")
@@ -215,7 +216,7 @@
 }
 
 // complete removes a request that its runner is done with.
-func (h *hall) complete(f *flight) {
+func (h *hall) complete(f *inFlightRequest) {
 	for i, x := range h.inFlight {
 		if x == f {
 			h.inFlight = append(h.inFlight[:i], h.inFlight[i+1:]...)
@@ -242,20 +243,20 @@
 	if len(h.borrowRequests) == 0 {
 		return
 	}
-	w := h.borrowRequests[0]
+	b := h.borrowRequests[0]
 	h.borrowRequests = h.borrowRequests[1:]
 	to := h.host(t)
 	var loans []route.Loan
-	if to != w.host && rapid.IntRange(0, 3).Draw(t, "question lost") > 0 {
-		loans = h.states[to].Lend(h.now, w.count)
+	if to != b.host && rapid.IntRange(0, 3).Draw(t, "request lost") > 0 {
+		loans = h.states[to].Lend(h.now, b.count)
 	}
-	if w.incarnation != h.incarnations[w.host] {
+	if b.incarnation != h.incarnations[b.host] {
 		return
 	}
 	if rapid.IntRange(0, 3).Draw(t, "answer lost") == 0 {
 		loans = nil
 	}
-	h.execute(t, w.host, h.states[w.host].LoansGranted(h.now, w.asked, loans))
+	h.execute(t, b.host, h.states[b.host].LoansGranted(h.now, b.asked, loans))
 }
 
 func (h *hall) advance(t *rapid.T) {
@@ -305,7 +306,7 @@
 			"release": h.release,
 			"lend":    h.deliverBorrowRequest,
 			"pass":    h.advance,
-			"die":     h.restartHost,
+			"crash":   h.restartHost,
 		})
 	}
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -43,9 +43,9 @@
 			open = append(open[1:], next...)
 		}
 	}
-	const saved = 50 // retries that may accumulate
+	const maxBudget = 50 // retries that may accumulate
 	c.Assert(dispatched > requests, qt.IsTrue)
-	c.Assert(dispatched <= requests+requests/10+saved, qt.IsTrue, qt.Commentf("%d", dispatched))
+	c.Assert(dispatched <= requests+requests/10+maxBudget, qt.IsTrue, qt.Commentf("%d", dispatched))
 }
 
 // TestOverloadShedsTheLeastWorth sends more requests than slots and queue hold.
--- a/route/runner.go
+++ b/route/runner.go
@@ -117,6 +117,7 @@
 	}
 }
 
+// maxDoublings bounds the exponent of the ejection time, which would overflow.
 const maxDoublings = 16
 
 // eject excludes a failing runner from new requests for a while. The share of
--- a/route/state.go
+++ b/route/state.go
@@ -18,15 +18,15 @@
 	orderCount
 )
 
-// An item is a queued or running request.
-type item struct {
+// An activeRequest is a queued or running request.
+type activeRequest struct {
 	ticket     Ticket
 	request    spoolsill.Request
 	heapIndex  [orderCount]int
 	startTag   float64 // of start-time fair queueing between callers
 	seq        uint64
 	sentAt     time.Time
-	dispatches int
+	dispatches int // including the current one
 	failedOn   []spoolsill.RunnerID
 	runner     *runner
 	loan       LoanID
@@ -39,7 +39,7 @@
 	config       Config
 	runners      map[spoolsill.RunnerID]*runner
 	runnerList   []*runner
-	items        map[Ticket]*item
+	requests     map[Ticket]*activeRequest
 	heaps        [orderCount]heap
 	finishTags   map[spoolsill.CallerID]float64 // of each caller's last request
 	virtualTime  float64                        // highest start tag dispatched so far
@@ -49,9 +49,9 @@
 	load         load
 	loans        loans
 	heldSlots    []heldSlot
-	ownSlotsFrom time.Time
+	ownSlotsFrom time.Time // see EnableOwnSlots
 	draining     bool
-	actions      []Action
+	actions      []Action // emitted since the last call of takeActions
 }
 
 // NewState returns a state without runners.
@@ -64,12 +64,12 @@
 	s := &State{
 		config:      c,
 		runners:     map[spoolsill.RunnerID]*runner{},
-		items:       map[Ticket]*item{},
+		requests:    map[Ticket]*activeRequest{},
 		finishTags:  map[spoolsill.CallerID]float64{},
 		loans:       newLoans(c.FirstLoan),
 		retryBudget: maxRetryBudget,
 	}
-	less := [orderCount]func(a, b *item) bool{
+	less := [orderCount]func(a, b *activeRequest) bool{
 		byFairness:   fairerFirst,
 		byLeastWorth: leastWorthFirst,
 		byExpiry:     soonestExpiryFirst,
@@ -84,7 +84,7 @@
 	return s
 }
 
-func fairerFirst(a, b *item) bool {
+func fairerFirst(a, b *activeRequest) bool {
 	if a.request.Class != b.request.Class {
 		return a.request.Class < b.request.Class
 	}
@@ -94,21 +94,21 @@
 	return a.seq < b.seq
 }
 
-func leastWorthFirst(a, b *item) bool {
+func leastWorthFirst(a, b *activeRequest) bool {
 	if a.request.Worth != b.request.Worth {
 		return a.request.Worth < b.request.Worth
 	}
 	return a.seq > b.seq
 }
 
-func mostWorthFirst(a, b *item) bool {
+func mostWorthFirst(a, b *activeRequest) bool {
 	if a.request.Worth != b.request.Worth {
 		return a.request.Worth > b.request.Worth
 	}
 	return fairerFirst(a, b)
 }
 
-func soonestExpiryFirst(a, b *item) bool {
+func soonestExpiryFirst(a, b *activeRequest) bool {
 	return a.request.Expires().Before(b.request.Expires())
 }
 
@@ -137,13 +137,13 @@
 
 // Running returns the number of dispatched requests.
 func (s *State) Running() int {
-	return len(s.items) - s.Waiting()
+	return len(s.requests) - s.Waiting()
 }
 
 // Outstanding returns the number of requests and slots that a graceful stop has
 // to wait for: queued and running requests, held slots and lent slots.
 func (s *State) Outstanding() int {
-	return len(s.items) + len(s.heldSlots) + len(s.loans.lent)
+	return len(s.requests) + len(s.heldSlots) + len(s.loans.lent)
 }
 
 // Drain makes s fail all new requests and lend no more slots. Queued and running
@@ -163,14 +163,14 @@
 	return out
 }
 
-func (s *State) enqueue(x *item) {
+func (s *State) enqueue(x *activeRequest) {
 	x.queued = true
 	for o := range s.heaps {
 		s.heaps[o].push(x)
 	}
 }
 
-func (s *State) dequeue(x *item) {
+func (s *State) dequeue(x *activeRequest) {
 	x.queued = false
 	for o := range s.heaps {
 		s.heaps[o].remove(x)
@@ -179,14 +179,14 @@
 
 // fail ends a request with an outcome. If an earlier dispatch of it may have
 // run, NotRun becomes Unknown.
-func (s *State) fail(x *item, o spoolsill.Outcome, c Cause) {
+func (s *State) fail(x *activeRequest, o spoolsill.Outcome, c Cause) {
 	if x.mayHaveRun && o == spoolsill.OutcomeNotRun {
 		o = spoolsill.OutcomeUnknown
 	}
 	if x.queued {
 		s.dequeue(x)
 	}
-	delete(s.items, x.ticket)
+	delete(s.requests, x.ticket)
 	s.emit(Action{
 		Kind:       Fail,
 		Ticket:     x.ticket,
--- a/router/router.go
+++ b/router/router.go
@@ -229,11 +229,11 @@
 			}
 		}
 		waited := time.Since(arrived)
-		if p, ok := r.send(t, a, c); ok {
+		if ans, ok := r.send(t, a, c); ok {
 			return Reply{
 				Outcome: spoolsill.OutcomeDone,
 				Runner:  a.Runner,
-				Answer:  p,
+				Answer:  ans,
 				Waited:  waited,
 			}
 		}
@@ -378,32 +378,35 @@
 		res    route.Result
 	}
 	done := make(chan result, 1)
-	settled := make(chan struct{})
+	timedOut := make(chan struct{})
 	r.mu.Lock()
 	address := r.addresses[a.Runner]
 	r.start(func(ctx context.Context) {
-		p, res := r.call(ctx, address, a, c)
+		ans, res := r.call(ctx, address, a, c)
 		done <- result{
-			answer: p,
+			answer: ans,
 			res:    res,
 		}
 		select {
-		case <-settled:
+		case <-timedOut:
 			r.release(t)
 		default:
 		}
 	})
 	r.mu.Unlock()
-	late := time.NewTimer(time.Until(c.Request.Expires()))
-	defer late.Stop()
+	expiry := time.NewTimer(time.Until(c.Request.Expires()))
+	defer expiry.Stop()
 	select {
 	case x := <-done:
 		r.finish(t, x.res)
 		return x.answer, x.res == route.Answered
-	case <-late.C:
+	case <-expiry.C:
 	}
 	r.finish(t, route.TimedOut)
-	close(settled)
+	// The call may end at the same time: its goroutine puts the result in done and
+	// then checks timedOut, and this one does the reverse, so at least one of them
+	// releases the slot.
+	close(timedOut)
 	select {
 	case <-done:
 		r.release(t)
@@ -417,7 +420,7 @@
 func (r *Router) call(ctx context.Context, address string, a route.Action, c Call) (upstream.Answer, route.Result) {
 	ctx, cancel := context.WithTimeout(ctx, r.config.Route.SlotLifetime)
 	defer cancel()
-	p, err := r.config.Upstream.Do(ctx, upstream.Call{
+	ans, err := r.config.Upstream.Do(ctx, upstream.Call{
 		Address: address,
 		Path:    c.Path,
 		Key:     c.Request.Key,
@@ -426,18 +429,18 @@
 		Until:   a.Until,
 	})
 	r.config.Saw(a.Runner, err == nil)
-	if p.Leaving {
+	if ans.Leaving {
 		r.config.Leaves(a.Runner)
 	}
 	switch {
 	case errors.Is(err, upstream.ErrNotRun):
-		return p, route.Refused
+		return ans, route.Refused
 	case err != nil:
-		return p, route.ConnectionLost
-	case p.Status >= 500:
-		return p, route.Failed
+		return ans, route.ConnectionLost
+	case ans.Status >= 500:
+		return ans, route.Failed
 	default:
-		return p, route.Answered
+		return ans, route.Answered
 	}
 }
 
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -127,11 +127,11 @@
 // Do sends a call and waits for the complete answer. Its error wraps [ErrNotRun]
 // or [ErrUnknownOutcome]. It never sends the call twice.
 func (c *Client) Do(ctx context.Context, x Call) (Answer, error) {
-	var sent atomic.Bool
+	var gotConn atomic.Bool
 	ctx = context.WithValue(ctx, sendBeforeKey{}, x.Until)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
-			sent.Store(true)
+			gotConn.Store(true)
 		},
 	})
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+x.Address+x.Path, bytes.NewReader(x.Body))
@@ -147,7 +147,7 @@
 	}
 	r, err := c.http.Do(q)
 	if err != nil {
-		return Answer{}, classify(err, sent.Load())
+		return Answer{}, classifyError(err, gotConn.Load())
 	}
 	defer func() { _ = r.Body.Close() }()
 	return c.readAnswer(r)
@@ -172,8 +172,10 @@
 	}, nil
 }
 
-func classify(err error, sent bool) error {
-	if !sent {
+// classifyError wraps the error of a request. One that never got a connection
+// certainly did not run.
+func classifyError(err error, gotConn bool) error {
+	if !gotConn {
 		return fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
