--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -136,8 +136,8 @@
 		return "leaving"
 	case w.Unresponsive:
 		return "silent"
-	case w.Quarantined.After(time.Now()):
-		return "in quarantine until " + w.Quarantined.Local().Format(time.TimeOnly)
+	case w.QuarantinedUntil.After(time.Now()):
+		return "in quarantine until " + w.QuarantinedUntil.Local().Format(time.TimeOnly)
 	default:
 		return "live"
 	}
--- a/place/outcome_test.go
+++ b/place/outcome_test.go
@@ -59,7 +59,7 @@
 		now = now.Add(time.Minute)
 	}
 	for _, w := range s.Workers() {
-		c.Assert(w.Quarantined.After(now), qt.IsFalse, qt.Commentf("%s", w.ID))
+		c.Assert(w.QuarantinedUntil.After(now), qt.IsFalse, qt.Commentf("%s", w.ID))
 	}
 }
 
--- a/place/view.go
+++ b/place/view.go
@@ -34,15 +34,15 @@
 
 // A WorkerView describes a worker to operators.
 type WorkerView struct {
-	ID           spoolsill.WorkerID  `json:"id"          msgpack:"i"`
-	Rack         spoolsill.RackID    `json:"rack"        msgpack:"k"`
-	Capacity     spoolsill.Resources `json:"capacity"    msgpack:"c"`
-	Free         spoolsill.Resources `json:"free"        msgpack:"f"`
-	Tasks        int                 `json:"tasks"       msgpack:"n"`
-	Leaving      bool                `json:"leaving"     msgpack:"l"`
-	Unresponsive bool                `json:"silent"      msgpack:"s"`
-	Listed       bool                `json:"listed"      msgpack:"p"`
-	Quarantined  time.Time           `json:"quarantined" msgpack:"q"`
+	ID               spoolsill.WorkerID  `json:"id"          msgpack:"i"`
+	Rack             spoolsill.RackID    `json:"rack"        msgpack:"k"`
+	Capacity         spoolsill.Resources `json:"capacity"    msgpack:"c"`
+	Free             spoolsill.Resources `json:"free"        msgpack:"f"`
+	Tasks            int                 `json:"tasks"       msgpack:"n"`
+	Leaving          bool                `json:"leaving"     msgpack:"l"`
+	Unresponsive     bool                `json:"silent"      msgpack:"s"`
+	Listed           bool                `json:"listed"      msgpack:"p"`
+	QuarantinedUntil time.Time           `json:"quarantined" msgpack:"q"`
 }
 
 // Jobs returns all known jobs, oldest first.
@@ -79,15 +79,15 @@
 	out := make([]WorkerView, 0, len(s.workerList))
 	for _, w := range s.workerList {
 		out = append(out, WorkerView{
-			ID:           w.ID,
-			Rack:         w.Rack,
-			Capacity:     w.Capacity,
-			Free:         w.free,
-			Tasks:        len(w.tasks),
-			Leaving:      w.Leaving,
-			Unresponsive: w.unresponsive,
-			Listed:       w.listed,
-			Quarantined:  w.health.quarantinedUntil,
+			ID:               w.ID,
+			Rack:             w.Rack,
+			Capacity:         w.Capacity,
+			Free:             w.free,
+			Tasks:            len(w.tasks),
+			Leaving:          w.Leaving,
+			Unresponsive:     w.unresponsive,
+			Listed:           w.listed,
+			QuarantinedUntil: w.health.quarantinedUntil,
 		})
 	}
 	return out
