--- a/cmd/spoolsill-host/main.go
+++ b/cmd/spoolsill-host/main.go
@@ -49,9 +49,9 @@
 }
 
 func run() int {
-	// The handlers are installed first and stay for the life of the process: by default
-	// either signal terminates it. Both may arrive during startup, and SIGHUP during
-	// shutdown.
+	// The handlers are installed first and remain until the process exits, since by
+	// default either signal terminates it. Both may arrive during startup, and SIGHUP
+	// also during shutdown.
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -59,7 +59,7 @@
 	var f flags
 	kong.Parse(&f,
 		kong.Name("spoolsill-host"),
-		kong.Description("A host of Spoolsill: accepts jobs, and leads the cell when it is its turn."),
+		kong.Description("A host of Spoolsill: accepts jobs, and leads the cell when elected."),
 	)
 	s, err := platform.LoadSettings(f.Settings)
 	if err != nil {
@@ -77,11 +77,11 @@
 // serve runs the host until ctx is done.
 func serve(ctx context.Context, changed <-chan os.Signal, f flags, s platform.Settings) int {
 	log := oplog.New(os.Stdout)
-	logging, stop := context.WithCancel(context.Background())
-	go log.Run(logging)
+	logCtx, stop := context.WithCancel(context.Background())
+	go log.Run(logCtx)
 	defer log.Wait()
 	defer stop()
-	go reload(ctx, changed, f.Settings, s, log.Logger)
+	go watchSettings(ctx, changed, f.Settings, s, log.Logger)
 	m := telemetry.New()
 	m.RegisterGauge("spoolsill.log.left", "log lines left out", log.Dropped)
 	err := node.New(node.Config{
@@ -110,10 +110,10 @@
 	debug.SetGCPercent(defaultGCPercent)
 }
 
-// reload validates the settings file on each signal and logs the result. Changed
-// addresses and limits take effect at the next start, since a running host keeps its
-// listeners.
-func reload(ctx context.Context, changed <-chan os.Signal, file string, now platform.Settings, log *logrus.Logger) {
+// watchSettings validates the settings file on each signal and logs whether it differs
+// from the current settings. Changed addresses and limits take effect at the next start,
+// since a running host keeps its listeners.
+func watchSettings(ctx context.Context, changed <-chan os.Signal, file string, current platform.Settings, log *logrus.Logger) {
 	for {
 		select {
 		case <-changed:
@@ -125,6 +125,6 @@
 			log.WithError(err).Error("cannot reload settings, keeping the previous ones")
 			continue
 		}
-		log.WithField("changed", !reflect.DeepEqual(s, now)).Info("settings read again")
+		log.WithField("changed", !reflect.DeepEqual(s, current)).Info("settings read again")
 	}
 }
--- a/node/admission.go
+++ b/node/admission.go
@@ -12,18 +12,19 @@
 // normally respond in 2 ms, and slowed-down hosts in about 20 ms.
 const maxWorkerLatency = 120 * time.Millisecond
 
-// shedLifetime is how long a host applies the last share reported by the leader: twice
-// the longest allowance for a slow leader.
-const shedLifetime = 2 * maxLatencyAllowance
+// shedTTL is how long a host applies the last share reported by the leader: twice the
+// longest allowance for a slow leader.
+const shedTTL = 2 * maxLatencyAllowance
 
-// A shedStatus is the share of jobs that hosts should refuse for now, and the reason.
+// A shedStatus is the share of jobs that hosts should refuse for now, and the latency
+// that led to it.
 type shedStatus struct {
 	share      float64
 	latency    time.Duration // of worker responses, at the leader
 	reportedAt time.Time
 }
 
-// A shedError reports why a job was refused for now.
+// A shedError reports that a job was refused to shed load. The client may retry it.
 type shedError struct {
 	shedStatus
 	age time.Duration
@@ -35,15 +36,15 @@
 		100*e.share, e.age.Round(time.Millisecond), e.latency.Round(time.Millisecond), maxWorkerLatency)
 }
 
-// measuredShed updates and returns the shed status while this host leads.
-func (n *Node) measuredShed(now time.Time, l *leader.Leader) shedStatus {
+// updateShed updates and returns the shed status while this host leads.
+func (n *Node) updateShed(now time.Time, l *leader.Leader) shedStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.measuredShedLocked(now, l)
+	return n.updateShedLocked(now, l)
 }
 
-// measuredShedLocked is like measuredShed. The lock must be held.
-func (n *Node) measuredShedLocked(now time.Time, l *leader.Leader) shedStatus {
+// updateShedLocked is like updateShed. n.mu must be held.
+func (n *Node) updateShedLocked(now time.Time, l *leader.Leader) shedStatus {
 	latency := l.ResponseLatency()
 	return shedStatus{
 		share:      1 - n.admission.Update(now, latency, maxWorkerLatency),
@@ -52,14 +53,14 @@
 	}
 }
 
-// effectiveShedLocked returns the shed status that applies to this host. While it leads, the
-// status is measured here, even if no other host asks for it. Otherwise it is the last one
-// reported by the leader, unless that is outdated. The lock must be held.
+// effectiveShedLocked returns the shed status that applies to this host. While it leads,
+// the status is updated here, even if no other host sends heartbeats. Otherwise it is the
+// last one reported by the leader, unless that has expired. n.mu must be held.
 func (n *Node) effectiveShedLocked(now time.Time) shedStatus {
 	switch {
 	case n.activeLeader != nil:
-		return n.measuredShedLocked(now, n.activeLeader)
-	case now.Sub(n.leaderShed.reportedAt) < shedLifetime:
+		return n.updateShedLocked(now, n.activeLeader)
+	case now.Sub(n.leaderShed.reportedAt) < shedTTL:
 		return n.leaderShed
 	default:
 		return shedStatus{}
--- a/node/admission_test.go
+++ b/node/admission_test.go
@@ -12,8 +12,8 @@
 	"github.com/spoolsill/spoolsill/internal/pause"
 )
 
-// submitFor submits jobs at a host, twenty a second, and returns how many were accepted
-// and how many were refused for now. Other outcomes fail the test.
+// submitFor submits twenty jobs a second to a host and returns how many were accepted and
+// how many were refused with a request to retry. Other outcomes fail the test.
 func (x *cell) submitFor(d time.Duration, host, first int) (accepted, refused int) {
 	for i := range int(d / (50 * time.Millisecond)) {
 		r := x.call(host, http.MethodPost, "/q/"+jobID(first+i), body)
@@ -34,9 +34,9 @@
 // link, and accept all jobs again once workers respond in time.
 func TestJobsAreRefusedWhileWorkersAreSlow(t *testing.T) {
 	run(t, 3, 4, func(x *cell) {
-		var late atomic.Bool
+		var slow atomic.Bool
 		x.workers.Delay = func(spoolsill.WorkerID) time.Duration {
-			if late.Load() {
+			if slow.Load() {
 				return 300 * time.Millisecond
 			}
 			return time.Millisecond
@@ -44,39 +44,39 @@
 		host := (x.leader() + 1) % 3
 		_, refused := x.submitFor(2*time.Second, host, 0)
 		x.c.Check(refused, qt.Equals, 0)
-		late.Store(true)
+		slow.Store(true)
 		x.submitFor(4*time.Second, host, 100)
 		accepted, refused := x.submitFor(2*time.Second, host, 200)
 		x.c.Check(refused > accepted, qt.IsTrue, qt.Commentf("%d accepted, %d refused while responses were late", accepted, refused))
-		late.Store(false)
+		slow.Store(false)
 		pause.For(x.ctx, 10*time.Second)
 		_, refused = x.submitFor(2*time.Second, host, 300)
 		x.c.Check(refused, qt.Equals, 0)
 	})
 }
 
-// Guards against a host that keeps applying a share reported by a former leader after
-// it has lost contact with all other hosts. It leads by itself then, but recalculated
-// the share only when another host sent a heartbeat: each of 40 jobs was refused ("the
-// cell can't take more now"), 15 s after workers responded in time again.
+// Guards against a host that keeps shedding load after it has lost contact with all
+// other hosts. Such a host becomes the leader, but updated the share of jobs to refuse
+// only when another host sent a heartbeat: it refused each of 40 jobs 15 s after workers
+// responded in time again.
 func TestSheddingEndsAtIsolatedHost(t *testing.T) {
 	run(t, 3, 4, func(x *cell) {
-		var late atomic.Bool
+		var slow atomic.Bool
 		x.workers.Delay = func(spoolsill.WorkerID) time.Duration {
-			if late.Load() {
+			if slow.Load() {
 				return 300 * time.Millisecond
 			}
 			return time.Millisecond
 		}
 		host := (x.leader() + 1) % 3
-		late.Store(true)
+		slow.Store(true)
 		x.submitFor(4*time.Second, host, 100)
 		_, refused := x.submitFor(time.Second, host, 200)
 		x.c.Assert(refused > 0, qt.IsTrue)
 		for i := range x.hosts {
 			x.network.SetPaused(hostName(i), i != host)
 		}
-		late.Store(false)
+		slow.Store(false)
 		pause.For(x.ctx, 15*time.Second)
 		x.c.Assert(x.leader(), qt.Equals, host)
 		_, refused = x.submitFor(2*time.Second, host, 300)
--- a/node/advice.go
+++ b/node/advice.go
@@ -14,7 +14,7 @@
 	Stage   sched.StageID
 	Workers []spoolsill.WorkerID
 	// InOrder requests the tickets in the order of Workers, so that the reply need not
-	// repeat their ids. Hosts of earlier releases do not set it and expect the ids.
+	// repeat the worker ids. Hosts of earlier releases do not set it and expect the ids.
 	InOrder bool
 }
 
@@ -28,8 +28,8 @@
 }
 
 // A wireTicket is a [sched.Ticket] encoded as an array, which hosts of the previous
-// release can decode as well. A reply has dozens of them, and field names would take a
-// third of it.
+// release can decode as well. A reply contains dozens of tickets, and field names would
+// take a third of its bytes.
 type wireTicket struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -16,24 +16,24 @@
 	// bootstrapDelay is how long a host that has just started waits for the
 	// configuration from the store before it queries other hosts: several reads.
 	bootstrapDelay = 100 * time.Millisecond
-	// bootstrapInterval is the interval between its rounds of queries, and
-	// peerInfoTimeout limits one of them. Hosts in a region respond within
-	// milliseconds.
+	// bootstrapInterval is the interval between rounds of queries of such a host, and
+	// peerInfoTimeout limits one round. Hosts in a region respond within milliseconds.
 	bootstrapInterval = 200 * time.Millisecond
 	peerInfoTimeout   = 300 * time.Millisecond
 	// isolatedInterval is the interval for a host that reaches neither the store nor a
 	// leader: several times as long as other hosts need to take over.
 	isolatedInterval = 500 * time.Millisecond
-	// unconfiguredTakeoverDelay is how long a host without a configuration lets others
-	// take over, since it could start no tasks.
+	// unconfiguredTakeoverDelay is how long a host without a configuration leaves a
+	// takeover to others, since it could start no tasks.
 	unconfiguredTakeoverDelay = 3 * time.Second
-	// takeoverRecheckInterval is how often it checks whether it may take over.
+	// takeoverRecheckInterval is how often such a host checks whether it may take over.
 	takeoverRecheckInterval = 20 * time.Millisecond
 )
 
 type peerInfoRequest struct{}
 
-// A peerInfoReply tells a host that has just started, or is isolated, what others know.
+// A peerInfoReply describes the configuration and the leader known to the replying host.
+// Hosts that have just started or are isolated request it.
 type peerInfoReply struct {
 	// Held describes the replying host's configuration; its version is 0 if it has
 	// none.
@@ -52,18 +52,18 @@
 // learnFromPeers queries other hosts for their configuration and the leader, until this
 // host knows which configuration is the newest, and whenever it reaches neither the
 // store nor a leader. Otherwise a host that starts while the store is unreachable would
-// refuse all clients, which the platform's rules make permanent, and a host cut off
-// from the store would not learn of the next leader.
+// respond to all requests with 503, which the platform's clients treat as final, and a
+// host cut off from the store would not learn of the next leader.
 func (n *Node) learnFromPeers(ctx context.Context) {
 	pause.For(ctx, bootstrapDelay)
-	silent := map[string]bool{}
+	unresponsive := map[string]bool{}
 	for ctx.Err() == nil {
 		switch {
 		case n.bootstrapping():
-			n.queryPeers(ctx, silent)
+			n.queryPeers(ctx, unresponsive)
 			pause.For(ctx, bootstrapInterval)
 		case n.isolated():
-			n.queryPeers(ctx, silent)
+			n.queryPeers(ctx, unresponsive)
 			pause.For(ctx, n.scaledInterval(isolatedInterval))
 		default:
 			pause.For(ctx, isolatedInterval)
@@ -86,8 +86,9 @@
 }
 
 // queryPeers queries all hosts listed in the settings concurrently. It records in
-// silent which of them failed, so that each failure is logged once.
-func (n *Node) queryPeers(ctx context.Context, silent map[string]bool) {
+// unresponsive, by address, which queries failed, so that consecutive failures of a host
+// are logged once.
+func (n *Node) queryPeers(ctx context.Context, unresponsive map[string]bool) {
 	ctx, cancel := context.WithTimeout(ctx, peerInfoTimeout)
 	defer cancel()
 	failed := make([]error, len(n.settings.Peers))
@@ -100,10 +101,10 @@
 	}
 	_ = g.Wait() // the functions return no errors
 	for i, a := range n.settings.Peers {
-		if failed[i] != nil && !silent[a] {
+		if failed[i] != nil && !unresponsive[a] {
 			n.log.WithError(failed[i]).WithField("address", a).Info("host could not be asked for the configuration")
 		}
-		silent[a] = failed[i] != nil
+		unresponsive[a] = failed[i] != nil
 	}
 }
 
@@ -123,9 +124,9 @@
 	return nil
 }
 
-// takeoverAllowed reports whether this host may take over a leadership that has been
-// silent for the given time.
-func (n *Node) takeoverAllowed(elapsed time.Duration) bool {
+// takeoverAllowed reports whether this host may take over from a leader whose row has
+// remained unchanged for the given time.
+func (n *Node) takeoverAllowed(unchanged time.Duration) bool {
 	_, ok := n.Config()
-	return ok || elapsed >= unconfiguredTakeoverDelay
+	return ok || unchanged >= unconfiguredTakeoverDelay
 }
--- a/node/bootstrap_test.go
+++ b/node/bootstrap_test.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// A host that starts while it is cut off from the store must learn a large configuration from
-// other hosts over small links.
+// A host that starts while it is cut off from the store must learn a large configuration
+// from other hosts over small links.
 func TestHostStartsWithoutStoreAndLargeConfiguration(t *testing.T) {
 	run(t, 2, 1, func(x *cell) {
 		x.configureMany(2, manyRoutes)
@@ -59,9 +59,9 @@
 		x.network.SetRate(hostName(2), smallLink)
 		x.network.SetPartitioned(hostName(2), platformNode.Name, true)
 		x.start(2)
-		// The host knows that the store is not going to deliver it and fetches at once:
-		// 0.1 s until it asks, and 0.9 s over the link, half of which is available for
-		// pieces.
+		// The host knows that the store cannot deliver the configuration and fetches it
+		// from other hosts at once: 0.1 s until the first query, and 0.9 s over the link,
+		// half of which is available for pieces.
 		pause.For(x.ctx, 2200*time.Millisecond)
 		x.c.Assert(x.call(2, http.MethodGet, routePrefix(manyRoutes-1), "").status, qt.Equals, http.StatusOK)
 	})
--- a/node/config.go
+++ b/node/config.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// defaultConfigInForce is how soon a configuration is in force on every host unless
-	// the settings specify another time.
+	// defaultConfigInForce is the time within which a configuration must be in force on
+	// every host, unless the settings specify another one.
 	defaultConfigInForce = 2 * time.Second
 	// configFeedWait is how long one call of the feed waits for a new configuration. A
-	// host's information is at most as old as two of these calls, and must be less than
-	// defaultConfigInForce old for the host to report a route as unknown: with 1 s it
-	// could not for one call in a hundred.
+	// host's information is at most as old as two of these calls. A host reports a route
+	// as unknown only if its information is at most defaultConfigInForce old: with 1 s,
+	// it was too old for one request in a hundred.
 	configFeedWait = 700 * time.Millisecond
 )
 
-// knownConfig is a decoded configuration along with its encoded form.
+// A knownConfig is a decoded configuration along with its encoded form.
 type knownConfig struct {
 	version spoolsill.Version
 	raw     []byte
 	config  *platform.Config
 }
 
-// configs holds the newest known configuration and tracks whether it is up to date. The
-// version never decreases.
-type configs struct {
+// A configTracker holds the newest known configuration and tracks whether it is up to
+// date. The version never decreases. It is safe for concurrent use.
+type configTracker struct {
 	mu sync.Mutex
-	// latest is the newest configuration; requestedAt is when a host last requested a
-	// piece of it.
+	// latest is the newest configuration; requestedAt is when another host last
+	// requested a piece of it.
 	latest      knownConfig
 	requestedAt time.Time
 	// previous are the replaced configurations that other hosts are still fetching,
@@ -47,15 +47,15 @@
 	// been behind since behindSince.
 	newestKnown spoolsill.Version
 	behindSince time.Time
-	// offer is where a newer version can be fetched; zero if nowhere.
+	// offer identifies a host that has a newer version; zero if none is known.
 	offer offer
 	// rejected is the newest version that was fetched and could not be decoded.
 	rejected spoolsill.Version
 	// feedInvalid is set while the last configuration from the store could not be
 	// decoded.
 	feedInvalid bool
-	// confirmedAt is the time before which all changes are known, from the store or
-	// from a host that reaches it; zero before the first response.
+	// confirmedAt is the time up to which all changes are known, from the store or from
+	// a host that reaches it; zero before the first response.
 	confirmedAt time.Time
 	// feedFailed is set if the latest call of the store's feed failed.
 	feedFailed bool
@@ -63,20 +63,20 @@
 	offerSignal chan struct{}
 }
 
-func newConfigs() *configs {
-	return &configs{
+func newConfigTracker() *configTracker {
+	return &configTracker{
 		offerSignal: make(chan struct{}, 1),
 	}
 }
 
-func (c *configs) get() knownConfig {
+func (c *configTracker) get() knownConfig {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.latest
 }
 
 // set stores a configuration and reports whether it is newer.
-func (c *configs) set(k knownConfig, now time.Time) bool {
+func (c *configTracker) set(k knownConfig, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k.version <= c.latest.version {
@@ -90,33 +90,33 @@
 
 // setFeedInvalid records whether the last configuration from the store could not be
 // decoded.
-func (c *configs) setFeedInvalid(invalid bool) {
+func (c *configTracker) setFeedInvalid(invalid bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.feedInvalid = invalid
 }
 
-// confirm records that all changes before a time are known.
-func (c *configs) confirm(t time.Time) {
+// confirm records that all changes up to the given time are known.
+func (c *configTracker) confirm(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.confirmLocked(t)
 }
 
-func (c *configs) confirmLocked(t time.Time) {
+func (c *configTracker) confirmLocked(t time.Time) {
 	if !c.feedInvalid && t.After(c.confirmedAt) {
 		c.confirmedAt = t
 	}
 }
 
-func (c *configs) setFeedFailed(failed bool) {
+func (c *configTracker) setFeedFailed(failed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.feedFailed = failed
 }
 
 // newest returns the newest version that is known to exist.
-func (c *configs) newest() spoolsill.Version {
+func (c *configTracker) newest() spoolsill.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(c.newestKnown, c.latest.version)
@@ -124,14 +124,14 @@
 
 // age returns the maximum age of the information about the configuration, or false if
 // there is none.
-func (c *configs) age(now time.Time) (time.Duration, bool) {
+func (c *configTracker) age(now time.Time) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Sub(c.confirmedAt), !c.confirmedAt.IsZero()
 }
 
 // applyTo passes the current queues and teams to a leader.
-func (c *configs) applyTo(l *leader.Leader) {
+func (c *configTracker) applyTo(l *leader.Leader) {
 	k := c.get()
 	if k.config != nil {
 		l.SetConfig(k.version, k.config.Queues(), k.config.Teams)
@@ -146,7 +146,7 @@
 
 // isCurrent reports whether v is known to have been the newest version at some time
 // within the given duration before now.
-func (c *configs) isCurrent(v spoolsill.Version, now time.Time, within time.Duration) bool {
+func (c *configTracker) isCurrent(v spoolsill.Version, now time.Time, within time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return v == c.latest.version && c.newestKnown <= v && !c.confirmedAt.IsZero() && now.Sub(c.confirmedAt) <= within
@@ -159,12 +159,12 @@
 
 // followConfig follows the operators' configuration in the store.
 func (n *Node) followConfig(ctx context.Context) {
-	take := func(r store.Row) {
+	applyRow := func(r store.Row) {
 		if r.Key.Name == platform.ConfigRow && !r.Deleted {
 			n.configs.setFeedInvalid(!n.applyConfig(r.Value, "store"))
 		}
 	}
-	f := store.Watcher{
+	w := store.Watcher{
 		Store:  n.store,
 		Table:  platform.OperatorTable,
 		Wait:   configFeedWait,
@@ -173,10 +173,10 @@
 		Listed: func(rows []store.Row) {
 			n.log.WithField("rows", len(rows)).Info("configuration table listed")
 			for _, r := range rows {
-				take(r)
+				applyRow(r)
 			}
 		},
-		Changed: take,
+		Changed: applyRow,
 		Failed: func(err error) {
 			n.configs.setFeedFailed(err != nil)
 			if err != nil {
@@ -186,7 +186,7 @@
 			n.log.Info("configuration feed regained")
 		},
 	}
-	f.Run(ctx)
+	w.Run(ctx)
 }
 
 // applyConfig puts a configuration in force if it is newer, and reports whether it
@@ -217,7 +217,8 @@
 	return true
 }
 
-// logTeamFaults logs probable mistakes in the teams of a configuration.
+// logTeamFaults logs probable mistakes in the teams of a configuration, such as teams
+// without keys.
 func (n *Node) logTeamFaults(c *platform.Config) {
 	if c.Keys == nil {
 		return
--- a/node/configfaults_test.go
+++ b/node/configfaults_test.go
@@ -20,7 +20,7 @@
 )
 
 // Hosts cut off from the store must eventually receive a newer configuration, even if
-// each one is replaced before it can be transferred completely.
+// each version is replaced before it can be transferred completely.
 func TestFrequentConfigurationsReachHostsWithoutStore(t *testing.T) {
 	run(t, 4, 1, func(x *cell) {
 		first := x.leader()
@@ -45,7 +45,7 @@
 // date, even if no other host confirms it.
 func TestHostWithWorkingFeedIsCurrent(t *testing.T) {
 	run(t, 1, 1, func(x *cell) {
-		x.network.SetRate(hostName(0), 50_000) // some milliseconds for a call
+		x.network.SetRate(hostName(0), 50_000) // a call takes some milliseconds
 		n, bad := 0, 0
 		for begun := time.Now(); time.Since(begun) < 20*time.Second; n++ {
 			if x.call(0, http.MethodGet, "/none/", "").status != http.StatusNotFound {
--- a/node/configpieces.go
+++ b/node/configpieces.go
@@ -28,19 +28,20 @@
 	// previousConfigTTL is how long a replaced configuration is kept after its last
 	// piece request: several retry delays of the hosts that fetch it.
 	previousConfigTTL = 2 * time.Second
-	// maxPreviousBytes limits the memory that they take. A host has at least 184 MB.
+	// maxPreviousBytes limits the size of all retained configurations. A host has at
+	// least 184 MB of memory.
 	maxPreviousBytes = 8 << 20
 )
 
-// A pieceRequest requests the piece at Offset of the version that the caller has
-// received in part.
+// A pieceRequest requests the piece at Offset of a version that the caller has received
+// up to there.
 type pieceRequest struct {
 	Version spoolsill.Version
 	Offset  int
 }
 
-// A pieceReply holds a piece of that version, or the first piece of the newest version
-// if the requested one is no longer available.
+// A pieceReply holds a piece of the requested version, or the first piece of the newest
+// one if the requested one is not available.
 type pieceReply struct {
 	Version spoolsill.Version
 	Size    int // of the whole document, in bytes
@@ -81,7 +82,7 @@
 }
 
 // A previousConfig is a configuration that has been replaced. It is kept while other
-// hosts are fetching it: if documents are replaced faster than they can be fetched,
+// hosts are fetching it. If configurations are replaced faster than they can be fetched,
 // those hosts would otherwise never receive a complete one.
 type previousConfig struct {
 	knownConfig
@@ -90,13 +91,13 @@
 
 // document returns the configuration of the given version if it is still available, and
 // the newest one otherwise.
-func (c *configs) document(v spoolsill.Version, now time.Time) knownConfig {
+func (c *configTracker) document(v spoolsill.Version, now time.Time) knownConfig {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.previous {
-		if f := &c.previous[i]; f.version == v {
-			f.requestedAt = now
-			return f.knownConfig
+		if p := &c.previous[i]; p.version == v {
+			p.requestedAt = now
+			return p.knownConfig
 		}
 	}
 	c.requestedAt = now
@@ -105,15 +106,15 @@
 
 // retainPrevious keeps the configuration that is about to be replaced if other hosts
 // are fetching it, and drops the oldest ones that exceed the memory limit.
-func (c *configs) retainPrevious(now time.Time) {
+func (c *configTracker) retainPrevious(now time.Time) {
 	c.previous = append(c.previous, previousConfig{
 		knownConfig: c.latest,
 		requestedAt: c.requestedAt,
 	})
 	c.dropExpired(now)
 	size := 0
-	for _, f := range c.previous {
-		size += len(f.raw)
+	for _, p := range c.previous {
+		size += len(p.raw)
 	}
 	for size > maxPreviousBytes {
 		size -= len(c.previous[0].raw)
@@ -122,6 +123,6 @@
 }
 
 // dropExpired drops the configurations that no host is fetching any longer.
-func (c *configs) dropExpired(now time.Time) {
-	c.previous = slices.DeleteFunc(c.previous, func(f previousConfig) bool { return now.Sub(f.requestedAt) > previousConfigTTL })
+func (c *configTracker) dropExpired(now time.Time) {
+	c.previous = slices.DeleteFunc(c.previous, func(p previousConfig) bool { return now.Sub(p.requestedAt) > previousConfigTTL })
 }
--- a/node/configs_test.go
+++ b/node/configs_test.go
@@ -14,7 +14,7 @@
 // what others offer, even while newer versions are offered every few hundred
 // milliseconds.
 func TestFrequentlyReplacedOffersBecomeDue(t *testing.T) {
-	c := node.NewConfigs()
+	c := node.NewConfigTracker()
 	begun := time.Now()
 	now := begun
 	for v := spoolsill.Version(1); now.Sub(begun) < 10*node.FeedGracePeriod; v++ {
@@ -27,7 +27,7 @@
 // The last configuration from the store cannot be decoded. A host that then fetches the
 // version before it from another host must still not claim to know all routes.
 func TestFetchedConfigurationDoesNotHideInvalidOne(t *testing.T) {
-	c := node.NewConfigs()
+	c := node.NewConfigTracker()
 	now := time.Now()
 	c.Set(1, now)
 	c.SetFeedInvalid() // version 3, from the feed
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// delegateOverhead is how much longer the response of a delegate may take than that
-	// of the worker: the round trip, and scheduling on a busy processor.
+	// delegateOverhead is the additional time for a response through a delegate: the
+	// round trip between hosts, and scheduling delays on a busy processor.
 	delegateOverhead = 60 * time.Millisecond
-	// delegatesTTL is how long the list of delegates is reused: hosts come and go less
-	// often than calls are made.
+	// delegatesTTL is how long the list of delegates is reused: hosts start and stop
+	// less often than calls are made.
 	delegatesTTL = 50 * time.Millisecond
 )
 
-// delegatedWorkers makes the calls to workers through other hosts, and makes those
-// directly that no other host accepts. It implements [leader.Workers].
+// delegatedWorkers calls workers through other hosts, and calls them directly if no other
+// host accepts the call. It implements [leader.Workers].
 type delegatedWorkers struct {
 	node   *Node
 	direct *platform.Workers
@@ -38,8 +38,8 @@
 	specs specHosts
 }
 
-// delegateOf returns the host that should make the next call to a worker.
-func (d *delegatedWorkers) delegateOf(t leader.Target) (spoolsill.HostID, bool) {
+// delegateFor returns the host that should make the next call to a worker.
+func (d *delegatedWorkers) delegateFor(t leader.Target) (spoolsill.HostID, bool) {
 	now := d.node.clock.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -50,9 +50,9 @@
 	return d.directory.DelegateFor(t.Worker, t.Hall, d.unanswered[t.Worker], now)
 }
 
-// counts returns the number of delegates and how many of them are passed over after a
-// failed call.
-func (d *delegatedWorkers) counts() (all, resting int) {
+// counts returns the number of delegates and how many of them are avoided after a failed
+// call.
+func (d *delegatedWorkers) counts() (all, avoided int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.directory.Count(d.node.clock.Now())
@@ -65,8 +65,9 @@
 	d.directory.MarkFailed(h, d.node.clock.Now())
 }
 
-// recordReply records the outcome of a call to a worker. After an unanswered call the
-// next one takes another path, since the delegate may be cut off.
+// recordReply records the outcome of a call to a worker. After an unanswered call, the
+// next call to that worker is made through another delegate, since this one may be cut
+// off.
 func (d *delegatedWorkers) recordReply(w spoolsill.WorkerID, k leader.ReplyKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +85,7 @@
 // callViaDelegate makes a call through a delegate. It reports false if none accepted
 // it, in which case the call was certainly not made.
 func callViaDelegate[R, Q any](ctx context.Context, d *delegatedWorkers, t leader.Target, method string, q Q) (r R, made bool, err error) {
-	h, ok := d.delegateOf(t)
+	h, ok := d.delegateFor(t)
 	if !ok {
 		return r, false, nil
 	}
@@ -120,11 +121,11 @@
 // Renew implements [leader.Workers].
 func (d *delegatedWorkers) Renew(ctx context.Context, l leader.Renewal) (sched.Heartbeat, leader.Reply) {
 	sent := d.node.clock.Now()
-	// Twice the limit for the beginning of the worker's response leaves time for the
-	// rest of it.
-	limited, cancel := context.WithTimeout(ctx, l.Wait+2*l.Timeout+delegateOverhead)
+	// l.Timeout limits the time until the worker's response begins; twice that time also
+	// allows for the rest of it.
+	callCtx, cancel := context.WithTimeout(ctx, l.Wait+2*l.Timeout+delegateOverhead)
 	defer cancel()
-	r, made, err := d.renewViaDelegate(limited, l)
+	r, made, err := d.renewViaDelegate(callCtx, l)
 	if !made {
 		return d.direct.Renew(ctx, l)
 	}
@@ -143,7 +144,7 @@
 // incarnation answered can only be used for workers that do not report their start times:
 // the answer might come from the worker's next incarnation and be attributed to this one.
 func (d *delegatedWorkers) renewViaDelegate(ctx context.Context, l leader.Renewal) (r renewIncarnationReply, made bool, err error) {
-	h, ok := d.delegateOf(l.Target)
+	h, ok := d.delegateFor(l.Target)
 	switch {
 	case !ok:
 		return r, false, nil
@@ -159,43 +160,45 @@
 
 // Start implements [leader.Workers].
 func (d *delegatedWorkers) Start(ctx context.Context, o leader.Start) leader.Reply {
-	h, ok := d.delegateOf(o.Target)
+	h, ok := d.delegateFor(o.Target)
 	if !ok {
 		return d.direct.Start(ctx, o)
 	}
-	if q, ok := d.startOf(h, o); ok {
-		limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead+specTimeout)
+	if q, ok := d.startByRef(h, o); ok {
+		callCtx, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead+specTimeout)
 		defer cancel()
-		r, made, err := callDelegate[startOfReply](limited, d, h, o.Target, methodStartOf, q)
+		r, made, err := callDelegate[startByRefReply](callCtx, d, h, o.Target, methodStartByRef, q)
 		switch {
 		case !made:
 			return d.direct.Start(ctx, o)
 		case err != nil || !r.NoSpec:
-			return d.replyTo(o.Target, r.Reply, err)
+			return d.processReply(o.Target, r.Reply, err)
 		}
 		d.specs.markFailed(q.Host, d.node.clock.Now())
 	}
-	limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead)
+	callCtx, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead)
 	defer cancel()
-	r, made, err := callDelegate[orderReply](limited, d, h, o.Target, methodStart, startRequestOf(o))
+	r, made, err := callDelegate[orderReply](callCtx, d, h, o.Target, methodStart, startRequestOf(o))
 	if !made {
 		return d.direct.Start(ctx, o)
 	}
-	return d.replyTo(o.Target, r, err)
+	return d.processReply(o.Target, r, err)
 }
 
 // Stop implements [leader.Workers].
 func (d *delegatedWorkers) Stop(ctx context.Context, o leader.Stop) leader.Reply {
-	limited, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead)
+	callCtx, cancel := context.WithTimeout(ctx, o.Timeout+delegateOverhead)
 	defer cancel()
-	r, made, err := callViaDelegate[orderReply](limited, d, o.Target, methodStop, stopRequestOf(o))
+	r, made, err := callViaDelegate[orderReply](callCtx, d, o.Target, methodStop, stopRequestOf(o))
 	if !made {
 		return d.direct.Stop(ctx, o)
 	}
-	return d.replyTo(o.Target, r, err)
+	return d.processReply(o.Target, r, err)
 }
 
-func (d *delegatedWorkers) replyTo(t leader.Target, r orderReply, err error) leader.Reply {
+// processReply records the outcome of an order that was sent through a delegate, and
+// returns the worker's reply.
+func (d *delegatedWorkers) processReply(t leader.Target, r orderReply, err error) leader.Reply {
 	if err != nil {
 		r = noAnswerReply(err)
 	}
--- a/node/delegated_test.go
+++ b/node/delegated_test.go
@@ -32,11 +32,11 @@
 }
 
 // submitMany submits jobs to hosts in turn and returns their ids.
-func (x *cell) submitMany(first, n int, at ...int) []string {
+func (x *cell) submitMany(first, n int, hosts ...int) []string {
 	var ids []string
 	for i := range n {
 		id := jobID(first + i)
-		r := x.call(at[i%len(at)], http.MethodPost, "/q/"+id, body)
+		r := x.call(hosts[i%len(hosts)], http.MethodPost, "/q/"+id, body)
 		x.c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%v", r))
 		ids = append(ids, id)
 	}
@@ -103,9 +103,9 @@
 }
 
 // Hosts, including the leader, are randomly paused or cut off from the store, from
-// workers and from each other, while orders are lost or delayed. No task may run in two
-// places or start after its end was acknowledged, no worker may receive more than it
-// has capacity for, and all jobs must be completed in the end.
+// workers and from each other, while orders are lost or delayed. No task may run on two
+// workers or start after its end was acknowledged, no worker may exceed its capacity, and
+// all jobs must be completed in the end.
 func TestNoDuplicateRunsWhileDelegatesFail(t *testing.T) {
 	for s := range uint64(12) {
 		t.Run(fmt.Sprint(s), func(t *testing.T) { testFailingDelegates(t, s) })
@@ -191,16 +191,16 @@
 	percent int
 }
 
-func (a *faultRate) set(share int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.percent = share
+func (f *faultRate) set(p int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.percent = p
 }
 
-func (a *faultRate) draw(r *rand.Rand) cellfake.OrderFault {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if r.IntN(100) >= a.percent {
+func (f *faultRate) draw(r *rand.Rand) cellfake.OrderFault {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if r.IntN(100) >= f.percent {
 		return cellfake.OrderOK
 	}
 	return cellfake.OrderLoseReply + cellfake.OrderFault(r.IntN(3))
@@ -223,9 +223,9 @@
 	}
 }
 
-// Workers restart under the same ids while delegates make all calls to them. Delegates must
-// report which incarnation answered: without its start time, the leader would mistake ends
-// reported by the new incarnation for those that it has already counted.
+// Workers restart under the same ids while delegates make all calls to them. Delegates
+// must report which incarnation answered: without its start time, the leader would mistake
+// ends reported by the new incarnation for ends that it has already counted.
 func TestDelegatesReportWorkerIncarnation(t *testing.T) {
 	const workers = 3
 	run(t, 4, workers, func(x *cell) {
--- a/node/delegatewire.go
+++ b/node/delegatewire.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// The types below carry calls to workers between hosts. They are encoded as arrays,
-// since a small link carries thousands of them a second.
+// The types below represent calls to workers between hosts. They are encoded as arrays,
+// without field names, since a small link transfers thousands of them a second.
 
 type wireTarget struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
@@ -250,9 +250,9 @@
 	return x
 }
 
-// A renewIncarnationReply is a renewReply with the start time of the incarnation that
-// answered. It is a separate type because hosts of earlier releases only decode arrays of
-// the length that they know.
+// A renewIncarnationReply is a renewReply with the start time of the worker incarnation
+// that answered. It is a separate type because hosts of earlier releases only decode
+// arrays of the length that they know.
 type renewIncarnationReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
@@ -260,8 +260,8 @@
 	Renew renewReply
 }
 
-// heartbeat returns the heartbeat that a worker's incarnation sent in response to a call made
-// at the given time.
+// heartbeat returns the heartbeat that a worker's incarnation sent in response to a call
+// made at the given time.
 func (r renewReply) heartbeat(l spoolsill.WorkerIncarnation, sent time.Time) sched.Heartbeat {
 	h := sched.Heartbeat{
 		WorkerIncarnation: l,
--- a/node/election.go
+++ b/node/election.go
@@ -17,9 +17,9 @@
 	// heartbeatInterval is the interval between heartbeats to the leader in cells of up
 	// to a hundred hosts; see callSpacing.
 	heartbeatInterval = 150 * time.Millisecond
-	// callSpacing is the average time between calls of all hosts together, both
-	// heartbeats to a healthy leader and reads of the row of a suspected one: 670 a
-	// second in total. A call costs both sides together 25 us of processor time
+	// callSpacing is the average time between calls of all hosts together: heartbeats
+	// to a healthy leader, or reads of the row of a suspected one. It results in at
+	// most 670 calls a second. A call costs both sides together 25 us of processor time
 	// (peer.BenchmarkCall). The store allows 2,000 reads a second, of which a new
 	// leader needs some.
 	callSpacing = 1500 * time.Microsecond
@@ -49,9 +49,10 @@
 	// that fail before they have read all jobs, as on hosts with saturated links: up to
 	// 16 times electionTimeout, 5.6 s.
 	maxBackoffDoublings = 4
-	// electionTimeoutGone replaces electionTimeout when the leader's process is gone,
-	// because its port refuses connections, or when it responds that it does not lead.
-	// A host that has just taken over needs a moment to learn that it leads.
+	// electionTimeoutGone replaces electionTimeout when the leader's port refuses
+	// connections, which means that its process is gone, or when the host responds that
+	// it does not lead or that the store refuses its writes. It is not zero because a
+	// host that has just taken over needs a moment to learn that it leads.
 	electionTimeoutGone = 150 * time.Millisecond
 	// staleWriteAge is the maximum age that a healthy leader may report for its latest
 	// write, extended by electionTimeoutWrites times its average write time.
@@ -65,8 +66,8 @@
 	// watchInterval is the interval between reads of the row of a suspected leader in
 	// cells of up to about seventy hosts.
 	watchInterval = 100 * time.Millisecond
-	// watchRetryDelay is the delay after a failed read. All hosts read at the same
-	// time, and calls have a cost even while the store is unreachable.
+	// watchRetryDelay is the delay after a failed read. All hosts read during the same
+	// period, and calls use processor time even while the store is unreachable.
 	watchRetryDelay = 250 * time.Millisecond
 	// maxTakeoverDelay is how long a host that is tiny compared with the largest one
 	// waits before it takes over; a host half as large waits half as long. It exceeds
@@ -83,15 +84,15 @@
 	// initialTakeoverDelay is how long a host with one core waits before any leader has
 	// reported the largest host; smaller hosts wait longer.
 	initialTakeoverDelay = 20 * time.Millisecond
-	// resignPeriod is how long a host that gave up the leadership because of overload
-	// adds resignTakeoverDelay to its takeover delay, so that others take over first.
+	// resignPeriod is how long a host that resigned because of overload adds
+	// resignTakeoverDelay to its takeover delay, so that others take over first.
 	resignPeriod        = 20 * time.Second
 	resignTakeoverDelay = time.Second
 	// takeoverTimeout limits one takeover attempt.
 	takeoverTimeout = 3 * time.Second
 )
 
-// elect monitors the leader, and leads when this host takes over, until ctx is done.
+// elect monitors the leader and takes over from it when necessary, until ctx is done.
 func (n *Node) elect(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.leaderHealthy(ctx) {
@@ -111,10 +112,10 @@
 	}
 	r, err := n.sendHeartbeat(ctx, h, n.leaderLatency.timeout(shortHeartbeatTimeout))
 	if errors.Is(err, context.DeadlineExceeded) {
-		return false // it may only be slow, which watchLeader determines
+		return false // the leader may only be slow, which watchLeader determines
 	}
 	ok := err == nil && r.confirmsLeader(h)
-	n.setLeaderLost(!ok)
+	n.setLeaderUnhealthy(!ok)
 	return ok
 }
 
@@ -123,8 +124,8 @@
 func (n *Node) watchLeader(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var at store.Version
-	var since time.Time
+	var lastVersion store.Version
+	var lastChange time.Time
 	first := true
 	var probe leaderProbe
 	for ctx.Err() == nil {
@@ -132,27 +133,27 @@
 		h, v, err := leader.ReadHead(ctx, n.store)
 		if err != nil {
 			// Other hosts may have reported who leads.
-			if probe.leaderHealthy(ctx, n, n.knownHead()) {
+			if probe.poll(ctx, n, n.knownHead()) {
 				return
 			}
 			pause.For(ctx, n.scaledInterval(watchRetryDelay))
 			continue
 		}
 		now := n.clock.Now()
-		read := now.Sub(begun)
-		if first || v != at {
-			at = v
-			since = n.unchangedSince(h, now)
+		readTime := now.Sub(begun)
+		if first || v != lastVersion {
+			lastVersion = v
+			lastChange = n.unchangedSince(h, now)
 		}
 		if n.updateHead(h) || first {
 			probe = leaderProbe{}
 		}
 		first = false
-		if probe.leaderHealthy(ctx, n, h) {
+		if probe.poll(ctx, n, h) {
 			return
 		}
-		waited := now.Sub(since)
-		expired := h.Released || v == 0 || waited >= n.electionTimeoutFor(h, &probe, read)
+		waited := now.Sub(lastChange)
+		expired := h.Released || v == 0 || waited >= n.electionTimeoutFor(h, &probe, readTime)
 		if expired && !n.takeoverAllowed(waited) {
 			pause.For(ctx, takeoverRecheckInterval)
 			continue
@@ -165,12 +166,13 @@
 			n.lead(ctx, h, v)
 			return
 		}
-		every := n.scaledInterval(watchInterval)
-		pause.For(ctx, every/2+rand.N(every))
+		interval := n.scaledInterval(watchInterval)
+		pause.For(ctx, interval/2+rand.N(interval))
 	}
 }
 
-// takeoverDelay returns how long this host waits for larger hosts to take over first.
+// takeoverDelay returns how long this host waits for larger hosts to take over first. A
+// host that has recently resigned waits longer.
 func (n *Node) takeoverDelay() time.Duration {
 	n.mu.Lock()
 	largest := n.maxCores
@@ -233,7 +235,7 @@
 // store that is slow, for the leader as well, from a leader that is cut off from it.
 // With a slow store a takeover does harm, since each attempt is one more write that
 // delays the leader's own.
-func (n *Node) electionTimeoutFor(h leader.Head, probe *leaderProbe, read time.Duration) time.Duration {
+func (n *Node) electionTimeoutFor(h leader.Head, probe *leaderProbe, readTime time.Duration) time.Duration {
 	if h.Host == n.settings.Host {
 		return 0 // an earlier incarnation of this host led
 	}
@@ -244,7 +246,7 @@
 	if probe.last.responds && n.health.losingResponses(n.clock.Now()) {
 		base = electionTimeoutLossy
 	}
-	return backoff(base, h) + max(electionTimeoutWrites*n.health.averageWrite(), electionTimeoutReads*read, n.leaderLatency.allowance())
+	return backoff(base, h) + max(electionTimeoutWrites*n.health.averageWrite(), electionTimeoutReads*readTime, n.leaderLatency.allowance())
 }
 
 // backoff returns the timeout d extended after failed leaderships: it is doubled for
@@ -327,13 +329,15 @@
 	return n.leaderHead
 }
 
-func (n *Node) setLeaderLost(lost bool) {
+// setLeaderUnhealthy records whether a heartbeat found the leader unhealthy, and logs
+// changes.
+func (n *Node) setLeaderUnhealthy(unhealthy bool) {
 	n.mu.Lock()
-	changed := n.leaderLost != lost
-	n.leaderLost = lost
+	changed := n.leaderUnhealthy != unhealthy
+	n.leaderUnhealthy = unhealthy
 	h := n.leaderHead
 	n.mu.Unlock()
 	if changed {
-		n.log.WithField("leader", string(h.Host)).WithField("answers", !lost).Info("leader's health changed")
+		n.log.WithField("leader", string(h.Host)).WithField("answers", !unhealthy).Info("leader's health changed")
 	}
 }
--- a/node/export_test.go
+++ b/node/export_test.go
@@ -13,53 +13,53 @@
 	PieceBytes      = pieceBytes
 )
 
-// Configs exports the configurations known to a host.
-type Configs struct {
-	configs *configs
+// ConfigTracker exports the configurations known to a host.
+type ConfigTracker struct {
+	tracker *configTracker
 }
 
-// NewConfigs returns the configurations of a host that has just started.
-func NewConfigs() Configs {
-	return Configs{
-		configs: newConfigs(),
+// NewConfigTracker returns the configurations of a host that has just started.
+func NewConfigTracker() ConfigTracker {
+	return ConfigTracker{
+		tracker: newConfigTracker(),
 	}
 }
 
 // Offer records that another host has a version of the given size.
-func (c Configs) Offer(v spoolsill.Version, size int, now time.Time) {
-	c.configs.recordOffer("other", configSummary{
+func (c ConfigTracker) Offer(v spoolsill.Version, size int, now time.Time) {
+	c.tracker.recordOffer("other", configSummary{
 		Version: v,
 		Size:    size,
 	}, now)
 }
 
 // Due reports whether a newer version is on offer and should be fetched now.
-func (c Configs) Due(now time.Time) bool {
-	_, due, ok := c.configs.nextFetch(now)
+func (c ConfigTracker) Due(now time.Time) bool {
+	_, due, ok := c.tracker.nextFetch(now)
 	return ok && due
 }
 
 // Set puts a version in force.
-func (c Configs) Set(v spoolsill.Version, now time.Time) {
-	c.configs.set(knownConfig{
+func (c ConfigTracker) Set(v spoolsill.Version, now time.Time) {
+	c.tracker.set(knownConfig{
 		version: v,
 	}, now)
 }
 
 // SetFeedInvalid records that the last configuration from the store could not be
 // decoded.
-func (c Configs) SetFeedInvalid() {
-	c.configs.setFeedInvalid(true)
+func (c ConfigTracker) SetFeedInvalid() {
+	c.tracker.setFeedInvalid(true)
 }
 
 // Confirm records that the store has delivered all changes before now.
-func (c Configs) Confirm(now time.Time) {
-	c.configs.confirm(now)
+func (c ConfigTracker) Confirm(now time.Time) {
+	c.tracker.confirm(now)
 }
 
 // Confirmed reports whether all changes before some time are known.
-func (c Configs) Confirmed(now time.Time) bool {
-	_, ok := c.configs.age(now)
+func (c ConfigTracker) Confirmed(now time.Time) bool {
+	_, ok := c.tracker.age(now)
 	return ok
 }
 
--- a/node/fetchconfig.go
+++ b/node/fetchconfig.go
@@ -13,9 +13,10 @@
 )
 
 const (
-	// feedGracePeriod is how long a configuration larger than a piece is left to the
-	// feed, which delivers it from the store within a second unless the link is
-	// saturated. Fetching the same document a second time would take half of the link.
+	// feedGracePeriod is how long a host waits for the feed to deliver a configuration
+	// larger than a piece before it fetches the configuration from another host. The
+	// feed takes less than a second unless the link is saturated, and fetching the same
+	// document a second time would use half of the link.
 	feedGracePeriod = time.Second
 	// pieceTimeout limits one piece request: several times what a link of 2 Mbit/s
 	// needs.
@@ -25,9 +26,9 @@
 	maxFetchDelay = 500 * time.Millisecond
 )
 
-// A configSummary describes a host's configuration to other hosts. It is small enough
-// to be part of heartbeats. The document is not: it occupies a link of 10 Mbit/s for a
-// second, and heartbeats time out after a tenth of that.
+// A configSummary describes a host's configuration to other hosts. It is part of
+// heartbeats, unlike the document, which may occupy a link of 10 Mbit/s for a second while
+// heartbeats time out after a tenth of that.
 type configSummary struct {
 	Version spoolsill.Version
 	// Size is the size of the document in bytes.
@@ -39,7 +40,7 @@
 }
 
 // summary returns the summary that is sent to other hosts.
-func (c *configs) summary(now time.Time) configSummary {
+func (c *configTracker) summary(now time.Time) configSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropExpired(now)
@@ -52,12 +53,12 @@
 }
 
 // confirmFromHost records a host's reply to a call sent at the given time. If that host
-// has no newer version than this one, all changes before sent minus x.Age are known.
-func (c *configs) confirmFromHost(x configSummary, sent time.Time) {
+// has no newer version than this one, all changes before sent minus s.Age are known.
+func (c *configTracker) confirmFromHost(s configSummary, sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if x.Heard && x.Version <= c.latest.version {
-		c.confirmLocked(sent.Add(-x.Age))
+	if s.Heard && s.Version <= c.latest.version {
+		c.confirmLocked(sent.Add(-s.Age))
 	}
 }
 
@@ -70,23 +71,23 @@
 
 // recordOffer records the configuration of another host. If several are newer than this
 // host's own, the newest one is kept.
-func (c *configs) recordOffer(h spoolsill.HostID, x configSummary, now time.Time) {
+func (c *configTracker) recordOffer(h spoolsill.HostID, s configSummary, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if x.Version <= c.latest.version || x.Version <= c.rejected {
+	if s.Version <= c.latest.version || s.Version <= c.rejected {
 		return
 	}
 	if c.newestKnown <= c.latest.version {
 		c.behindSince = now
 	}
-	c.newestKnown = max(c.newestKnown, x.Version)
-	if x.Version < c.offer.version {
+	c.newestKnown = max(c.newestKnown, s.Version)
+	if s.Version < c.offer.version {
 		return
 	}
 	c.offer = offer{
 		host:    h,
-		version: x.Version,
-		size:    x.Size,
+		version: s.Version,
+		size:    s.Size,
 	}
 	select {
 	case c.offerSignal <- struct{}{}:
@@ -94,9 +95,9 @@
 	}
 }
 
-// withdrawOffer removes an offer whose host failed to deliver it, so that another host
-// is asked even if its version is older.
-func (c *configs) withdrawOffer(o offer) {
+// withdrawOffer removes an offer whose host failed to deliver it, so that offers of other
+// hosts are accepted even if their versions are older.
+func (c *configTracker) withdrawOffer(o offer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.offer == o {
@@ -105,7 +106,7 @@
 }
 
 // reject records that a fetched version could not be decoded.
-func (c *configs) reject(v spoolsill.Version) {
+func (c *configTracker) reject(v spoolsill.Version) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rejected = max(c.rejected, v)
@@ -113,7 +114,7 @@
 
 // nextFetch returns the offer of a newer configuration, if there is one, and whether it
 // should be fetched now.
-func (c *configs) nextFetch(now time.Time) (o offer, due, ok bool) {
+func (c *configTracker) nextFetch(now time.Time) (o offer, due, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o = c.offer
@@ -210,7 +211,7 @@
 	}
 	f.delay = min(max(2*f.delay, minFetchDelay), maxFetchDelay)
 	if f.delay == maxFetchDelay && o.version < f.partial.version {
-		f.partial = partialConfig{} // no host offers the rest, so accept an older version
+		f.partial = partialConfig{} // no host offers the remaining pieces, so accept an older version
 	}
 	pause.For(ctx, f.delay/2+rand.N(f.delay))
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -16,9 +16,9 @@
 	return r.Leads && r.Epoch == h.Epoch && !r.refusedByStore() && r.Age < staleWriteAge+min(electionTimeoutWrites*r.UsualWrite, maxStaleExtension)
 }
 
-// refusedByStore reports whether the store has refused the leader's writes for longer
-// than a moment. A store that is merely slow refuses a write when too many are pending,
-// and does not count.
+// refusedByStore reports whether the store has refused the leader's writes for at least
+// maxStoreRefusal. A store that is merely slow does not count: it refuses a write when
+// too many are pending.
 func (r heartbeatReply) refusedByStore() bool {
 	return r.Refused >= maxStoreRefusal && r.UsualWrite < slowWriteThreshold
 }
@@ -73,18 +73,18 @@
 const loadingTTL = time.Second
 
 // leaderIsLoading reports whether the leader has recently reported that it is loading.
-// Querying it for jobs, or notifying it of them, would only take bandwidth from its
-// reads.
+// Queries for jobs and notifications of them are useless to such a leader and would only
+// take bandwidth from its reads.
 func (n *Node) leaderIsLoading() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.leaderLoading.epoch == n.leaderHead.Epoch && !n.leaderLoading.at.IsZero() && n.clock.Since(n.leaderLoading.at) < loadingTTL
+	return n.leaderLoading.epoch == n.leaderHead.Epoch && !n.leaderLoading.reportedAt.IsZero() && n.clock.Since(n.leaderLoading.reportedAt) < loadingTTL
 }
 
 // A loadingReport records when a leader last reported that it is loading.
 type loadingReport struct {
-	epoch spoolsill.Epoch
-	at    time.Time // zero if the last reply did not report it
+	epoch      spoolsill.Epoch
+	reportedAt time.Time // zero if the last reply did not report it
 }
 
 func newLoadingReport(r heartbeatReply, now time.Time) loadingReport {
@@ -92,8 +92,8 @@
 		return loadingReport{}
 	}
 	return loadingReport{
-		epoch: r.Epoch,
-		at:    now,
+		epoch:      r.Epoch,
+		reportedAt: now,
 	}
 }
 
@@ -104,8 +104,9 @@
 	writes uint64
 }
 
-// unchangedSince returns since when a row that has just been read is unchanged: since
-// the write that the leader reported, if it is still that one.
+// unchangedSince returns the time since which a row that has just been read is known to be
+// unchanged: the start of the latest write reported by the leader if the row is from that
+// write, and now otherwise.
 func (n *Node) unchangedSince(h leader.Head, now time.Time) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,7 +121,7 @@
 }
 
 // A leaderProbe sends heartbeats to the leader while its row is being read, without
-// blocking the reads when the leader is silent.
+// blocking the reads when the leader does not respond.
 type leaderProbe struct {
 	result chan probeResult
 	last   probeResult
@@ -128,16 +129,17 @@
 
 type probeResult struct {
 	healthy bool
-	gone    bool
+	// gone is set if the leader's process is gone, or responds that it does not lead.
+	gone bool
 	// responds is set if the leader responds and leads, whether or not it is healthy.
 	responds bool
 	// refusedByStore is set if it also reports that the store refuses its writes.
 	refusedByStore bool
 }
 
-// leaderHealthy starts a call unless one is in progress, and reports whether the latest
+// poll sends a heartbeat unless one is in progress, and reports whether the latest
 // completed one found the leader healthy.
-func (p *leaderProbe) leaderHealthy(ctx context.Context, n *Node, h leader.Head) bool {
+func (p *leaderProbe) poll(ctx context.Context, n *Node, h leader.Head) bool {
 	if h.Host == n.settings.Host || h.Host == "" || h.Released {
 		return false
 	}
@@ -149,14 +151,13 @@
 	select {
 	case p.last = <-p.result:
 		p.result = nil
-		n.setLeaderLost(!p.last.healthy)
+		n.setLeaderUnhealthy(!p.last.healthy)
 	default:
 	}
 	return p.last.healthy
 }
 
-// probeWait is how long to wait for the response of a leader that is up: several round
-// trips.
+// probeWait is how long poll waits for the response to a heartbeat: several round trips.
 const probeWait = 15 * time.Millisecond
 
 func (n *Node) probeLeader(ctx context.Context, h leader.Head) probeResult {
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -18,9 +18,9 @@
 
 const (
 	// submitTimeFraction is the fraction of a client's remaining time for which a host
-	// tries to store a job before it tells the client to retry. It is long enough for a
-	// lost response or a slow store, and well under half, so that a client whose host
-	// is cut off can still be served by another one.
+	// tries to store a job before it tells the client to retry. It allows for a lost
+	// response or a slow store, and is well under half, so that a client whose host is
+	// cut off can still be served by another one.
 	submitTimeFraction = 0.4
 	// writeRetryDelay is the delay before retrying a write that the store refused.
 	writeRetryDelay = 60 * time.Millisecond
@@ -29,9 +29,9 @@
 	storeDownBudget = 300 * time.Millisecond
 	// leaderQueryTimeout limits one query to the leader.
 	leaderQueryTimeout = 250 * time.Millisecond
-	// settleTimeout is how long the leader waits to establish that a job does not
-	// exist. It is less than leaderQueryTimeout. A feed with changes responds about
-	// fifteen times a second, an idle feed once.
+	// settleTimeout is how long the leader waits for its feed to establish that an
+	// unknown job does not exist. It is less than leaderQueryTimeout. A feed with changes
+	// responds about fifteen times a second, an idle feed once.
 	settleTimeout = 180 * time.Millisecond
 	// maxConcurrentCancels limits the cancel marks written at once. While the store
 	// loses responses, each of them occupies a connection for a second, which the
@@ -57,8 +57,8 @@
 	return retryAfter
 }
 
-// Submit implements [platform.JobService]. It stores a job, or forwards it to the leader when
-// this host cannot write to the store.
+// Submit implements [platform.JobService]. It stores a job, or forwards it to the leader
+// if this host cannot write to the store.
 func (n *Node) Submit(ctx context.Context, j sched.Job) (platform.Outcome, error) {
 	if err := n.checkAdmission(); err != nil {
 		return platform.Unavailable, err
@@ -142,7 +142,7 @@
 	}()
 }
 
-// submitFailed logs why a job was not stored, or is not known to be, and returns the
+// submitFailed logs that a job was not stored, or may not have been, and returns the
 // outcome.
 func (n *Node) submitFailed(ctx context.Context, j sched.Job, mayBeStored bool, tries int, begun time.Time, err error) (platform.Outcome, error) {
 	now := n.clock.Now()
@@ -167,6 +167,7 @@
 	return platform.Unavailable
 }
 
+// submitOnce makes one attempt to store a job, directly or through the leader.
 func (n *Node) submitOnce(ctx context.Context, j sched.Job) (jobstore.Outcome, error) {
 	o := jobstore.Refused
 	var err error
@@ -225,11 +226,11 @@
 // unreachable.
 var errStoreUnreachable = errors.New("node: store is unreachable")
 
-// errTooManyLookups is returned when too many store lookups are in progress.
+// errTooManyLookups is returned if maxConcurrentLookups lookups are in progress.
 var errTooManyLookups = errors.New("node: too many job lookups in the store")
 
-// State implements [platform.JobService]. It queries the leader, and the store if the leader
-// does not know or does not respond.
+// State implements [platform.JobService]. It queries the leader, and reads the store if
+// the leader does not know the job or does not respond.
 func (n *Node) State(ctx context.Context, id spoolsill.JobID) (sched.JobStatus, platform.Outcome, error) {
 	if r, err := n.queryLeaderState(ctx, id); err == nil && (r.Known || r.Sure) {
 		return sched.JobStatus{
@@ -352,7 +353,7 @@
 	if err := jobstore.Cancel(ctx, n.store, n.partition(), id); err != nil {
 		return platform.Unknown, err
 	}
-	// The leader's feed may be silent for seconds, and the tasks would keep running
+	// The leader's feed may deliver nothing for seconds, and the tasks would keep running
 	// meanwhile.
 	n.notifyLeader(ctx, id, jobstore.CancelRow(n.partition(), id))
 	return platform.Done, nil
--- a/node/largeconfig_test.go
+++ b/node/largeconfig_test.go
@@ -16,9 +16,9 @@
 const (
 	// smallLink is the capacity of a link of 10 Mbit/s in bytes a second.
 	smallLink = 1_250_000
-	// manyRoutes is the number of routes of a configuration that takes 1.4 MB as the
-	// store sends it. Over such a link that takes 1.2 s: more than most calls of the
-	// feed have left.
+	// manyRoutes is the number of routes of a configuration that takes 1.4 MB in the
+	// encoding of the store. Its transfer over smallLink takes 1.2 s, which is more than
+	// most calls of the feed have left.
 	manyRoutes      = 6000
 	manyRoutesBytes = 1_470_000
 	// inForce is how soon after its acknowledgement a configuration must be in force on
@@ -50,22 +50,17 @@
 	return fmt.Sprintf("/r%05d/", i)
 }
 
-// Guards against a large configuration that never arrives over small links. With 4,245
-// routes, hosts on links of 10 Mbit/s still answered 404 for them more than 3 s after
-// the configuration was confirmed, and kept reading for at least 45 s without
-// completing it.
+// Guards against a large configuration that is never completely received over small
+// links. With 4,245 routes (1,026 KB, 0.8 s over 10 Mbit/s), all 37 hosts on such links,
+// and none of the 6 others, lost the configuration feed after 1.0 s and did not regain it.
+// They still answered 404 for the routes more than 3 s after the configuration was
+// confirmed, and had not received it completely after 45 s.
 //
-// The document was 1,026 KB, 0.8 s on such a link. Replies to heartbeats, sent every
-// 0.15 s, also contained the whole configuration, 0.8 MB. A host gave up waiting for a
-// reply after 0.08 s and sent another heartbeat, but the replies still arrived and
-// saturated its link. The call of the feed therefore exceeded its limit of one second
-// and was restarted from the first byte, indefinitely.
-//
-// The causes were transfers limited by a total time instead of by progress, restarted
-// without the part already received, and a document inside a heartbeat. All 37 hosts
-// with small links logged "configuration feed lost" after 1.0 s and never "regained",
-// while none of the 6 others did. Each of them received 1,150 KB in every second of
-// those 45 s, and the leader sent 23 MB a second instead of 0.8 MB.
+// Replies to heartbeats, sent every 0.15 s, contained the whole configuration, 0.8 MB. A
+// host gave up on a reply after 0.08 s and sent another heartbeat, but the replies still
+// arrived and saturated its link: each such host received 1,150 KB a second, and the
+// leader sent 23 MB a second instead of 0.8 MB. The feed's call was limited to a total of
+// 1 s regardless of progress, and each retry discarded the part already received.
 func TestLargeConfigurationOverSmallLinks(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
 		for i := range x.hosts {
@@ -81,8 +76,8 @@
 			x.servesOnAll(routePrefix(manyRoutes + i - 1))
 			pause.For(x.ctx, 230*time.Millisecond)
 		}
-		// Each configuration must come from the store, and almost none of it may be
-		// transferred twice, which would take half of a link.
+		// Hosts must receive each configuration from the store, and hardly any of it
+		// twice, which would use half of a link.
 		for i, h := range x.hosts {
 			if i == x.leader() {
 				continue
--- a/node/leaderconfig.go
+++ b/node/leaderconfig.go
@@ -9,8 +9,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// orderMargin is how long an order may be in flight since the worker's free capacity was
-// last read: two attempts of a start under normal conditions.
+// orderMargin is subtracted from the maximum age of the workers' entries, since an order
+// may be in flight for that long: two attempts of a start under normal conditions.
 const orderMargin = 500 * time.Millisecond
 
 const (
@@ -24,9 +24,9 @@
 	// behind them for 2 s on a link of 2 Mbit/s. Other hosts took over before it had
 	// read all jobs, and the same happened to each subsequent leader.
 	readLinkTime = 150 * time.Millisecond
-	// rowShare is the fraction of a write's bytes that is row data before base64 and
-	// JSON encoding.
-	rowShare = 0.6
+	// rowDataFraction is the fraction of a write's bytes that is row data before base64
+	// and JSON encoding.
+	rowDataFraction = 0.6
 )
 
 // newLeader returns a leader that writes to c, a newly acquired chain.
@@ -50,7 +50,7 @@
 			FarFactor:  b.FarFactor,
 			EntriesAge: max(b.RoomKnown-orderMargin, 0),
 
-			BatchBytes: int(batchLinkTime.Seconds() * float64(n.settings.LinkRate) * rowShare),
+			BatchBytes: int(batchLinkTime.Seconds() * float64(n.settings.LinkRate) * rowDataFraction),
 
 			ConfigInForce: cmp.Or(b.ConfigInForce, defaultConfigInForce),
 		},
--- a/node/leaderlatency.go
+++ b/node/leaderlatency.go
@@ -9,15 +9,15 @@
 	// latencyFactor times the average latency is the time after which a response was
 	// most likely lost or the leader is gone.
 	latencyFactor = 4
-	// maxLatencyAllowance limits the extra wait for a slow leader to half of the time
-	// that clients wait.
+	// maxLatencyAllowance limits the extra time that hosts wait for a slow leader to
+	// half of the time that clients wait.
 	maxLatencyAllowance = 1500 * time.Millisecond
 )
 
 // A leaderLatency tracks the latency of the leader's heartbeat responses, so that
 // timeouts adapt to a slow leader. When a leader's link is saturated, its responses and
 // writes are late. With fixed timeouts another host would take over and read all jobs
-// again over a link that is just as full. Increasing latency extends the timeouts; a
+// again over a link that is equally saturated. Increasing latency extends the timeouts; a
 // leader that stops responding does not. It is safe for concurrent use.
 type leaderLatency struct {
 	mu      sync.Mutex
@@ -29,11 +29,11 @@
 func (l *leaderLatency) observe(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	weight := time.Duration(8)
+	divisor := time.Duration(8)
 	if d > l.average {
-		weight = 2
+		divisor = 2
 	}
-	l.average += (d - l.average) / weight
+	l.average += (d - l.average) / divisor
 }
 
 // reset discards the average when another leader takes over, which is assumed to be
--- a/node/loading_test.go
+++ b/node/loading_test.go
@@ -61,8 +61,8 @@
 // Guards against queries and notifications to a leader that is still loading. After a
 // power loss, a leader read 1,300 jobs over a link of 2 Mbit/s while the other hosts
 // notified it of each new job and queried it for each state, about 130 calls a second.
-// It can use neither, since it reads every job from the store and knows no state yet,
-// and clients waited in vain until their host queried the store.
+// Such a leader can use neither, since it reads every job from the store and knows no
+// state yet, and clients waited for the failed query before their host queried the store.
 func TestLoadingLeaderIsNotQueried(t *testing.T) {
 	const hosts = 12
 	run(t, hosts, 8, func(x *cell) {
--- a/node/node.go
+++ b/node/node.go
@@ -31,8 +31,8 @@
 
 const (
 	// drainDelay is how long a stopping host keeps accepting connections. It covers two
-	// of the balancer's readiness probes, one a second, so that the balancer has seen
-	// the host report that it is not ready.
+	// of the balancer's readiness probes, one a second, so that the balancer has learned
+	// that the host is not ready.
 	drainDelay = 2200 * time.Millisecond
 	// releaseTimeout limits how long releasing the leadership may take.
 	releaseTimeout = time.Second
@@ -50,9 +50,9 @@
 	retentionFactor = 2
 	// maxLease is the longest lease that is requested. Tasks of a lost worker restart
 	// elsewhere when its lease expires, and after twice that time following a takeover:
-	// with 10 s, long-running work stood still for 26 s. Without a successful write,
-	// leases last twice as long: with 5 s, a store outage of 5.6 s terminated running
-	// work and cost 1.2% of a day's worth.
+	// with 10 s, long-running tasks were interrupted for 26 s. Without a successful
+	// write, leases last twice as long: with 5 s, a store outage of 5.6 s terminated
+	// running tasks and cost 1.2% of the total worth of a day's jobs.
 	maxLease = 7 * time.Second
 	// settleTime is how long a new leader waits for workers to answer: 35 of 35 workers
 	// answered within 60 ms. Without the wait, work started 0.65 s later after a
@@ -107,24 +107,24 @@
 	pieceLimiter *rate.Limiter // limits the configuration pieces sent to other hosts
 
 	leaderLatency leaderLatency
-	configs       *configs
+	configs       *configTracker
 	hosts         hostList
 	// specs caches the specs of jobs that this host accepted or starts as a delegate.
 	specs       specCache
 	specFetches singleflight.Group // of specs, by job
 	stopping    atomic.Bool
 
-	mu           sync.Mutex
-	activeLeader *leader.Leader
-	leaderHead   leader.Head // latest known
-	leaderLost   bool        // the leader in leaderHead does not respond
+	mu              sync.Mutex
+	activeLeader    *leader.Leader
+	leaderHead      leader.Head // latest known
+	leaderUnhealthy bool        // according to the latest completed heartbeat
 	// lastLeaderWrite is the latest write reported by a leader, begun at
 	// lastLeaderWriteBegun.
 	lastLeaderWrite      leaderWrite
 	lastLeaderWriteBegun time.Time
-	// refusalReported is the latest write of this host's leadership at the time it last
-	// reported that the store refuses its writes.
-	refusalReported leaderWrite
+	// reportedRefusal identifies the latest successful write of this host's leadership
+	// when the host last reported that the store refuses its writes.
+	reportedRefusal leaderWrite
 	// maxCores is the processor capacity of the largest host, as reported by a
 	// leader.
 	maxCores float64
@@ -135,7 +135,7 @@
 	leaderLoading loadingReport
 	// hostCount is the number of hosts reported by a leader; 0 if none has.
 	hostCount int
-	// resignedAt is when this host last gave up the leadership because it was
+	// resignedAt is when this host last resigned from the leadership because it was
 	// overloaded.
 	resignedAt time.Time
 	// fitness tracks whether this host should keep the leadership.
@@ -172,7 +172,7 @@
 		metrics:      c.Metrics,
 		traffic:      t,
 		metricsPort:  c.MetricsPort,
-		configs:      newConfigs(),
+		configs:      newConfigTracker(),
 		notifySlots:  semaphore.NewWeighted(maxConcurrentNotifications),
 		cancelSlots:  semaphore.NewWeighted(maxConcurrentCancels),
 		lookupSlots:  semaphore.NewWeighted(maxConcurrentLookups),
@@ -262,7 +262,7 @@
 
 // Run serves until ctx is done and then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	ls, err := n.listenAll()
 	if err != nil {
@@ -276,18 +276,18 @@
 	fetcher := &configFetcher{
 		node: n,
 	}
-	g, work := errgroup.WithContext(work)
+	g, runCtx := errgroup.WithContext(runCtx)
 	g.Go(func() error { return serve(server, n.traffic.Listener(traffic.Callers, ls.clients)) })
 	g.Go(func() error { return serve(balancer, ls.balancer) })
-	g.Go(func() error { return n.peers.Serve(work, ls.hosts) })
-	g.Go(func() error { n.followConfig(work); return nil })
-	g.Go(func() error { n.learnFromPeers(work); return nil })
-	g.Go(func() error { fetcher.run(work); return nil })
-	g.Go(func() error { n.jobs.Run(work); return nil })
-	g.Go(func() error { n.serveMetrics(work); return nil })
-	g.Go(func() error { n.logSuspensions(work); return nil })
-	g.Go(func() error { n.logTraffic(work); return nil })
-	electionCtx, stopElection := context.WithCancel(work)
+	g.Go(func() error { return n.peers.Serve(runCtx, ls.hosts) })
+	g.Go(func() error { n.followConfig(runCtx); return nil })
+	g.Go(func() error { n.learnFromPeers(runCtx); return nil })
+	g.Go(func() error { fetcher.run(runCtx); return nil })
+	g.Go(func() error { n.jobs.Run(runCtx); return nil })
+	g.Go(func() error { n.serveMetrics(runCtx); return nil })
+	g.Go(func() error { n.logSuspensions(runCtx); return nil })
+	g.Go(func() error { n.logTraffic(runCtx); return nil })
+	electionCtx, stopElection := context.WithCancel(runCtx)
 	defer stopElection()
 	electionDone := make(chan struct{})
 	g.Go(func() error {
@@ -302,7 +302,7 @@
 	}).Info("host started")
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
+	case <-runCtx.Done():
 		cancel()
 		return g.Wait()
 	}
@@ -328,7 +328,7 @@
 	defer t.Stop()
 	<-t.C
 	if err := clients.Shutdown(ctx); err != nil {
-		n.log.WithError(err).Warn("requests were cut off")
+		n.log.WithError(err).Warn("requests in flight were aborted by the shutdown")
 	}
 	select {
 	case <-electionDone:
@@ -386,20 +386,20 @@
 	return n.activeLeader
 }
 
-// reachableLeader returns the leading host if it is another one that is known to
-// respond.
+// reachableLeader returns the leading host if it is another one, unless the latest
+// completed heartbeat found the leader unhealthy.
 func (n *Node) reachableLeader() (spoolsill.HostID, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leaderHead.Host == "" || n.leaderHead.Released || n.leaderLost || n.leaderHead.Host == n.settings.Host {
+	if n.leaderHead.Host == "" || n.leaderHead.Released || n.leaderUnhealthy || n.leaderHead.Host == n.settings.Host {
 		return "", false
 	}
 	return n.leaderHead.Host, true
 }
 
 // lastKnownLeader returns the last known leader if it is another host, whether or not
-// it responds. If it still leads and its feed delivers nothing, it learns of a job in
-// no other way.
+// it responds. If it still leads and its feed delivers nothing, it learns of a job only
+// from this host's notification.
 func (n *Node) lastKnownLeader() (spoolsill.HostID, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -445,7 +445,7 @@
 	n.metrics.RegisterTraffic(n.traffic.Counts)
 	n.metrics.RegisterGauge("spoolsill.peer.handling", "calls of other hosts that are not answered yet", func() int64 { return int64(n.peers.InFlight()) })
 	n.metrics.RegisterGauge("spoolsill.delegates", "hosts that make calls to workers for this one, while it leads", func() int64 { all, _ := n.delegated.counts(); return int64(all) })
-	n.metrics.RegisterGauge("spoolsill.delegates.resting", "of them, those that left a call unanswered and are passed over", func() int64 { _, resting := n.delegated.counts(); return int64(resting) })
+	n.metrics.RegisterGauge("spoolsill.delegates.resting", "of them, those that left a call unanswered and are passed over", func() int64 { _, avoided := n.delegated.counts(); return int64(avoided) })
 	n.metrics.RegisterGauge("spoolsill.tasks.suspect", "tasks under which workers went and that are not cleared, at the leader", func() int64 { tasks, _ := n.suspects(); return tasks })
 	n.metrics.RegisterGauge("spoolsill.workers.crashed", "machines whose workers crashed in the last minute, at the leader", func() int64 { _, crashed := n.suspects(); return crashed })
 	n.metrics.RegisterGauge("spoolsill.workers.unclear", "workers' entries that can't be understood, at the leader", n.invalidWorkerEntries)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -43,7 +43,8 @@
 	Place: "platform",
 }
 
-// A cell is a set of hosts on an in-memory network, with stand-ins for the platform.
+// A cell is a set of hosts on an in-memory network, with fakes of the store, the advisor
+// and the workers.
 type cell struct {
 	c       *qt.C
 	ctx     context.Context
@@ -55,7 +56,7 @@
 	link    spoolsill.Bytes // of the hosts started next, in bytes a second; 0 means smallLink
 	cancel  context.CancelFunc
 	running sync.WaitGroup // hosts
-	serving sync.WaitGroup // stand-ins
+	serving sync.WaitGroup // fakes
 	client  *http.Client
 }
 
@@ -233,7 +234,7 @@
 	x.running.Go(func() { h.err <- n.Run(ctx) })
 }
 
-// end stops all hosts and stand-ins.
+// end stops all hosts and fakes.
 func (x *cell) end() {
 	x.client.CloseIdleConnections()
 	for _, h := range x.hosts {
@@ -418,7 +419,7 @@
 }
 
 // While the store is unreachable no job can be accepted. Clients must be told at once
-// to retry, and never that the job did not run and will not run.
+// to retry, and never that the job will certainly not run.
 func TestUnreachableStoreIsReportedAtOnce(t *testing.T) {
 	run(t, 2, 1, func(x *cell) {
 		x.store.SetUnavailable(true)
--- a/node/notify_test.go
+++ b/node/notify_test.go
@@ -15,8 +15,8 @@
 // strictest known deployment: 3 s, and 0.2 s for the stop itself.
 const cancelBound = 3200 * time.Millisecond
 
-// A worker is paused when it receives the starts of a job's tasks and starts them once
-// it resumes. At that moment the leader is removed, and the job is cancelled at another
+// A worker that is paused while it receives the starts of a job's tasks starts them when
+// it resumes. At that moment the leader is paused, and the job is cancelled at another
 // host while there is no leader. The tasks must still be stopped in time.
 func TestLateStartsOfRemovedLeaderAreStopped(t *testing.T) {
 	run(t, 3, 1, func(x *cell) {
--- a/node/peers.go
+++ b/node/peers.go
@@ -33,16 +33,17 @@
 	methodRenewIncarnation = "renewlife"
 	methodStart            = "start"
 	methodStop             = "stop"
-	methodStartOf          = "startof"
+	methodStartByRef       = "startof"
 	methodSpec             = "spec"
 )
 
-// hostSilenceTimeout is how recently a host must have sent a heartbeat for the leader
-// to use it for calls to workers and the advisor. It is at least silenceHeartbeats
-// intervals, which are longer in cells with many hosts.
 const (
+	// hostSilenceTimeout is how recently a host must have sent a heartbeat for the leader
+	// to use it for calls to workers and the advisor.
 	hostSilenceTimeout = 900 * time.Millisecond
-	silenceHeartbeats  = 3
+	// minSilenceIntervals is the minimum of that time in heartbeat intervals, which are
+	// longer in cells with many hosts.
+	minSilenceIntervals = 3
 )
 
 type heartbeatRequest struct {
@@ -168,7 +169,7 @@
 	peer.Handle(n.peers, methodRenewIncarnation, n.handleRenewIncarnation)
 	peer.Handle(n.peers, methodStart, n.handleStart)
 	peer.Handle(n.peers, methodStop, n.handleStop)
-	peer.Handle(n.peers, methodStartOf, n.handleStartOf)
+	peer.Handle(n.peers, methodStartByRef, n.handleStartByRef)
 	peer.Handle(n.peers, methodSpec, n.handleSpec)
 }
 
@@ -176,14 +177,14 @@
 	n.peers.SetAddress(c.Host, q.Address)
 	now := n.clock.Now()
 	n.hosts.record(c.Host, hostInfo{
-		lastHeartbeat: now,
-		cores:         q.Cores,
-		hall:          q.Hall,
-		delegate:      q.Delegate,
-		specs:         q.Specs,
-		storedSpecs:   q.StoredSpecs,
-		incarnations:  q.Lives,
-		address:       q.Address,
+		lastHeartbeat:     now,
+		cores:             q.Cores,
+		hall:              q.Hall,
+		isDelegate:        q.Delegate,
+		cachesSpecs:       q.Specs,
+		readsSpecs:        q.StoredSpecs,
+		sendsIncarnations: q.Lives,
+		address:           q.Address,
 	})
 	n.configs.recordOffer(c.Host, q.Held, now)
 	r := heartbeatReply{
@@ -198,11 +199,11 @@
 		r.Writes = writes
 		r.UsualWrite = n.health.averageWrite()
 		r.Refused = n.health.refusedFor(n.clock.Now())
-		n.recordStoreRefusal(r)
+		n.recordReportedRefusal(r)
 		r.MostCores = max(n.hosts.maxCores(), n.settings.Cores)
 		r.Hosts = n.hosts.count() + 1
 		r.Loading = !l.Loaded()
-		s := n.measuredShed(now, l)
+		s := n.updateShed(now, l)
 		r.Refuse = s.share
 		r.AnswerLatency = s.latency
 	}
@@ -233,16 +234,16 @@
 	}, nil
 }
 
-// recordStoreRefusal records that this host has reported to another one that the store
-// refuses its writes. Other hosts may take over from then on, until its next write
-// succeeds.
-func (n *Node) recordStoreRefusal(r heartbeatReply) {
+// recordReportedRefusal records that this host has reported to another one that the
+// store refuses its writes, if r does so. Other hosts may take over from then on, until
+// its next write succeeds.
+func (n *Node) recordReportedRefusal(r heartbeatReply) {
 	if !r.refusedByStore() {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.refusalReported = leaderWrite{
+	n.reportedRefusal = leaderWrite{
 		epoch:  r.Epoch,
 		writes: r.Writes,
 	}
@@ -261,7 +262,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.clock.Since(begun) < electionTimeout && n.refusalReported != w
+	return n.clock.Since(begun) < electionTimeout && n.reportedRefusal != w
 }
 
 func (n *Node) handleWaiting(_ context.Context, _ peer.Caller, q waitingRequest) (waitingReply, error) {
@@ -313,10 +314,10 @@
 	}, err
 }
 
-// silenceCutoff returns the time since which hosts must have sent a heartbeat to count
-// as alive.
+// silenceCutoff returns the time at or after which a host must have sent a heartbeat to
+// count as alive.
 func (n *Node) silenceCutoff(now time.Time) time.Time {
-	return now.Add(-max(hostSilenceTimeout, silenceHeartbeats*n.scaledInterval(heartbeatInterval)))
+	return now.Add(-max(hostSilenceTimeout, minSilenceIntervals*n.scaledInterval(heartbeatInterval)))
 }
 
 // isConnRefused reports whether a call failed because nothing listens at the remote
@@ -332,23 +333,23 @@
 }
 
 type hostInfo struct {
-	lastHeartbeat time.Time
-	cores         float64
-	hall          spoolsill.HallID
-	delegate      bool
-	specs         bool
-	storedSpecs   bool
-	incarnations  bool
-	address       string
+	lastHeartbeat     time.Time
+	cores             float64
+	hall              spoolsill.HallID
+	isDelegate        bool
+	cachesSpecs       bool
+	readsSpecs        bool
+	sendsIncarnations bool
+	address           string
 }
 
-func (l *hostList) record(h spoolsill.HostID, g hostInfo) {
+func (l *hostList) record(h spoolsill.HostID, info hostInfo) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.seen == nil {
 		l.seen = map[spoolsill.HostID]hostInfo{}
 	}
-	l.seen[h] = g
+	l.seen[h] = info
 }
 
 // delegates returns the hosts that make calls to workers for the leader and have sent a
@@ -357,14 +358,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var hosts []delegate.Host
-	for h, g := range l.seen {
-		if !g.delegate || g.lastHeartbeat.Before(since) {
+	for h, info := range l.seen {
+		if !info.isDelegate || info.lastHeartbeat.Before(since) {
 			continue
 		}
 		hosts = append(hosts, delegate.Host{
 			ID:    h,
-			Hall:  g.hall,
-			Cores: g.cores,
+			Hall:  info.hall,
+			Cores: info.cores,
 		})
 	}
 	return hosts
@@ -375,30 +376,30 @@
 func (l *hostList) specSource(h spoolsill.HostID, since time.Time) (address string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	g := l.seen[h]
-	return g.address, g.specs && !g.lastHeartbeat.Before(since)
+	info := l.seen[h]
+	return info.address, info.cachesSpecs && !info.lastHeartbeat.Before(since)
 }
 
 // fetchesSpecs reports whether a host fetches specs from other hosts as a delegate.
 func (l *hostList) fetchesSpecs(h spoolsill.HostID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[h].specs
+	return l.seen[h].cachesSpecs
 }
 
 // readsStoredSpecs reports whether a host reads specs from the store as a delegate.
 func (l *hostList) readsStoredSpecs(h spoolsill.HostID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[h].storedSpecs
+	return l.seen[h].readsSpecs
 }
 
-// reportsIncarnations reports whether a host, as a delegate, reports which incarnation of a
-// worker answered.
+// reportsIncarnations reports whether a host, as a delegate, reports which incarnation of
+// a worker answered.
 func (l *hostList) reportsIncarnations(h spoolsill.HostID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[h].incarnations
+	return l.seen[h].sendsIncarnations
 }
 
 func (l *hostList) count() int {
@@ -411,11 +412,11 @@
 func (l *hostList) maxCores() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var most float64
-	for _, g := range l.seen {
-		most = max(most, g.cores)
+	var largest float64
+	for _, info := range l.seen {
+		largest = max(largest, info.cores)
 	}
-	return most
+	return largest
 }
 
 // activeSince returns the hosts that have sent a heartbeat at or after t, and removes
@@ -424,8 +425,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var hosts []spoolsill.HostID
-	for h, g := range l.seen {
-		if g.lastHeartbeat.Before(t) {
+	for h, info := range l.seen {
+		if info.lastHeartbeat.Before(t) {
 			delete(l.seen, h)
 			continue
 		}
--- a/node/specs.go
+++ b/node/specs.go
@@ -19,12 +19,12 @@
 	// maxInlineSpec is the size in bytes up to which a spec is sent with each order: a
 	// reference to it takes about 50 bytes.
 	maxInlineSpec = 100
-	// maxSpecCacheBytes limits the cached specs to about a hundredth of the memory of
-	// the smallest host: those of about a thousand jobs.
+	// maxSpecCacheBytes limits the size of the cached specs to about a hundredth of the
+	// memory of the smallest host. It is enough for about a thousand jobs.
 	maxSpecCacheBytes = 1 << 20
 	// specTimeout is how long a delegate waits for a spec. A host with a link of 2
 	// Mbit/s takes 0.16 s to send a spec of 4 KB to ten others. If the delegate does
-	// not receive it in time, the leader sends it.
+	// not receive the spec in time, the leader sends it.
 	specTimeout = 300 * time.Millisecond
 	// specHostRetryDelay is how long the leader does not refer delegates to a host
 	// after one of them could not obtain a spec from it.
@@ -47,10 +47,10 @@
 	}
 }
 
-// A specCache holds the specs of recent jobs. A gang of 100 tasks with a spec of 4 KB
-// occupies a link of 2 Mbit/s for 1.6 s if the leader sends the spec with each order,
-// and other hosts then assumed that the leader was dead. With the cache, the host that
-// accepted the job sends the spec once to each delegate.
+// A specCache holds the specs of recent jobs, so that the host that accepted a job sends
+// its spec once to each delegate. If the leader sent the spec with each order instead, a
+// gang of 100 tasks with a spec of 4 KB would occupy a link of 2 Mbit/s for 1.6 s, and
+// other hosts would consider the leader dead.
 type specCache struct {
 	mu    sync.Mutex
 	specs map[specID]string
@@ -112,9 +112,10 @@
 	}, nil
 }
 
-// A startOfRequest is a startRequest whose spec is obtained from Host, in whose
-// partition of the store the job is. Without an Address it is read from the store.
-type startOfRequest struct {
+// A startByRefRequest is a startRequest with a reference to its spec. The delegate
+// requests the spec from Host, which accepted the job. If Address is empty or the request
+// fails, the delegate reads the spec from that host's partition of the store.
+type startByRefRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	Start   startRequest
@@ -123,7 +124,7 @@
 	Address string
 }
 
-type startOfReply struct {
+type startByRefReply struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // the codec reads it
 
 	Reply orderReply
@@ -131,26 +132,26 @@
 	NoSpec bool
 }
 
-func (n *Node) handleStartOf(ctx context.Context, _ peer.Caller, q startOfRequest) (startOfReply, error) {
+func (n *Node) handleStartByRef(ctx context.Context, _ peer.Caller, q startByRefRequest) (startByRefReply, error) {
 	spec, err := n.resolveSpec(ctx, q)
 	if err != nil {
 		n.log.WithError(err).WithField("job", string(q.Spec.Job)).WithField("from", string(q.Host)).Info("spec was not had")
-		return startOfReply{
+		return startByRefReply{
 			NoSpec: true,
 		}, nil
 	}
 	o := q.Start.start()
 	o.Order.Spec = spec
-	return startOfReply{
+	return startByRefReply{
 		Reply: orderReplyOf(n.workers.Start(ctx, o)),
 	}, nil
 }
 
 var errNoSpec = errors.New("node: host does not have the spec")
 
-// resolveSpec returns the spec of an order from the cache, and fetches it first if
+// resolveSpec returns the spec of an order from the cache, after fetching it if
 // necessary. Concurrent orders of one job share one fetch.
-func (n *Node) resolveSpec(ctx context.Context, q startOfRequest) (string, error) {
+func (n *Node) resolveSpec(ctx context.Context, q startByRefRequest) (string, error) {
 	if s, ok := n.specs.get(q.Spec); ok {
 		return s, nil
 	}
@@ -174,24 +175,24 @@
 
 // fetchSpec fetches the spec of an order into the cache. A host that has been restarted
 // no longer has it cached; the store holds it for as long as the job is needed.
-func (n *Node) fetchSpec(ctx context.Context, q startOfRequest) error {
+func (n *Node) fetchSpec(ctx context.Context, q startByRefRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, specTimeout)
 	defer cancel()
 	if q.Address == "" {
-		return n.readSpec(ctx, q)
+		return n.readStoredSpec(ctx, q)
 	}
-	lost := n.requestSpec(ctx, q)
-	if lost == nil {
+	requestErr := n.requestSpec(ctx, q)
+	if requestErr == nil {
 		return nil
 	}
-	if err := n.readSpec(ctx, q); err != nil {
-		return errors.Join(lost, err)
+	if err := n.readStoredSpec(ctx, q); err != nil {
+		return errors.Join(requestErr, err)
 	}
 	return nil
 }
 
-// readSpec reads the spec of an order from the store into the cache.
-func (n *Node) readSpec(ctx context.Context, q startOfRequest) error {
+// readStoredSpec reads the spec of an order from the store into the cache.
+func (n *Node) readStoredSpec(ctx context.Context, q startByRefRequest) error {
 	j, err := jobstore.ReadJob(ctx, n.store, string(q.Host), q.Spec.Job)
 	if err != nil {
 		return err
@@ -204,7 +205,7 @@
 }
 
 // requestSpec requests the spec of an order from the host that accepted the job.
-func (n *Node) requestSpec(ctx context.Context, q startOfRequest) error {
+func (n *Node) requestSpec(ctx context.Context, q startByRefRequest) error {
 	n.peers.SetAddress(q.Host, q.Address)
 	r, err := peer.Call[specReply](ctx, n.peers, q.Host, methodSpec, specRequest{
 		Spec: q.Spec,
@@ -259,19 +260,19 @@
 	return address
 }
 
-// startOf returns an order with a reference in place of its spec, if the spec is long
-// enough and the delegate can obtain it.
-func (d *delegatedWorkers) startOf(delegate spoolsill.HostID, o leader.Start) (startOfRequest, bool) {
+// startByRef returns an order with a reference in place of its spec. It reports false if
+// the spec is too short for that, or if the delegate could not obtain it.
+func (d *delegatedWorkers) startByRef(delegate spoolsill.HostID, o leader.Start) (startByRefRequest, bool) {
 	h := spoolsill.HostID(o.Keeper)
 	if len(o.Order.Spec) <= maxInlineSpec || h == "" || !d.node.hosts.fetchesSpecs(delegate) {
-		return startOfRequest{}, false
+		return startByRefRequest{}, false
 	}
 	id := specIDOf(o.Order.Run.Task.Stage.Job, o.Order.Spec)
 	address := d.specAddress(h, id)
 	if address == "" && !d.node.hosts.readsStoredSpecs(delegate) {
-		return startOfRequest{}, false
+		return startByRefRequest{}, false
 	}
-	q := startOfRequest{
+	q := startByRefRequest{
 		Start:   startRequestOf(o),
 		Spec:    id,
 		Host:    h,
--- a/node/specs_test.go
+++ b/node/specs_test.go
@@ -55,8 +55,8 @@
 	x.c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%v", r))
 }
 
-// Guards against saturating the leader's link of 2 Mbit/s with the specs of wide gangs.
-// Other hosts assumed that the leader was dead and took over, and the same happened to
+// Guards against a leader that saturates its link of 2 Mbit/s with the specs of wide
+// gangs. Other hosts considered the leader dead and took over, and the same happened to
 // each subsequent leader.
 func TestLongSpecsDoNotSaturateLeaderLink(t *testing.T) {
 	const workers = 8
@@ -86,7 +86,7 @@
 }
 
 // A job must run even if the host that accepted it is unreachable.
-func TestSpecsOfUnreachableHosts(t *testing.T) {
+func TestJobRunsWhileSpecHostIsUnreachable(t *testing.T) {
 	run(t, 4, 8, func(x *cell) {
 		x.checkSpecs(map[spoolsill.JobID]string{
 			spoolsill.JobID(jobID(1)): longSpec(1),
@@ -100,9 +100,9 @@
 	})
 }
 
-// A restarted host has lost its cached specs, and other hosts had obtained them only
-// from there. The job must still run.
-func TestSpecsOfRestartedHosts(t *testing.T) {
+// A job must run even if the host that accepted it has restarted, which loses the only
+// cached copy of its spec.
+func TestJobRunsAfterSpecHostRestarts(t *testing.T) {
 	run(t, 4, 7, func(x *cell) {
 		x.checkSpecs(map[spoolsill.JobID]string{
 			spoolsill.JobID(jobID(1)): longSpec(1),
--- a/node/storehealth.go
+++ b/node/storehealth.go
@@ -17,40 +17,40 @@
 	// unreachableAfter is how long all calls to the store must have failed before this
 	// host reports that it is not ready. The feed alone makes a call each second.
 	unreachableAfter = 700 * time.Millisecond
-	// storeProbeInterval is how often a client's call tries a store that is
-	// unreachable.
+	// storeProbeInterval is the interval at which calls of clients are tried on a store
+	// that is unreachable.
 	storeProbeInterval = 250 * time.Millisecond
 	// minWriteTimeout and maxWriteTimeout limit the time after which a write is
 	// retried. A write takes about 10 ms, and more than a second when the store is
 	// slow; clients wait three seconds in total.
 	minWriteTimeout = 350 * time.Millisecond
 	maxWriteTimeout = 1200 * time.Millisecond
-	// responseLossThreshold is the excess of the average wait for a write over the
-	// average duration of answered writes that indicates that responses are being lost.
-	// One lost response adds at least a quarter of minWriteTimeout, and a few
-	// successful writes reduce it again.
+	// responseLossThreshold is by how much the average wait for a write must exceed the
+	// average duration of answered writes for responses to count as being lost. One lost
+	// response adds about a quarter of minWriteTimeout or more, and a few successful
+	// writes reduce the difference again.
 	responseLossThreshold = 30 * time.Millisecond
 	// writeTimeoutFactor times the average wait is the time after which a write was
 	// most likely lost.
 	writeTimeoutFactor = 4
 )
 
-// storeHealth tracks from the outcomes of all calls whether the store is reachable. It
-// is safe for concurrent use. The zero value reports the store as reachable.
+// storeHealth tracks whether the store is reachable, based on the outcomes of all calls.
+// It is safe for concurrent use. The zero value reports the store as reachable.
 type storeHealth struct {
 	mu           sync.Mutex
-	failingSince time.Time // since when every call has failed; zero if the last one succeeded
+	failingSince time.Time // when calls began to fail; zero if the latest one succeeded
 	lastProbe    time.Time
 	lastSuccess  time.Time // when a call last succeeded
 	unreachable  bool      // as last logged
-	// averageWait is a moving average of how long writes take or are waited for in
-	// vain; averageAnswered covers only the answered ones.
+	// averageWait is a moving average of how long writes take, including those that
+	// time out; averageAnswered covers only the answered ones.
 	averageWait     time.Duration
 	averageAnswered time.Duration
 	// pending holds the start times of the writes that have not ended.
 	pending map[uint64]time.Time
 	writes  uint64
-	// refusedSince is since when the store has refused all writes; zero if it did not
+	// refusedSince is when the store began to refuse all writes; zero if it did not
 	// refuse the latest one.
 	refusedSince time.Time
 }
@@ -67,7 +67,8 @@
 	}
 }
 
-// refusedFor returns how long the store has refused all writes.
+// refusedFor returns how long the store has refused all writes, or 0 if it did not
+// refuse the latest one.
 func (h *storeHealth) refusedFor(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,17 +96,18 @@
 	delete(h.pending, write)
 }
 
-// recordWriteTime records how long a write took, or how long it was waited for in vain.
+// recordWriteTime records how long a write took, or after what time it was given up
+// without a response. Increases of answered writes are weighted more than decreases.
 func (h *storeHealth) recordWriteTime(d time.Duration, answered bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	weight := time.Duration(4)
+	divisor := time.Duration(4)
 	if answered && d > h.averageWait {
-		weight = 2 // adapt quickly to a store that has become slow
+		divisor = 2 // adapt quickly to a store that has become slow
 	}
-	h.averageWait += (d - h.averageWait) / weight
+	h.averageWait += (d - h.averageWait) / divisor
 	if answered {
-		h.averageAnswered += (d - h.averageAnswered) / weight
+		h.averageAnswered += (d - h.averageAnswered) / divisor
 	}
 }
 
@@ -151,14 +153,14 @@
 	if ok {
 		h.lastSuccess = now
 	}
-	was := h.unreachable
+	wasUnreachable := h.unreachable
 	if ok {
 		h.failingSince = time.Time{}
 	} else if h.failingSince.IsZero() {
 		h.failingSince = now
 	}
 	h.unreachable = !h.failingSince.IsZero() && now.Sub(h.failingSince) >= unreachableAfter
-	return h.unreachable != was
+	return h.unreachable != wasUnreachable
 }
 
 // reachable reports whether the store has answered recently.
@@ -168,7 +170,7 @@
 	return h.failingSince.IsZero() || now.Sub(h.failingSince) < unreachableAfter
 }
 
-// failingFor returns how long every call has failed.
+// failingFor returns how long all calls have failed, or 0 if the latest one succeeded.
 func (h *storeHealth) failingFor(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -224,7 +226,7 @@
 	r, err := s.Store.Commit(ctx, t)
 	s.health.writeEnded(write)
 	if errors.Is(err, context.Canceled) {
-		return r, err // another attempt was answered, which is no evidence about this one
+		return r, err // another attempt was answered, which says nothing about this one
 	}
 	if err == nil || errors.Is(err, store.ErrUnknownOutcome) {
 		s.health.recordWriteTime(s.clock.Since(begun), err == nil)
--- a/node/suspend_test.go
+++ b/node/suspend_test.go
@@ -42,7 +42,8 @@
 		x.c.Assert(x.call(l, http.MethodPost, "/q/"+jobID(1), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, time.Second)
 		x.c.Assert(x.state(l, jobID(1)), qt.Equals, `{"state":"running"}`)
-		// The store prevents the leader from learning that by itself.
+		// While the store is unavailable, the leader cannot learn of another leader from
+		// its row.
 		x.store.SetUnavailable(true)
 		x.hosts[l].simulateSuspension(5 * time.Second)
 		r := x.call(l, http.MethodGet, "/q/"+jobID(1), "")
--- a/node/yield.go
+++ b/node/yield.go
@@ -11,8 +11,9 @@
 	// yieldFactor is how many times the processor capacity of the leader's host another
 	// host must have to replace it. A takeover costs some tenths of a second.
 	yieldFactor = 2
-	// yieldDelay is how long a larger host must have sent heartbeats. By then, all
-	// other hosts have learned its size and let it take over first.
+	// yieldDelay is how long a larger host must have sent heartbeats before the leader
+	// yields to it. By then all other hosts have learned its size and let it take over
+	// first.
 	yieldDelay = time.Second
 	// storeContactAge is how recently the store must have answered a host that could
 	// lead. Its configuration feed is answered at least every 0.7 s.
@@ -23,15 +24,15 @@
 )
 
 // A leaderFitness determines whether a host should keep the leadership. Hosts differ in
-// size, and the first one to start becomes the leader. On a host with a fifth of a core
-// and 10 Mbit/s, most of which the work needs, nearly all work was late until another
-// host led: a day that began so earned 0.66 of its worth, compared with 0.75 and 0.78
-// in two runs led by a large host.
+// size, and the first one to start becomes the leader. With a leader on a fifth of a core
+// and a link of 10 Mbit/s, most of which was needed for other traffic, nearly all jobs
+// were late until another host led: a day that began this way earned 0.66 of the worth of
+// its jobs, compared with 0.75 and 0.78 in two runs led by a large host.
 type leaderFitness struct {
 	cores float64
 	link  spoolsill.Bytes // bytes a second; 0 if not set
-	// largerSince is when a host that should lead first sent a heartbeat; zero if none
-	// has.
+	// largerSince is when a host that should lead instead first sent a heartbeat; zero
+	// if none has.
 	largerSince time.Time
 	// yieldedAt is when the host last yielded the leadership.
 	yieldedAt time.Time
@@ -60,15 +61,15 @@
 }
 
 // maybeYieldTo yields the leadership if the sender of a heartbeat should lead instead.
-func (n *Node) maybeYieldTo(now time.Time, l *leader.Leader, by spoolsill.HostID, q heartbeatRequest) {
+func (n *Node) maybeYieldTo(now time.Time, l *leader.Leader, sender spoolsill.HostID, q heartbeatRequest) {
 	n.mu.Lock()
 	yields := n.activeLeader == l && n.fitness.shouldYieldTo(now, q)
 	if yields {
-		n.maxCores = max(n.maxCores, q.Cores) // let it go first when both try to take over
+		n.maxCores = max(n.maxCores, q.Cores) // delays this host's own takeover behind the sender's
 	}
 	n.mu.Unlock()
 	if yields {
-		n.log.WithField("to", string(by)).WithField("cores", q.Cores).Info("leadership is given up for a larger host")
+		n.log.WithField("to", string(sender)).WithField("cores", q.Cores).Info("leadership is given up for a larger host")
 		l.Yield()
 	}
 }
--- a/node/yield_test.go
+++ b/node/yield_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolsill/spoolsill/internal/pause"
 )
 
-// startThird starts a third host with the given number of cores; the others have 0.4.
+// startThird starts a third host with the given number of cores. The others have 0.4.
 func (x *cell) startThird(cores float64) {
 	x.cores = map[int]float64{
 		2: cores,
