--- a/store/connection_test.go
+++ b/store/connection_test.go
@@ -15,13 +15,14 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A pooledStore simulates a pool of open connections, some of which may be stalled. A call
-// that needs a new connection closes the others.
+// A pooledStore simulates a client with a pool of open connections, some of which may be
+// stalled. A call that needs a new connection closes the others.
 type pooledStore struct {
 	store.Store
-	limit time.Duration // timeout of reads over a stalled connection
-	mu    sync.Mutex
-	// stalled is the number of open connections that are stalled.
+	readTimeout time.Duration // timeout of reads over a stalled connection
+	mu          sync.Mutex
+	// stalled is the number of open connections that are stalled, opened the number of
+	// calls that needed a new connection.
 	stalled int
 	opened  int
 }
@@ -51,14 +52,14 @@
 
 func (s *pooledStore) Feed(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Changes, error) {
 	if !s.open(ctx) {
-		pause.For(ctx, s.limit)
+		pause.For(ctx, s.readTimeout)
 		return store.Changes{}, store.ErrUnknownOutcome
 	}
 	return s.Store.Feed(ctx, table, after, wait)
 }
 
-// A write on a stalled connection is repeated on a new one when it is overdue. A write
-// that is answered in time opens no new connection.
+// A write on a stalled connection is repeated on a new one when the response is overdue. A
+// write that is answered in time opens no new connection.
 func TestCommitHedgedStalledConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &pooledStore{
@@ -83,18 +84,18 @@
 // call opens no new connection.
 func TestWatcherStalledConnections(t *testing.T) {
 	const (
-		wait  = time.Second
-		limit = 2 * time.Second
+		wait        = time.Second
+		readTimeout = 2 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		inner := cellfake.NewStore()
 		s := &pooledStore{
-			Store: inner,
-			limit: limit,
+			Store:       inner,
+			readTimeout: readTimeout,
 		}
-		var oldest time.Duration
-		f := store.Watcher{
+		var maxAge time.Duration
+		w := store.Watcher{
 			Store:   s,
 			Table:   table,
 			Wait:    wait,
@@ -104,7 +105,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		pause.For(ctx, 5*time.Second)
 		inner.SetUnavailable(true)
@@ -117,9 +118,9 @@
 		s.mu.Unlock()
 		for range 300 {
 			pause.For(ctx, 100*time.Millisecond)
-			oldest = max(oldest, f.Age(time.Now()))
+			maxAge = max(maxAge, w.Age(time.Now()))
 		}
-		qt.Check(t, oldest < 2*wait+limit, qt.IsTrue, qt.Commentf("the state was %s old", oldest))
+		qt.Check(t, maxAge < 2*wait+readTimeout, qt.IsTrue, qt.Commentf("the state was %s old", maxAge))
 		qt.Check(t, s.opened, qt.Equals, 1)
 		cancel()
 		<-done
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -18,19 +18,19 @@
 	Tries int
 }
 
-// An attempt is the result of one completed attempt of a transaction.
+// An attempt is the result of one attempt to apply a transaction.
 type attempt struct {
-	result Result
-	took   time.Duration
-	err    error
+	result   Result
+	duration time.Duration
+	err      error
 }
 
 // CommitHedged applies a transaction. While the response is overdue, it sends the
 // transaction again and keeps waiting for the earlier attempts. A slow store answers
 // the first attempt first, and cancelling it would only make the store repeat the work.
-// A store that loses responses answers a later attempt, which therefore uses a new
-// connection (see [WantsNewConnection]). CommitHedged returns the first response and
-// the duration of the attempt that it belongs to.
+// If responses are lost, a later attempt is answered; it uses a new connection for this
+// reason (see [WantsNewConnection]). CommitHedged returns the first response and the
+// duration of the attempt that it belongs to.
 //
 // All attempts send the same transaction, and the store may process each of them, so
 // its conditions must ensure that at most one is applied. If no attempt gets a
@@ -41,12 +41,12 @@
 	defer cancel()
 	done := make(chan attempt, max(p.Tries, 1))
 	send := func(ctx context.Context) {
-		start := time.Now() //nolint:forbidigo // duration of an attempt, without the time that the machine is suspended
+		start := time.Now() //nolint:forbidigo // the duration of an attempt excludes time during which the machine is suspended
 		r, err := s.Commit(ctx, t)
 		done <- attempt{
-			result: r,
-			took:   time.Since(start), //nolint:forbidigo // see start
-			err:    err,
+			result:   r,
+			duration: time.Since(start), //nolint:forbidigo // see start
+			err:      err,
 		}
 	}
 	go send(ctx)
@@ -55,15 +55,15 @@
 	delay := p.First
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	var worst error
+	var leastCertain error
 	for pending > 0 {
 		select {
 		case a := <-done:
 			pending--
 			if a.err == nil {
-				return a.result, a.took, nil
+				return a.result, a.duration, nil
 			}
-			worst = lessCertain(worst, a.err)
+			leastCertain = lessCertain(leastCertain, a.err)
 		case <-timer.C:
 			if sent >= p.Tries {
 				continue
@@ -75,7 +75,7 @@
 			timer.Reset(delay)
 		}
 	}
-	return Result{}, 0, worst
+	return Result{}, 0, leastCertain
 }
 
 // lessCertain returns the less certain of two errors: an error that leaves the outcome
--- a/store/limiter.go
+++ b/store/limiter.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minBytesPerCall is the approximate minimum response size of one call. With less,
-	// the round trip takes longer than the transfer of the response.
+	// minBytesPerCall is the approximate minimum size of the response to one call. With
+	// smaller responses the round trip would take longer than the transfer.
 	minBytesPerCall = 16 << 10
 	// initialRowBytes is the assumed size of a row before any row has been read.
 	initialRowBytes = 1 << 10
@@ -26,8 +26,8 @@
 	bytesPerCall int // approximate size of a response
 
 	mu    sync.Mutex
-	rows  int // read so far
-	bytes int // size of these rows in responses
+	rows  int // rows read so far
+	bytes int // total size of these rows in responses
 }
 
 // NewReadLimiter returns a limiter that allows approximately the given number of bytes in
@@ -67,7 +67,7 @@
 	return max(1, l.bytesPerCall/row)
 }
 
-// release frees the slot of a call and records the size of the rows that it returned.
+// release frees the slot of a completed call and records the size of its rows.
 func (l *ReadLimiter) release(rows []Row) {
 	if l == nil {
 		return
--- a/store/limiter_test.go
+++ b/store/limiter_test.go
@@ -20,18 +20,18 @@
 	store.Store
 	rate int // bytes per second
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time // when the link has sent everything that is queued
 }
 
-// transfer waits until n bytes have been sent after everything that is queued already.
-func (s *slowLinkStore) transfer(ctx context.Context, n int) {
+// transfer waits until size bytes have been sent after everything that is queued already.
+func (s *slowLinkStore) transfer(ctx context.Context, size int) {
 	s.mu.Lock()
-	if s.free.Before(time.Now()) {
-		s.free = time.Now()
+	if s.freeAt.Before(time.Now()) {
+		s.freeAt = time.Now()
 	}
-	s.free = s.free.Add(time.Duration(n) * time.Second / time.Duration(s.rate))
-	end := s.free
+	s.freeAt = s.freeAt.Add(time.Duration(size) * time.Second / time.Duration(s.rate))
+	end := s.freeAt
 	s.mu.Unlock()
 	pause.For(ctx, time.Until(end))
 }
@@ -78,7 +78,7 @@
 			rate:  250_000,
 		}
 		listed := make(chan int, 1)
-		f := &store.Watcher{
+		w := &store.Watcher{
 			Store:  s,
 			Table:  "jobs",
 			Wait:   time.Second,
@@ -86,8 +86,8 @@
 			Listed: func(rows []store.Row) { listed <- len(rows) },
 		}
 		var running sync.WaitGroup
-		began := time.Now()
-		running.Go(func() { f.Run(ctx) })
+		start := time.Now()
+		running.Go(func() { w.Run(ctx) })
 		for len(listed) == 0 {
 			sent := time.Now()
 			_, err := s.Commit(ctx, store.Transaction{
@@ -102,7 +102,7 @@
 			write = max(write, time.Since(sent))
 			pause.For(ctx, 150*time.Millisecond)
 		}
-		listing = time.Since(began)
+		listing = time.Since(start)
 		qt.Assert(t, <-listed, qt.Equals, 1400)
 		cancel()
 		running.Wait()
@@ -110,13 +110,13 @@
 	return write, listing
 }
 
-// Guards against listings that delay the leader's writes so long that it is replaced. A
-// new leader read all jobs over a 2 Mbit/s link with eight concurrent whole pages, and
-// the responses to its own writes queued behind them. Each write waits for the previous
-// one, and another host takes over when the leader's row is unchanged for 0.35 s. Each of
-// four leaders within 8.4 s started to read all jobs again; only the last one finished,
-// after 10.3 s. With 0.15 s of the link's capacity in flight, writes are answered in time
-// and the listing, which is bound by the link, takes no longer.
+// Guards against listings that delay the leader's writes until another host replaces it. A
+// new leader read all jobs over a 2 Mbit/s link with eight concurrent full pages, and the
+// responses to its own writes queued behind them. Each write waits for the previous one,
+// and another host takes over when the leader's row is unchanged for 0.35 s. Four leaders
+// within 8.4 s each started to read all jobs again, and only the last one finished, after
+// 10.3 s. With 0.15 s of the link's capacity in flight, writes are answered in time, and
+// the listing takes no longer since its duration is determined by the link.
 func TestReadLimiterLeavesBandwidthForWrites(t *testing.T) {
 	c := qt.New(t)
 	unlimited, whole := slowestWrite(t, 0)
--- a/store/list_test.go
+++ b/store/list_test.go
@@ -25,10 +25,9 @@
 // An overloadedStore refuses a fixed share of the calls to List.
 type overloadedStore struct {
 	store.Store
-	mu    sync.Mutex
-	calls int
-	// refuseEvery is the number of calls of which the last is refused.
-	refuseEvery int
+	mu          sync.Mutex
+	calls       int
+	refuseEvery int // every call with a multiple of this number is refused
 }
 
 func (s *overloadedStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
@@ -70,7 +69,7 @@
 		}
 		seen := map[string]bool{}
 		listings := 0
-		f := store.Watcher{
+		w := store.Watcher{
 			Store: s,
 			Table: table,
 			Wait:  time.Second,
@@ -85,7 +84,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		pause.For(ctx, 20*time.Millisecond)
 		inner.Put(store.Put{
@@ -117,7 +116,7 @@
 		written := map[string]time.Time{}
 		seen := map[string]bool{}
 		var missed []string
-		f := store.Watcher{
+		w := store.Watcher{
 			Store: &overloadedStore{
 				Store:       inner,
 				refuseEvery: 5,
@@ -143,7 +142,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		for i := range 100 {
 			name := fmt.Sprintf("new%d", i)
@@ -185,7 +184,7 @@
 			Store:       inner,
 			refuseEvery: 2,
 		}
-		l := store.PartitionReader{
+		pr := store.PartitionReader{
 			Store:     s,
 			Table:     table,
 			Partition: "cell",
@@ -194,7 +193,7 @@
 		var got []store.Row
 		for range 10 {
 			var err error
-			got, _, err = l.ReadAll(t.Context())
+			got, _, err = pr.ReadAll(t.Context())
 			if err == nil {
 				break
 			}
@@ -206,13 +205,12 @@
 	})
 }
 
-// A staleStore answers the first listing of a partition with an older page, as a store
-// does whose reads may be stale.
+// A staleStore answers the first listing of a partition with an older page, like a store
+// with stale reads.
 type staleStore struct {
 	store.Store
-	mu sync.Mutex
-	// old maps partitions to these pages.
-	old map[string]store.Page
+	mu  sync.Mutex
+	old map[string]store.Page // older pages by partition
 }
 
 func (s *staleStore) List(ctx context.Context, table, partition, from string, limit int) (store.Page, error) {
@@ -230,7 +228,7 @@
 }
 
 // If a page is older than the first response of a listing, the feed reports the changes
-// between the two, and Synced is not called before that.
+// between the two, and Synced is not called until it has.
 func TestWatcherStalePage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -249,8 +247,8 @@
 		written := time.Now()
 		pause.For(ctx, time.Millisecond)
 		seen := map[string]bool{}
-		early := 0
-		f := store.Watcher{
+		earlySyncs := 0
+		w := store.Watcher{
 			Store: &staleStore{
 				Store: inner,
 				old: map[string]store.Page{
@@ -267,20 +265,20 @@
 			Changed: func(r store.Row) { seen[r.Key.Name] = true },
 			Synced: func(sent time.Time) {
 				if written.Before(sent) && !seen["came-since"] {
-					early++
+					earlySyncs++
 				}
 			},
 		}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		pause.For(ctx, 10*time.Second)
 		cancel()
 		<-done
 		qt.Check(t, len(seen), qt.Equals, partitions*rowsPerPartition+1)
-		qt.Check(t, early, qt.Equals, 0)
+		qt.Check(t, earlySyncs, qt.Equals, 0)
 	})
 }
 
@@ -305,12 +303,12 @@
 			},
 		},
 	}
-	l := store.PartitionReader{
+	pr := store.PartitionReader{
 		Store:     &s,
 		Table:     table,
 		Partition: "cell",
 	}
-	rows, v, err := l.ReadAll(t.Context())
+	rows, v, err := pr.ReadAll(t.Context())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, rows, qt.HasLen, 4)
 	qt.Assert(t, v, qt.Equals, store.Version(7))
@@ -368,7 +366,7 @@
 			Store: inner,
 		}
 		failed := 0
-		f := store.Watcher{
+		w := store.Watcher{
 			Store:   s,
 			Table:   table,
 			Wait:    wait,
@@ -376,15 +374,15 @@
 			Changed: func(store.Row) {},
 			Failed:  func(error) { failed++ },
 		}
-		qt.Check(t, f.Age(time.Now()), qt.Equals, time.Duration(0))
+		qt.Check(t, w.Age(time.Now()), qt.Equals, time.Duration(0))
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		for range 100 {
 			pause.For(ctx, 77*time.Millisecond)
-			age := f.Age(time.Now())
+			age := w.Age(time.Now())
 			qt.Check(t, age <= 2*wait, qt.IsTrue, qt.Commentf("age %s while the store answers", age))
 		}
 		s.hangs.Store(true)
@@ -394,9 +392,9 @@
 				Name:  "forgotten",
 			},
 		})
-		inner.DropHistory() // causes a new listing
+		inner.DropHistory() // forces a new listing
 		pause.For(ctx, 20*time.Second)
-		age := f.Age(time.Now())
+		age := w.Age(time.Now())
 		qt.Check(t, age > 18*time.Second, qt.IsTrue, qt.Commentf("age %s while calls hang", age))
 		qt.Check(t, failed, qt.Equals, 0)
 		cancel()
@@ -434,14 +432,14 @@
 			Store: inner,
 		}
 		var last time.Time
-		longest := time.Duration(0)
-		f := store.Watcher{
+		longestInterval := time.Duration(0)
+		w := store.Watcher{
 			Store: s,
 			Table: table,
 			Wait:  time.Second,
 			Listed: func([]store.Row) {
 				if !last.IsZero() {
-					longest = max(longest, time.Since(last))
+					longestInterval = max(longestInterval, time.Since(last))
 				}
 				last = time.Now()
 			},
@@ -450,13 +448,13 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			f.Run(ctx)
+			w.Run(ctx)
 		}()
 		pause.For(ctx, duration)
 		cancel()
 		<-done
 		calls := int(s.lists.Load())
 		qt.Check(t, calls < listings*(partitions+1), qt.IsTrue, qt.Commentf("%d calls", calls))
-		qt.Check(t, longest < 500*time.Millisecond, qt.IsTrue, qt.Commentf("%s between listings", longest))
+		qt.Check(t, longestInterval < 500*time.Millisecond, qt.IsTrue, qt.Commentf("%s between listings", longestInterval))
 	})
 }
--- a/store/store.go
+++ b/store/store.go
@@ -18,24 +18,23 @@
 // Errors of calls to the store.
 var (
 	// ErrRefused is returned when the call certainly had no effect.
-	ErrRefused = errors.New("store: call refused")
+	ErrRefused = errors.New("store: request refused")
 	// ErrUnknownOutcome is returned when there was no usable response: the call may
 	// have taken effect, or may do so later.
-	ErrUnknownOutcome = errors.New("store: no answer")
+	ErrUnknownOutcome = errors.New("store: outcome unknown")
 	// ErrHistoryGone is returned by a feed whose position is older than the history
 	// that the store keeps. The caller must list the rows again.
-	ErrHistoryGone = errors.New("store: history is gone")
+	ErrHistoryGone = errors.New("store: history no longer available")
 )
 
-// A Version is the number of a transaction, counted over the whole store. Each
-// transaction gives its version to the rows that it writes. Version 0 means that the
-// row does not exist.
+// A Version is the sequence number of a transaction in the store. A row has the version
+// of the transaction that wrote it last. Version 0 means that the row does not exist.
 type Version uint64
 
 // A Key identifies a row.
 type Key struct {
 	Table string
-	// Partition is the scope of transactions: each one is limited to the rows of one
+	// Partition is the scope of transactions: each is limited to the rows of one
 	// partition.
 	Partition string
 	Name      string
@@ -62,8 +61,8 @@
 	Value []byte
 }
 
-// A Transaction writes and deletes rows if all its conditions hold. All its
-// keys share one partition.
+// A Transaction writes and deletes rows if all its conditions hold. All its keys must
+// be in the same partition.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
@@ -78,7 +77,8 @@
 	Current []Row
 }
 
-// A Page is a part of a partition's rows as of one version, ordered by name.
+// A Page is a part of a partition's rows as of one version, ordered by name. More means
+// that further rows follow.
 type Page struct {
 	Rows    []Row
 	More    bool
--- a/store/watch.go
+++ b/store/watch.go
@@ -19,9 +19,9 @@
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 250 * time.Millisecond
 	// minListInterval is the minimum time between the starts of two listings. A
-	// listing costs a call for each partition, and a store that keeps no history would
-	// otherwise be listed continuously. The interval adds an eighth to the two seconds
-	// within which most changes must be received.
+	// listing takes one call for each partition, and a table of a store that keeps no
+	// history would otherwise be listed continuously. The interval adds an eighth to
+	// the two seconds within which most changes must be received.
 	minListInterval = 250 * time.Millisecond
 )
 
@@ -30,8 +30,8 @@
 type Watcher struct {
 	Store Store
 	Table string
-	// Wait is how long one call of the feed waits for a change. A feed that is cut off
-	// without an error is noticed after this time.
+	// Wait is how long one call of the feed waits for a change. It is also how long it
+	// takes to detect a feed that is cut off without an error.
 	Wait time.Duration
 	// Pause is the delay after a call that returned changes; 0 means DefaultPause.
 	Pause time.Duration
@@ -53,14 +53,14 @@
 	// Clock is the time source; nil means the system's clock.
 	Clock *clock.Clock
 
-	lastAnswered atomic.Pointer[time.Time] // when the last successful call was sent
+	lastSuccess atomic.Pointer[time.Time] // when the last successful call was sent
 }
 
 // Age returns the age of the watcher's state: the time since the last successful call was
 // sent, or since Run was called if there has been none. It is zero before Run. Age is
 // safe for concurrent use.
 func (w *Watcher) Age(now time.Time) time.Duration {
-	at := w.lastAnswered.Load()
+	at := w.lastSuccess.Load()
 	if at == nil {
 		return 0
 	}
@@ -72,7 +72,7 @@
 	position  Version      // to continue the feed from
 	reader    *tableReader // of the listing in progress; nil while reading the feed
 	listStart time.Time    // when the last listing began
-	// failing is set if the last call failed, and unanswered if it had no response.
+	// failing is set if the last call failed, unanswered if the last call had no response.
 	failing    bool
 	unanswered bool
 	retryDelay time.Duration // after the next failed call
@@ -89,17 +89,17 @@
 // Run watches the table until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
 	start := w.Clock.Now()
-	w.lastAnswered.Store(&start)
+	w.lastSuccess.Store(&start)
 	st := &watchState{
 		reader:     newTableReader(w.Store, w.Table, w.Clock, w.Pace),
 		retryDelay: minRetryDelay,
 	}
 	for ctx.Err() == nil {
-		o, err := w.call(ctx, st)
+		r, err := w.call(ctx, st)
 		st.unanswered = errors.Is(err, ErrUnknownOutcome)
 		switch {
 		case err == nil:
-			w.recordSuccess(st, o)
+			w.recordSuccess(st, r)
 		case errors.Is(err, ErrHistoryGone):
 			pause.For(ctx, minListInterval-w.Clock.Since(st.listStart))
 			st.reader = newTableReader(w.Store, w.Table, w.Clock, w.Pace)
@@ -120,10 +120,10 @@
 	return w.poll(ctx, st)
 }
 
-func (w *Watcher) recordSuccess(st *watchState, o callResult) {
-	w.lastAnswered.Store(&o.sent)
-	if o.complete && w.Synced != nil {
-		w.Synced(o.sent)
+func (w *Watcher) recordSuccess(st *watchState, r callResult) {
+	w.lastSuccess.Store(&r.sent)
+	if r.complete && w.Synced != nil {
+		w.Synced(r.sent)
 	}
 	if st.failing {
 		w.report(nil)
@@ -147,8 +147,8 @@
 	}
 }
 
-// list reads the whole table, or the remainder after an earlier error. The feed provides
-// the changes since the listing began.
+// list reads the whole table, or what remains to be read after an earlier error. Changes
+// since the listing began are then read from the feed.
 func (w *Watcher) list(ctx context.Context, st *watchState) (callResult, error) {
 	t := st.reader
 	rows, version, err := t.readAll(ctx)
@@ -169,7 +169,7 @@
 func (w *Watcher) poll(ctx context.Context, st *watchState) (callResult, error) {
 	wait := w.Wait
 	if st.failing {
-		wait = 0 // to notice at once when calls succeed again
+		wait = 0 // so that recovery is detected without delay
 	}
 	sent := w.Clock.Now()
 	c, err := w.Store.Feed(ctx, w.Table, st.position, wait)
