--- a/jobstore/fuzz_test.go
+++ b/jobstore/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// The scheduler must handle every job that DecodeJob accepts, with any progress, even
-// one that does not belong to the job. Guards against rows that make the leader panic.
+// The scheduler must handle every job that DecodeJob accepts, with any progress, even the
+// progress of another job. Guards against rows that make the leader panic.
 func FuzzDecodeJob(f *testing.F) {
 	for _, j := range invalidJobs() {
 		b, err := jobstore.EncodeJob(j)
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -4,9 +4,9 @@
 // Every host accepts and cancels jobs on its own, with writes to its own
 // partition, and the leader learns of both by watching the table. An accepted
 // job is therefore durable before its client gets the response, whichever host
-// leads the cell, and even if none does. A job that its client has submitted
-// again to another host may be in two partitions. It is one job, and the row
-// with the lower version takes precedence.
+// leads the cell, and even if none does. A job that its client has submitted to
+// two hosts may be in two partitions. It is one job, and the row with the lower
+// version takes precedence.
 package jobstore
 
 import (
@@ -91,12 +91,12 @@
 // An Outcome is the result of submitting a job.
 type Outcome uint8
 
-// The outcomes of submitting a job.
+// The outcomes of submitting a job. Hosts send them to each other as numbers.
 const (
 	Accepted  Outcome = iota // stored
 	Duplicate                // the same job was accepted before
 	Conflict                 // another job has the id
-	Refused                  // certainly nothing was written by this call
+	Refused                  // certainly not written by this call
 	Unknown                  // may be stored
 	TooLarge                 // the job or its progress is larger than the store accepts
 )
@@ -112,20 +112,20 @@
 // Conflict otherwise. The time of submission is ignored, and so is the team if either
 // job has none: hosts of the release before teams store and forward jobs without one.
 func compareStored(j sched.Job, stored []byte) (Outcome, error) {
-	o, err := DecodeJob(stored)
+	existing, err := DecodeJob(stored)
 	if err != nil {
 		return Conflict, err
 	}
-	j.Received = o.Received
-	if j.Team == "" || o.Team == "" {
-		j.Team = o.Team
+	j.Received = existing.Received
+	if j.Team == "" || existing.Team == "" {
+		j.Team = existing.Team
 	}
 	v, err := EncodeJob(j)
 	if err != nil {
 		return Conflict, err
 	}
-	// Encode the stored job again, as another release may have encoded it differently.
-	if stored, err = EncodeJob(o); err != nil {
+	// Encode the stored job again, since another release may have encoded it differently.
+	if stored, err = EncodeJob(existing); err != nil {
 		return Conflict, err
 	}
 	if !bytes.Equal(v, stored) {
@@ -134,8 +134,8 @@
 	return Duplicate, nil
 }
 
-// Cancel marks a job as cancelled in a host's own partition. The caller must know that
-// the job exists.
+// Cancel marks a job as cancelled in a host's own partition. The caller must make sure
+// that the job exists.
 func Cancel(ctx context.Context, s store.Store, partition string, id spoolsill.JobID) error {
 	r := CancelRow(partition, id)
 	_, err := s.Commit(ctx, store.Transaction{
@@ -160,8 +160,8 @@
 }
 
 // ReadState reads a job's state and team from the store. It returns false if there is no
-// such job. This takes one read for a job that has started, and otherwise another one
-// for each partition.
+// such job. This takes one read for a job with progress. For other jobs it also lists the
+// partitions and reads each of them.
 func ReadState(ctx context.Context, s store.Store, id spoolsill.JobID) (sched.JobStatus, bool, error) {
 	st := sched.JobStatus{
 		ID: id,
@@ -176,13 +176,13 @@
 		st.Team = p.Team
 		return st, true, err
 	}
-	f, err := findJob(ctx, s, id)
-	if err != nil || f.job.Version == 0 {
+	stored, err := findJob(ctx, s, id)
+	if err != nil || stored.job.Version == 0 {
 		return st, false, err
 	}
-	j, err := DecodeJob(f.job.Value)
+	j, err := DecodeJob(stored.job.Value)
 	st.Team = j.Team
-	if f.cancelled {
+	if stored.cancelled {
 		st.State = sched.Cancelled
 	}
 	return st, true, err
@@ -210,19 +210,19 @@
 	cancelled bool
 }
 
-func (f *storedJob) add(r store.Row, id spoolsill.JobID) {
-	if r.Key.Name == string(id) && (f.job.Version == 0 || r.Version < f.job.Version) {
-		f.job = r
+func (s *storedJob) add(r store.Row, id spoolsill.JobID) {
+	if r.Key.Name == string(id) && (s.job.Version == 0 || r.Version < s.job.Version) {
+		s.job = r
 	}
-	f.cancelled = f.cancelled || r.Key.Name == string(id)+cancelSuffix
+	s.cancelled = s.cancelled || r.Key.Name == string(id)+cancelSuffix
 }
 
 // findJob looks up a job and its cancellation marker in all partitions.
 func findJob(ctx context.Context, s store.Store, id spoolsill.JobID) (storedJob, error) {
-	var f storedJob
+	var found storedJob
 	parts, err := s.Partitions(ctx, JobsTable)
 	if err != nil {
-		return f, err
+		return found, err
 	}
 	var mu sync.Mutex
 	g, ctx := errgroup.WithContext(ctx)
@@ -236,13 +236,13 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, r := range p.Rows {
-				f.add(r, id)
+				found.add(r, id)
 			}
 			return nil
 		})
 	}
 	err = g.Wait()
-	return f, err
+	return found, err
 }
 
 // maxConcurrentReads bounds the concurrent reads of one lookup.
--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// Guards against retries without delay while the store closes all connections: every call
-// has a cost, and all hosts retry at the same time.
+// Guards against retries without delay while the store closes all connections. All hosts
+// retry at the same time, and each call adds to the store's load.
 func TestBackoffAfterClosedConnections(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
 		var writes atomic.Int32
@@ -145,41 +145,41 @@
 		c.Assert(known, qt.IsFalse)
 		_, err = w.Accept(ctx, job("j", "s"))
 		c.Assert(err, qt.IsNil)
-		x, known, err := jobstore.ReadState(ctx, s, "j")
+		st, known, err := jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
 		c.Assert(known, qt.IsTrue)
-		c.Assert(x.State, qt.Equals, sched.Pending)
+		c.Assert(st.State, qt.Equals, sched.Pending)
 		c.Assert(jobstore.Cancel(ctx, s, "another host", "j"), qt.IsNil)
-		x, _, err = jobstore.ReadState(ctx, s, "j")
+		st, _, err = jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
-		c.Assert(x.State, qt.Equals, sched.Cancelled)
+		c.Assert(st.State, qt.Equals, sched.Cancelled)
 	})
 }
 
-// Hosts of the release before teams store jobs without a team, and forward jobs without
-// the team that another host has determined from the key.
-func TestAcceptSameJobOfFormerRelease(t *testing.T) {
-	for _, x := range []struct {
+// Hosts of releases without teams store jobs without a team, and forward jobs without the
+// team that another host has determined from the key.
+func TestAcceptSameJobOfReleaseWithoutTeams(t *testing.T) {
+	for _, tt := range []struct {
 		name                string
 		stored, resubmitted spoolsill.TeamID
 		want                jobstore.Outcome
 	}{
 		{"the same team", "a", "a", jobstore.Duplicate},
-		{"stored by a host of the former release", "", "a", jobstore.Duplicate},
-		{"forwarded by a host of the former release", "a", "", jobstore.Duplicate},
+		{"stored by a host of a release without teams", "", "a", jobstore.Duplicate},
+		{"forwarded by a host of a release without teams", "a", "", jobstore.Duplicate},
 		{"another team", "a", "b", jobstore.Conflict},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			withWriter(t, func(ctx context.Context, c *qt.C, _ *cellfake.Store, w *jobstore.Writer) {
 				j := job("j", "s")
-				j.Team = x.stored
+				j.Team = tt.stored
 				o, _ := w.Accept(ctx, j)
 				c.Assert(o, qt.Equals, jobstore.Accepted)
 				pause.For(ctx, time.Second)
 				j = job("j", "s")
-				j.Team = x.resubmitted
+				j.Team = tt.resubmitted
 				o, _ = w.Accept(ctx, j)
-				c.Assert(o, qt.Equals, x.want)
+				c.Assert(o, qt.Equals, tt.want)
 			})
 		})
 	}
@@ -192,9 +192,9 @@
 		j.Team = "a"
 		_, err := w.Accept(ctx, j)
 		c.Assert(err, qt.IsNil)
-		x, _, err := jobstore.ReadState(ctx, s, "j")
+		st, _, err := jobstore.ReadState(ctx, s, "j")
 		c.Assert(err, qt.IsNil)
-		c.Check(x.Team, qt.Equals, spoolsill.TeamID("a"))
+		c.Check(st.Team, qt.Equals, spoolsill.TeamID("a"))
 		v, err := sched.EncodeProgress(sched.Progress{
 			State: sched.Completed,
 			Team:  "a",
@@ -209,14 +209,14 @@
 			},
 		})
 		c.Assert(err, qt.IsNil)
-		x, _, err = jobstore.ReadState(ctx, s, "k")
+		st, _, err = jobstore.ReadState(ctx, s, "k")
 		c.Assert(err, qt.IsNil)
-		c.Check(x.Team, qt.Equals, spoolsill.TeamID("a"))
-		c.Check(x.State, qt.Equals, sched.Completed)
+		c.Check(st.Team, qt.Equals, spoolsill.TeamID("a"))
+		c.Check(st.State, qt.Equals, sched.Completed)
 	})
 }
 
-// typicalJob returns a job like most that clients submit, with a short spec.
+// typicalJob returns a job with a short spec, like most jobs that clients submit.
 func typicalJob() sched.Job {
 	return sched.Job{
 		ID:       "5c0e7a21d94b36f8",
@@ -236,16 +236,15 @@
 	}
 }
 
-// Guards against rows that consist mostly of the names of fields with zero values: at a
-// takeover the leader reads the rows of all jobs over its link, and later those of all
-// new jobs.
+// Guards against rows that consist mostly of the names of fields with zero values. A new
+// leader reads the rows of all jobs over its link, and later those of each new job.
 func TestEncodeJobSize(t *testing.T) {
 	b, err := jobstore.EncodeJob(typicalJob())
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, len(b) < 180, qt.IsTrue, qt.Commentf("%d bytes", len(b)))
 }
 
-// Guards against taking a client's retry for another job because the row was encoded by a
+// Guards against Conflict for a client's retry of the same job whose row was encoded by a
 // host of the previous release.
 func TestAcceptJobEncodedByPreviousRelease(t *testing.T) {
 	withWriter(t, func(ctx context.Context, c *qt.C, s *cellfake.Store, w *jobstore.Writer) {
--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -22,20 +22,20 @@
 	// maxQueuedJobs bounds the jobs that wait to be written.
 	maxQueuedJobs = 2048
 	// minRetryDelay is the delay after a write that the store refused or whose
-	// connection failed: the duration of a few usual writes. It doubles with each
-	// further failure up to maxRetryDelay, by which a host's recovery can lag behind
-	// the store's.
+	// connection failed. It is the duration of a few typical writes and doubles with
+	// each further failure, up to maxRetryDelay. After a store outage the host may
+	// recover later than the store by up to maxRetryDelay.
 	minRetryDelay = 40 * time.Millisecond
 	maxRetryDelay = 250 * time.Millisecond
-	// maxAttempts bounds the concurrent attempts of a write, and writeTimeout its
-	// duration: two thirds of the time that clients wait in all.
+	// maxAttempts bounds the concurrent attempts of a write. writeTimeout bounds its
+	// duration to two thirds of the time that clients wait in total.
 	maxAttempts  = 3
 	writeTimeout = 2 * time.Second
 )
 
-// A Writer stores jobs in the host's own partition, so that hosts do not wait for each
-// other. Jobs that arrive during a write are batched into the next one, so that a slow
-// store accepts as many jobs as a fast one.
+// A Writer stores jobs in the host's own partition, so that hosts do not contend with
+// each other. Jobs that arrive during a write are batched into the next one, so that a
+// slow store accepts as many jobs as a fast one.
 type Writer struct {
 	// Store and Partition are where jobs are written.
 	Store     store.Store
@@ -52,7 +52,7 @@
 
 // A pendingJob is a job that waits to be stored.
 type pendingJob struct {
-	ctx       context.Context //nolint:containedctx // of the client's request, which the write outlives
+	ctx       context.Context //nolint:containedctx // the context of the client's request, which may end before the write
 	job       sched.Job
 	value     []byte
 	attempted bool
@@ -79,22 +79,22 @@
 		return Refused, err
 	}
 	if w.MaxRow > 0 && max(len(v), sched.MaxProgressBytes(j)) > w.MaxRow {
-		// The store would refuse it together with all other jobs in its batch.
+		// The store would refuse the whole batch that contains the job.
 		return TooLarge, nil
 	}
-	e := &pendingJob{
+	p := &pendingJob{
 		ctx:   ctx,
 		job:   j,
 		value: v,
 		done:  make(chan result, 1),
 	}
 	select {
-	case w.queue <- e:
+	case w.queue <- p:
 	default:
 		return Refused, errors.New("jobstore: too many jobs wait to be written")
 	}
 	select {
-	case r := <-e.done:
+	case r := <-p.done:
 		return r.outcome, r.err
 	case <-ctx.Done():
 		// The writer may have begun to write the job.
@@ -108,8 +108,8 @@
 	for {
 		if len(batch) == 0 {
 			select {
-			case e := <-w.queue:
-				batch = append(batch, e)
+			case p := <-w.queue:
+				batch = append(batch, p)
 			case <-ctx.Done():
 				return
 			}
@@ -128,14 +128,14 @@
 // fillBatch adds queued jobs to a batch, up to its limits.
 func (w *Writer) fillBatch(batch []*pendingJob) []*pendingJob {
 	size := 0
-	for _, e := range batch {
-		size += len(e.value)
+	for _, p := range batch {
+		size += len(p.value)
 	}
 	for len(batch) < maxBatchJobs && size < maxBatchBytes {
 		select {
-		case e := <-w.queue:
-			batch = append(batch, e)
-			size += len(e.value)
+		case p := <-w.queue:
+			batch = append(batch, p)
+			size += len(p.value)
 		default:
 			return batch
 		}
@@ -146,9 +146,9 @@
 // dropAbandoned removes the jobs whose clients no longer wait for a response.
 func dropAbandoned(batch []*pendingJob) []*pendingJob {
 	kept := batch[:0]
-	for _, e := range batch {
-		if e.ctx.Err() == nil {
-			kept = append(kept, e)
+	for _, p := range batch {
+		if p.ctx.Err() == nil {
+			kept = append(kept, p)
 		}
 	}
 	return kept
@@ -158,9 +158,9 @@
 func (w *Writer) write(ctx context.Context, batch []*pendingJob) []*pendingJob {
 	batch = dropDuplicates(batch)
 	t := w.transaction(batch)
-	c, cancel := context.WithTimeout(ctx, writeTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	r, _, err := store.CommitHedged(c, w.Store, t, store.HedgePolicy{
+	r, _, err := store.CommitHedged(writeCtx, w.Store, t, store.HedgePolicy{
 		First: w.Timeout(),
 		Max:   writeTimeout,
 		Tries: maxAttempts,
@@ -169,36 +169,36 @@
 	case errors.Is(err, store.ErrRefused):
 		return w.rejectBatch(ctx, batch, err)
 	case err != nil:
-		for _, e := range batch {
-			e.attempted = true
+		for _, p := range batch {
+			p.attempted = true
 		}
 		if !errors.Is(err, context.DeadlineExceeded) {
-			w.backOff(ctx) // after a timeout there is no need for a further delay
+			w.backOff(ctx) // not needed after a timeout, which is a delay in itself
 		}
 		return batch
 	case r.Applied:
 		w.retryDelay = 0
-		for _, e := range batch {
-			e.settle(Accepted, nil)
+		for _, p := range batch {
+			p.complete(Accepted, nil)
 		}
 		return nil
 	default:
 		w.retryDelay = 0
-		return w.settleExisting(batch, r.Current)
+		return w.completeExisting(batch, r.Current)
 	}
 }
 
-// rejectBatch settles jobs as Refused at once, since another host may be able to store
-// them. It returns the jobs of an earlier write with an unknown outcome, which may be
+// rejectBatch completes jobs with Refused immediately, since another host may be able to
+// store them. It returns the jobs of an earlier write with an unknown outcome: they may be
 // stored already and must be attempted again.
 func (w *Writer) rejectBatch(ctx context.Context, batch []*pendingJob, err error) []*pendingJob {
 	var remaining []*pendingJob
-	for _, e := range batch {
-		if !e.attempted {
-			e.settle(Refused, err)
+	for _, p := range batch {
+		if !p.attempted {
+			p.complete(Refused, err)
 			continue
 		}
-		remaining = append(remaining, e)
+		remaining = append(remaining, p)
 	}
 	w.backOff(ctx)
 	return remaining
@@ -210,39 +210,39 @@
 	pause.For(ctx, w.retryDelay)
 }
 
-// dropDuplicates removes jobs whose id occurs earlier in the batch and settles them as
-// Refused. A retry after the write then finds the stored job.
+// dropDuplicates removes jobs whose id occurs earlier in the batch and completes them with
+// Refused. A retry after the write finds the stored job.
 func dropDuplicates(batch []*pendingJob) []*pendingJob {
 	seen := map[spoolsill.JobID]bool{}
 	kept := batch[:0]
-	for _, e := range batch {
-		if seen[e.job.ID] {
-			e.settle(Refused, nil)
+	for _, p := range batch {
+		if seen[p.job.ID] {
+			p.complete(Refused, nil)
 			continue
 		}
-		seen[e.job.ID] = true
-		kept = append(kept, e)
+		seen[p.job.ID] = true
+		kept = append(kept, p)
 	}
 	return kept
 }
 
 func (w *Writer) transaction(batch []*pendingJob) store.Transaction {
 	var t store.Transaction
-	for _, e := range batch {
-		k := jobKey(w.Partition, e.job.ID)
+	for _, p := range batch {
+		k := jobKey(w.Partition, p.job.ID)
 		t.Conditions = append(t.Conditions, store.Condition{
 			Key: k,
 		})
 		t.Puts = append(t.Puts, store.Put{
 			Key:   k,
-			Value: e.value,
+			Value: p.value,
 		})
 	}
 	return t
 }
 
-// settleExisting settles the jobs whose rows exist already and returns the others.
-func (w *Writer) settleExisting(batch []*pendingJob, current []store.Row) []*pendingJob {
+// completeExisting completes the jobs whose rows exist already and returns the others.
+func (w *Writer) completeExisting(batch []*pendingJob, current []store.Row) []*pendingJob {
 	existing := map[string]store.Row{}
 	for _, r := range current {
 		if r.Version > 0 {
@@ -250,23 +250,24 @@
 		}
 	}
 	var remaining []*pendingJob
-	for _, e := range batch {
-		r, ok := existing[string(e.job.ID)]
+	for _, p := range batch {
+		r, ok := existing[string(p.job.ID)]
 		if !ok {
-			remaining = append(remaining, e)
+			remaining = append(remaining, p)
 			continue
 		}
-		if bytes.Equal(r.Value, e.value) {
-			e.settle(Accepted, nil)
+		if bytes.Equal(r.Value, p.value) {
+			p.complete(Accepted, nil)
 			continue
 		}
-		e.settle(compareStored(e.job, r.Value))
+		p.complete(compareStored(p.job, r.Value))
 	}
 	return remaining
 }
 
-func (e *pendingJob) settle(o Outcome, err error) {
-	e.done <- result{
+// complete passes the outcome to the call of Accept that waits for it.
+func (p *pendingJob) complete(o Outcome, err error) {
+	p.done <- result{
 		outcome: o,
 		err:     err,
 	}
