--- a/admit/admit.go
+++ b/admit/admit.go
@@ -21,8 +21,8 @@
 	// when they are not: the share rises from a tenth to all within four seconds.
 	decreaseFactor = 0.7
 	increaseStep   = 0.05
-	// minShare keeps some work coming, by which recovery is detected. Of clients that retry
-	// four times, two in five succeed at this share.
+	// minShare is the minimum share. The jobs accepted at that share show whether latency
+	// has recovered. Of clients that retry four times, two in five succeed.
 	minShare = 0.1
 )
 
@@ -30,17 +30,17 @@
 // additive increase and multiplicative decrease. It is not safe for concurrent use. The zero
 // value accepts all jobs.
 type Controller struct {
-	refused float64 // 1 minus the share
-	changed time.Time
+	refused    float64 // 1 minus the share, so that the zero value accepts all jobs
+	lastChange time.Time
 }
 
 // Update takes the latency of responses at time now and its limit, and returns the share of
 // jobs to accept, from minShare to 1.
 func (c *Controller) Update(now time.Time, latency, limit time.Duration) float64 {
-	if now.Sub(c.changed) < adjustInterval {
+	if now.Sub(c.lastChange) < adjustInterval {
 		return 1 - c.refused
 	}
-	c.changed = now
+	c.lastChange = now
 	share := 1 - c.refused
 	if latency > limit {
 		share = max(share*decreaseFactor, minShare)
--- a/delegate/directory.go
+++ b/delegate/directory.go
@@ -16,12 +16,13 @@
 	// avoidTime is how long a host that left a call unanswered is avoided: as long as most
 	// problems of a single host last.
 	avoidTime = 3 * time.Second
-	// minHostsPerAvoided bounds the hosts that are avoided at once. When more hosts
-	// leave calls unanswered, the fault is more likely with the caller: its own link or
-	// processor is saturated, and calls that it made itself would add to that load.
+	// minHostsPerAvoided bounds the hosts that are avoided at once: at most one of so many.
+	// When more hosts leave calls unanswered, the fault is more likely with the caller: its
+	// own link or processor is saturated, and calls that it made itself would add to that
+	// load.
 	minHostsPerAvoided = 2
-	// leastCores bounds the weight of very small hosts.
-	leastCores = 0.05
+	// minCores is the minimum weight of a host.
+	minCores = 0.05
 )
 
 // A Host is a host that can carry out calls.
@@ -54,7 +55,7 @@
 	d.chosen = nil
 }
 
-// MarkFailed records that a host left a call unanswered, or rejected it.
+// MarkFailed records that a host left a call unanswered or rejected it.
 func (d *Directory) MarkFailed(h spoolsill.HostID, now time.Time) {
 	if d.avoided == nil {
 		d.avoided = map[spoolsill.HostID]time.Time{}
@@ -73,9 +74,10 @@
 	return len(d.hosts), avoided
 }
 
-// DelegateFor returns the host that carries out the next call to a worker, of whose last
-// calls so many in a row were unanswered. Each unanswered call leads to another host, and every
-// other time to one of any hall. It returns false when there are no hosts.
+// DelegateFor returns the host that carries out the next call to a worker of a hall; unanswered is
+// the number of calls to the worker since its last response. Each unanswered call changes the
+// choice, and every other one extends it to the hosts of all halls. It returns false when there are
+// no hosts.
 // Cost: O(1), O(hosts) after a change and for a worker that does not respond.
 func (d *Directory) DelegateFor(w spoolsill.WorkerID, hall spoolsill.HallID, unanswered int, now time.Time) (spoolsill.HostID, bool) {
 	if unanswered > 0 {
@@ -97,15 +99,15 @@
 	return h, h != ""
 }
 
-// pruneAvoided removes the hosts that need no longer be avoided, and returns the time when the
-// next one will be removed, at most avoidTime from now.
+// pruneAvoided removes the hosts whose time of avoidance is over, and returns when the next one
+// will be removed, at most avoidTime from now.
 func (d *Directory) pruneAvoided(now time.Time) time.Time {
 	next := now.Add(avoidTime)
-	for h, end := range d.avoided {
-		if !now.Before(end) {
+	for h, until := range d.avoided {
+		if !now.Before(until) {
 			delete(d.avoided, h)
-		} else if end.Before(next) {
-			next = end
+		} else if until.Before(next) {
+			next = until
 		}
 	}
 	return next
@@ -125,8 +127,8 @@
 	return usable
 }
 
-// choose returns the host with the highest score in a round among those of a hall, or among all
-// when the hall has none. It returns "" when there are no hosts.
+// choose returns the host with the highest score for a worker in a round, among those of a hall or
+// among all if the hall has none. It returns "" when there are no hosts.
 func choose(hosts []Host, w spoolsill.WorkerID, hall spoolsill.HallID, round int) spoolsill.HostID {
 	candidates := make([]Host, 0, len(hosts))
 	for _, h := range hosts {
@@ -148,10 +150,10 @@
 	return best
 }
 
-// score returns the score of weighted rendezvous hashing: the probability that a host has the
-// highest score is its share of the total weight.
+// score returns the score of a host in weighted rendezvous hashing: the probability that a host has
+// the highest score is its share of the total weight.
 func score(h Host, w spoolsill.WorkerID, round int) float64 {
 	x := xxhash.Sum64String(string(h.ID) + "/" + string(w) + "/" + strconv.Itoa(round))
 	u := (float64(x>>11) + 0.5) / (1 << 53)
-	return -max(h.Cores, leastCores) / math.Log(u)
+	return -max(h.Cores, minCores) / math.Log(u)
 }
--- a/delegate/directory_test.go
+++ b/delegate/directory_test.go
@@ -24,8 +24,8 @@
 	return hs
 }
 
-// assigned returns the delegates of some workers of a hall.
-func assigned(d *delegate.Directory, workers int, hall spoolsill.HallID, now time.Time) map[spoolsill.WorkerID]spoolsill.HostID {
+// delegatesOf returns the delegates of the first workers of a hall.
+func delegatesOf(d *delegate.Directory, workers int, hall spoolsill.HallID, now time.Time) map[spoolsill.WorkerID]spoolsill.HostID {
 	m := map[spoolsill.WorkerID]spoolsill.HostID{}
 	for i := range workers {
 		w := spoolsill.WorkerID(fmt.Sprintf("w%d", i))
@@ -34,22 +34,22 @@
 	return m
 }
 
-func TestNobodyIsChosenOfNone(t *testing.T) {
+func TestDelegateForWithoutHosts(t *testing.T) {
 	var d delegate.Directory
 	_, ok := d.DelegateFor("w", "hall0", 0, time.Now())
 	qt.Assert(t, ok, qt.IsFalse)
 }
 
-// In a hall of 30 hosts and 2,200 workers all delegates are hosts of the hall, and larger hosts
-// get more workers.
-func TestWorkersAreSpreadOverTheHostsOfTheirHall(t *testing.T) {
+// In a hall of 30 hosts and 2,200 workers all delegates are hosts of the hall, and the number of
+// workers of each host is about proportional to its cores.
+func TestWorkersAreDistributedByCoresWithinHall(t *testing.T) {
 	c := qt.New(t)
 	var d delegate.Directory
 	hs := hosts(150, 5)
 	hs[0].Cores = 0.8 // four times the others, in hall0
 	d.SetHosts(hs)
 	count := map[spoolsill.HostID]int{}
-	for _, h := range assigned(&d, 2200, "hall0", time.Now()) {
+	for _, h := range delegatesOf(&d, 2200, "hall0", time.Now()) {
 		count[h]++
 	}
 	c.Assert(count, qt.HasLen, 30)
@@ -65,8 +65,9 @@
 	}
 }
 
-// When a host is lost, its workers, and no others, get another delegate at once.
-func TestOnlyWorkersOfALostHostChangeOver(t *testing.T) {
+// When a host is removed or fails, its workers get another delegate at once, and no other worker
+// does.
+func TestOnlyWorkersOfLostHostChangeDelegate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "hosts")
 		lost := rapid.IntRange(0, n-1).Draw(t, "lost")
@@ -75,42 +76,43 @@
 		var d delegate.Directory
 		hs := hosts(n, 1)
 		d.SetHosts(hs)
-		before := assigned(&d, 100, "hall0", now)
+		before := delegatesOf(&d, 100, "hall0", now)
 		if fails {
 			d.MarkFailed(hs[lost].ID, now)
 		} else {
 			d.SetHosts(append(append([]delegate.Host{}, hs[:lost]...), hs[lost+1:]...))
 		}
-		after := assigned(&d, 100, "hall0", now)
+		after := delegatesOf(&d, 100, "hall0", now)
 		for w, h := range before {
 			if h != hs[lost].ID && after[w] != h {
-				t.Fatalf("%s went from %s to %s", w, h, after[w])
+				t.Fatalf("delegate of %s changed from %s to %s", w, h, after[w])
 			}
 			if after[w] == hs[lost].ID {
-				t.Fatalf("%s stays at the lost host", w)
+				t.Fatalf("delegate of %s is still the lost host", w)
 			}
 		}
 	})
 }
 
-// A host that left a call unanswered is used again after a while.
-func TestHostThatFailedIsAskedAgain(t *testing.T) {
+// A host that left a call unanswered is used again after 3 s. While more than half of the hosts
+// would be avoided, none is.
+func TestFailedHostIsUsedAgainLater(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	var d delegate.Directory
 	d.SetHosts(hosts(3, 1))
-	before := assigned(&d, 50, "hall0", now)
+	before := delegatesOf(&d, 50, "hall0", now)
 	d.MarkFailed("host1", now)
-	d.MarkFailed("host2", now.Add(time.Second)) // more than half: none is avoided
-	all, resting := d.Count(now.Add(time.Second))
-	c.Assert([]int{all, resting}, qt.DeepEquals, []int{3, 2})
-	c.Assert(assigned(&d, 50, "hall0", now.Add(time.Second)), qt.DeepEquals, before)
-	c.Assert(assigned(&d, 50, "hall0", now.Add(3500*time.Millisecond)), qt.Not(qt.DeepEquals), before)
-	c.Assert(assigned(&d, 50, "hall0", now.Add(5*time.Second)), qt.DeepEquals, before)
+	d.MarkFailed("host2", now.Add(time.Second)) // more than half have failed: none is avoided
+	all, avoided := d.Count(now.Add(time.Second))
+	c.Assert([]int{all, avoided}, qt.DeepEquals, []int{3, 2})
+	c.Assert(delegatesOf(&d, 50, "hall0", now.Add(time.Second)), qt.DeepEquals, before)
+	c.Assert(delegatesOf(&d, 50, "hall0", now.Add(3500*time.Millisecond)), qt.Not(qt.DeepEquals), before)
+	c.Assert(delegatesOf(&d, 50, "hall0", now.Add(5*time.Second)), qt.DeepEquals, before)
 }
 
-// When all hosts of a hall are gone or fail, hosts of other halls carry out its calls.
-func TestHallWithoutHostsIsCarriedByOthers(t *testing.T) {
+// When all hosts of a hall fail, or the hall has none, hosts of other halls carry out its calls.
+func TestHallWithoutHostsUsesOtherHalls(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	var d delegate.Directory
@@ -121,7 +123,7 @@
 			d.MarkFailed(h.ID, now)
 		}
 	}
-	for _, h := range assigned(&d, 50, "hall1", now) {
+	for _, h := range delegatesOf(&d, 50, "hall1", now) {
 		c.Check(h, qt.Not(qt.Equals), spoolsill.HostID(""))
 		for _, x := range hs {
 			c.Check(x.ID == h && x.Hall == "hall1", qt.IsFalse)
@@ -133,25 +135,25 @@
 }
 
 // The calls to a worker that does not respond go through changing hosts, of its hall and of
-// others: the delegate may be the one that is cut off.
-func TestWorkerThatDoesNotAnswerIsCalledByOthers(t *testing.T) {
+// others: the delegate may be what is disconnected, not the worker.
+func TestUnansweredCallsChangeDelegate(t *testing.T) {
 	var d delegate.Directory
 	hs := hosts(40, 4)
 	d.SetHosts(hs)
-	hall := map[spoolsill.HostID]spoolsill.HallID{}
+	hallOf := map[spoolsill.HostID]spoolsill.HallID{}
 	for _, h := range hs {
-		hall[h.ID] = h.Hall
+		hallOf[h.ID] = h.Hall
 	}
-	askers := map[spoolsill.HostID]bool{}
+	delegates := map[spoolsill.HostID]bool{}
 	halls := map[spoolsill.HallID]bool{}
 	for i := range 10 {
 		h, _ := d.DelegateFor("w", "hall0", i, time.Now())
-		askers[h] = true
-		halls[hall[h]] = true
+		delegates[h] = true
+		halls[hallOf[h]] = true
 		if i%2 == 0 {
-			qt.Check(t, hall[h], qt.Equals, spoolsill.HallID("hall0"))
+			qt.Check(t, hallOf[h], qt.Equals, spoolsill.HallID("hall0"))
 		}
 	}
-	qt.Check(t, len(askers) >= 6, qt.IsTrue, qt.Commentf("%d hosts", len(askers)))
+	qt.Check(t, len(delegates) >= 6, qt.IsTrue, qt.Commentf("%d hosts", len(delegates)))
 	qt.Check(t, len(halls) >= 3, qt.IsTrue, qt.Commentf("%d halls", len(halls)))
 }
--- a/leader/advice.go
+++ b/leader/advice.go
@@ -11,11 +11,12 @@
 )
 
 // An Advisor asks the advisor service through the hosts of the cell. The service answers one
-// question of a host at a time, so a high rate takes many hosts.
+// question of a host at a time, so a high rate needs many hosts.
 type Advisor interface {
 	// Hosts returns the hosts that can ask now.
 	Hosts() []spoolsill.HostID
-	// Ask makes a host ask which of the workers may run a stage.
+	// Ask makes a host ask which of the workers may run a stage. It returns the tickets of
+	// those that may, and how long the tickets are valid.
 	Ask(ctx context.Context, h spoolsill.HostID, stage sched.StageID, workers []spoolsill.WorkerID) ([]sched.Ticket, time.Duration, error)
 }
 
@@ -39,8 +40,8 @@
 )
 
 // An adviceDispatcher distributes questions over hosts. Each host gets one at a time, or several if
-// an answer spends more time in transit than the service needs for a question: otherwise the host
-// would be idle during the transit.
+// an answer spends more time in transit than the service needs for a question: with one at a time,
+// the host would be idle during the transit.
 type adviceDispatcher struct {
 	leader *Leader
 	queue  []sched.AdviceOrder // most urgent first
@@ -75,7 +76,7 @@
 
 func (a *adviceDispatcher) enqueue(o sched.AdviceOrder) {
 	i, _ := slices.BinarySearchFunc(a.queue, o, func(e, o sched.AdviceOrder) int {
-		return cmp.Or(compareQuestions(e, o), -1) // behind equal ones
+		return cmp.Or(compareQuestions(e, o), -1) // insert after equal elements
 	})
 	a.queue = slices.Insert(a.queue, i, o)
 }
@@ -113,15 +114,15 @@
 func (a *adviceDispatcher) collectAnswers() {
 	for {
 		select {
-		case f := <-a.answered:
-			a.busy[f.host]--
-			delete(a.failed, f.host)
-			if f.failed {
-				a.failed[f.host] = a.leader.config.Clock.Now()
+		case q := <-a.answered:
+			a.busy[q.host]--
+			delete(a.failed, q.host)
+			if q.failed {
+				a.failed[q.host] = a.leader.config.Clock.Now()
 				a.listed = time.Time{}
 				continue
 			}
-			a.observe(f)
+			a.observe(q)
 		default:
 			return
 		}
@@ -129,10 +130,10 @@
 }
 
 // observe updates the averages with an answer.
-func (a *adviceDispatcher) observe(f answeredQuestion) {
-	overhead := max(f.took-f.ahead-f.cost, 0)
+func (a *adviceDispatcher) observe(q answeredQuestion) {
+	overhead := max(q.took-q.ahead-q.cost, 0)
 	a.overhead += time.Duration(overheadWeight * float64(overhead-a.overhead))
-	a.averageCost += time.Duration(overheadWeight * float64(f.cost-a.averageCost))
+	a.averageCost += time.Duration(overheadWeight * float64(q.cost-a.averageCost))
 }
 
 // depth returns how many questions a host may have in flight.
@@ -164,8 +165,8 @@
 	return available
 }
 
-// compareQuestions orders urgent questions first, then those with reserved capacity, then
-// those for gangs that wait.
+// compareQuestions orders urgent questions first, then by purpose: those for runs whose capacity is
+// held, those for waiting gangs, and all others. Then it orders by priority.
 func compareQuestions(a, b sched.AdviceOrder) int {
 	return cmp.Or(
 		-compareBools(a.Urgent, b.Urgent),
@@ -186,9 +187,9 @@
 	}
 }
 
-// pickHost returns the host with the fewest questions in flight, and the last one of several. Long
-// questions don't go to the last reservedHosts hosts, or the last half if there are fewer, so
-// that short ones go there first.
+// pickHost returns the host with the fewest questions in flight, the last one if there are several.
+// It returns false if all hosts are busy. Long questions don't go to the last reservedHosts hosts,
+// or fewer if that were more than half of them, so that short ones find a free host there.
 func (a *adviceDispatcher) pickHost(hosts []spoolsill.HostID, long bool) (spoolsill.HostID, bool) {
 	if long {
 		hosts = hosts[:max(len(hosts)-reservedHosts, (len(hosts)+1)/2)]
@@ -213,7 +214,7 @@
 		begun := l.config.Clock.Now()
 		tickets, valid, err := l.config.Advisor.Ask(c, h, o.Stage, workerIDs(o.Workers))
 		took := l.config.Clock.Since(begun)
-		l.config.Observer.RecordAdvice(outcome(err), took)
+		l.config.Observer.RecordAdvice(adviceOutcome(err), took)
 		if err != nil {
 			l.config.Log.WithError(err).WithField("host", string(h)).WithField("stage", o.Stage.String()).Warn("question to the advisor failed")
 		}
@@ -239,13 +240,13 @@
 // workerIDs returns the ids of the workers.
 func workerIDs(incarnations []spoolsill.WorkerIncarnation) []spoolsill.WorkerID {
 	ids := make([]spoolsill.WorkerID, len(incarnations))
-	for i, l := range incarnations {
-		ids[i] = l.Worker
+	for i, incarnation := range incarnations {
+		ids[i] = incarnation.Worker
 	}
 	return ids
 }
 
-func outcome(err error) string {
+func adviceOutcome(err error) string {
 	if err != nil {
 		return "failed"
 	}
--- a/leader/chain.go
+++ b/leader/chain.go
@@ -43,7 +43,7 @@
 	// Released is set when the leader has stopped as planned.
 	Released bool `msgpack:"r"`
 	// UnfinishedLoads counts the consecutive leaderships, including this one, that have
-	// not read all jobs. Each of them starts reading from the beginning.
+	// not read all jobs. Each leadership reads them from the beginning.
 	UnfinishedLoads int `msgpack:"u"`
 }
 
@@ -66,9 +66,9 @@
 	// maxTryTimeout bounds that time, which grows with the latency of the store and
 	// doubles with each attempt.
 	maxTryTimeout = 1200 * time.Millisecond
-	// maxConcurrentTries is how many attempts may be in flight, and triesTimeout for how
-	// long: the slowest store of the known deployments needs less than two seconds for a
-	// write.
+	// maxConcurrentTries is the maximum number of attempts in flight, and triesTimeout
+	// bounds their duration: the slowest store of the known deployments needs less than two
+	// seconds for a write.
 	maxConcurrentTries = 5
 	triesTimeout       = 4 * time.Second
 	// retryDelay is the delay before a retry when the store refused an attempt.
@@ -189,7 +189,7 @@
 		case errors.Is(err, context.DeadlineExceeded):
 			// All attempts timed out; retry at once.
 		default:
-			// The connection failed, and the store may be reachable again at any moment.
+			// The connection failed; the store may become reachable at any moment.
 			pause.For(ctx, retryDelay)
 		}
 	}
@@ -219,8 +219,8 @@
 	c.commitLatency += (took - c.commitLatency) / weight
 }
 
-// resolve records the outcome of a write. If the row was not replaced but equals the one to
-// be written, an earlier attempt was applied.
+// resolve records the outcome of a write. If its condition failed but the leader row equals the
+// one to be written, an earlier attempt was applied. Otherwise the leadership is lost.
 func (c *Chain) resolve(h Head, written []byte, r store.Result) error {
 	if r.Applied {
 		c.head = h
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -18,24 +18,24 @@
 
 const (
 	// crashDelay is the time from the start of a task to the crash of its worker, as
-	// recorded in a deployment; machineRestartDelay is the time until the machine is back as another
-	// worker.
+	// recorded in a deployment; machineRestartDelay is the time from the crash until the
+	// machine is back as another worker.
 	crashDelay          = 10 * time.Millisecond
 	machineRestartDelay = 3300 * time.Millisecond
 )
 
-// A machines is a cell whose machines restart when their workers crash.
-type machines struct {
+// A machineCell is a cell whose machines restart when their workers crash.
+type machineCell struct {
 	*cell
 
 	mu           sync.Mutex
 	incarnations map[string]int
 }
 
-// newMachines makes the machines of a cell come back after each crash, as other workers at the
+// newMachineCell returns a cell in which each crashed machine restarts as another worker at the
 // same address.
-func newMachines(x *cell) *machines {
-	m := &machines{
+func newMachineCell(x *cell) *machineCell {
+	m := &machineCell{
 		cell:         x,
 		incarnations: map[string]int{},
 	}
@@ -47,7 +47,7 @@
 }
 
 // machineOf returns the machine of a worker, by its id.
-func (m *machines) machineOf(id spoolsill.WorkerID) string {
+func (m *machineCell) machineOf(id spoolsill.WorkerID) string {
 	var i, incarnation int
 	if _, err := fmt.Sscanf(string(id), "w%d/%d", &i, &incarnation); err == nil {
 		return fmt.Sprintf("m%d", i)
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("m%d", i)
 }
 
-func (m *machines) listIncarnation(id spoolsill.WorkerID, machine string) {
+func (m *machineCell) listIncarnation(id spoolsill.WorkerID, machine string) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
 		Born:    m.workers.CurrentLife(id).Born,
@@ -75,7 +75,7 @@
 	})
 }
 
-func (m *machines) scheduleRestart(id spoolsill.WorkerID, _ []sched.RunID) {
+func (m *machineCell) scheduleRestart(id spoolsill.WorkerID, _ []sched.RunID) {
 	time.AfterFunc(machineRestartDelay, func() {
 		machine := m.machineOf(id)
 		m.mu.Lock()
@@ -88,44 +88,44 @@
 	})
 }
 
-// keepIDs makes workers that crash restart under their ids after a time.
-func (m *machines) keepIDs(back time.Duration) {
+// restartUnderSameIDs makes workers that crash restart under the same id after a delay.
+func (m *machineCell) restartUnderSameIDs(delay time.Duration) {
 	m.workers.OnCrash = func(id spoolsill.WorkerID, _ []sched.RunID) {
-		time.AfterFunc(back, func() {
+		time.AfterFunc(delay, func() {
 			m.workers.Restart(id)
 			m.listIncarnation(id, m.machineOf(id))
 		})
 	}
 }
 
-var crashing = sched.TaskID{
+var crashingTask = sched.TaskID{
 	Stage: sched.StageID{
 		Job: "crashing",
 	},
 }
 
-func (m *machines) submitCrashing() {
+func (m *machineCell) submitCrashing() {
 	m.workers.CrashAfter = func(r sched.RunID) (time.Duration, bool) {
-		return crashDelay, r.Task == crashing
+		return crashDelay, r.Task == crashingTask
 	}
 	m.submit(sched.Job{
-		ID:    crashing.Stage.Job,
+		ID:    crashingTask.Stage.Job,
 		Queue: "plain",
 		Steps: []sched.Step{step(1, 1)},
 	})
 }
 
-// Guards against a task that crashes worker after worker, with all that runs there. Only ends
-// that a worker reported counted as attempts, and a run that was lost with its worker was
-// retried without limit, some thirty times in two minutes. The log of one such retry, 3.4 s
-// after the start before:
+// Guards against a task that crashes worker after worker, together with the other runs there.
+// Only ends that a worker reported counted as attempts, and a run that was lost with its worker
+// was retried without limit, some thirty times in two minutes. The log of one such retry, 3.4 s
+// after the previous start:
 //
 //	28.7725 run is gone, its address answers for another life, run 6
 //	28.7826 task placed, has room, run 7
 //	28.8238 task started, taken, run 7
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMachines(newCell(t.Context(), t, 8))
+		m := newMachineCell(newCell(t.Context(), t, 8))
 		defer m.end()
 		l := m.lead("a")
 		m.submitCrashing()
@@ -145,20 +145,20 @@
 		m.c.Check(crashed > 0, qt.IsTrue)
 		pause.For(m.ctx, 30*time.Second)
 		m.c.Check(m.workers.Violations(), qt.HasLen, 0)
-		s, ok := l.Status(crashing.Stage.Job)
+		s, ok := l.Status(crashingTask.Stage.Job)
 		m.c.Assert(ok, qt.IsTrue)
 		m.c.Check(s.State, qt.Equals, sched.Failed)
 		m.assertCompleted(l, ids)
 	})
 }
 
-// The leader is replaced repeatedly, at any moment of a crash and its handling. The next leader
-// knows only of the crashes that were stored.
-func TestCrashesOfATaskLastOverTakeOvers(t *testing.T) {
+// The leader is replaced repeatedly, at various moments of a crash and its handling. The next
+// leader knows only of the crashes that were stored.
+func TestCrashCountOfTaskSurvivesTakeovers(t *testing.T) {
 	for seed := range 8 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := newMachines(newCell(t.Context(), t, 8))
+				m := newMachineCell(newCell(t.Context(), t, 8))
 				defer m.end()
 				l := m.lead("host0")
 				m.submitCrashing()
@@ -169,7 +169,7 @@
 				}
 				pause.For(m.ctx, 40*time.Second)
 				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
-				s, ok := l.Status(crashing.Stage.Job)
+				s, ok := l.Status(crashingTask.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
 			})
@@ -178,22 +178,22 @@
 }
 
 // Guards against unlimited retries of a task whose workers restart under their ids, at once or
-// after a while. Such crashes are visible only as runs that the worker does not have, which did
-// not count as attempts.
+// after a delay. Such crashes show only as runs that the worker does not have, which did not count
+// as attempts.
 func TestTaskThatCrashesWorkersThatKeepTheirIDsIsGivenUp(t *testing.T) {
-	for _, back := range []time.Duration{0, 100 * time.Millisecond, machineRestartDelay} {
-		t.Run(back.String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{0, 100 * time.Millisecond, machineRestartDelay} {
+		t.Run(delay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := newMachines(newCell(t.Context(), t, 8))
+				m := newMachineCell(newCell(t.Context(), t, 8))
 				defer m.end()
-				m.keepIDs(back)
+				m.restartUnderSameIDs(delay)
 				l := m.lead("a")
 				m.submitCrashing()
 				ids := m.submitTasks("job", 24)
 				pause.For(m.ctx, 40*time.Second)
 				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
-				m.c.Check(m.workers.CrashCount(crashing) <= 5, qt.IsTrue)
-				s, ok := l.Status(crashing.Stage.Job)
+				m.c.Check(m.workers.CrashCount(crashingTask) <= 5, qt.IsTrue)
+				s, ok := l.Status(crashingTask.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
 				m.assertCompleted(l, ids)
@@ -204,13 +204,13 @@
 
 // Workers restart under their ids while the leader is replaced between the crashes. The next
 // leader reads from the store which incarnations have crashed.
-func TestCrashesOfWorkersThatKeepTheirIDsLastOverTakeOvers(t *testing.T) {
+func TestCrashCountOfWorkersThatKeepTheirIDsSurvivesTakeovers(t *testing.T) {
 	for seed := range 8 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := newMachines(newCell(t.Context(), t, 8))
+				m := newMachineCell(newCell(t.Context(), t, 8))
 				defer m.end()
-				m.keepIDs(time.Duration(seed) * 150 * time.Millisecond)
+				m.restartUnderSameIDs(time.Duration(seed) * 150 * time.Millisecond)
 				l := m.lead("host0")
 				m.submitCrashing()
 				for i := range 20 {
@@ -220,7 +220,7 @@
 				}
 				pause.For(m.ctx, 40*time.Second)
 				m.c.Check(m.workers.Violations(), qt.HasLen, 0)
-				s, ok := l.Status(crashing.Stage.Job)
+				s, ok := l.Status(crashingTask.Stage.Job)
 				m.c.Assert(ok, qt.IsTrue)
 				m.c.Check(s.State, qt.Equals, sched.Failed)
 			})
--- a/leader/fixture_test.go
+++ b/leader/fixture_test.go
@@ -33,13 +33,13 @@
 	ctx     context.Context
 	store   *cellfake.Store
 	workers *cellfake.Workers
-	// orders replaces workers as the callee of the leaders; may be nil.
-	orders    leader.Workers
-	ids       []spoolsill.WorkerID
-	hosts     sync.WaitGroup
-	leaders   []*leader.Leader
-	cancels   []context.CancelFunc
-	endErrors sync.Map // error of each ended leadership, by epoch
+	// workersOverride is what the leaders call instead of workers; may be nil.
+	workersOverride leader.Workers
+	ids             []spoolsill.WorkerID
+	hosts           sync.WaitGroup
+	leaders         []*leader.Leader
+	cancels         []context.CancelFunc
+	endErrors       sync.Map // error of each ended leadership, by epoch
 	// clock is the leaders' clock; nil is the system's.
 	clock *clock.Clock
 	// observer of the leaders; may be nil.
@@ -65,7 +65,7 @@
 	}
 	x.workers = cellfake.NewWorkers(lease, x.ids...)
 	for _, id := range x.ids {
-		x.list(id)
+		x.listWorker(id)
 	}
 	return x
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-func (x *cell) list(id spoolsill.WorkerID) {
+func (x *cell) listWorker(id spoolsill.WorkerID) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
 		Born:    x.workers.CurrentLife(id).Born,
@@ -119,7 +119,7 @@
 		l := leader.New(leader.Config{
 			Store:   x.store,
 			Chain:   c,
-			Workers: cmp.Or[leader.Workers](x.orders, x.workers),
+			Workers: cmp.Or[leader.Workers](x.workersOverride, x.workers),
 			Advisor: &cellfake.Advisor{
 				HostIDs: []spoolsill.HostID{host, "other"},
 				Cut:     x.hostWithoutAdvisor,
@@ -148,8 +148,8 @@
 
 // end stops all hosts.
 func (x *cell) end() {
-	for _, k := range x.cancels {
-		k()
+	for _, cancel := range x.cancels {
+		cancel()
 	}
 	x.hosts.Wait()
 }
--- a/leader/invalidentry_test.go
+++ b/leader/invalidentry_test.go
@@ -15,9 +15,9 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// Another writer repeatedly puts undecodable rows among the worker entries, under names of its
-// own and over a worker's entry. Work continues, each name is logged once, and the count falls
-// when the rows are gone.
+// Another writer repeatedly stores undecodable rows among the worker entries, under unknown names
+// and in place of a worker's entry. Work continues, each name is logged once, and the count falls
+// when the rows are deleted or replaced.
 func TestInvalidWorkerEntriesAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
@@ -26,9 +26,9 @@
 		x.logs = logs
 		l := x.lead("a")
 		pause.For(x.ctx, time.Second)
-		strange := []spoolsill.WorkerID{"strange0", "strange1", "w1"}
+		invalid := []spoolsill.WorkerID{"strange0", "strange1", "w1"}
 		for range 10 {
-			for _, id := range strange {
+			for _, id := range invalid {
 				x.store.Put(store.Put{
 					Key:   workerKey(id),
 					Value: []byte("\x00\xff"),
@@ -43,9 +43,9 @@
 		})
 		pause.For(x.ctx, 3*time.Second)
 		x.assertCompleted(l, []spoolsill.JobID{"j"})
-		x.c.Check(l.InvalidWorkerEntries(), qt.Equals, int64(len(strange)))
-		x.c.Check(countMessages(logs, "worker's entry can't be understood"), qt.Equals, len(strange))
-		x.list("w1")
+		x.c.Check(l.InvalidWorkerEntries(), qt.Equals, int64(len(invalid)))
+		x.c.Check(countMessages(logs, "worker's entry can't be understood"), qt.Equals, len(invalid))
+		x.listWorker("w1")
 		x.store.Delete(workerKey("strange0"))
 		pause.For(x.ctx, time.Second)
 		x.c.Check(l.InvalidWorkerEntries(), qt.Equals, int64(1))
--- a/leader/latency.go
+++ b/leader/latency.go
@@ -7,8 +7,8 @@
 
 const (
 	// minResponseTimeout is the minimum time to wait for a response of a worker before the
-	// order is retried or counted as unanswered: workers respond in 2 ms, and in about 20 ms
-	// where the host is slowed down.
+	// call counts as unanswered: workers respond in 2 ms, and in about 20 ms if the host is
+	// slowed down.
 	minResponseTimeout = 60 * time.Millisecond
 	// maxOrderTimeout is the maximum time to wait for the response to an order. It leaves
 	// time for a second try of a start.
@@ -23,53 +23,53 @@
 
 // A latencyEstimator estimates the response latency of workers and derives the timeouts of
 // calls from it. When a link or a processor is saturated, all responses are late. With fixed
-// timeouts each call would then be given up together with its connection, retried, and be
-// late again. The latency is measured on heartbeats, whose timeout exceeds it; orders that
-// time out would contribute the fast responses only. It is safe for concurrent use. The zero
-// value has no samples.
+// timeouts each call would then be abandoned together with its connection, retried, and be
+// late again. The latency is measured on heartbeats, whose timeout exceeds it; measured on
+// orders, it would include only the responses that arrive before the timeout. It is safe for
+// concurrent use. The zero value has no samples.
 type latencyEstimator struct {
 	mu      sync.Mutex
 	average time.Duration // moving average
 }
 
 // observe records the latency of a response. Rises are weighted more than falls.
-func (a *latencyEstimator) observe(d time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (e *latencyEstimator) observe(d time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	weight := time.Duration(16)
-	if d > a.average {
+	if d > e.average {
 		weight = 4
 	}
-	a.average += (d - a.average) / weight
+	e.average += (d - e.average) / weight
 }
 
 // orderTimeout returns how long to wait for the response to an order.
-func (a *latencyEstimator) orderTimeout() time.Duration {
-	return min(a.timeout(), maxOrderTimeout)
+func (e *latencyEstimator) orderTimeout() time.Duration {
+	return min(e.timeout(), maxOrderTimeout)
 }
 
 // heartbeatTimeout returns how long to wait for the first byte of the response to a
 // heartbeat, for a worker that left the last heartbeats unanswered. It doubles with each of
 // them, so that responses that have become slow are received eventually.
-func (a *latencyEstimator) heartbeatTimeout(unanswered int) time.Duration {
-	return min(a.timeout()<<min(unanswered, maxDoublings), maxHeartbeatTimeout)
+func (e *latencyEstimator) heartbeatTimeout(unanswered int) time.Duration {
+	return min(e.timeout()<<min(unanswered, maxDoublings), maxHeartbeatTimeout)
 }
 
 // maxDoublings bounds how often the heartbeat timeout is doubled: minResponseTimeout then
 // reaches maxHeartbeatTimeout.
 const maxDoublings = 5
 
-func (a *latencyEstimator) timeout() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return max(timeoutFactor*a.average, minResponseTimeout)
+func (e *latencyEstimator) timeout() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return max(timeoutFactor*e.average, minResponseTimeout)
 }
 
 // latency returns a moving average of the response latency.
-func (a *latencyEstimator) latency() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.average
+func (e *latencyEstimator) latency() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.average
 }
 
 // ResponseLatency returns a moving average of the response latency of workers.
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -19,35 +19,37 @@
 )
 
 const (
-	// lateBound is the time within which a run of a cancelled job that starts late has to be
-	// stopped: 3 s in the strictest of the known deployments, and 0.2 s for the stop itself.
-	lateBound = 3200 * time.Millisecond
+	// lateStopLimit is the time within which a run of a cancelled job that starts late has to
+	// be stopped: 3 s in the strictest of the known deployments, and 0.2 s for the stop itself.
+	lateStopLimit = 3200 * time.Millisecond
 	// lateValidity is the time from a late start to the deadline of its order.
 	lateValidity = 5 * time.Millisecond
-	// writeOffTime is the time after which the leader no longer expects a start.
+	// writeOffTime is the time after which the leader no longer expects an unanswered start
+	// to be carried out.
 	writeOffTime = 5 * time.Second
 )
 
 // lateWorkers simulates workers that leave some starts unanswered and carry them out later, on
-// demand, even after their deadlines.
+// demand, even after the deadlines that the leader set.
 type lateWorkers struct {
 	*cellfake.Workers
 
 	mu sync.Mutex
-	// late is the number of tasks, from index 0 on, whose starts are held.
+	// late is the number of tasks, from index 0 on, whose first start is held.
 	late int
 	held map[sched.RunID]leader.Start
-	// released is set once the held starts were carried out.
+	// released is set once the held starts have been carried out.
 	released bool
 	// retryReply is the reply to retries of a held start.
 	retryReply leader.ReplyKind
 	// stopsUnknown makes workers accept the stop of a run that has not started, which then
 	// can't start. Otherwise such a stop is rejected.
 	stopsUnknown bool
-	// muteUntil is the time until which stops are carried out without a response.
-	muteUntil time.Time
-	// validity is the time from a late start to the deadline of its order. Until then the run
-	// continues without a lease renewal; after that it depends on the worker's lease.
+	// loseRepliesUntil is the time until which the replies to stops are lost.
+	loseRepliesUntil time.Time
+	// validity is the time from a late start to the deadline that its order then gets. Until
+	// then the run continues without a lease renewal; after that it depends on the worker's
+	// lease.
 	validity time.Duration
 	// clock is the time of the worker's clock at clockAt.
 	clock   sched.ClockMillis
@@ -91,7 +93,7 @@
 	return w.Workers.Start(ctx, o)
 }
 
-// hold holds back a start if it is to be late, and returns the reply to it.
+// hold holds a start if it is to be late, and returns the reply to it.
 func (w *lateWorkers) hold(o leader.Start) (leader.ReplyKind, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -122,7 +124,7 @@
 	w.mu.Lock()
 	_, held := w.held[o.Run]
 	reject := held && !w.released && !w.stopsUnknown
-	mute := time.Now().Before(w.muteUntil)
+	loseReply := time.Now().Before(w.loseRepliesUntil)
 	w.mu.Unlock()
 	if reject {
 		return leader.Reply{
@@ -131,7 +133,7 @@
 	}
 	begun := time.Now()
 	r := w.Workers.Stop(ctx, o)
-	if !mute {
+	if !loseReply {
 		return r
 	}
 	pause.For(ctx, o.Timeout-time.Since(begun))
@@ -158,7 +160,7 @@
 		retryReply: leader.NoAnswer,
 		validity:   lateValidity,
 	}
-	x.orders = x.late
+	x.workersOverride = x.late
 	return x
 }
 
@@ -196,8 +198,8 @@
 	})
 }
 
-// waitUntilGone waits until no run is left.
-func (x *lateCell) waitUntilGone() {
+// waitUntilNoRuns waits until no run is left, for at most a minute.
+func (x *lateCell) waitUntilNoRuns() {
 	begun := time.Now()
 	for x.workers.Running() > 0 && time.Since(begun) < time.Minute {
 		pause.For(x.ctx, 10*time.Millisecond)
@@ -217,7 +219,7 @@
 }
 
 // An unanswered start is carried out late, while its job, its worker and the leadership are in
-// various states. The run must be stopped within lateBound.
+// various states. The run must be stopped within lateStopLimit.
 func TestRunsThatStartLateAreStopped(t *testing.T) {
 	for name, c := range map[string]struct {
 		step sched.Step
@@ -235,7 +237,7 @@
 				pause.For(x.ctx, time.Second)
 			},
 		},
-		"written off and forgotten": {
+		"forgotten job": {
 			step:        step(1, 1),
 			beforeStart: (*lateCell).cancelAndForget,
 		},
@@ -243,23 +245,23 @@
 			step:        lastingStep(),
 			beforeStart: (*lateCell).cancelAndForget,
 		},
-		"one of a gang, soon": {
+		"gang, cancelled": {
 			step: gangStep(),
 			beforeStart: func(x *lateCell) {
 				x.cancel()
 				pause.For(x.ctx, time.Second)
 			},
 		},
-		"one of a gang, forgotten": {
+		"gang, forgotten job": {
 			step:        gangStep(),
 			beforeStart: (*lateCell).cancelAndForget,
 		},
-		"cancelled afterwards": {
+		"cancelled after the start": {
 			step:        step(1, 1),
 			beforeStart: func(x *lateCell) { pause.For(x.ctx, time.Second) },
 			afterStart:  (*lateCell).cancel,
 		},
-		"starter removed, then cancelled": {
+		"first leader stopped, then cancelled": {
 			step:        step(1, 1),
 			beforeStart: (*lateCell).stopFirstLeader,
 			afterStart: func(x *lateCell) {
@@ -267,7 +269,7 @@
 				x.lead("b")
 			},
 		},
-		"starter removed, forgotten": {
+		"first leader stopped, forgotten job": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.cancelAndForget()
@@ -275,7 +277,7 @@
 			},
 			afterStart: func(x *lateCell) { x.lead("b") },
 		},
-		"next leader was there before": {
+		"next leader took over before the start": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.cancel()
@@ -285,26 +287,26 @@
 			},
 			mustNotStart: true,
 		},
-		"worker drains": {
+		"worker is draining": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.drain()
 				x.cancelAndForget()
 			},
 		},
-		"worker's entry is gone": {
+		"worker's entry is deleted": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.store.Delete(workerKey("w0"))
 				x.cancelAndForget()
 			},
 		},
-		"worker's entry goes meanwhile": {
+		"worker's entry is deleted after the start": {
 			step:        step(1, 1),
 			beforeStart: (*lateCell).cancelAndForget,
 			afterStart:  func(x *lateCell) { x.store.Delete(workerKey("w0")) },
 		},
-		"worker was cut off": {
+		"worker was unreachable": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.validity = lease })
@@ -314,7 +316,7 @@
 				x.workers.SetUnreachable("w0", false)
 			},
 		},
-		"worker was cut off and unlisted": {
+		"worker was unreachable and unlisted": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.validity = lease })
@@ -326,22 +328,22 @@
 			},
 			afterStart: func(x *lateCell) {
 				pause.For(x.ctx, 1500*time.Millisecond) // until the worker writes its entry again
-				x.list("w0")
+				x.listWorker("w0")
 			},
 		},
-		"stops are not answered": {
+		"stops are unanswered": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) {
 					w.stopsUnknown = true
-					w.muteUntil = time.Now().Add(2 * writeOffTime)
+					w.loseRepliesUntil = time.Now().Add(2 * writeOffTime)
 				})
 				x.cancel()
 				pause.For(x.ctx, writeOffTime)
 			},
 			mustNotStart: true,
 		},
-		"rejected when sent again": {
+		"retry is rejected": {
 			step: step(1, 1),
 			beforeStart: func(x *lateCell) {
 				x.late.update(func(w *lateWorkers) { w.retryReply = leader.NoCapacity })
@@ -366,14 +368,14 @@
 				starts := x.workers.Starts()
 				x.late.release(x.ctx)
 				x.c.Assert(x.workers.Starts() > starts, qt.Equals, !c.mustNotStart)
-				since := time.Now()
+				started := time.Now()
 				if c.afterStart != nil {
 					c.afterStart(x)
 				}
-				x.waitUntilGone()
-				took := time.Since(since)
-				t.Logf("gone after %v", took)
-				x.c.Assert(took <= lateBound, qt.IsTrue, qt.Commentf("gone after %v", took))
+				x.waitUntilNoRuns()
+				took := time.Since(started)
+				t.Logf("stopped after %v", took)
+				x.c.Assert(took <= lateStopLimit, qt.IsTrue, qt.Commentf("stopped after %v", took))
 				x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 			})
 		})
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// followWait is how long a feed request waits for a change: half of the time within
+	// feedWait is how long a feed request waits for a change: half of the time within
 	// which a draining worker must stop receiving tasks.
-	followWait = time.Second
-	// jobsPause is the delay between requests for job changes, so that changes arrive
+	feedWait = time.Second
+	// jobsFeedDelay is the delay between requests for job changes, so that changes arrive
 	// in batches. Hosts also notify the leader of the jobs that they accept, so only
 	// jobs whose notification was lost wait for the feed; the most urgent work of a
 	// client tolerates this delay.
-	jobsPause = 60 * time.Millisecond
-	// workersPause is the delay between requests for changes of worker entries, each of
+	jobsFeedDelay = 60 * time.Millisecond
+	// workersFeedDelay is the delay between requests for changes of worker entries, each of
 	// which is rewritten every second or two. It also delays the detection that a worker
 	// is draining.
-	workersPause = 200 * time.Millisecond
+	workersFeedDelay = 200 * time.Millisecond
 	// keepAliveInterval is how often the leader writes its row when it has nothing else
-	// to write. Other hosts take over when the row has not changed for twice as long.
+	// to write. Other hosts take over when the row has not changed for more than twice as
+	// long.
 	keepAliveInterval = 150 * time.Millisecond
 	// writeInterval is the minimum interval between writes, so that decisions are batched.
 	writeInterval = 10 * time.Millisecond
@@ -57,13 +58,14 @@
 	Chain   *Chain
 	Workers Workers
 	Advisor Advisor
-	// DecodeWorker decodes a row of WorkersTable.
+	// WorkersTable is the table of the worker entries; DecodeWorker decodes one of its rows.
 	WorkersTable string
 	DecodeWorker func(store.Row) (sched.Worker, error)
 	// ReadBytes bounds, approximately, the bytes in flight from the store while all
 	// rows are read after a takeover; 0 means no limit.
 	ReadBytes int
-	// Sched configures the decisions; the leader sets the fields about its takeover.
+	// Sched configures the decisions. The leader itself sets TakenOver, Ahead, StartLease and
+	// InheritedLease.
 	Sched sched.Config
 	Log   *logrus.Entry
 	// Clock is the time source; nil means the system clock.
@@ -92,7 +94,7 @@
 	state  *sched.State
 	events chan event
 	calls  sync.WaitGroup
-	// writeCtx outlives ctx, so that a write in flight can end; pendingWrite counts it.
+	// writeCtx outlives ctx, so that a write in flight can complete; pendingWrite counts it.
 	writeCtx     context.Context //nolint:containedctx // like ctx
 	pendingWrite sync.WaitGroup
 	ctx          context.Context //nolint:containedctx // calls outlive the functions that start them, but not the leadership
@@ -106,8 +108,8 @@
 	renewing       atomic.Int64                // number of workers whose lease is renewed
 	invalidEntries map[spoolsill.WorkerID]bool // workers whose entry can't be decoded
 	gauges         gauges
-	pace           *store.ReadLimiter
-	progressRows   map[spoolsill.JobID][]byte
+	readLimiter    *store.ReadLimiter
+	progressRows   map[spoolsill.JobID][]byte // progress of all jobs, until the jobs are loaded
 
 	version    spoolsill.Version // of the queues and teams
 	writing    bool
@@ -118,12 +120,12 @@
 	lag           time.Duration // moving average of the delay of the event loop
 	loadLogged    time.Time     // when the load of the cell was last logged
 	lastReconcile time.Time     // when renewers were last compared with the workers
-	// following is set once the progress of all jobs is read and the feeds are started;
-	// loaded is set once all jobs are known.
-	following   bool
-	feeds       []*store.Watcher
-	feedsLogged time.Time // when stale feeds were last logged
-	loaded      bool
+	// feedsStarted is set once the progress of all jobs has been read and the feeds are
+	// started; loaded is set once all jobs have been read as well.
+	feedsStarted bool
+	feeds        []*store.Watcher
+	feedsLogged  time.Time // when stale feeds were last logged
+	loaded       bool
 
 	mu             sync.Mutex
 	publishedWrite time.Time // copy of lastWrite, for other goroutines
@@ -131,8 +133,8 @@
 	statuses       map[spoolsill.JobID]sched.JobStatus
 	waiting        map[sched.QueueID]int
 	jobsKnown      bool
-	// jobsAsOf is the time of the latest request to the job feed for which the loop has
-	// handled all jobs in the response.
+	// jobsAsOf is when the latest request to the job feed was sent for which the loop has
+	// handled all rows of the response.
 	jobsAsOf        time.Time
 	jobsAsOfChanged chan struct{} // closed when jobsAsOf changes
 }
@@ -146,18 +148,18 @@
 		queues  []sched.Queue
 		teams   []sched.Team
 	}
-	progressLoaded    struct{ rows []store.Row }
-	workersListed     struct{ rows []store.Row }
-	workerChanged     struct{ row store.Row }
-	jobsListed        struct{ rows []store.Row }
-	jobChanged        struct{ row store.Row }
-	jobsCaughtUp      struct{ sent time.Time }
-	workersCaughtUp   struct{ sent time.Time }
-	heartbeatReceived struct{ heartbeat sched.Heartbeat }
-	workerReplaced    struct{ incarnation spoolsill.WorkerIncarnation }
-	workerConnRefused struct{ incarnation spoolsill.WorkerIncarnation }
-	workerSilent      struct{ incarnation spoolsill.WorkerIncarnation }
-	leaseRequested    struct {
+	progressLoaded     struct{ rows []store.Row }
+	workersListed      struct{ rows []store.Row }
+	workerChanged      struct{ row store.Row }
+	jobsListed         struct{ rows []store.Row }
+	jobChanged         struct{ row store.Row }
+	jobsSynced         struct{ sent time.Time }
+	workersSynced      struct{ sent time.Time }
+	heartbeatReceived  struct{ heartbeat sched.Heartbeat }
+	workerReplaced     struct{ incarnation spoolsill.WorkerIncarnation }
+	workerConnRefused  struct{ incarnation spoolsill.WorkerIncarnation }
+	workerUnresponsive struct{ incarnation spoolsill.WorkerIncarnation }
+	leaseRequested     struct {
 		incarnation spoolsill.WorkerIncarnation
 		until       time.Time
 	}
@@ -179,7 +181,7 @@
 	}
 	l := &Leader{
 		config:          c,
-		pace:            store.NewReadLimiter(c.ReadBytes),
+		readLimiter:     store.NewReadLimiter(c.ReadBytes),
 		events:          make(chan event, eventBuffer),
 		renewers:        map[spoolsill.WorkerIncarnation]*renewer{},
 		wanted:          map[spoolsill.WorkerIncarnation]bool{},
@@ -208,8 +210,8 @@
 	})
 }
 
-// NotifyRow passes on a stored row of the jobs table, from the host that wrote it. The feed
-// delivers the same row, but later.
+// NotifyRow passes on a row of the jobs table from the host that has stored it. The feed
+// delivers the same row later.
 func (l *Leader) NotifyRow(r store.Row) {
 	l.send(jobChanged{
 		row: r,
@@ -217,7 +219,7 @@
 }
 
 // Status returns the stored state of a job. The second result is false when the leader
-// does not know the job, which may have been accepted only just now.
+// does not know the job, which may have been accepted a moment ago.
 func (l *Leader) Status(id spoolsill.JobID) (sched.JobStatus, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -226,8 +228,8 @@
 }
 
 // AwaitStatus is like [Leader.Status], but for an unknown job it waits until every job that
-// was accepted before the call has been read. The result conclusive is false if ctx ends
-// first.
+// was accepted before the call has been read. The result conclusive is false if ctx is done
+// before that.
 func (l *Leader) AwaitStatus(ctx context.Context, id spoolsill.JobID) (s sched.JobStatus, known, conclusive bool) {
 	begun := l.config.Clock.Now()
 	for {
@@ -272,17 +274,17 @@
 	return l.waiting[q], l.jobsKnown && l.config.Clock.Since(l.jobsAsOf) < maxCountAge
 }
 
-// notifyJobsCaughtUp tells the loop that all jobs accepted before a time have been read.
-func (l *Leader) notifyJobsCaughtUp(sent time.Time) {
-	l.send(jobsCaughtUp{
+// notifyJobsSynced notifies the event loop that all jobs accepted before sent have been read.
+func (l *Leader) notifyJobsSynced(sent time.Time) {
+	l.send(jobsSynced{
 		sent: sent,
 	})
 }
 
-// handleJobsCaughtUp records that all jobs accepted before a time are known.
-func (l *Leader) handleJobsCaughtUp(sent time.Time) {
-	if t := l.state.StatusUpdates(); len(t) > 0 {
-		l.publish(l.lastWrite, t)
+// handleJobsSynced records that all jobs accepted before sent are known.
+func (l *Leader) handleJobsSynced(sent time.Time) {
+	if updates := l.state.StatusUpdates(); len(updates) > 0 {
+		l.publish(l.lastWrite, updates)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -344,7 +346,8 @@
 }
 
 // inheritedLease returns how long after a takeover a worker may still hold a lease that the former
-// leader requested. A leader requests no lease that ends later than that after its last write.
+// leader requested. A leader requests no lease that ends more than twice the lease after its last
+// write; the result adds the clock drift and margin of [sched.LeaseEnd].
 func inheritedLease(lease time.Duration) time.Duration {
 	return sched.LeaseEnd(time.Time{}, 2*lease).Sub(time.Time{})
 }
@@ -416,9 +419,9 @@
 		l.handleJobList(now, e.rows)
 	case jobChanged:
 		l.handleJobRow(now, e.row)
-	case jobsCaughtUp:
-		l.handleJobsCaughtUp(e.sent)
-	case workersCaughtUp:
+	case jobsSynced:
+		l.handleJobsSynced(e.sent)
+	case workersSynced:
 		l.state.EntriesSynced(now, e.sent)
 	case heartbeatReceived:
 		l.state.Heartbeat(now, e.heartbeat)
@@ -426,7 +429,7 @@
 		l.state.WorkerDied(now, e.incarnation)
 	case workerConnRefused:
 		l.state.WorkerRefused(now, e.incarnation)
-	case workerSilent:
+	case workerUnresponsive:
 		l.state.WorkerUnresponsive(now, e.incarnation)
 	case leaseRequested:
 		l.state.LeaseRequested(e.incarnation, e.until)
@@ -455,12 +458,12 @@
 	l.state.SetTeams(l.config.Clock.Now(), e.teams)
 }
 
-// act makes decisions and sends the calls that are due.
+// act makes decisions, sends the calls that are due and begins the next write.
 func (l *Leader) act(ctx context.Context) error {
 	now := l.config.Clock.Now()
 	l.decide(now)
-	if t := l.state.StatusUpdates(); len(t) > 0 {
-		l.publish(l.lastWrite, t)
+	if updates := l.state.StatusUpdates(); len(updates) > 0 {
+		l.publish(l.lastWrite, updates)
 	}
 	for _, o := range l.state.Stops() {
 		l.sendStop(ctx, o)
@@ -496,22 +499,23 @@
 	l.decideTook = l.config.Clock.Since(now)
 }
 
-// Lead runs the leader until ctx ends or the leadership is lost. When ctx ends, it releases
-// the leadership, within the given time.
-func (l *Leader) Lead(ctx context.Context, release time.Duration) error {
-	writes, cancel := context.WithCancel(context.WithoutCancel(ctx))
+// Lead runs the leader until ctx is done, the leadership is lost, or the leader gives up. If ctx is
+// done, the host is overloaded or [Leader.Yield] was called, it releases the leadership;
+// releaseTimeout bounds the time for that, including a write in flight.
+func (l *Leader) Lead(ctx context.Context, releaseTimeout time.Duration) error {
+	detached, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	l.writeCtx = writes
+	l.writeCtx = detached
 	err := l.run(ctx)
-	end := time.AfterFunc(release, cancel)
+	end := time.AfterFunc(releaseTimeout, cancel)
 	defer end.Stop()
 	l.pendingWrite.Wait()
 	switch {
 	case errors.Is(err, ErrOverloaded), errors.Is(err, ErrYielded):
-		return errors.Join(err, l.config.Chain.Release(writes))
+		return errors.Join(err, l.config.Chain.Release(detached))
 	case errors.Is(err, ErrLeadershipLost), ctx.Err() == nil:
 		return err
 	default:
-		return l.config.Chain.Release(writes)
+		return l.config.Chain.Release(detached)
 	}
 }
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// The leader changes every few seconds without the former one being notified, while
-// responses of the store and of workers are lost and some orders are delayed.
+// The leader changes every few seconds without notice to the former one, while responses of the
+// store and of workers are lost and some orders are delayed.
 func TestNoTaskRunsTwiceAcrossLeaderChanges(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -84,10 +84,10 @@
 		if i == 0 {
 			ids = x.submitMixed(20)
 		}
-		cut := x.ids[d.intN(len(x.ids))]
-		x.workers.SetUnreachable(cut, true)
+		unreachable := x.ids[d.intN(len(x.ids))]
+		x.workers.SetUnreachable(unreachable, true)
 		pause.For(x.ctx, time.Duration(1500+d.intN(3000))*time.Millisecond)
-		x.workers.SetUnreachable(cut, false)
+		x.workers.SetUnreachable(unreachable, false)
 		x.store.DropHistory()
 	}
 	d.stop()
@@ -155,7 +155,7 @@
 		x.store.Delete(workerKey("w0"))
 		pause.For(x.ctx, time.Second)
 		x.workers.Add("w1")
-		x.list("w1")
+		x.listWorker("w1")
 		pause.For(x.ctx, 14*time.Second)
 		s, _ := l.Status("j")
 		x.c.Assert(s.State, qt.Equals, sched.Completed)
@@ -163,8 +163,8 @@
 	})
 }
 
-// A leader that takes long to load must not process ends of jobs that it does not know yet:
-// the ends would be acknowledged and the tasks run again.
+// A leader must not process ends of jobs that it has not loaded yet: the ends would be
+// acknowledged, and the tasks would run again.
 func TestEndsAreProcessedAfterJobsAreLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
@@ -231,7 +231,7 @@
 	})
 }
 
-// slowObserver is an observer that delays the event loop, as on a host with too little processor
+// slowObserver is an observer that delays the event loop, as if the host had too little processor
 // time.
 type slowObserver struct{}
 
@@ -290,40 +290,40 @@
 func TestLeaderRemainsWhileLoading(t *testing.T) {
 	const (
 		load          = 3 * time.Second
-		unchanged     = 350 * time.Millisecond // others take over after it
+		takeoverTime  = 350 * time.Millisecond // other hosts take over if the row is unchanged for that long
 		notifications = 5000
 	)
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
 		ids := x.submitMixed(6)
-		begunJob := sched.Job{
+		job := sched.Job{
 			ID:    "begun",
 			Queue: "plain",
 			Steps: []sched.Step{step(1, 1)},
 		}
-		x.submit(begunJob)
-		row, err := jobstore.JobRow("host", begunJob)
+		x.submit(job)
+		row, err := jobstore.JobRow("host", job)
 		x.c.Assert(err, qt.IsNil)
-		ids = append(ids, begunJob.ID)
+		ids = append(ids, job.ID)
 		x.store.SetListLatency(jobstore.ProgressTable, load)
 		l := x.lead("a")
-		var at store.Version
+		var version store.Version
 		begun := time.Now()
 		changed := begun
 		longest := time.Duration(0)
 		for time.Since(begun) < load {
 			_, v, err := leader.ReadHead(x.ctx, x.store)
 			x.c.Assert(err, qt.IsNil)
-			if v != at {
-				at = v
+			if v != version {
+				version = v
 				changed = time.Now()
 			}
 			longest = max(longest, time.Since(changed))
 			pause.For(x.ctx, 20*time.Millisecond)
 		}
-		x.c.Check(longest < unchanged, qt.IsTrue, qt.Commentf("the row did not change for %s", longest))
-		x.c.Check(time.Since(l.LastWriteTime()) < unchanged, qt.IsTrue, qt.Commentf("latest write %s ago", time.Since(l.LastWriteTime())))
+		x.c.Check(longest < takeoverTime, qt.IsTrue, qt.Commentf("the row did not change for %s", longest))
+		x.c.Check(time.Since(l.LastWriteTime()) < takeoverTime, qt.IsTrue, qt.Commentf("latest write %s ago", time.Since(l.LastWriteTime())))
 		x.store.SetListLatency(jobstore.ProgressTable, 0)
 		pause.For(x.ctx, 20*time.Second)
 		x.assertCompleted(l, ids)
--- a/leader/load.go
+++ b/leader/load.go
@@ -18,15 +18,15 @@
 // keeps updating the leader row: otherwise other hosts would take over from every leader that
 // loads for longer than their timeout, and no leader would ever finish.
 func (l *Leader) loadProgress(ctx context.Context) {
-	list := store.PartitionReader{
+	reader := store.PartitionReader{
 		Store:     l.config.Store,
 		Table:     jobstore.ProgressTable,
 		Partition: jobstore.CellPartition,
-		Pace:      l.pace,
+		Pace:      l.readLimiter,
 	}
 	delay := retryDelay
 	for ctx.Err() == nil {
-		rows, _, err := list.ReadAll(ctx)
+		rows, _, err := reader.ReadAll(ctx)
 		if err == nil {
 			l.send(progressLoaded{
 				rows: rows,
@@ -48,7 +48,7 @@
 	for _, r := range rows {
 		l.progressRows[spoolsill.JobID(r.Key.Name)] = r.Value
 	}
-	l.following = true
+	l.feedsStarted = true
 	l.startFeeds(l.ctx)
 }
 
@@ -101,7 +101,7 @@
 }
 
 func (l *Leader) handleJobList(now time.Time, rows []store.Row) {
-	// If a job has two rows, the older one counts.
+	// If a job has two rows, the older one takes effect.
 	slices.SortStableFunc(rows, func(a, b store.Row) int { return cmp.Compare(a.Version, b.Version) })
 	for _, r := range rows {
 		if _, ok := jobstore.CancelledJob(r.Key.Name); !ok {
@@ -124,7 +124,8 @@
 	took := now.Sub(l.config.Sched.TakenOver)
 	l.config.Observer.RecordTakeover(took)
 	l.config.Log.WithField("jobs", len(l.state.Jobs())).WithField("took_ms", took.Milliseconds()).Info("jobs loaded")
-	// All states were read from the store, so they are stored.
+	// All states follow from rows in the store. Not yet written is the end of a job that a
+	// cancellation row has just ended.
 	l.publish(l.lastWrite, l.state.Jobs())
 }
 
@@ -142,10 +143,10 @@
 }
 
 // handleJobRow handles a row of the jobs table: a job or a cancellation. It ignores rows that
-// arrive before the progress is read: a job with progress would start from the beginning. Such
-// rows are part of the listing that follows.
+// arrive before the progress is read, since a job with progress would start from the beginning.
+// Such rows are part of the listing that follows.
 func (l *Leader) handleJobRow(now time.Time, r store.Row) {
-	if r.Deleted || !l.following {
+	if r.Deleted || !l.feedsStarted {
 		return
 	}
 	if id, ok := jobstore.CancelledJob(r.Key.Name); ok {
@@ -177,17 +178,19 @@
 	l.sweepIfEnded(id)
 }
 
-// sweepIfEnded deletes the rows of a job that has ended for good. Such rows are left over if
-// a client submitted the job again after its end, or if a former leader did not get to it.
+// sweepIfEnded enqueues the rows of a job for deletion if its end is stored. Such rows are left
+// over if a client submitted the job again after its end, or if a former leader did not delete
+// them.
 func (l *Leader) sweepIfEnded(id spoolsill.JobID) {
 	if l.state.Settled(id) && l.isEndStored(id) {
 		l.sweeper.enqueue([]spoolsill.JobID{id})
 	}
 }
 
-// isEndStored reports whether the end of an ended job is in the store. That holds for what was
-// read from there and for what was published, which happens after a write. But a job that was
-// reported by a host may have ended in memory only, before all jobs are loaded.
+// isEndStored reports whether the end of an ended job is in the store. Before all jobs are loaded,
+// only a progress row that was read proves it: a job that a host notified the leader of may have
+// ended in memory only. After that, it goes by the published status. An end is published once it is
+// written, except for jobs that a cancellation row ended while they were loaded.
 func (l *Leader) isEndStored(id spoolsill.JobID) bool {
 	if !l.loaded {
 		p, err := sched.DecodeProgress(l.progressRows[id])
@@ -202,7 +205,7 @@
 		{
 			Store: l.config.Store,
 			Table: jobstore.JobsTable,
-			Wait:  followWait,
+			Wait:  feedWait,
 			Listed: func(rows []store.Row) {
 				l.send(jobsListed{
 					rows: rows,
@@ -213,15 +216,15 @@
 					row: r,
 				})
 			},
-			Pause:  jobsPause,
-			Synced: l.notifyJobsCaughtUp,
+			Pause:  jobsFeedDelay,
+			Synced: l.notifyJobsSynced,
 			Failed: l.feedLogger(jobstore.JobsTable),
 		},
 		{
 			Store: l.config.Store,
 			Table: l.config.WorkersTable,
-			Wait:  followWait,
-			Pause: workersPause,
+			Wait:  feedWait,
+			Pause: workersFeedDelay,
 			Listed: func(rows []store.Row) {
 				l.send(workersListed{
 					rows: rows,
@@ -233,7 +236,7 @@
 				})
 			},
 			Synced: func(sent time.Time) {
-				l.send(workersCaughtUp{
+				l.send(workersSynced{
 					sent: sent,
 				})
 			},
@@ -242,7 +245,7 @@
 	}
 	for _, f := range l.feeds {
 		f.Clock = l.config.Clock
-		f.Pace = l.pace
+		f.Pace = l.readLimiter
 		l.spawn(func() { f.Run(ctx) })
 	}
 }
--- a/leader/log.go
+++ b/leader/log.go
@@ -8,43 +8,43 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// loadLogInterval is how often the load of the cell is logged.
-const loadLogInterval = 2 * time.Second
+// logInterval is how often the load of the cell and stale feeds are logged.
+const logInterval = 2 * time.Second
 
 // logLoad logs the load of the cell at intervals.
 func (l *Leader) logLoad(now time.Time) {
-	if !l.loaded || now.Sub(l.loadLogged) < loadLogInterval {
+	if !l.loaded || now.Sub(l.loadLogged) < logInterval {
 		return
 	}
 	l.loadLogged = now
-	x := l.state.Load()
+	load := l.state.Load()
 	l.config.Log.WithFields(logrus.Fields{
 		"epoch":         uint64(l.Epoch()),
-		"workers":       x.Workers,
-		"ready":         x.Ready,
-		"cores":         int64(x.Capacity.Processors / spoolsill.Core),
-		"cores_used":    int64(x.Used.Processors / spoolsill.Core),
-		"runs":          x.Runs,
-		"runs_in_doubt": x.Doubtful,
-		"stages_wait":   x.Stages,
-		"stages_late":   x.Late,
-		"unseatable":    x.Unseatable,
-		"questions":     x.Asking,
-		"suspects":      x.Suspects,
-		"crashed":       x.Crashed,
+		"workers":       load.Workers,
+		"ready":         load.Ready,
+		"cores":         int64(load.Capacity.Processors / spoolsill.Core),
+		"cores_used":    int64(load.Used.Processors / spoolsill.Core),
+		"runs":          load.Runs,
+		"runs_in_doubt": load.Doubtful,
+		"stages_wait":   load.Stages,
+		"stages_late":   load.Late,
+		"unseatable":    load.Unseatable,
+		"questions":     load.Asking,
+		"suspects":      load.Suspects,
+		"crashed":       load.Crashed,
 		"answers_ms":    l.ResponseLatency().Milliseconds(),
 	}).Info("load of the cell")
-	l.logWait(now)
+	l.logLongestWait(now)
 }
 
-// longWait is the waiting time from which the log says why a stage is not placed: far longer
-// than stages wait for capacity under normal load.
-const longWait = 10 * time.Second
+// longWaitThreshold is the waiting time from which the log gives the reason why a stage is not
+// placed: far longer than stages wait for capacity under normal load.
+const longWaitThreshold = 10 * time.Second
 
-// logWait logs why the stage that has waited longest is not placed.
-func (l *Leader) logWait(now time.Time) {
+// logLongestWait logs why the stage that has waited longest is not placed.
+func (l *Leader) logLongestWait(now time.Time) {
 	w, ok := l.state.LongestWait(now)
-	if !ok || w.Waited < longWait {
+	if !ok || w.Waited < longWaitThreshold {
 		return
 	}
 	l.config.Log.WithFields(logrus.Fields{
@@ -69,7 +69,7 @@
 // logFeeds logs stale feeds at intervals. Decisions are based on their data, and a feed that
 // hangs reports no error.
 func (l *Leader) logFeeds(now time.Time) {
-	if now.Sub(l.feedsLogged) < loadLogInterval {
+	if now.Sub(l.feedsLogged) < logInterval {
 		return
 	}
 	l.feedsLogged = now
--- a/leader/lostresponse_test.go
+++ b/leader/lostresponse_test.go
@@ -22,25 +22,25 @@
 	took   []time.Duration
 }
 
-func (s *taskTimer) RecordEvent(n sched.Note) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *taskTimer) RecordEvent(n sched.Note) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch n.Kind {
 	case sched.NotePlaced:
-		s.placed[n.Run.Task] = time.Now()
+		r.placed[n.Run.Task] = time.Now()
 	case sched.NoteEnded:
-		s.took = append(s.took, time.Since(s.placed[n.Run.Task]))
+		r.took = append(r.took, time.Since(r.placed[n.Run.Task]))
 	}
 }
 
-func (s *taskTimer) RecordAdvice(string, time.Duration) {}
-func (s *taskTimer) RecordTakeover(time.Duration)       {}
+func (r *taskTimer) RecordAdvice(string, time.Duration) {}
+func (r *taskTimer) RecordTakeover(time.Duration)       {}
 
 // With one response in three lost, starts and renewals are retried soon, so that ten tasks of one
 // second in sequence take little more than ten seconds. In the worst case each task loses the
 // response to its start, which costs 0.09 s, and the one that reports its end, which costs 0.11 s.
-// The first lost report costs another 0.5 s, since the losses are not detected yet. 12.46 s were
-// measured.
+// The first lost report costs another 0.5 s, since the loss rate is not yet known to be high.
+// 12.46 s were measured.
 func TestLostResponsesCauseLittleDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -52,10 +52,10 @@
 			}
 			return cellfake.OrderOK
 		}
-		w := &taskTimer{
+		timer := &taskTimer{
 			placed: map[sched.TaskID]time.Time{},
 		}
-		x.observer = w
+		x.observer = timer
 		l := x.lead("a")
 		var steps []sched.Step
 		for i := range 10 {
@@ -79,8 +79,8 @@
 		}
 		took := time.Since(begun)
 		x.c.Check(took < 12800*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
-		x.c.Assert(w.took, qt.HasLen, 10)
-		for i, d := range w.took[1:] {
+		x.c.Assert(timer.took, qt.HasLen, 10)
+		for i, d := range timer.took[1:] {
 			x.c.Check(d < 1300*time.Millisecond, qt.IsTrue, qt.Commentf("task %d: %v", i+1, d))
 		}
 	})
--- a/leader/order.go
+++ b/leader/order.go
@@ -37,16 +37,16 @@
 		return
 	}
 	ctx := l.ctx
-	keeper := l.sweeper.partitionOf(o.Run.Task.Stage.Job)
+	partition := l.sweeper.partitionOf(o.Run.Task.Stage.Job)
 	l.spawn(func() {
-		a := h.start(ctx, o, keeper)
+		a := h.start(ctx, o, partition)
 		l.send(startAnswered{
 			answer: a,
 		})
 	})
 }
 
-func (h *renewer) start(ctx context.Context, o sched.StartOrder, keeper string) sched.StartAnswer {
+func (h *renewer) start(ctx context.Context, o sched.StartOrder, partition string) sched.StartAnswer {
 	a := sched.StartAnswer{
 		WorkerIncarnation: o.WorkerIncarnation,
 		Run:               o.Run,
@@ -71,7 +71,7 @@
 			break
 		}
 		begun := h.leader.config.Clock.Now()
-		r, deadline := h.startOnce(ctx, o, keeper, timeout)
+		r, deadline := h.startOnce(ctx, o, partition, timeout)
 		switch r.Kind {
 		case NoAnswer:
 			a.Doubt = true
@@ -92,17 +92,17 @@
 	return a
 }
 
-// reportNoResponse reports an unanswered order to the loop, unless the worker has answered
-// another call since: then only this response was lost.
+// reportNoResponse reports an unanswered order to the event loop, unless the worker has responded
+// to another call since: then only this response was lost.
 func (h *renewer) reportNoResponse(since time.Time) {
 	if _, _, at := h.read(); at.Before(since) {
-		h.leader.send(workerSilent{
+		h.leader.send(workerUnresponsive{
 			incarnation: h.target.WorkerIncarnation,
 		})
 	}
 }
 
-func (h *renewer) startOnce(ctx context.Context, o sched.StartOrder, keeper string, timeout time.Duration) (Reply, sched.ClockMillis) {
+func (h *renewer) startOnce(ctx context.Context, o sched.StartOrder, partition string, timeout time.Duration) (Reply, sched.ClockMillis) {
 	deadline := h.workerTime(h.leader.config.Clock.Now()) + sched.ClockMillis(startWindow.Milliseconds())
 	if h.leader.suspended() {
 		return unsentReply(), deadline
@@ -112,7 +112,7 @@
 		Fence:    h.fence,
 		Deadline: deadline,
 		Order:    o,
-		Keeper:   keeper,
+		Keeper:   partition,
 		Timeout:  timeout,
 	})
 	h.setClock(r.Clock, h.leader.config.Clock.Now())
@@ -137,7 +137,7 @@
 }
 
 // sendStop sends a stop order, and retries it while it is unanswered and tries are left. It
-// reports the outcome in any case.
+// always reports the outcome to the event loop.
 func (l *Leader) sendStop(ctx context.Context, o sched.StopOrder) {
 	h := l.renewers[o.WorkerIncarnation]
 	if h == nil {
--- a/leader/probe.go
+++ b/leader/probe.go
@@ -9,8 +9,8 @@
 const (
 	// probeInterval is how often the lag of the event loop is measured.
 	probeInterval = 100 * time.Millisecond
-	// maxLag is the average lag, over about a second, above which another host should lead:
-	// a quarter of the time within which the most urgent work has to be done.
+	// maxLag is the average lag, over about a second, above which the leader releases the
+	// leadership: a quarter of the time within which the most urgent work has to be done.
 	maxLag = 300 * time.Millisecond
 	// lagGracePeriod is how long after a takeover the lag is ignored: loading the jobs and
 	// the first exchange with all workers take time.
@@ -21,7 +21,7 @@
 // could not keep up.
 var ErrOverloaded = errors.New("leader: this host can't keep up")
 
-// probe sends the loop events at intervals, by which the loop measures its lag.
+// probe sends events at intervals, by which the event loop measures its lag.
 func (l *Leader) probe(ctx context.Context) {
 	t := time.NewTicker(probeInterval)
 	defer t.Stop()
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// baseEndWait is how long a worker waits for the end of a run before it responds to a
-	// renewal. A lost response delays the report of an end by that long, and a worker that
-	// falls silent is detected that much later. Busy workers respond sooner, since runs end
-	// more often there.
+	// baseEndWait is the long-poll wait of a renewal: how long a worker waits for the end of
+	// a run before it responds. A lost response delays the report of an end by that long, and
+	// a worker that stops responding is detected that much later. Busy workers respond sooner,
+	// since runs end more often there.
 	baseEndWait = 500 * time.Millisecond
-	// lossyEndWait replaces baseEndWait while calls get lost. It causes more calls:
-	// lossyCallInterval is the minimum average interval between those to all workers.
+	// lossyEndWait replaces baseEndWait while calls get lost. It causes more calls, so
+	// lossyCallInterval bounds their rate: it is the minimum average interval between
+	// renewals, over all workers.
 	lossyEndWait      = 100 * time.Millisecond
 	lossyCallInterval = 700 * time.Microsecond
 	// lossThreshold is the share of unanswered renewals above which calls count as getting
-	// lost. lossWeight is the weight of the newest renewal in that share: about the last
-	// 50 count, which a cell of the present size makes in a second.
+	// lost. lossWeight is the weight of the newest renewal in that share, which makes it an
+	// average over about the last 50: a second's renewals in the cell that it was chosen for.
 	lossThreshold = 0.015
 	lossWeight    = 0.02
-	// renewRetry is the delay before the next renewal after one without a response.
-	renewRetry = 100 * time.Millisecond
+	// renewRetryDelay is the delay before the next renewal after one without a response.
+	renewRetryDelay = 100 * time.Millisecond
 	// ackTimeout is how long a renewal waits until the ends in the last response are
 	// stored, before it is sent without acknowledging them in order to keep the lease.
 	ackTimeout = time.Second
@@ -51,8 +52,8 @@
 	starting map[sched.RunID]bool
 }
 
-// reconcileInterval is how often renewers are compared with the workers, and the hosts
-// counted.
+// reconcileInterval is how often renewers are compared with the workers, and the hosts that can
+// ask the advisor are counted.
 const reconcileInterval = 50 * time.Millisecond
 
 // reconcileRenewers starts and ends renewers as workers come and go.
@@ -139,11 +140,12 @@
 	return c + sched.ClockMillis(now.Sub(at).Milliseconds())
 }
 
-// run renews the lease until ctx ends. The first call, and each call after one without a
+// run renews the lease until ctx is done. The first call, and each call after one without a
 // response, renews and acknowledges nothing; it only announces the fence and reads the worker's
 // clock. There are two reasons. An unanswered call may still be carried out, so if such calls
-// renewed the lease, the lease of a silent worker could never be known to have ended. And a
-// worker that was silent may have restarted, and would discard ends that nobody has read.
+// renewed the lease, the lease of an unresponsive worker could never be known to have ended. And
+// an unresponsive worker may have restarted: an acknowledgment would make the new incarnation
+// discard ends that the leader has not received.
 func (h *renewer) run(ctx context.Context) {
 	var seen uint64
 	unanswered := 1 // consecutive calls without a response
@@ -162,7 +164,7 @@
 			h.leader.send(heartbeatReceived{
 				heartbeat: b,
 			})
-			pause.For(ctx, renewRetry)
+			pause.For(ctx, renewRetryDelay)
 			continue
 		}
 		if r.Kind == Accepted {
@@ -190,9 +192,9 @@
 			h.leader.send(workerConnRefused{
 				incarnation: h.target.WorkerIncarnation,
 			})
-			pause.For(ctx, renewRetry)
+			pause.For(ctx, renewRetryDelay)
 		default:
-			pause.For(ctx, renewRetry)
+			pause.For(ctx, renewRetryDelay)
 		}
 	}
 }
@@ -249,7 +251,7 @@
 }
 
 // handleFenced handles a rejection because the worker has seen a higher fence: that of the next
-// leader, or this leader's for the next incarnation of the worker.
+// leader, or this leader's for the worker's next incarnation. The latter is ignored.
 func (h *renewer) handleFenced() {
 	if h.isDone() {
 		return
@@ -307,7 +309,7 @@
 		h.leader.responses.observe(max(now.Sub(begun)-wait, 0))
 	}
 	if unanswered == 0 {
-		// Calls to a worker that was silent before say nothing about the loss rate.
+		// Calls to a worker that did not respond before are no measure of the loss rate.
 		h.leader.losses.record(r.Kind == NoAnswer)
 	}
 	return b, r
@@ -320,21 +322,21 @@
 	share float64
 }
 
-func (l *lossEstimator) record(lost bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (e *lossEstimator) record(lost bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	x := 0.0
 	if lost {
 		x = 1
 	}
-	l.share += lossWeight * (x - l.share)
+	e.share += lossWeight * (x - e.share)
 }
 
 // exceedsThreshold reports whether the share is above lossThreshold.
-func (l *lossEstimator) exceedsThreshold() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.share > lossThreshold
+func (e *lossEstimator) exceedsThreshold() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.share > lossThreshold
 }
 
 // endWait returns how long workers are to wait for the end of a run before they respond.
--- a/leader/restart_test.go
+++ b/leader/restart_test.go
@@ -20,7 +20,7 @@
 const (
 	// restartDelay is the time from a worker's crash until it is back under its id.
 	restartDelay = 600 * time.Millisecond
-	// longRestartDelay is longer than an order in flight is retried, and shorter than the lease.
+	// longRestartDelay is longer than the retries of an order take, and shorter than the lease.
 	longRestartDelay = 3 * time.Second
 	// restartBeforeLate is a time after the last try of an order in flight, and before the
 	// order is carried out late.
@@ -30,7 +30,7 @@
 // restart restarts a worker under its id and writes its entry.
 func (x *cell) restart(id spoolsill.WorkerID) {
 	x.workers.Restart(id)
-	x.list(id)
+	x.listWorker(id)
 }
 
 // submitTasks submits n jobs of one task each, at intervals.
@@ -111,16 +111,16 @@
 	}
 }
 
-// An order for a former incarnation is delivered late to the next one. That one has seen no
-// fence and no stop, and the order has not expired by its clock, so it carries the order out.
-// The task must not run on another worker at that time.
+// An order for a former incarnation is delivered late to the next one, which has seen no fence and
+// no stop. By its clock the order has not expired, so it carries the order out. The task must not
+// run on another worker at that time.
 func TestLateStartForFormerIncarnationRunsNoTaskTwice(t *testing.T) {
-	for _, by := range []time.Duration{2 * time.Second, 5 * time.Second, 11 * time.Second} {
-		t.Run(by.String(), func(t *testing.T) { testLateStart(t, by) })
+	for _, delay := range []time.Duration{2 * time.Second, 5 * time.Second, 11 * time.Second} {
+		t.Run(delay.String(), func(t *testing.T) { testLateStart(t, delay) })
 	}
 }
 
-func testLateStart(t *testing.T, by time.Duration) {
+func testLateStart(t *testing.T, delay time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 2)
 		defer x.end()
@@ -131,7 +131,7 @@
 			}
 			return cellfake.OrderOK
 		}
-		x.workers.LateBy = by
+		x.workers.LateBy = delay
 		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) {
 			return 4 * time.Second, sched.EndDone
 		}
@@ -154,9 +154,9 @@
 	})
 }
 
-// Guards against idle workers that are never used again. While a worker was down, its address
-// answered for another worker, which proves that the incarnation is over. The leader treated
-// the id as dead instead, so that late entries would not revive it, and ignored the entries of
+// Guards against idle workers that are never used again. While a worker was down, another worker
+// responded at its address, which proves that the incarnation has ended. The leader treated the id
+// as dead instead, so that late entries would not make it usable again, and ignored the entries of
 // the next incarnation: two jobs of one core stayed pending with a worker of ten cores idle.
 func TestWorkerDeclaredDeadIsUsedAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -179,11 +179,10 @@
 	return ids
 }
 
-// Guards against ends that are lost. A worker crashed while a start was in flight, and the
-// next try, 40 ms later, was accepted by its next incarnation, which had ended the run
-// before it was first asked for its runs. That first call acknowledged the 12 ends of the
-// former incarnation, so that the worker discarded its only end unread, as an acknowledged
-// one.
+// Guards against ends that are lost. A worker crashed while a start was in flight. The next try,
+// 40 ms later, was accepted by its next incarnation, where the run ended before the first renewal.
+// That renewal acknowledged the 12 ends of the former incarnation, so the worker discarded its only
+// end, which the leader had not received, as acknowledged.
 func TestUnreceivedEndsAreNotAcknowledgedAfterWorkerRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
@@ -207,14 +206,14 @@
 		x.workers.Restart("w0")
 		drop.Store(false)
 		pause.For(x.ctx, 2*time.Second)
-		x.list("w0")
+		x.listWorker("w0")
 		pause.For(x.ctx, 8*time.Second)
 		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 		x.assertCompleted(l, ids)
 	})
 }
 
-// lossyStarts are workers whose responses to starts can be lost.
+// lossyStarts wraps workers and can lose their responses to starts.
 type lossyStarts struct {
 	*cellfake.Workers
 
@@ -243,7 +242,7 @@
 		w := &lossyStarts{
 			Workers: x.workers,
 		}
-		x.orders = w
+		x.workersOverride = w
 		x.workers.RunResult = func(sched.RunID) (time.Duration, sched.EndKind) {
 			return 5 * time.Millisecond, sched.EndDone
 		}
@@ -258,7 +257,7 @@
 		x.workers.Restart("w0")
 		pause.For(x.ctx, 2*time.Second)
 		w.lossy.Store(false)
-		x.list("w0")
+		x.listWorker("w0")
 		pause.For(x.ctx, 4*time.Second)
 		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 		x.assertCompleted(l, ids)
--- a/leader/restartmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -24,37 +24,37 @@
 var restartFirst = flag.Int("lives.first", 0, "seed of the first sequence")
 
 const (
-	// restartsFor is how long workers crash and restart in a sequence. restartsEnd is how long
-	// the cell then has to end all jobs: enough for the latest order, the longest lease, and
-	// the work.
-	restartsFor = 30 * time.Second
-	restartsEnd = 60 * time.Second
+	// restartPhase is how long workers crash and restart in a sequence. completionTime is how
+	// long the cell then has to end all jobs: enough for the latest order, the longest lease,
+	// and the work.
+	restartPhase   = 30 * time.Second
+	completionTime = 60 * time.Second
 )
 
-// A restartModel is one random sequence of crashes and restarts under the same ids, of lost and
-// delayed orders, and of takeovers. Its seed determines the sequence.
+// A restartModel runs one random sequence of crashes and restarts under the same ids, of lost and
+// delayed orders, and of takeovers. The seed determines the sequence.
 type restartModel struct {
 	*cell
 
-	mu     sync.Mutex
-	random *rand.Rand
-	orders *rand.Rand
-	faults float64 // share of orders with a fault
-	log    eventLog
+	mu          sync.Mutex
+	eventRandom *rand.Rand
+	orderRandom *rand.Rand
+	faults      float64 // share of orders with a fault
+	log         eventLog
 }
 
 func newRestartModel(x *cell, seed int) *restartModel {
 	m := &restartModel{
-		cell:   x,
-		random: rand.New(rand.NewPCG(uint64(seed), 1)),
-		orders: rand.New(rand.NewPCG(uint64(seed), 2)),
+		cell:        x,
+		eventRandom: rand.New(rand.NewPCG(uint64(seed), 1)),
+		orderRandom: rand.New(rand.NewPCG(uint64(seed), 2)),
 	}
 	x.logs = &m.log
 	x.workers.Fault = m.fault
 	x.workers.Began = func(l spoolsill.WorkerIncarnation, r sched.RunID, remark string) {
 		m.log.add(fmt.Sprint("BEGAN ", l, " ", r.Task, "#", r.Number, " ", remark))
 	}
-	x.workers.LateBy = time.Duration(2+m.random.IntN(10)) * time.Second
+	x.workers.LateBy = time.Duration(2+m.eventRandom.IntN(10)) * time.Second
 	x.workers.RunResult = m.work
 	return m
 }
@@ -62,17 +62,17 @@
 func (m *restartModel) fault(spoolsill.WorkerID) cellfake.OrderFault {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.orders.Float64() >= m.faults {
+	if m.orderRandom.Float64() >= m.faults {
 		return cellfake.OrderOK
 	}
-	return cellfake.OrderFault(1 + m.orders.IntN(3))
+	return cellfake.OrderFault(1 + m.orderRandom.IntN(3))
 }
 
 func (m *restartModel) work(sched.RunID) (time.Duration, sched.EndKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	took := time.Duration(20+m.orders.IntN(3000)) * time.Millisecond
-	if m.orders.IntN(25) == 0 {
+	took := time.Duration(20+m.orderRandom.IntN(3000)) * time.Millisecond
+	if m.orderRandom.IntN(25) == 0 {
 		return took, sched.EndFailed
 	}
 	return took, sched.EndDone
@@ -88,29 +88,29 @@
 // may be late, or be written before the new incarnation responds.
 func (m *restartModel) crash() {
 	for _, id := range m.ids {
-		if m.random.IntN(3) > 0 {
+		if m.eventRandom.IntN(3) > 0 {
 			continue
 		}
 		m.workers.Crash(id)
-		back := []time.Duration{0, 50 * time.Millisecond, time.Second, 4 * time.Second}[m.random.IntN(4)]
-		entry := []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond}[m.random.IntN(3)]
+		downtime := []time.Duration{0, 50 * time.Millisecond, time.Second, 4 * time.Second}[m.eventRandom.IntN(4)]
+		entry := []time.Duration{0, 300 * time.Millisecond, 1500 * time.Millisecond}[m.eventRandom.IntN(3)]
 		m.hosts.Go(func() {
-			pause.For(m.ctx, back)
+			pause.For(m.ctx, downtime)
 			restarted := m.workers.Restart(id)
 			pause.For(m.ctx, entry)
 			if m.workers.CurrentLife(id) == restarted {
-				m.list(id)
+				m.listWorker(id)
 			}
 		})
 	}
 }
 
 func (m *restartModel) run() {
-	end := time.Now().Add(restartsFor)
+	end := time.Now().Add(restartPhase)
 	for n := 1; time.Now().Before(end); n++ {
-		pause.For(m.ctx, time.Duration(100+m.random.IntN(2000))*time.Millisecond)
-		m.setFaults([]float64{0, 0.02, 0.2}[m.random.IntN(3)])
-		switch m.random.IntN(4) {
+		pause.For(m.ctx, time.Duration(100+m.eventRandom.IntN(2000))*time.Millisecond)
+		m.setFaults([]float64{0, 0.02, 0.2}[m.eventRandom.IntN(3)])
+		switch m.eventRandom.IntN(4) {
 		case 0:
 			m.cancels[len(m.cancels)-1]()
 			m.lead(spoolsill.HostID(fmt.Sprintf("host%d", n)))
@@ -145,14 +145,14 @@
 	s.lines = append(s.lines, time.Now().Format("05.000 ")+line)
 }
 
-// linesAbout returns the lines about workers and about the tasks that the texts begin with.
-func (s *eventLog) linesAbout(texts []string) string {
+// linesAbout returns the lines about workers and about the tasks that the violations begin with.
+func (s *eventLog) linesAbout(violations []string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var matching []string
 	for _, l := range s.lines {
 		about := strings.Contains(l, string(sched.NoteWorker))
-		for _, t := range texts {
+		for _, t := range violations {
 			task, _, _ := strings.Cut(t, " ")
 			task, _, _ = strings.Cut(task, "#")
 			about = about || strings.Contains(l, " "+task+"#")
@@ -170,7 +170,7 @@
 	for i := range n {
 		id := spoolsill.JobID(fmt.Sprintf("later%02d", i))
 		ids = append(ids, id)
-		due := time.Duration(m.random.IntN(int(restartsFor)))
+		due := time.Duration(m.eventRandom.IntN(int(restartPhase)))
 		m.hosts.Go(func() {
 			pause.For(m.ctx, due)
 			m.submit(sched.Job{
@@ -196,7 +196,7 @@
 				m.lead("host0")
 				ids := m.submitAtRandomTimes(20)
 				m.run()
-				pause.For(x.ctx, restartsEnd)
+				pause.For(x.ctx, completionTime)
 				x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 				x.assertEnded(ids)
 				if t.Failed() {
@@ -207,16 +207,16 @@
 	}
 }
 
-// However workers restart under their ids, and whatever orders for former incarnations reach an
-// incarnation that has been called, no task runs twice or in parallel with itself, and each
-// task runs.
+// Workers restart under their ids, and delayed orders for former incarnations reach later ones, but
+// only those that have responded to two renewals and so know their own fence. No task may run twice
+// or in parallel with itself, and each task must run.
 func TestPromisesHoldWhileWorkersStartAgainUnderTheirIDs(t *testing.T) {
 	runRestartSequences(t, false)
 }
 
-// Checks the same while delayed orders also reach an incarnation that the leader has not called
-// yet. It carries them out: it has seen no fence by which to reject them, by its clock they are not
-// late, and they name its id. This can happen from the start of a worker until the first call.
+// Like TestPromisesHoldWhileWorkersStartAgainUnderTheirIDs, but delayed orders also reach an
+// incarnation before it has received a fence of its own. It carries them out: it has seen no fence
+// by which to reject them, by its clock they are not late, and they name its id.
 func TestPromisesHoldWhereLateOrdersReachAWorkerFirst(t *testing.T) {
 	runRestartSequences(t, true)
 }
--- a/leader/slowheartbeat_test.go
+++ b/leader/slowheartbeat_test.go
@@ -13,17 +13,17 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Responses that arrive slowly over a saturated link are read completely. If each of them were
-// abandoned, the leader would never receive the end of the task, the lease would expire, and the
-// task would start on another worker although it is done.
+// Responses that arrive slowly over a saturated link are read completely. If they were abandoned,
+// the leader would never receive the end of the task, the lease would expire, and the task would
+// start on another worker although it has ended.
 func TestSlowHeartbeatResponsesAreReadCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
 		defer x.end()
 		const other = spoolsill.WorkerID("other")
-		var full atomic.Bool
+		var saturated atomic.Bool
 		x.workers.Flow = func(w spoolsill.WorkerID) time.Duration {
-			if w == other || !full.Load() {
+			if w == other || !saturated.Load() {
 				return 0
 			}
 			return 1500 * time.Millisecond
@@ -36,9 +36,9 @@
 		})
 		pause.For(x.ctx, 500*time.Millisecond)
 		x.c.Assert(x.workers.Starts(), qt.Equals, 1)
-		full.Store(true)
+		saturated.Store(true)
 		x.workers.Add(other)
-		x.list(other)
+		x.listWorker(other)
 		pause.For(x.ctx, 12*time.Second)
 		s, _ := l.Status("j")
 		x.c.Check(s.State, qt.Equals, sched.Completed)
--- a/leader/slowresponse_test.go
+++ b/leader/slowresponse_test.go
@@ -20,16 +20,16 @@
 // no start would ever be confirmed.
 func TestSlowResponsesCauseNoRetries(t *testing.T) {
 	const (
-		workers = 20
-		jobs    = 100
-		tasks   = 2
-		every   = 100 * time.Millisecond
+		workers        = 20
+		jobs           = 100
+		tasks          = 2
+		submitInterval = 100 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, workers)
 		defer x.end()
 		var slow atomic.Bool
-		var orders atomic.Int64
+		var callCount atomic.Int64
 		x.workers.Delay = func(spoolsill.WorkerID) time.Duration {
 			if slow.Load() {
 				return 400 * time.Millisecond
@@ -37,14 +37,14 @@
 			return 2 * time.Millisecond
 		}
 		x.workers.Fault = func(spoolsill.WorkerID) cellfake.OrderFault {
-			orders.Add(1)
+			callCount.Add(1)
 			return cellfake.OrderOK
 		}
 		l := x.lead("a")
 		pause.For(x.ctx, 3*time.Second)
 		slow.Store(true)
 		pause.For(x.ctx, 2*time.Second)
-		before := orders.Load()
+		before := callCount.Load()
 		var ids []spoolsill.JobID
 		for i := range jobs {
 			id := spoolsill.JobID(fmt.Sprintf("job%03d", i))
@@ -54,15 +54,15 @@
 				Steps: []sched.Step{step(tasks, 1)},
 			})
 			ids = append(ids, id)
-			pause.For(x.ctx, every)
+			pause.For(x.ctx, submitInterval)
 		}
 		pause.For(x.ctx, 6*time.Second)
 		x.assertCompleted(l, ids)
 		x.c.Check(x.workers.Starts(), qt.Equals, jobs*tasks)
-		// Besides the starts, a worker is asked for its ends at most once in 0.4 s.
-		most := int64(jobs*tasks*5/4 + workers*16*5/2)
-		sent := orders.Load() - before
-		x.c.Check(sent <= most, qt.IsTrue, qt.Commentf("%d orders and heartbeats, want %d at most", sent, most))
+		// Besides the starts, a worker gets at most one heartbeat in 0.4 s.
+		maxCalls := int64(jobs*tasks*5/4 + workers*16*5/2)
+		calls := callCount.Load() - before
+		x.c.Check(calls <= maxCalls, qt.IsTrue, qt.Commentf("%d orders and heartbeats, want %d at most", calls, maxCalls))
 		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
--- a/leader/stop_test.go
+++ b/leader/stop_test.go
@@ -37,8 +37,8 @@
 	return c.notes[k]
 }
 
-// A job is cancelled while its worker is unreachable and the leader has just died: the next
-// leader has to stop it once the worker is reachable again.
+// A job is cancelled while its worker is unreachable and the leader has just stopped. The next
+// leader has to stop the job's runs once the worker is reachable again.
 func TestJobCancelledDuringTakeoverIsStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 1)
--- a/leader/suspend.go
+++ b/leader/suspend.go
@@ -10,8 +10,8 @@
 // have taken over while this leader still acts on its state and sends pending calls.
 const maxSuspended = 50 * time.Millisecond
 
-// ErrSuspended is returned by a leader whose machine was suspended: its timers stood still,
-// so its decisions and its view of the cell may be out of date.
+// ErrSuspended is returned by a leader whose machine was suspended. Its timers did not run
+// meanwhile, so its decisions and its view of the cell may be out of date.
 var ErrSuspended = errors.New("leader: this machine was suspended")
 
 // suspended reports whether the machine was suspended during this leadership. It is checked
--- a/leader/suspend_test.go
+++ b/leader/suspend_test.go
@@ -61,10 +61,10 @@
 	return w.Workers.Stop(ctx, s)
 }
 
-// A leader's machine is suspended for some seconds that its monotonic clock does not count, at
-// various moments of its work, and twice in a row, each time for less than a lease. After it
-// resumes, it sends nothing more in its epoch and returns the reason. The next leader finishes
-// the work, and nothing runs twice.
+// A leader's machine is suspended at various moments of its work, twice in a row, each time for
+// less than a lease, and its monotonic clock does not count that time. After it resumes, it sends
+// nothing more in its epoch and returns [leader.ErrSuspended]. The next leader completes the work,
+// and nothing runs twice.
 func TestLeaderSendsNothingAfterSuspension(t *testing.T) {
 	for _, ms := range []int{0, 3, 7, 12, 19, 31, 140, 290} {
 		after := time.Duration(ms) * time.Millisecond
@@ -77,7 +77,7 @@
 					Workers: x.workers,
 					last:    map[spoolsill.Epoch]time.Time{},
 				}
-				x.orders = w
+				x.workersOverride = w
 				logs := &test.Hook{}
 				x.logs = logs
 				x.clock = &clock.Clock{
@@ -89,13 +89,13 @@
 				pause.For(x.ctx, 200*time.Millisecond+after)
 				suspended.Add(int64(30 * time.Millisecond))
 				suspended.Add(int64(5 * time.Second))
-				woke := time.Now()
-				fresh := a.LastWriteTime()
-				x.c.Check(x.clock.Since(fresh) >= 5*time.Second, qt.IsTrue)
+				resumed := time.Now()
+				lastWrite := a.LastWriteTime()
+				x.c.Check(x.clock.Since(lastWrite) >= 5*time.Second, qt.IsTrue)
 				pause.For(x.ctx, time.Second)
-				x.c.Check(w.lastCall(a.Epoch()).After(woke), qt.IsFalse)
-				why, _ := x.endErrors.Load(a.Epoch())
-				x.c.Check(why, qt.Equals, leader.ErrSuspended)
+				x.c.Check(w.lastCall(a.Epoch()).After(resumed), qt.IsFalse)
+				endErr, _ := x.endErrors.Load(a.Epoch())
+				x.c.Check(endErr, qt.Equals, leader.ErrSuspended)
 				x.clock = nil
 				b := x.lead("b")
 				pause.For(x.ctx, 30*time.Second)
@@ -106,8 +106,8 @@
 	}
 }
 
-// A host whose machine was suspended before it leads works normally, with a clock that is an
-// hour ahead of the time of day and of its timers.
+// A leader whose machine was suspended for an hour before it took over works normally, with a clock
+// that is ahead of the time of day and of its timers.
 func TestLeaderWorksWithClockAheadOfTimeOfDay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
--- a/leader/sweeper.go
+++ b/leader/sweeper.go
@@ -30,7 +30,7 @@
 	pending   map[string][]store.Key
 	busy      map[string]bool
 	completed chan string
-	last      time.Time
+	lastSweep time.Time
 }
 
 func newSweeper(l *Leader) *sweeper {
@@ -54,7 +54,7 @@
 // partitionOf returns the partition of a job's row; "" when it is not known.
 func (s *sweeper) partitionOf(id spoolsill.JobID) string {
 	for _, k := range s.keys[id] {
-		if _, mark := jobstore.CancelledJob(k.Name); !mark {
+		if _, isCancellation := jobstore.CancelledJob(k.Name); !isCancellation {
 			return k.Partition
 		}
 	}
@@ -73,10 +73,10 @@
 
 // sweep deletes rows, with one transaction at a time in each partition.
 func (s *sweeper) sweep(ctx context.Context, now time.Time) {
-	if now.Sub(s.last) < sweepInterval {
+	if now.Sub(s.lastSweep) < sweepInterval {
 		return
 	}
-	s.last = now
+	s.lastSweep = now
 	s.collectCompleted()
 	for p, keys := range s.pending {
 		if s.busy[p] {
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -41,7 +41,8 @@
 	// Deadline is when the order expires, on the worker's clock.
 	Deadline sched.ClockMillis
 	Order    sched.StartOrder
-	// Keeper is the partition of the jobs table that has the job; "" when it is not known.
+	// Keeper is the partition of the jobs table with the job's row: the id of the host that
+	// accepted the job; "" when it is not known.
 	Keeper string
 	// Timeout is how long to wait for the response; 0 is as in [Renewal].
 	Timeout time.Duration
--- a/leader/write.go
+++ b/leader/write.go
@@ -15,11 +15,11 @@
 	if l.writing || now.Sub(l.lastWrite) < writeInterval {
 		return nil
 	}
-	b, any, err := l.state.Batch(now)
+	b, nonEmpty, err := l.state.Batch(now)
 	if err != nil {
 		return err
 	}
-	if !any && now.Sub(l.lastWrite) < keepAliveInterval {
+	if !nonEmpty && now.Sub(l.lastWrite) < keepAliveInterval {
 		return nil
 	}
 	l.writing = true
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// outageThreshold is the duration of a write from which the store counts as having been
-// unreachable and not just slow: longer than one try may take.
+// outageThreshold is the duration of a write above which the store counts as having been
+// unreachable and not just slow: longer than one attempt may run alone.
 const outageThreshold = 2 * maxTryTimeout
 
 func (l *Leader) handleWritten(now time.Time, e batchWritten) {
--- a/team/team.go
+++ b/team/team.go
@@ -35,8 +35,8 @@
 	Keys []Key
 }
 
-// A Fault is a definite mistake in a configuration. The directory handles each kind by a
-// fixed rule, and the team's calls go on.
+// A Fault is a mistake in the configuration of a team. It does not make the configuration
+// invalid: [NewDirectory] handles each kind by a fixed rule and accepts all other keys.
 type Fault struct {
 	Team spoolsill.TeamID
 	Text string
@@ -67,19 +67,20 @@
 }
 
 // NewDirectory returns the directory of some teams. A key that two teams have belongs to the
-// first one, an empty key belongs to no team, and entries with the same name are one team.
+// first one, empty keys and entries without a name are ignored, and entries with the same name
+// are one team.
 func NewDirectory(teams []Entry) *Directory {
 	d := &Directory{
 		salt: make([]byte, saltBytes),
 		keys: map[digest]keyEntry{},
 	}
 	_, _ = rand.Read(d.salt) // documented never to return an error
-	named := map[spoolsill.TeamID]bool{}
+	seen := map[spoolsill.TeamID]bool{}
 	for _, t := range teams {
-		if named[t.ID] {
+		if seen[t.ID] {
 			d.addFault(t.ID, "is named twice")
 		}
-		named[t.ID] = true
+		seen[t.ID] = true
 		d.add(t)
 	}
 	return d
@@ -99,9 +100,9 @@
 			continue
 		}
 		x := d.digest(k)
-		h, ok := d.keys[x]
-		if ok && h.team != t.ID {
-			d.addFault(t.ID, fmt.Sprintf("has a key that team %q has as well", string(h.team)))
+		e, ok := d.keys[x]
+		if ok && e.team != t.ID {
+			d.addFault(t.ID, fmt.Sprintf("has a key that team %q has as well", string(e.team)))
 		}
 		if !ok {
 			d.keys[x] = keyEntry{
@@ -132,11 +133,11 @@
 		return "", false
 	}
 	x := d.digest(k)
-	h, ok := d.keys[x]
-	if !ok || subtle.ConstantTimeCompare(h.digest[:], x[:]) != 1 {
+	e, ok := d.keys[x]
+	if !ok || subtle.ConstantTimeCompare(e.digest[:], x[:]) != 1 {
 		return "", false
 	}
-	return h.team, true
+	return e.team, true
 }
 
 // Keys returns the number of known keys.
--- a/team/team_test.go
+++ b/team/team_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/team"
 )
 
-func TestHolder(t *testing.T) {
+func TestTeamOf(t *testing.T) {
 	d := team.NewDirectory([]team.Entry{
 		{
 			ID:   "a",
