--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -228,7 +228,7 @@
 			errs = append(errs, fmt.Errorf("%s: team %q: quota and weight must not be negative", file, string(t.ID)))
 		}
 	}
-	return file, fmt.Sprintf("%s, %d teams and %d keys", summary, len(c.Teams), c.Keys.Keys()), errors.Join(errs...)
+	return file, fmt.Sprintf("%s, %d teams and %d keys", summary, len(c.Teams), c.Keys.KeyCount()), errors.Join(errs...)
 }
 
 func (s *session) printCheckResults(results []checkResult) error {
--- a/team/team.go
+++ b/team/team.go
@@ -140,8 +140,8 @@
 	return e.team, true
 }
 
-// Keys returns the number of known keys.
-func (d *Directory) Keys() int {
+// KeyCount returns the number of known keys.
+func (d *Directory) KeyCount() int {
 	return len(d.keys)
 }
 
