--- a/sched/advice.go
+++ b/sched/advice.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// warmHostDivisor limits the hosts that may renew tickets of waiting gangs to one in
-	// so many: questions about new work take precedence. See docs/DECISIONS.md.
-	warmHostDivisor = 4
+	// warmQueryDivisor limits the concurrent queries that keep the tickets of waiting stages
+	// valid to 1/warmQueryDivisor of those that the hosts can make: queries about new work
+	// take precedence. See docs/DECISIONS.md.
+	warmQueryDivisor = 4
 	// ticketMargin is how much longer a ticket must be valid when a start is decided. It
 	// covers the write to the store, the call itself and some queueing.
 	ticketMargin = 200 * time.Millisecond
-	// questionsPerAsker bounds the outstanding questions per host that can ask, one being
-	// answered and one queued, so that the questions of the stages ranked first are not
-	// queued behind others.
-	questionsPerAsker = 2
-	// perWorkerCostShare is the part of the advisor's base cost that a question may
-	// spend on additional workers.
+	// queriesPerSlot bounds the queries in flight for each one that the hosts can make
+	// concurrently: one being answered and one queued. With more, the queries of the
+	// stages ranked first would be queued behind others.
+	queriesPerSlot = 2
+	// perWorkerCostShare limits what the workers of one query cost in total, as a share of
+	// the advisor's base cost, as far as minQueryWorkers allows.
 	perWorkerCostShare = 0.45
-	// minQuestionWorkers and maxQuestionWorkers bound the workers of one question; the
+	// minQueryWorkers and maxQueryWorkers bound the workers of one query; the
 	// platform accepts at most 100.
-	minQuestionWorkers = 12
-	maxQuestionWorkers = 100
-	// lostRetryDelay is the delay before a stage asks again after a question without an
-	// answer. A host that is cut off from the advisor sees its calls fail within
-	// milliseconds, and would otherwise ask hundreds of times a second.
-	lostRetryDelay = 40 * time.Millisecond
-	// askMoreAfter is how long a stage waits for capacity at the workers that it may use before
-	// it asks about others.
+	minQueryWorkers = 12
+	maxQueryWorkers = 100
+	// lostQueryRetryDelay is the delay before a stage is queried about again after a query
+	// without an answer. At a host that is cut off from the advisor, calls fail within
+	// milliseconds and would otherwise be repeated hundreds of times a second.
+	lostQueryRetryDelay = 40 * time.Millisecond
+	// askMoreAfter is how long a stage waits for capacity at the workers that it may use
+	// before the advisor is asked about others.
 	askMoreAfter = 250 * time.Millisecond
 )
 
@@ -42,12 +43,13 @@
 	asked   map[*worker]bool // covered by an answer; those without a ticket are never allowed
 	tickets map[*worker]ticket
 	allowed []*worker // workers with a ticket, valid or expired
-	// learning counts the outstanding questions about workers that no answer covers yet;
-	// warming is set while a question that renews the tickets of a waiting gang is
-	// outstanding. Every question is answered, by an Advice with Lost set if need be.
-	learning    int
-	warming     bool
-	lastLearned time.Time // when the last answer about new workers was received
+	// learnQueriesInFlight counts the unanswered queries about workers that no answer
+	// covers yet; warmQueryInFlight is set while a query that keeps the tickets of the
+	// waiting stage valid is unanswered. Every query ends with an Advice, which has Lost
+	// set if no answer came.
+	learnQueriesInFlight int
+	warmQueryInFlight    bool
+	learnedAt            time.Time // when the latest answer about new workers was received
 }
 
 type ticket struct {
@@ -72,16 +74,16 @@
 	a.tickets[w] = t
 }
 
-// ask queues a question to the advisor about workers.
+// ask queues a query to the advisor about workers.
 func (s *State) ask(g *stage, q *Queue, workers []spoolsill.WorkerIncarnation, p Purpose) {
 	if len(workers) == 0 {
 		return
 	}
 	switch p {
 	case PurposeLearn:
-		g.advice.learning++
+		g.advice.learnQueriesInFlight++
 	case PurposeWarm:
-		g.advice.warming = true
+		g.advice.warmQueryInFlight = true
 		s.warmQueriesInFlight++
 	}
 	s.queriesInFlight++
@@ -96,12 +98,12 @@
 	})
 }
 
-// askAboutMore asks about workers that no answer covers yet. A gang needs many workers, so
-// its question is split over the hosts that are free to ask.
+// askAboutMore queues queries about workers that no answer covers yet. A gang needs many
+// workers, so its query is split into parts that free hosts make concurrently.
 func (d *decider) askAboutMore(g *stage, q *Queue, workers []spoolsill.WorkerIncarnation) {
 	parts := 1
 	if g.step.Gang {
-		width := q.Advisor.questionSize()
+		width := q.Advisor.querySize()
 		parts = min((len(workers)+width-1)/width, (d.advisorSlots-d.queriesInFlight)/2)
 	}
 	size := (len(workers) + max(parts, 1) - 1) / max(parts, 1)
@@ -110,21 +112,21 @@
 	}
 }
 
-// questionSize returns how many workers one question is about. Up to that number,
-// additional workers cost little compared with the base cost.
-func (a *Advisor) questionSize() int {
+// querySize returns how many workers one query is about. Up to that number, additional
+// workers cost little compared with the base cost.
+func (a *Advisor) querySize() int {
 	if a.PerWorker <= 0 {
-		return maxQuestionWorkers
+		return maxQueryWorkers
 	}
-	return min(maxQuestionWorkers, max(minQuestionWorkers, int(perWorkerCostShare*float64(a.Base)/float64(a.PerWorker))))
+	return min(maxQueryWorkers, max(minQueryWorkers, int(perWorkerCostShare*float64(a.Base)/float64(a.PerWorker))))
 }
 
-// SetMaxQuestions sets how many questions the hosts can put to the advisor at once.
+// SetMaxQuestions sets how many queries to the advisor the hosts can make concurrently.
 func (s *State) SetMaxQuestions(n int) {
 	s.advisorSlots = n
 }
 
-// AdviceOrders returns the questions to the advisor since the last call.
+// AdviceOrders returns the queries to the advisor since the last call.
 func (s *State) AdviceOrders() []AdviceOrder {
 	o := s.adviceOrders
 	s.adviceOrders = nil
@@ -139,13 +141,13 @@
 	if r == nil {
 		return nil
 	}
-	most := maxQuestionWorkers
+	limit := maxQueryWorkers
 	if !g.step.Gang {
-		most = q.Advisor.questionSize()
+		limit = q.Advisor.querySize()
 	}
 	var incarnations []spoolsill.WorkerIncarnation
-	for _, w := range r.freest() {
-		if len(incarnations) == most {
+	for _, w := range r.sortedByFree() {
+		if len(incarnations) == limit {
 			break
 		}
 		if g.labelMatches(w) && !g.advice.asked[w] {
@@ -179,12 +181,12 @@
 	x := &g.advice
 	switch a.Order.Purpose {
 	case PurposeLearn:
-		x.learning--
+		x.learnQueriesInFlight--
 	case PurposeWarm:
-		x.warming = false
+		x.warmQueryInFlight = false
 	}
 	if a.Lost {
-		g.retryAt = now.Add(lostRetryDelay)
+		g.retryAt = now.Add(lostQueryRetryDelay)
 	} else {
 		s.storeTickets(g, a)
 	}
@@ -207,7 +209,7 @@
 		x.tickets = map[*worker]ticket{}
 	}
 	if a.Order.Purpose == PurposeLearn {
-		x.lastLearned = s.now
+		x.learnedAt = s.now
 	}
 	about := make(map[spoolsill.WorkerID]*worker, len(a.Order.Workers))
 	for _, l := range a.Order.Workers {
@@ -281,18 +283,18 @@
 	r.task.run = nil
 }
 
-// keepWarm renews the tickets of a gang that waits for capacity before they expire, so
-// that the gang starts as soon as there is capacity, instead of holding it until the
-// advisor has answered.
+// keepWarm renews the tickets of a stage that waits for capacity before they expire. The
+// stage can then start as soon as there is capacity, instead of holding the capacity until
+// the advisor has answered.
 func (d *decider) keepWarm(g *stage, q *Queue) {
 	a := &g.advice
-	if q.Advisor == nil || a.warming || d.warmQueriesInFlight >= max(d.advisorSlots/warmHostDivisor, 1) {
+	if q.Advisor == nil || a.warmQueryInFlight || d.warmQueriesInFlight >= max(d.advisorSlots/warmQueryDivisor, 1) {
 		return
 	}
 	var ready []*worker
 	var incarnations []spoolsill.WorkerIncarnation
 	for _, w := range a.allowed {
-		if w.ready && len(ready) < maxQuestionWorkers {
+		if w.ready && len(ready) < maxQueryWorkers {
 			ready = append(ready, w)
 			incarnations = append(incarnations, w.incarnation())
 		}
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -11,14 +11,14 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// advise answers a question with tickets for the given workers.
-func (x *cell) advise(o sched.AdviceOrder, good ...spoolsill.WorkerID) {
+// advise answers a query with tickets for the given workers.
+func (x *cell) advise(o sched.AdviceOrder, allowed ...spoolsill.WorkerID) {
 	a := sched.Advice{
 		Order:    o,
 		Received: x.now,
 		Valid:    1500 * time.Millisecond,
 	}
-	for _, id := range good {
+	for _, id := range allowed {
 		a.Tickets = append(a.Tickets, sched.Ticket{
 			Worker: id,
 			Text:   "ticket-" + string(id),
@@ -27,7 +27,7 @@
 	x.state.AdviceReceived(x.now, a)
 }
 
-func (x *cell) question() sched.AdviceOrder {
+func (x *cell) query() sched.AdviceOrder {
 	q := x.state.AdviceOrders()
 	x.c.Assert(q, qt.HasLen, 1)
 	return q[0]
@@ -39,7 +39,7 @@
 	x.addWorker("b")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	q := x.question()
+	q := x.query()
 	x.c.Assert(q.Workers, qt.HasLen, 2)
 	x.advise(q, "b")
 	o := x.step()
@@ -49,7 +49,7 @@
 }
 
 // Guards against another task taking the capacity of a run whose ticket is being renewed, and
-// against repeated questions: those that no stage waits for any more would overload the advisor.
+// against repeated queries: those that no stage waits for any more would overload the advisor.
 func TestExpiredTicketIsRenewedWithCapacityHeld(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -58,13 +58,13 @@
 	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
-	x.advise(x.question(), "w")
+	x.advise(x.query(), "w")
 	x.advance(2*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
 	x.endRun(big[0], sched.EndDone)
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	q := x.question()
+	q := x.query()
 	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 	x.state.AddJob(x.now, job("late", "q", tasks(1, 10)), sched.Progress{})
 	x.advance(6*time.Second, map[spoolsill.WorkerID][]sched.RunID{
@@ -81,11 +81,11 @@
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 	x.step()
-	x.advise(x.question(), "w")
+	x.advise(x.query(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
 	x.renewLease("w")
 	x.step()
-	q := x.question()
+	q := x.query()
 	// The lease expires and the worker answers again before the advisor does.
 	x.advance(7*time.Second, nil)
 	x.renewLease("w")
@@ -93,17 +93,17 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
-func TestLostQuestionReleasesTheCapacity(t *testing.T) {
+func TestLostQueryReleasesTheCapacity(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 10)), sched.Progress{})
 	x.step()
-	x.advise(x.question(), "w")
+	x.advise(x.query(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
 	x.renewLease("w")
 	x.step()
 	x.state.AdviceReceived(x.now, sched.Advice{
-		Order: x.question(),
+		Order: x.query(),
 		Lost:  true,
 	})
 	x.state.AddJob(x.now, job("k", "q", tasks(1, 10)), sched.Progress{})
@@ -113,9 +113,9 @@
 	x.c.Assert(x.state.CheckCapacity(), qt.IsNil)
 }
 
-// The outstanding questions are bounded by the hosts that can ask. Urgent ones are
-// exempt.
-func TestQuestionsAreBoundedByHosts(t *testing.T) {
+// The number of queries in flight is bounded by the hosts that can make them. Urgent ones
+// are exempt.
+func TestQueriesAreBoundedByHosts(t *testing.T) {
 	for _, hosts := range []int{1, 5} {
 		x := newCell(t)
 		x.addWorker("w")
@@ -128,10 +128,10 @@
 	}
 }
 
-// Urgent questions are exempt from the bound only while their job can still be in time.
-// After an outage there may be many jobs that can't, whose questions would otherwise
-// delay those that matter.
-func TestUrgentQuestionsOfLateJobsAreBounded(t *testing.T) {
+// Urgent queries are exempt from the bound only while their job can still meet its
+// objective. After an outage there may be many jobs that can't, whose queries would
+// otherwise delay those of the jobs that can.
+func TestUrgentQueriesOfLateJobsAreBounded(t *testing.T) {
 	const hosts = 3
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
@@ -156,9 +156,9 @@
 	}
 }
 
-// Guards against questions about workers that don't answer. They look idle, since their runs
+// Guards against queries about workers that don't answer. They look idle, since their runs
 // are dropped, but nothing new is started there.
-func TestQuestionsOmitSilentWorkers(t *testing.T) {
+func TestQueriesOmitSilentWorkers(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("silent")
 	x.addWorker("busy")
@@ -169,7 +169,7 @@
 	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
-	x.c.Assert(x.question().Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("busy")})
+	x.c.Assert(x.query().Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("busy")})
 }
 
 // The tickets of a gang that waits for capacity are renewed in advance. Guards against capacity
@@ -182,11 +182,11 @@
 	x.acceptStarts(big)
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
-	x.advise(x.question(), "w")
+	x.advise(x.query(), "w")
 	x.advance(1500*time.Millisecond, map[spoolsill.WorkerID][]sched.RunID{
 		"w": {big[0].Run},
 	})
-	q := x.question()
+	q := x.query()
 	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeWarm)
 	x.advise(q, "w")
 	x.endRun(big[0], sched.EndDone)
@@ -194,9 +194,9 @@
 	x.c.Assert(x.state.AdviceOrders(), qt.HasLen, 0)
 }
 
-// A question is split over free hosts since answers about parts of the workers arrive
-// sooner than one about all.
-func TestGangQuestionsAreSplitOverFreeHosts(t *testing.T) {
+// A query is split over free hosts, since answers about parts of the workers arrive sooner
+// than one about all of them.
+func TestGangQueriesAreSplitOverFreeHosts(t *testing.T) {
 	for hosts, parts := range map[int]int{1: 1, 4: 2, 20: 3} {
 		x := newCell(t)
 		x.state.SetMaxQuestions(hosts)
@@ -206,22 +206,22 @@
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 1)), sched.Progress{})
 		x.step()
 		asked := map[spoolsill.WorkerID]bool{}
-		questions := x.state.AdviceOrders()
-		for _, q := range questions {
+		queries := x.state.AdviceOrders()
+		for _, q := range queries {
 			for _, l := range q.Workers {
 				asked[l.Worker] = true
 			}
 		}
-		x.c.Assert(questions, qt.HasLen, parts)
+		x.c.Assert(queries, qt.HasLen, parts)
 		x.c.Assert(asked, qt.HasLen, 60)
 		// The first answer is enough to start.
-		x.advise(questions[0], questions[0].Workers[0].Worker)
+		x.advise(queries[0], queries[0].Workers[0].Worker)
 		x.c.Assert(x.step(), qt.HasLen, 2)
 	}
 }
 
-// The advisor's answer for a worker still applies when the worker comes back after it was
-// closed. Guards against treating it as a new worker.
+// The advisor's answer for a worker still applies when the worker comes back after a time
+// without entry and lease. Guards against treating it as a new worker.
 func TestAdviceOutlivesAWorkersAbsence(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
@@ -229,21 +229,21 @@
 	x.acceptStarts(x.step())
 	x.state.AddJob(x.now, job("j", "advised", gang(2, 5)), sched.Progress{})
 	x.step()
-	x.advise(x.question(), "w")
+	x.advise(x.query(), "w")
 	// The worker is unreachable until its lease has expired, and then comes back.
 	x.state.WorkerUnlisted(x.now, "w")
 	x.advance(2*lease, nil)
 	x.addWorker("w")
 	x.state.CancelJob(x.now, "big")
 	x.step()
-	q := x.question()
+	q := x.query()
 	x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("w")})
 	x.advise(q, "w")
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1", "j.0.0.1#1"})
 }
 
-// Guards against a flood of questions when the advisor refuses each one at once.
-func TestLostQuestionsAreRetriedAfterDelay(t *testing.T) {
+// Guards against a flood of queries when the advisor refuses each one at once.
+func TestLostQueriesAreRetriedAfterDelay(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
 	x.state.SetMaxQuestions(2)
@@ -260,5 +260,5 @@
 			})
 		}
 	}
-	x.c.Assert(asked <= 25, qt.IsTrue, qt.Commentf("%d questions in a second", asked))
+	x.c.Assert(asked <= 25, qt.IsTrue, qt.Commentf("%d queries in a second", asked))
 }
--- a/sched/capacity_test.go
+++ b/sched/capacity_test.go
@@ -58,9 +58,9 @@
 	x.now = x.now.Add(50 * time.Millisecond)
 	x.renewLease("w", o[0].Run, o[1].Run)
 	x.state.Decide(x.now)
-	b, any, err := x.state.Batch(x.now)
+	b, ok, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
-	x.c.Assert(any && len(b.Starts) > 0, qt.IsFalse)
+	x.c.Assert(ok && len(b.Starts) > 0, qt.IsFalse)
 	x.state.CancelJob(x.now, "j")
 	x.c.Assert(x.state.Stops(), qt.HasLen, 2)
 	x.renewLease("w", o[0].Run, o[1].Run)
@@ -115,11 +115,11 @@
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 8)), sched.Progress{})
 	x.step()
-	x.advise(x.question(), "w")
+	x.advise(x.query(), "w")
 	x.now = x.now.Add(1400 * time.Millisecond)
 	x.renewLease("w")
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	q := x.question()
+	q := x.query()
 	x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 	x.listWith("w", 6)
 	x.advise(q, "w")
@@ -208,7 +208,7 @@
 			m.runs[w] = map[sched.RunID]int{}
 			m.x.listWith(w, 10)
 		}
-		move := func() {
+		changeCapacity := func() {
 			w := rapid.SampledFrom(ids).Draw(rt, "worker")
 			m.capacity[w] = rapid.IntRange(0, 12).Draw(rt, "cores")
 			m.x.listWith(w, m.capacity[w])
@@ -216,7 +216,7 @@
 		for i := range rapid.IntRange(10, 60).Draw(rt, "moves") {
 			switch rapid.IntRange(0, 4).Draw(rt, "move") {
 			case 0:
-				move()
+				changeCapacity()
 			case 1:
 				m.submit(rt, i)
 			case 2:
@@ -229,8 +229,8 @@
 			}
 			m.x.now = m.x.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(rt, "ms")) * time.Millisecond)
 			m.round(rt, func() {
-				if rapid.Bool().Draw(rt, "moves while it is recorded") {
-					move()
+				if rapid.Bool().Draw(rt, "capacity changes while the decisions are written") {
+					changeCapacity()
 				}
 			})
 		}
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -20,13 +20,13 @@
 	// suspicion it outweighs data locality.
 	runsAtRiskCost       = 1.0
 	strongRunsAtRiskCost = 10.0
-	// recentCrashCost weighs against a trial on a machine that crashed within
+	// recentCrashCost is the cost of a trial on a machine that crashed within
 	// recentCrashWindow: machines that restart repeatedly are the least loaded ones, and
 	// another crash there would prove nothing about the task.
 	recentCrashCost   = 10.0
 	recentCrashWindow = time.Minute
-	// maxNamedRuns bounds the runs that a log line about a crash names.
-	maxNamedRuns = 8
+	// maxLoggedRuns bounds the runs that a log line about a lost worker names.
+	maxLoggedRuns = 8
 )
 
 // machineKey identifies the machine of a worker. Where the platform names no machine it
@@ -98,13 +98,13 @@
 		return cmp.Compare(len(b.task.evidence.losses), len(a.task.evidence.losses))
 	})
 	var named []string
-	for _, r := range rs[:min(len(rs), maxNamedRuns)] {
+	for _, r := range rs[:min(len(rs), maxLoggedRuns)] {
 		named = append(named, fmt.Sprintf("%s (%d)", r.id.Task, len(r.task.evidence.losses)))
 	}
 	s.note(Note{
 		Kind:   NoteWorkerLost,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s; %d runs lost with it, with the number of workers lost by each task: %s", reason, len(rs), strings.Join(named, ", ")),
+		Reason: fmt.Sprintf("%s; %d runs lost with it; tasks with the most lost workers: %s", reason, len(rs), strings.Join(named, ", ")),
 		Age:    s.now.Sub(w.answeredAt),
 	})
 }
@@ -191,16 +191,17 @@
 	}
 }
 
-// inTrial reports whether a run may still crash its worker.
-func (r *run) inTrial(now time.Time) bool {
+// onTrial reports whether a run is within its trial period, in which it may still crash its
+// worker.
+func (r *run) onTrial(now time.Time) bool {
 	return r.startedAt.IsZero() || now.Sub(r.startedAt) < trialPeriod
 }
 
 // otherTrials counts the runs on trial at a worker that belong to other jobs than j, and
-// those of them with strong suspicion.
+// how many of them are of strongly suspect tasks.
 func (w *worker) otherTrials(j *job, now time.Time) (all, strong int) {
 	for _, r := range w.trials {
-		if r.task.stage.job == j || !r.inTrial(now) {
+		if r.task.stage.job == j || !r.onTrial(now) {
 			continue
 		}
 		all++
@@ -244,11 +245,11 @@
 
 // gangTrialCost returns the trialCost of the most suspect member of a gang.
 func (d *decider) gangTrialCost(g *stage, w *worker) float64 {
-	worst := g.tasks[0]
+	mostSuspect := g.tasks[0]
 	for _, t := range g.tasks {
-		if len(t.evidence.losses) > len(worst.evidence.losses) {
-			worst = t
+		if len(t.evidence.losses) > len(mostSuspect.evidence.losses) {
+			mostSuspect = t
 		}
 	}
-	return d.trialCost(worst, w)
+	return d.trialCost(mostSuspect, w)
 }
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -198,8 +198,8 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
-// crash has the worker of an order take it and crash at the given age of the run, and
-// its machine come back.
+// crash has the worker of an order accept it and crash once the run has the given age. The
+// machine is back after three seconds, which proves the crash.
 func (x *cell) crash(o sched.StartOrder, age time.Duration) {
 	x.acceptStarts([]sched.StartOrder{o})
 	for end := x.now.Add(age); x.now.Before(end); {
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -40,7 +40,7 @@
 			for i := range 5 {
 				id := spoolsill.JobID(fmt.Sprint("crash", i))
 				f.crashers[id] = 0
-				f.add(job(id, "q", tasks(1, 1)))
+				f.addJob(job(id, "q", tasks(1, 1)))
 			}
 			at := f.x.now
 			f.simulate(40*time.Second, func() {
@@ -89,9 +89,10 @@
 }
 
 const (
-	// downFor is how long a machine stays down, lostForever for one that is lost.
-	downFor     = 3 * time.Second
-	lostForever = 24 * time.Hour
+	// downtime is how long a machine stays down, permanentDowntime the same for one that
+	// does not come back during the test.
+	downtime          = 3 * time.Second
+	permanentDowntime = 24 * time.Hour
 )
 
 func newCrashLoad(t *testing.T, seed uint64, machines int) *crashLoad {
@@ -106,12 +107,12 @@
 		crashers:     map[spoolsill.JobID]int{},
 	}
 	for m := range f.incarnations {
-		f.start(m)
+		f.startMachine(m)
 	}
 	return f
 }
 
-func (f *crashLoad) start(m int) {
+func (f *crashLoad) startMachine(m int) {
 	f.incarnations[m]++
 	w := f.x.listIncarnation(m, f.incarnations[m])
 	f.machine[w] = m
@@ -138,16 +139,16 @@
 		old := incarnationID(m, f.incarnations[m])
 		delete(f.down, m)
 		f.x.state.WorkerUnlisted(f.x.now, old)
-		f.start(m)
+		f.startMachine(m)
 		f.x.state.WorkerDied(f.x.now, incarnationOf(old))
 	}
 }
 
-// flap takes some machines down every few seconds.
+// flap takes each of the flapping machines down every few seconds on average.
 func (f *crashLoad) flap() {
 	for m := range f.flapping {
 		if f.r.IntN(60) == 0 {
-			f.takeDown(m, downFor)
+			f.takeDown(m, downtime)
 		}
 	}
 }
@@ -155,7 +156,7 @@
 // loseRacks takes the last n machines down for good.
 func (f *crashLoad) loseRacks(n int) {
 	for m := len(f.incarnations) - n; m < len(f.incarnations); m++ {
-		f.takeDown(m, lostForever)
+		f.takeDown(m, permanentDowntime)
 	}
 }
 
@@ -181,7 +182,7 @@
 	f.x.answerStart(o, sched.StartAccepted)
 	if _, ok := f.crashers[o.Run.Task.Stage.Job]; ok {
 		f.crashers[o.Run.Task.Stage.Job]++
-		f.takeDown(f.machine[o.Worker], downFor)
+		f.takeDown(f.machine[o.Worker], downtime)
 	}
 }
 
@@ -196,16 +197,16 @@
 // with probability 1/gangs.
 func (f *crashLoad) submitSome(short, gangs int) {
 	if f.r.IntN(short) == 0 {
-		f.add(job(spoolsill.JobID(fmt.Sprint("s", len(f.jobs))), "q", tasks(2, 2)))
+		f.addJob(job(spoolsill.JobID(fmt.Sprint("s", len(f.jobs))), "q", tasks(2, 2)))
 	}
 	if f.r.IntN(gangs) == 0 {
 		p := gang(8, 4)
 		p.Estimate = 5 * time.Second
-		f.add(job(spoolsill.JobID(fmt.Sprint("g", len(f.jobs))), "q", p))
+		f.addJob(job(spoolsill.JobID(fmt.Sprint("g", len(f.jobs))), "q", p))
 	}
 }
 
-func (f *crashLoad) add(j sched.Job) {
+func (f *crashLoad) addJob(j sched.Job) {
 	f.jobs[j.ID] = true
 	j.Received = f.x.now
 	f.x.state.AddJob(f.x.now, j, sched.Progress{})
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -16,7 +16,7 @@
 type crashModel struct {
 	x           *cell
 	row         []byte
-	next        int
+	nextMachine int
 	workers     []spoolsill.WorkerID
 	run         *sched.StartOrder // the run that the task actually has
 	silent      map[spoolsill.WorkerID]bool
@@ -24,9 +24,9 @@
 	startsAfter int // starts of the task after three crashes
 }
 
-func (m *crashModel) add() {
-	m.workers = append(m.workers, m.x.listIncarnation(m.next, 0))
-	m.next++
+func (m *crashModel) addWorker() {
+	m.workers = append(m.workers, m.x.listIncarnation(m.nextMachine, 0))
+	m.nextMachine++
 }
 
 // round has the workers answer, makes and writes decisions, and has the orders carried
@@ -84,7 +84,7 @@
 	if rapid.Bool().Draw(t, "heard") {
 		m.x.state.WorkerDied(m.x.now, incarnationOf(w))
 	}
-	m.add()
+	m.addWorker()
 }
 
 func remove(ws []spoolsill.WorkerID, w spoolsill.WorkerID) []spoolsill.WorkerID {
@@ -124,7 +124,7 @@
 		}
 		m.x.state.AddJob(m.x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 		for range 3 {
-			m.add()
+			m.addWorker()
 		}
 		for range rapid.IntRange(20, 60).Draw(rt, "moves") {
 			switch rapid.IntRange(0, 5).Draw(rt, "move") {
--- a/sched/crashrow_test.go
+++ b/sched/crashrow_test.go
@@ -24,7 +24,7 @@
 		Stages []sched.StageProgress
 	}
 	c := qt.New(t)
-	p := running("kept")
+	p := runningAt("kept")
 	plain, err := sched.EncodeProgress(p)
 	c.Assert(err, qt.IsNil)
 	old, err := msgpack.Marshal(&former{
@@ -74,7 +74,7 @@
 // none.
 func TestRowStoresStartTimes(t *testing.T) {
 	c := qt.New(t)
-	p := running("kept")
+	p := runningAt("kept")
 	plain, err := sched.EncodeProgress(p)
 	c.Assert(err, qt.IsNil)
 	p.Stages[0].Tasks[0].Born = 7000
@@ -145,7 +145,7 @@
 			},
 		},
 	} {
-		p := running("kept")
+		p := runningAt("kept")
 		p.Crashes = crashes
 		p.Team = "a"
 		b, err := sched.EncodeProgress(p)
@@ -168,7 +168,7 @@
 // is written at each start and end of one of them.
 func TestProgressRowsAreShort(t *testing.T) {
 	const tasks = 25
-	p := running("i-c61488dfcf")
+	p := runningAt("i-c61488dfcf")
 	one := p.Stages[0].Tasks[0]
 	p.Stages[0].Tasks = slices.Repeat([]sched.TaskProgress{one}, tasks)
 	b, err := sched.EncodeProgress(p)
--- a/sched/decide.go
+++ b/sched/decide.go
@@ -43,13 +43,13 @@
 	// lowered while resources are allocated during a pass.
 	maxFree spoolsill.Resources
 	// byFree has the workers sorted by free processors, highest first, as of the first
-	// call of freest in the pass; nil before.
+	// call of sortedByFree in the pass; nil before.
 	byFree []*worker
 }
 
-// freest returns the workers sorted by free processors, highest first. They are sorted
-// only once per pass since many stages need the order.
-func (r *readyWorkers) freest() []*worker {
+// sortedByFree returns the workers sorted by free processors, highest first. They are
+// sorted only once per pass, since many stages need the order.
+func (r *readyWorkers) sortedByFree() []*worker {
 	if r.byFree == nil {
 		r.byFree = slices.Clone(r.workers)
 		sortByFree(r.byFree)
@@ -162,15 +162,15 @@
 func (d *decider) ensureAdvice(g *stage, q *Queue) bool {
 	a := &g.advice
 	known := a.asked != nil
-	if a.learning > 0 || known && d.now.Sub(a.lastLearned) <= askMoreAfter {
+	if a.learnQueriesInFlight > 0 || known && d.now.Sub(a.learnedAt) <= askMoreAfter {
 		return known
 	}
-	if g.tier != tierUrgent && d.queriesInFlight >= questionsPerAsker*max(d.advisorSlots, 1) {
+	if g.tier != tierUrgent && d.queriesInFlight >= queriesPerSlot*max(d.advisorSlots, 1) {
 		return known
 	}
 	more := d.unasked(g, q)
 	if len(more) == 0 {
-		a.lastLearned = d.now // all known; look again after askMoreAfter
+		a.learnedAt = d.now // there are no others; check again after askMoreAfter
 		return known
 	}
 	d.askAboutMore(g, q, more)
--- a/sched/deferred_test.go
+++ b/sched/deferred_test.go
@@ -15,9 +15,9 @@
 func (x *cell) stepWithSlowStore() []sched.StartOrder {
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
-	b, any, err := x.state.Batch(x.now)
+	b, ok, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
-	x.c.Assert(any, qt.IsTrue)
+	x.c.Assert(ok, qt.IsTrue)
 	x.now = x.now.Add(1600 * time.Millisecond)
 	return x.state.BatchWritten(x.now, b)
 }
@@ -33,9 +33,9 @@
 		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", step), sched.Progress{})
 		x.step()
-		x.advise(x.question(), "w")
+		x.advise(x.query(), "w")
 		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0, qt.Commentf("%s", name))
-		q := x.question()
+		q := x.query()
 		x.c.Assert(q.Purpose, qt.Equals, sched.PurposeRenew)
 		x.c.Assert(q.Workers, qt.DeepEquals, []spoolsill.WorkerIncarnation{incarnationOf("w")})
 		x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
@@ -59,10 +59,10 @@
 		x.addWorker("w")
 		x.state.AddJob(x.now, job("j", "advised", gang(2, 4)), sched.Progress{})
 		x.step()
-		x.advise(x.question(), "w")
+		x.advise(x.query(), "w")
 		x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0)
 		x.state.AdviceReceived(x.now, sched.Advice{
-			Order:    x.question(),
+			Order:    x.query(),
 			Received: x.now,
 			Lost:     lost,
 		})
@@ -71,7 +71,7 @@
 		x.now = x.now.Add(100 * time.Millisecond) // longer than the delay after a lost query
 		x.renewLease("w")
 		x.step()
-		x.advise(x.question(), "w")
+		x.advise(x.query(), "w")
 		x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2", "j.0.0.1#2"})
 	}
 }
@@ -82,9 +82,9 @@
 	x.addWorker("w")
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	x.step()
-	x.advise(x.question(), "w")
+	x.advise(x.query(), "w")
 	x.c.Assert(x.stepWithSlowStore(), qt.HasLen, 0)
-	q := x.question()
+	q := x.query()
 	x.state.CancelJob(x.now, "j")
 	x.advise(q, "w")
 	x.c.Assert(x.state.DeferredStarts(), qt.HasLen, 0)
--- a/sched/event.go
+++ b/sched/event.go
@@ -95,11 +95,11 @@
 // The outcomes of a start order.
 const (
 	StartAccepted         StartOutcome = iota // the worker has the run
-	StartRejected                             // the worker did not start it, for another reason
+	StartRejected                             // rejected for another reason
 	StartNoCapacity                           // rejected: not enough free capacity at the worker
 	StartNoTicket                             // rejected: the advisor's ticket was not valid
 	StartUnhealthy                            // the worker accepts no starts at the moment
-	StartOtherIncarnation                     // this incarnation of the worker has ended
+	StartOtherIncarnation                     // rejected: the incarnation that the order was for has ended
 	StartUnknown                              // no answer: the order may be carried out until its deadline
 )
 
@@ -151,27 +151,28 @@
 	Reason string
 }
 
-// An AdviceOrder asks the advisor which workers may run a stage.
+// An AdviceOrder is a query to the advisor about which workers may run a stage.
 type AdviceOrder struct {
 	Stage    StageID
 	Workers  []spoolsill.WorkerIncarnation
 	Priority int
-	// Urgent is set when the stage has the highest priority and can still end in time.
+	// Urgent is set when the stage has the highest priority and can still meet its
+	// objective.
 	Urgent  bool
 	Purpose Purpose
-	// Cost is how long the advisor takes to answer.
+	// Cost is how long the advisor is expected to take for the answer.
 	Cost time.Duration
-	// Ordered is when the question was queued.
+	// Ordered is when the query was queued.
 	Ordered time.Time
 }
 
-// A Purpose is the reason for a question to the advisor.
+// A Purpose is the reason for a query to the advisor.
 type Purpose uint8
 
-// The purposes of questions.
+// The purposes of queries.
 const (
 	PurposeLearn Purpose = iota // which additional workers may run the stage
-	PurposeWarm                 // keeps the tickets of a waiting gang valid
+	PurposeWarm                 // renews the tickets of a stage that waits for capacity before they expire
 	PurposeRenew                // renews tickets while capacity is held for their runs
 )
 
@@ -266,16 +267,17 @@
 	Run    RunID
 	Worker spoolsill.WorkerID
 	Reason string
-	// Age is the age of the information that the decision was based on.
+	// Age is the age of the information that the decision was based on, or of the run or
+	// job that the note is about.
 	Age time.Duration
 	// Account is set for a job that has ended.
 	Account *Account
-	// Gone is the number of workers that were lost with the run's task, when the run is
-	// gone.
+	// Gone is set for a run that is gone. It is the number of workers that were lost with
+	// runs of its task and count as evidence against it.
 	Gone int
 }
 
-// An Account tells what a job spent its time on, for logs.
+// An Account summarizes, for logs, what delayed a job.
 type Account struct {
 	// Objective is the time within which the job should have ended.
 	Objective time.Duration
--- a/sched/fixture_test.go
+++ b/sched/fixture_test.go
@@ -155,9 +155,9 @@
 	x.now = x.now.Add(10 * time.Millisecond)
 	x.state.Decide(x.now)
 	x.c.Assert(x.state.CheckCapacity(), qt.IsNil)
-	b, any, err := x.state.Batch(x.now)
+	b, ok, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
-	if !any {
+	if !ok {
 		return nil
 	}
 	out := x.state.BatchWritten(x.now, b)
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -27,7 +27,7 @@
 		}
 		d.start(t, workers[i])
 	}
-	if len(renew) > 0 && !g.advice.warming {
+	if len(renew) > 0 && !g.advice.warmQueryInFlight {
 		d.ask(g, q, renew, PurposeRenew)
 	}
 }
@@ -56,25 +56,26 @@
 		from = r.workers
 	}
 	if !d.fitsEmptyWorkers(g, from) {
-		// The reserved workers might be the only ones that other stages can use.
+		// A reservation would be in vain, and the reserved workers might be the only ones
+		// that other stages can use.
 		g.reserved = nil
 		return
 	}
-	slots := 0
-	keep := func(w *worker) bool {
+	fits := 0
+	reserve := func(w *worker) bool {
 		n := fitCount(g.step.demand(), w.Capacity)
-		if !w.ready || d.reservedFor[w] != nil || n == 0 || slots >= gangReserveFactor*len(g.tasks) {
+		if !w.ready || d.reservedFor[w] != nil || n == 0 || fits >= gangReserveFactor*len(g.tasks) {
 			return false
 		}
 		d.reservedFor[w] = g
-		slots += n
+		fits += n
 		return true
 	}
-	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !keep(w) })
+	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !reserve(w) })
 	from = slices.Clone(from)
 	sortByFree(from)
 	for _, w := range from {
-		if keep(w) {
+		if reserve(w) {
 			g.reserved = append(g.reserved, w)
 		}
 	}
@@ -82,7 +83,7 @@
 
 // fitsEmptyWorkers reports whether the whole gang would fit on ws if they had no runs.
 func (s *State) fitsEmptyWorkers(g *stage, ws []*worker) bool {
-	slots := 0
+	fits := 0
 	for _, w := range ws {
 		if w.dead || w.leaving(s.now) || !g.labelMatches(w) {
 			continue
@@ -91,9 +92,9 @@
 		if m := g.step.MaxPerWorker; m > 0 {
 			n = min(n, m)
 		}
-		slots += n
+		fits += n
 	}
-	return slots >= len(g.tasks)
+	return fits >= len(g.tasks)
 }
 
 // ticketsToRenew returns the incarnations of the assigned workers if one of their tickets must
@@ -153,9 +154,9 @@
 func (d *decider) assignGangTo(g *stage, ws []*worker) []*worker {
 	need := g.step.demand()
 	type candidate struct {
-		w     *worker
-		slots int
-		trial float64
+		w         *worker
+		fits      int
+		trialCost float64
 	}
 	candidates := make([]candidate, 0, len(ws))
 	total := 0
@@ -169,9 +170,9 @@
 			continue
 		}
 		candidates = append(candidates, candidate{
-			w:     w,
-			slots: n,
-			trial: d.gangTrialCost(g, w),
+			w:         w,
+			fits:      n,
+			trialCost: d.gangTrialCost(g, w),
 		})
 		total += n
 	}
@@ -180,14 +181,14 @@
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(
-			cmp.Compare(a.trial, b.trial),
+			cmp.Compare(a.trialCost, b.trialCost),
 			cmp.Compare(a.w.health.slowness(), b.w.health.slowness()),
-			cmp.Compare(b.slots, a.slots),
+			cmp.Compare(b.fits, a.fits),
 		)
 	})
 	workers := make([]*worker, 0, len(g.tasks))
 	for _, c := range candidates {
-		for range c.slots {
+		for range c.fits {
 			if len(workers) < len(g.tasks) {
 				workers = append(workers, c.w)
 			}
--- a/sched/gang_test.go
+++ b/sched/gang_test.go
@@ -159,10 +159,10 @@
 
 // stepWithAdvice makes a pass, answers all advisor queries with tickets for one worker, and
 // makes another pass.
-func (x *cell) stepWithAdvice(good spoolsill.WorkerID) {
+func (x *cell) stepWithAdvice(allowed spoolsill.WorkerID) {
 	x.step()
 	for _, o := range x.state.AdviceOrders() {
-		x.advise(o, good)
+		x.advise(o, allowed)
 	}
 	x.step()
 }
--- a/sched/incarnations.go
+++ b/sched/incarnations.go
@@ -104,7 +104,7 @@
 	s.note(Note{
 		Kind:   NoteWorkerRestarted,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s is of an incarnation started at %d; the one started at %d %s, with %d runs, %d of them in doubt, and ends received up to %d",
+		Reason: fmt.Sprintf("%s is from the incarnation started at %d; the incarnation started at %d %s; it had %d runs, %d of them in doubt, and the last end received from it is number %d",
 			source, w.startTime, old.startTime, ended, len(old.runs), old.uncertainRuns(), old.lastEndSeen),
 		Age: s.now.Sub(old.answeredAt),
 	})
@@ -184,9 +184,9 @@
 	}
 }
 
-// noteUncounted logs an end that is ignored as a duplicate although its run is still counted at
-// the worker.
-func (s *State) noteUncounted(w *worker, e End) {
+// noteEndNotCounted logs an end that is ignored as a duplicate although its run is still
+// counted at the worker.
+func (s *State) noteEndNotCounted(w *worker, e End) {
 	if w.runs[e.Run] == nil {
 		return
 	}
@@ -195,6 +195,6 @@
 		Job:    e.Run.Task.Stage.Job,
 		Run:    e.Run,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s, sequence %d, from a worker whose ends are received up to %d", e.Kind, e.Sequence, w.lastEndSeen),
+		Reason: fmt.Sprintf("%s, number %d, although the last end received from the worker is number %d", e.Kind, e.Sequence, w.lastEndSeen),
 	})
 }
--- a/sched/latestart_test.go
+++ b/sched/latestart_test.go
@@ -75,8 +75,8 @@
 		if now.Before(h.at) {
 			return false
 		}
-		over := w.checksDeadlines && now.After(h.deadline)
-		if h.epoch >= w.epoch && !over {
+		expired := w.checksDeadlines && now.After(h.deadline)
+		if h.epoch >= w.epoch && !expired {
 			w.epoch = h.epoch
 			w.start(now, h.run)
 			w.extend(h.deadline)
@@ -161,9 +161,9 @@
 
 // write writes the decisions and sends the starts.
 func (x *lateCell) write() {
-	b, any, err := x.state.Batch(x.now)
+	b, ok, err := x.state.Batch(x.now)
 	x.c.Assert(err, qt.IsNil)
-	if !any {
+	if !ok {
 		return
 	}
 	for _, r := range b.Rows {
@@ -174,7 +174,7 @@
 	}
 }
 
-// send sends a start, which is either taken at once or left unanswered and carried out
+// send sends a start, which is either accepted at once or left unanswered and carried out
 // late.
 func (x *lateCell) send(o sched.StartOrder) {
 	late := 0
@@ -302,26 +302,26 @@
 		x.tick()
 		x.worker.faults = rapid.SliceOfN(rapid.IntRange(0, faultKinds-1), 0, 10).Draw(rt, "faults")
 		at := map[int][]func(){}
-		plan := func(label string, f func()) {
+		schedule := func(label string, f func()) {
 			n := drawTick(rt, label)
 			at[n] = append(at[n], f)
 		}
-		plan("cancel", x.cancel)
+		schedule("cancel", x.cancel)
 		if rapid.Bool().Draw(rt, "take-over") {
 			forgotten := rapid.Bool().Draw(rt, "forgotten")
-			plan("next leader", func() { x.takeOver(j, forgotten) })
+			schedule("next leader", func() { x.takeOver(j, forgotten) })
 		}
 		switch rapid.IntRange(0, 2).Draw(rt, "entry") {
 		case 1:
-			plan("drains", func() { x.listWorker("w", true) })
+			schedule("drains", func() { x.listWorker("w", true) })
 		case 2:
-			plan("unlisted", func() { x.state.WorkerUnlisted(x.now, "w") })
+			schedule("unlisted", func() { x.state.WorkerUnlisted(x.now, "w") })
 			if rapid.Bool().Draw(rt, "listed again") {
-				plan("listed", func() { x.listWorker("w", false) })
+				schedule("listed", func() { x.listWorker("w", false) })
 			}
 		}
 		if rapid.Bool().Draw(rt, "cut") {
-			plan("partition the worker", func() { x.worker.partitioned = true })
+			schedule("partition the worker", func() { x.worker.partitioned = true })
 			at[int(maxStartDelay/tickLength)] = append(at[int(maxStartDelay/tickLength)], func() { x.worker.partitioned = false })
 		}
 		for i := range int((2*maxStartDelay + cancelBound) / tickLength) {
--- a/sched/pending_test.go
+++ b/sched/pending_test.go
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newCell(t)
-			x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), running("w"))
+			x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), runningAt("w"))
 			x.listWorker("w", false)
 			c.report(x, sched.RunID{
 				Task: sched.TaskID{
--- a/sched/preempt.go
+++ b/sched/preempt.go
@@ -26,7 +26,7 @@
 // and only those that have enough slack or are late anyway.
 func (d *decider) preempt(g *stage, q *Queue) {
 	for _, w := range g.reserved {
-		if d.capacityAt(g, w).Sub(d.now) < minPreemptWait {
+		if d.earliestStart(g, w).Sub(d.now) < minPreemptWait {
 			continue
 		}
 		for _, r := range d.victims(g, q, w) {
--- a/sched/progress.go
+++ b/sched/progress.go
@@ -207,7 +207,7 @@
 		return p
 	}
 	for _, g := range j.stages {
-		if g.begun() {
+		if g.started() {
 			p.Stages = append(p.Stages, g.progress())
 			p.Crashes = append(p.Crashes, g.crashes()...)
 			if p.State == Pending {
@@ -258,7 +258,7 @@
 		Done:  g.done(),
 		Fails: g.gangFailures,
 	}
-	if p.Done && !g.anyRun() {
+	if p.Done && !g.hasRuns() {
 		return p
 	}
 	p.Tasks = make([]TaskProgress, len(g.tasks))
--- a/sched/quota.go
+++ b/sched/quota.go
@@ -55,7 +55,7 @@
 	named := map[spoolsill.TeamID]bool{}
 	for _, t := range teams {
 		if named[t.ID] {
-			continue // the first of two teams of one name counts
+			continue // of several teams with one id, the first counts
 		}
 		named[t.ID] = true
 		a := s.team(t.ID)
@@ -119,11 +119,11 @@
 // quota: an unanswered order may be carried out seconds later, when the lower quota is in
 // force. Runs that are known to be running are not stopped.
 func (s *State) stopUncertainOverQuota() {
-	any := false
+	exceeded := false
 	for _, t := range s.teams {
-		any = any || t.overQuota()
+		exceeded = exceeded || t.overQuota()
 	}
-	if !any {
+	if !exceeded {
 		return
 	}
 	for _, w := range s.workerList {
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -130,7 +130,7 @@
 	x := newCell(t)
 	x.setQuota(10)
 	x.addWorker("w")
-	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), running("never-seen"))
+	x.state.AddJob(x.now, x.teamJob("j", "a", tasks(1, 6)), runningAt("never-seen"))
 	x.state.AddJob(x.now, x.teamJob("k", "a", tasks(10, 1)), sched.Progress{})
 	x.c.Assert(x.step(), qt.HasLen, 4)
 }
--- a/sched/quotamodel_test.go
+++ b/sched/quotamodel_test.go
@@ -67,13 +67,13 @@
 
 // maxQuota returns the highest quota that may be in force.
 func (m *quotaModel) maxQuota() int {
-	most := 0
+	highest := 0
 	for _, q := range m.quotas {
 		if q.until.IsZero() || m.x.now.Sub(q.until) <= configPropagation {
-			most = max(most, q.cores)
+			highest = max(highest, q.cores)
 		}
 	}
-	return most
+	return highest
 }
 
 // usedCores returns the cores that all runs use.
--- a/sched/reserve.go
+++ b/sched/reserve.go
@@ -29,7 +29,7 @@
 		return
 	}
 	limit := max(len(r.workers)/reserveDivisor, 1)
-	keep := func(w *worker) bool {
+	reserve := func(w *worker) bool {
 		if !w.ready || d.reservedFor[w] != nil || waiting == 0 || len(d.reservedFor) >= limit || !d.isLarge(g, w) {
 			return false
 		}
@@ -37,9 +37,9 @@
 		waiting--
 		return true
 	}
-	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !keep(w) })
-	for _, w := range d.byCapacityAt(g, q, r) {
-		if keep(w) {
+	g.reserved = slices.DeleteFunc(g.reserved, func(w *worker) bool { return !reserve(w) })
+	for _, w := range d.byEarliestStart(g, q, r) {
+		if reserve(w) {
 			g.reserved = append(g.reserved, w)
 		}
 	}
@@ -57,9 +57,9 @@
 	return g.labelMatches(w) && need.FitsIn(w.Capacity) && need.DominantShare(w.Capacity) >= largeShare
 }
 
-// byCapacityAt returns the workers that can be reserved for large tasks of g, sorted by when
-// capacity is expected.
-func (d *decider) byCapacityAt(g *stage, q *Queue, r *readyWorkers) []*worker {
+// byEarliestStart returns the workers that can be reserved for large tasks of g, sorted by
+// earliestStart.
+func (d *decider) byEarliestStart(g *stage, q *Queue, r *readyWorkers) []*worker {
 	from := g.advice.allowed
 	if q.Advisor == nil {
 		from = r.workers
@@ -68,7 +68,7 @@
 	var ws []*worker
 	for _, w := range from {
 		if w.ready && d.reservedFor[w] == nil && d.isLarge(g, w) {
-			at[w] = d.capacityAt(g, w)
+			at[w] = d.earliestStart(g, w)
 			ws = append(ws, w)
 		}
 	}
@@ -76,8 +76,8 @@
 	return ws
 }
 
-// capacityAt returns when w is expected to have capacity for a task of g.
-func (d *decider) capacityAt(g *stage, w *worker) time.Time {
+// earliestStart returns when w is expected to have capacity for a task of g.
+func (d *decider) earliestStart(g *stage, w *worker) time.Time {
 	need := g.step.demand()
 	free := w.free()
 	if need.FitsIn(free) {
@@ -91,11 +91,11 @@
 			return d.now.Add(d.remaining(r))
 		}
 	}
-	return d.now.Add(never)
+	return d.now.Add(noExpectedEnd)
 }
 
-// never is the remaining time of a run that is not expected to end.
-const never = time.Hour
+// noExpectedEnd is the remaining time assumed for a run that is not expected to end.
+const noExpectedEnd = time.Hour
 
 // remaining returns the expected remaining time of a run.
 func (s *State) remaining(r *run) time.Duration {
@@ -104,7 +104,7 @@
 	}
 	g := r.task.stage
 	if g.step.Lasting {
-		return never
+		return noExpectedEnd
 	}
 	total := time.Duration(float64(s.expected(s.queue(g.job), g.step)) * r.worker.health.slowness())
 	if r.startedAt.IsZero() {
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -154,12 +154,12 @@
 	}
 	r.phase = phaseConfirmed
 	r.confirmedAt = s.now
-	s.markBegun(r.task.stage.job)
+	s.markStarted(r.task.stage.job)
 }
 
-// markBegun records that a task of a job has begun. No row is written for that: as far
-// as the store shows, the recorded start implies it.
-func (s *State) markBegun(j *job) {
+// markStarted records that a task of a job has started. No row is written for that, since
+// the stored progress shows a job as running from its first recorded start on.
+func (s *State) markStarted(j *job) {
 	if j.state == Pending {
 		s.setState(j, Running)
 		s.statusUpdates = append(s.statusUpdates, j.status())
@@ -281,7 +281,7 @@
 	if e.Sequence <= w.lastEndSeen {
 		// The worker still lists it, so it has not received the acknowledgement.
 		s.acks[w.incarnation()] = w.lastEndSeen
-		s.noteUncounted(w, e)
+		s.noteEndNotCounted(w, e)
 		return
 	}
 	w.lastEndSeen = e.Sequence
@@ -300,7 +300,7 @@
 		return
 	}
 	t := r.task
-	s.markBegun(t.stage.job)
+	s.markStarted(t.stage.job)
 	if e.Saved != "" {
 		t.saved = e.Saved
 	}
@@ -404,13 +404,13 @@
 // failExhausted fails the job of a stage if a task, or the gang as a whole, has failed
 // as often as the queue allows, and reports whether it did.
 func (s *State) failExhausted(g *stage) bool {
-	most := s.queue(g.job).MaxAttempts
-	if most <= 0 {
+	maxAttempts := s.queue(g.job).MaxAttempts
+	if maxAttempts <= 0 {
 		return false
 	}
-	exhausted := g.gangFailures >= most
+	exhausted := g.gangFailures >= maxAttempts
 	for _, t := range g.tasks {
-		exhausted = exhausted || !t.done && t.failures >= most
+		exhausted = exhausted || !t.done && t.failures >= maxAttempts
 	}
 	if exhausted {
 		s.endJob(g.job, Failed, "a task failed as often as its queue allows")
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -54,7 +54,7 @@
 		Lease: lease,
 	})
 	x.addWorker("w")
-	p := running("w")
+	p := runningAt("w")
 	p.Stages[0].Tasks[0].Fails = 1
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), p)
 	x.endRun(sched.StartOrder{
@@ -294,8 +294,8 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#1"})
 }
 
-// A worker that has announced to leave, is no longer listed and refuses connections is
-// gone. Its tasks restart without waiting for the end of its lease.
+// A worker that was draining, is no longer listed and refuses connections has exited. Its
+// tasks restart without waiting for the end of its lease.
 func TestTasksOfADepartedWorkerRestartAtOnce(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
@@ -322,7 +322,7 @@
 	o := x.step()
 	x.acceptStarts(o)
 	x.addWorker("b")
-	x.listWorker("a", true) // leaves at once
+	x.listWorker("a", true) // may exit at once
 	x.step()
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 	x.state.Heartbeat(x.now, sched.Heartbeat{
@@ -426,9 +426,9 @@
 	}
 	x.state.Decide(x.now)
 	for rows := 0; rows < 40; {
-		b, any, err := x.state.Batch(x.now)
+		b, ok, err := x.state.Batch(x.now)
 		x.c.Assert(err, qt.IsNil)
-		x.c.Assert(any, qt.IsTrue)
+		x.c.Assert(ok, qt.IsTrue)
 		size := 0
 		for _, r := range b.Rows {
 			x.c.Assert(len(r.Value) < sched.MaxProgressBytes(job("j", "q", tasks(1000, 0))), qt.IsTrue)
--- a/sched/share.go
+++ b/sched/share.go
@@ -19,7 +19,7 @@
 // observe records a job submitted at a time and reports whether it exceeds a share of
 // weight jobs per second. Such jobs don't count against the share, so that a team that
 // sends too much still gets its share.
-func (a *shareTracker) observe(at time.Time, weight float64) (beyond bool) {
+func (a *shareTracker) observe(at time.Time, weight float64) (overShare bool) {
 	n := 0
 	for n < len(a.received) && at.Sub(a.received[n]) >= shareWindow {
 		n++
--- a/sched/state.go
+++ b/sched/state.go
@@ -27,8 +27,8 @@
 	// it each waiting stage queries the advisor about the first worker alone, and about
 	// the rest only once that worker has had no capacity.
 	SettleTime time.Duration
-	// BatchBytes is the size of the rows at which a batch takes no more; 0 means the limit
-	// of the store.
+	// BatchBytes is the total size of its rows from which on a batch takes no more; 0 means
+	// the limit of the store.
 	BatchBytes int
 	// ConfigInForce is the maximum time for a configuration to reach all hosts.
 	ConfigInForce time.Duration
@@ -119,7 +119,7 @@
 	stages    []*stage
 	// activeRuns counts the runs that occupy capacity at a worker.
 	activeRuns int
-	stagesLeft int // not done yet
+	stagesLeft int // stages that are not done
 	dirty      bool
 	// criticalPaths caches the expected time of the longest dependency chain from each
 	// step on, as of criticalPathsAt.
@@ -139,7 +139,7 @@
 	gangFailures int // failed runs of a gang as a whole
 	// lastFailedRun is the latest run of a gang with a failed member.
 	lastFailedRun RunNumber
-	tasksLeft     int // not done yet
+	tasksLeft     int // tasks that are not done
 	open          bool
 	due           time.Time // not to be started earlier, by the wall clock
 	// openedAt is when its dependencies were done.
@@ -290,7 +290,7 @@
 	return g.tasksLeft == 0
 }
 
-func (g *stage) begun() bool {
+func (g *stage) started() bool {
 	if g.done() || g.gangFailures > 0 {
 		return true
 	}
@@ -302,7 +302,7 @@
 	return false
 }
 
-func (g *stage) anyRun() bool {
+func (g *stage) hasRuns() bool {
 	for _, t := range g.tasks {
 		if t.run != nil && t.run.phase != phasePlanned {
 			return true
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -6,12 +6,11 @@
 )
 
 const (
-	// stopTryWindow bounds the time for all tries of one stop order when none is
+	// stopAttemptWindow bounds the time for all attempts of one stop order when none is
 	// answered. After it the next order is due.
-	stopTryWindow = 1500 * time.Millisecond
-	// stopRetryDelay is the delay between stop orders that the worker is known not to
-	// have taken: a fifth of the shortest time within which a cancelled task must be
-	// gone.
+	stopAttemptWindow = 1500 * time.Millisecond
+	// stopRetryDelay is the delay between stop orders that the worker has not accepted: a
+	// fifth of the shortest time within which a cancelled task must be gone.
 	stopRetryDelay = 150 * time.Millisecond
 	// stopMargin is the time, in addition to that for the stop itself, for a worker to
 	// report the end of the run: the end is received with the next heartbeat.
@@ -52,7 +51,7 @@
 
 // nextStopAfterOrder returns when a stop order that is given now is to be repeated.
 func (s *State) nextStopAfterOrder() time.Time {
-	return s.now.Add(stopTryWindow + s.config.StopTime + stopMargin)
+	return s.now.Add(stopAttemptWindow + s.config.StopTime + stopMargin)
 }
 
 // nextStopAfterAnswer returns when a stop order that is answered now is to be repeated.
--- a/sched/stop_test.go
+++ b/sched/stop_test.go
@@ -71,7 +71,7 @@
 // their rows before it knows the addresses of the workers.
 func TestStopWaitsForTheWorkersAddress(t *testing.T) {
 	x := newCell(t)
-	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), running("w"))
+	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), runningAt("w"))
 	x.state.CancelJob(x.now, "j")
 	x.state.Decide(x.now)
 	x.c.Assert(x.state.Stops(), qt.HasLen, 0)
@@ -80,8 +80,8 @@
 	x.c.Assert(x.state.Stops(), qt.HasLen, 1)
 }
 
-// running returns the progress of a job with one task that runs at a worker.
-func running(id spoolsill.WorkerID) sched.Progress {
+// runningAt returns the progress of a job with one task that runs at a worker.
+func runningAt(id spoolsill.WorkerID) sched.Progress {
 	return sched.Progress{
 		State: sched.Running,
 		Stages: []sched.StageProgress{
--- a/sched/unresponsive_test.go
+++ b/sched/unresponsive_test.go
@@ -52,5 +52,5 @@
 	x.addWorker("w2")
 	x.now = x.now.Add(50 * time.Millisecond)
 	x.step()
-	x.c.Assert(x.question().Workers, qt.HasLen, 2)
+	x.c.Assert(x.query().Workers, qt.HasLen, 2)
 }
--- a/sched/wait.go
+++ b/sched/wait.go
@@ -7,7 +7,8 @@
 	Stage StageID
 	// Waited is the time since the stage was opened.
 	Waited time.Duration
-	// For is the cause: "advice", "room" (no free capacity), "quota" or "nothing known".
+	// For is the cause: "advice" (no answer of the advisor yet), "room" (no free capacity),
+	// "quota" or "nothing known".
 	For string
 	// Usable counts the workers that the stage may use as far as is known, Ready those of
 	// them that accept new tasks, Fitting those of the ready ones with capacity for a
@@ -46,7 +47,7 @@
 		Waited:    now.Sub(longest.openedAt),
 		For:       waitNames[longest.waitingFor],
 		Asked:     len(longest.advice.asked),
-		Questions: longest.advice.learning,
+		Questions: longest.advice.learnQueriesInFlight,
 	}
 	reserved := s.reservedByOthers(longest)
 	for _, x := range s.usableWorkers(longest) {
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxClockDrift is how much slower than ours a worker's clock may run; the platform
-	// specifies at most 2%.
+	// maxClockDrift is how much slower than the leader's a worker's clock may run; the
+	// platform specifies at most 2%.
 	maxClockDrift = 0.02
-	// leaseMargin covers late timers on both sides.
+	// leaseMargin covers timers that fire late at the leader and at the worker.
 	leaseMargin = 250 * time.Millisecond
 	// maxAnswerAge is the age of a worker's last answer from which on nothing new is
 	// started there. It covers a heartbeat that waited half a second for an end, one
@@ -44,19 +44,19 @@
 	restarts int
 	listed   bool
 	dead     bool
-	// closed is set while the worker is not in State.workerList, since it is not listed and
-	// has no runs. It is reset when the worker comes back.
-	closed bool
-	used   spoolsill.Resources
-	runs   map[RunID]*run
+	// inactive is set while the worker is not in State.workerList, since it is not listed
+	// and has no runs. It is reset when the worker comes back.
+	inactive bool
+	used     spoolsill.Resources
+	runs     map[RunID]*run
 	// lastEndSeen is the highest sequence of the ends received from this incarnation. It
 	// does not apply to the next incarnation, which counts from 1 again: its ends would be
 	// taken for duplicates.
 	lastEndSeen uint64
 	// answeredAt is when the latest heartbeat was received under this leadership.
 	answeredAt time.Time
-	// leaseUntil is the latest time, by our clock, at which its lease may end;
-	// renewedUntil is the time until which we have requested it.
+	// leaseUntil is the latest time, by the leader's clock, at which its lease may end;
+	// renewedUntil is the time until which this leader has requested it.
 	leaseUntil   time.Time
 	renewedUntil time.Time
 	// unknownRuns are the runs that it lists and of which there is no record, with the time
@@ -89,7 +89,7 @@
 func (s *State) worker(id spoolsill.WorkerID) *worker {
 	w := s.workers[id]
 	if w != nil {
-		s.reopen(w)
+		s.reactivate(w)
 		return w
 	}
 	w = newWorker(id)
@@ -107,13 +107,13 @@
 	}
 }
 
-// reopen adds a closed worker that is back to the list of workers. Its state is kept: the
-// advisor's answers for this incarnation and its health still apply.
-func (s *State) reopen(w *worker) {
-	if !w.closed {
+// reactivate adds an inactive worker that is back to the list of workers. Its state is
+// kept: the advisor's answers for this incarnation and its health still apply.
+func (s *State) reactivate(w *worker) {
+	if !w.inactive {
 		return
 	}
-	w.closed = false
+	w.inactive = false
 	s.workerList = append(s.workerList, w)
 }
 
@@ -200,7 +200,7 @@
 			return
 		}
 	}
-	s.closeWorker(w)
+	s.deactivateIfUnused(w)
 }
 
 // WorkerDied records proof that an incarnation of a worker has ended: its address answers for
@@ -296,7 +296,8 @@
 const checkpointMargin = 400 * time.Millisecond
 
 // LeaseRequested records that a call may extend the lease of a worker's incarnation until at
-// most the given time by our clock. A call for a former incarnation may reach the next one.
+// most the given time by the leader's clock. A call for a former incarnation may reach the
+// next one.
 func (s *State) LeaseRequested(l spoolsill.WorkerIncarnation, until time.Time) {
 	w := s.workers[l.Worker]
 	if w == nil {
@@ -313,9 +314,9 @@
 // capInheritedLease is called with a worker's first answer under this leadership: from
 // then on the worker refuses former leaders, so that its lease is at most Config.Lease.
 func (s *State) capInheritedLease(w *worker) {
-	most := LeaseEnd(s.now, s.config.Lease)
-	if w.leaseUntil.After(most) {
-		w.leaseUntil = most
+	latest := LeaseEnd(s.now, s.config.Lease)
+	if w.leaseUntil.After(latest) {
+		w.leaseUntil = latest
 	}
 }
 
@@ -336,7 +337,7 @@
 		s.confirmLosses(w)
 	}
 	s.dropRuns(w, reason, crashed)
-	s.closeWorker(w)
+	s.deactivateIfUnused(w)
 }
 
 // dropRuns drops the runs of a worker that is known to have crashed, if crashed is set, or that
@@ -363,16 +364,17 @@
 	return rs
 }
 
-// closeWorker removes a worker that is not listed and has no runs from the list of workers. Dead
-// workers stay, so that a late entry does not revive them.
-func (s *State) closeWorker(w *worker) {
+// deactivateIfUnused removes a worker from the list of workers if it is not listed, has no
+// runs and its lease has expired. Dead workers stay, so that a late entry does not revive
+// them.
+func (s *State) deactivateIfUnused(w *worker) {
 	if w.present(s.now) || len(w.runs) > 0 || w.dead {
 		return
 	}
 	if s.now.Before(w.leaseUntil) {
 		return
 	}
-	w.closed = true
+	w.inactive = true
 	w.ready = false
 	s.workerList = slices.DeleteFunc(s.workerList, func(o *worker) bool { return o == w })
 }
@@ -389,7 +391,7 @@
 			w.leaseExpired = true
 			s.dropRuns(w, "lease is over", false)
 		}
-		s.closeWorker(w)
+		s.deactivateIfUnused(w)
 	}
 }
 
