--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -96,7 +96,7 @@
 		queues = append(queues, k.Queue)
 	}
 	x.state.SetQueues(queues)
-	x.state.SetMaxQuestions(c.Hosts)
+	x.state.SetMaxQueries(c.Hosts)
 	for _, p := range c.Pools {
 		x.addWorkers(p)
 	}
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -425,7 +425,7 @@
 	case workerReplaced:
 		l.state.WorkerDied(now, e.incarnation)
 	case workerConnRefused:
-		l.state.WorkerRefused(now, e.incarnation)
+		l.state.WorkerConnRefused(now, e.incarnation)
 	case workerSilent:
 		l.state.WorkerUnresponsive(now, e.incarnation)
 	case leaseRequested:
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -61,7 +61,7 @@
 		return
 	}
 	l.lastReconcile = now
-	l.state.SetMaxQuestions(len(l.config.Advisor.Hosts()) * l.advice.depth())
+	l.state.SetMaxQueries(len(l.config.Advisor.Hosts()) * l.advice.depth())
 	wanted := l.wanted
 	clear(wanted)
 	incarnations := l.state.HeartbeatTargets()
--- a/leader/restartmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -151,7 +151,7 @@
 	defer s.mu.Unlock()
 	var matching []string
 	for _, l := range s.lines {
-		about := strings.Contains(l, string(sched.NoteWorker))
+		about := strings.Contains(l, string(sched.NoteWorkerChanged))
 		for _, t := range texts {
 			task, _, _ := strings.Cut(t, " ")
 			task, _, _ = strings.Cut(task, "#")
--- a/leader/stop_test.go
+++ b/leader/stop_test.go
@@ -64,6 +64,6 @@
 		x.workers.SetUnreachable(x.ids[0], false)
 		pause.For(x.ctx, 3*time.Second)
 		x.c.Assert(x.workers.Running(), qt.Equals, 0)
-		x.c.Assert(c.count(sched.NoteNotStopped), qt.Not(qt.Equals), 0)
+		x.c.Assert(c.count(sched.NoteStopNotAccepted), qt.Not(qt.Equals), 0)
 	})
 }
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -121,8 +121,8 @@
 	return min(maxQueryWorkers, max(minQueryWorkers, int(perWorkerCostShare*float64(a.Base)/float64(a.PerWorker))))
 }
 
-// SetMaxQuestions sets how many queries to the advisor the hosts can make concurrently.
-func (s *State) SetMaxQuestions(n int) {
+// SetMaxQueries sets how many queries to the advisor the hosts can make concurrently.
+func (s *State) SetMaxQueries(n int) {
 	s.advisorSlots = n
 }
 
--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -119,7 +119,7 @@
 	for _, hosts := range []int{1, 5} {
 		x := newCell(t)
 		x.addWorker("w")
-		x.state.SetMaxQuestions(hosts)
+		x.state.SetMaxQueries(hosts)
 		for i := range 20 {
 			x.state.AddJob(x.now, job(spoolsill.JobID(fmt.Sprint(i)), "advised", tasks(1, 1)), sched.Progress{})
 		}
@@ -136,7 +136,7 @@
 	for _, late := range []bool{false, true} {
 		x := newCell(t)
 		x.addWorker("w")
-		x.state.SetMaxQuestions(hosts)
+		x.state.SetMaxQueries(hosts)
 		for i := range 20 {
 			j := job(spoolsill.JobID(fmt.Sprint(i)), "advised-urgent", tasks(1, 1))
 			if !late {
@@ -199,7 +199,7 @@
 func TestGangQueriesAreSplitOverFreeHosts(t *testing.T) {
 	for hosts, parts := range map[int]int{1: 1, 4: 2, 20: 3} {
 		x := newCell(t)
-		x.state.SetMaxQuestions(hosts)
+		x.state.SetMaxQueries(hosts)
 		for i := range 60 {
 			x.addWorker(spoolsill.WorkerID(fmt.Sprint("w", i)))
 		}
@@ -246,7 +246,7 @@
 func TestLostQueriesAreRetriedAfterDelay(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
-	x.state.SetMaxQuestions(2)
+	x.state.SetMaxQueries(2)
 	x.state.AddJob(x.now, job("j", "advised", tasks(1, 1)), sched.Progress{})
 	asked := 0
 	for range 100 {
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -119,7 +119,7 @@
 func BenchmarkDecideGangs(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(350, 0, now)
-	s.SetMaxQuestions(40)
+	s.SetMaxQueries(40)
 	s.SetQueues([]sched.Queue{
 		{
 			ID:       "gangs",
@@ -166,7 +166,7 @@
 func BenchmarkAskLarge(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(largeCellWorkers, 0, now)
-	s.SetMaxQuestions(300)
+	s.SetMaxQueries(300)
 	s.SetQueues([]sched.Queue{
 		{
 			ID:       "advised",
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -149,7 +149,7 @@
 		}
 		reason := fmt.Sprintf("task %s is given up, under which workers went: %v", t.id(), t.evidence.workers())
 		s.note(Note{
-			Kind:   NoteGivenUp,
+			Kind:   NoteTaskGivenUp,
 			Job:    g.job.ID,
 			Reason: reason,
 		})
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -102,7 +102,7 @@
 				x.now = x.now.Add(3 * time.Second)
 				x.renewLease(o.Worker, o.Run)
 				x.state.WorkerUnlisted(x.now, o.Worker)
-				x.state.WorkerRefused(x.now, o.WorkerIncarnation)
+				x.state.WorkerConnRefused(x.now, o.WorkerIncarnation)
 			},
 		},
 		{
--- a/sched/event.go
+++ b/sched/event.go
@@ -247,17 +247,17 @@
 	NoteStarted         NoteKind = "task started"
 	NoteNotStarted      NoteKind = "task not started"
 	NoteEnded           NoteKind = "task ended"
-	NoteUncounted       NoteKind = "end not counted"
+	NoteEndNotCounted   NoteKind = "end not counted"
 	NoteRunGone         NoteKind = "run is gone"
-	NoteStop            NoteKind = "task stop ordered"
-	NoteNotStopped      NoteKind = "task stop not taken"
+	NoteStopOrdered     NoteKind = "task stop ordered"
+	NoteStopNotAccepted NoteKind = "task stop not taken"
 	NoteJobEnded        NoteKind = "job ended"
-	NoteWorker          NoteKind = "worker changed"
+	NoteWorkerChanged   NoteKind = "worker changed"
 	NoteWorkerRestarted NoteKind = "worker started again"
 	NoteUnknownRun      NoteKind = "unknown run at worker"
 	NoteAdvised         NoteKind = "advice received"
 	NoteWorkerLost      NoteKind = "worker gone with its runs"
-	NoteGivenUp         NoteKind = "task given up"
+	NoteTaskGivenUp     NoteKind = "task given up"
 )
 
 // A Note explains a decision or a change of state, for logs.
--- a/sched/incarnations.go
+++ b/sched/incarnations.go
@@ -191,7 +191,7 @@
 		return
 	}
 	s.note(Note{
-		Kind:   NoteUncounted,
+		Kind:   NoteEndNotCounted,
 		Job:    e.Run.Task.Stage.Job,
 		Run:    e.Run,
 		Worker: w.id,
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -302,12 +302,12 @@
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 	x.acceptStarts(x.step())
 	x.addWorker("b")
-	x.state.WorkerRefused(x.now, incarnationOf("a"))
+	x.state.WorkerConnRefused(x.now, incarnationOf("a"))
 	x.c.Assert(x.step(), qt.HasLen, 0)
 	x.listWorker("a", true)
 	x.state.WorkerUnlisted(x.now, "a")
 	x.c.Assert(x.step(), qt.HasLen, 0)
-	x.state.WorkerRefused(x.now, incarnationOf("a"))
+	x.state.WorkerConnRefused(x.now, incarnationOf("a"))
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
--- a/sched/stop.go
+++ b/sched/stop.go
@@ -40,7 +40,7 @@
 		Run:               r.id,
 	})
 	s.note(Note{
-		Kind:   NoteStop,
+		Kind:   NoteStopOrdered,
 		Job:    r.task.stage.job.ID,
 		Run:    r.id,
 		Worker: r.worker.id,
@@ -114,7 +114,7 @@
 	r.nextStopAt = s.nextStopAfterAnswer(a)
 	if !a.Taken {
 		s.note(Note{
-			Kind:   NoteNotStopped,
+			Kind:   NoteStopNotAccepted,
 			Job:    r.task.stage.job.ID,
 			Run:    r.id,
 			Worker: w.id,
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -212,10 +212,10 @@
 	}
 }
 
-// WorkerRefused records that connections to a worker's address are refused. That alone
+// WorkerConnRefused records that connections to a worker's address are refused. That alone
 // proves nothing, since a network partition may look the same; but a worker that was
 // draining and is no longer listed has exited.
-func (s *State) WorkerRefused(now time.Time, l spoolsill.WorkerIncarnation) {
+func (s *State) WorkerConnRefused(now time.Time, l spoolsill.WorkerIncarnation) {
 	s.now = now
 	w := s.workerOf(l)
 	if w != nil && !w.dead && w.Draining && !w.listed {
@@ -397,7 +397,7 @@
 
 func (s *State) noteWorker(w *worker, reason string, age time.Duration) {
 	s.note(Note{
-		Kind:   NoteWorker,
+		Kind:   NoteWorkerChanged,
 		Worker: w.id,
 		Reason: reason,
 		Age:    age,
