--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -24,8 +24,8 @@
 	Suspended func() time.Duration
 }
 
-// Now returns the current time of c. Both of its readings are ahead of those of [time.Now]
-// by [Clock.SuspendedTime].
+// Now returns the current time of c. Its wall clock and monotonic clock readings are both
+// ahead of those of [time.Now] by [Clock.SuspendedTime].
 func (c *Clock) Now() time.Time {
 	now := time.Now()
 	return now.Add(c.suspendedAt(now))
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,7 +9,7 @@
 	"github.com/spoolsill/spoolsill/internal/clock"
 )
 
-// A kernel is a fake source of the suspended time that counts its calls.
+// A kernel is a fake source of the suspended time that counts how often it is read.
 type kernel struct {
 	suspended time.Duration
 	reads     int
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -116,11 +116,11 @@
 	epoch         spoolsill.Epoch
 	heldSince     ClockReading                      // start of the write by which the lease was acquired or last renewed
 	lastConfirmed ClockReading                      // start of the last write that the table confirmed
-	lastAsked     ClockReading                      // last request for promises
-	hasAsked      bool                              // lastAsked is set
+	lastRequest   ClockReading                      // start of the last request for promises
+	hasRequested  bool                              // lastRequest is valid
 	promises      map[spoolsill.HostID]ClockReading // start of the request for the last promise of each host
 	lastPromise   ClockReading                      // when this host made its last promise
-	hasPromised   bool                              // lastPromise is set
+	hasPromised   bool                              // lastPromise is valid
 	releasing     bool                              // the lease is to be released
 	joined        bool                              // MarkJoined was called
 }
@@ -199,8 +199,8 @@
 // until ReadDone or WriteDone is called.
 func (k *Keeper) Next(now ClockReading) Action {
 	if k.promisesDue(now) {
-		k.lastAsked = now
-		k.hasAsked = true
+		k.lastRequest = now
+		k.hasRequested = true
 		return Action{
 			Kind: RequestPromises,
 			Row:  k.row,
@@ -260,7 +260,8 @@
 	}
 }
 
-// mayAcquire reports whether this host may acquire the lease.
+// mayAcquire reports whether this host may acquire the lease. A row that does not exist or
+// that was released has no holder to wait for.
 func (k *Keeper) mayAcquire(now ClockReading) bool {
 	if k.releasing {
 		return false
@@ -327,7 +328,7 @@
 	k.observeRow(now, version, r)
 }
 
-// observeRow records the state of the row in the table.
+// observeRow records the row as read from or written to the table.
 func (k *Keeper) observeRow(now ClockReading, version uint64, r Row) {
 	if !k.known || version != k.version {
 		k.unchangedSince = now
@@ -414,7 +415,7 @@
 	if _, ok := k.Holds(now); !ok || now.Since(k.heldSince) < k.config.Duration/2 {
 		return false
 	}
-	return !k.hasAsked || now.monotonicSince(k.lastAsked) >= k.config.Promise/4
+	return !k.hasRequested || now.monotonicSince(k.lastRequest) >= k.config.Promise/4
 }
 
 // Promise handles the request of the holder of epoch not to take over the lease, and
@@ -429,9 +430,10 @@
 	return true
 }
 
-// RecordPromise records the promise of a host, requested at asked.
-func (k *Keeper) RecordPromise(asked ClockReading, from spoolsill.HostID) {
-	k.promises[from] = asked
+// RecordPromise records that a host made the promise that was requested at the given time,
+// from which the promise is measured.
+func (k *Keeper) RecordPromise(requested ClockReading, from spoolsill.HostID) {
+	k.promises[from] = requested
 }
 
 // MarkJoined records that the host has received the copies that the hall's other hosts keep for
--- a/lease/rapid_test.go
+++ b/lease/rapid_test.go
@@ -22,7 +22,7 @@
 	hosts        []*host
 	row          lease.Row
 	version      uint64
-	late         []lateWrite
+	lateWrites   []lateWrite
 	incarnations spoolsill.Incarnation
 	config       lease.Config
 	takeovers    int
@@ -45,84 +45,84 @@
 }
 
 func newSimulation(n int, c lease.Config) *simulation {
-	w := &simulation{
+	s := &simulation{
 		now:    time.Hour,
 		config: c,
 	}
 	for i := range n {
-		w.hosts = append(w.hosts, &host{
+		s.hosts = append(s.hosts, &host{
 			id:      spoolsill.HostID(fmt.Sprintf("h%d", i)),
 			tableUp: true,
 		})
 	}
-	for _, h := range w.hosts {
-		w.start(h)
+	for _, h := range s.hosts {
+		s.start(h)
 	}
-	return w
+	return s
 }
 
-func (w *simulation) start(h *host) {
-	w.incarnations++
-	c := w.config
+func (s *simulation) start(h *host) {
+	s.incarnations++
+	c := s.config
 	c.Host = h.id
-	c.Incarnation = w.incarnations
-	for _, x := range w.hosts {
+	c.Incarnation = s.incarnations
+	for _, x := range s.hosts {
 		c.Hosts = append(c.Hosts, x.id)
 	}
-	h.keeper = lease.NewKeeper(c, w.reading(h))
+	h.keeper = lease.NewKeeper(c, s.reading(h))
 	h.acting = false
 }
 
-func (w *simulation) reading(h *host) lease.ClockReading {
+func (s *simulation) reading(h *host) lease.ClockReading {
 	return lease.ClockReading{
-		Wall: time.UnixMicro(0).Add(w.now + h.wallOffset),
-		Mono: w.now - h.suspended,
+		Wall: time.UnixMicro(0).Add(s.now + h.wallOffset),
+		Mono: s.now - h.suspended,
 	}
 }
 
-func (w *simulation) pick(t *rapid.T) *host {
-	return rapid.SampledFrom(w.hosts).Draw(t, "host")
+func (s *simulation) pick(t *rapid.T) *host {
+	return rapid.SampledFrom(s.hosts).Draw(t, "host")
 }
 
 // step has one host perform the next action of its keeper.
-func (w *simulation) step(t *rapid.T) {
-	h := w.pick(t)
+func (s *simulation) step(t *rapid.T) {
+	h := s.pick(t)
 	if h.paused {
 		return
 	}
-	now := w.reading(h)
+	now := s.reading(h)
 	a := h.keeper.Next(now)
 	switch a.Kind {
 	case lease.ReadRow:
-		h.keeper.ReadDone(now, h.tableUp, w.version, w.row)
+		h.keeper.ReadDone(now, h.tableUp, s.version, s.row)
 	case lease.WriteRow:
-		w.write(t, h, a)
+		s.write(t, h, a)
 	case lease.RequestPromises:
-		w.ask(t, h, a, now)
+		s.requestPromises(t, h, a, now)
 	}
 }
 
-func (w *simulation) write(t *rapid.T, h *host, a lease.Action) {
-	now := w.reading(h)
+func (s *simulation) write(t *rapid.T, h *host, a lease.Action) {
+	now := s.reading(h)
 	if !h.tableUp {
 		h.keeper.WriteDone(now, lease.WriteRejected)
 		return
 	}
 	switch rapid.IntRange(0, 5).Draw(t, "write") {
 	case 0: // the response is lost
-		w.apply(lateWrite{
+		s.apply(lateWrite{
 			row:     a.Row,
 			version: a.Version,
 		})
 		h.keeper.WriteDone(now, lease.WriteUnknown)
 	case 1: // the write is delayed
-		w.late = append(w.late, lateWrite{
+		s.lateWrites = append(s.lateWrites, lateWrite{
 			row:     a.Row,
 			version: a.Version,
 		})
 		h.keeper.WriteDone(now, lease.WriteUnknown)
 	default:
-		if !w.apply(lateWrite{
+		if !s.apply(lateWrite{
 			row:     a.Row,
 			version: a.Version,
 		}) {
@@ -133,89 +133,89 @@
 	}
 }
 
-func (w *simulation) apply(x lateWrite) bool {
-	if x.version != w.version {
+func (s *simulation) apply(x lateWrite) bool {
+	if x.version != s.version {
 		return false
 	}
-	if x.row.Epoch != w.row.Epoch {
-		w.takeovers++
+	if x.row.Epoch != s.row.Epoch {
+		s.takeovers++
 	}
-	w.row = x.row
-	w.version++
+	s.row = x.row
+	s.version++
 	return true
 }
 
 // deliverLate delivers the oldest delayed write to the table.
-func (w *simulation) deliverLate(*rapid.T) {
-	if len(w.late) == 0 {
+func (s *simulation) deliverLate(*rapid.T) {
+	if len(s.lateWrites) == 0 {
 		return
 	}
-	w.apply(w.late[0])
-	w.late = w.late[1:]
+	s.apply(s.lateWrites[0])
+	s.lateWrites = s.lateWrites[1:]
 }
 
-func (w *simulation) ask(t *rapid.T, h *host, a lease.Action, asked lease.ClockReading) {
-	for _, x := range w.hosts {
-		if x == h || x.paused || !slices.Contains(a.Row.Roster, x.id) || rapid.IntRange(0, 4).Draw(t, "ask lost") == 0 {
+func (s *simulation) requestPromises(t *rapid.T, h *host, a lease.Action, requested lease.ClockReading) {
+	for _, x := range s.hosts {
+		if x == h || x.paused || !slices.Contains(a.Row.Roster, x.id) || rapid.IntRange(0, 4).Draw(t, "request lost") == 0 {
 			continue
 		}
-		if x.keeper.Promise(w.reading(x), a.Row.Epoch) {
-			h.keeper.RecordPromise(asked, x.id)
+		if x.keeper.Promise(s.reading(x), a.Row.Epoch) {
+			h.keeper.RecordPromise(requested, x.id)
 		}
 	}
 }
 
 // advance advances the time.
-func (w *simulation) advance(t *rapid.T) {
-	w.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
+func (s *simulation) advance(t *rapid.T) {
+	s.now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
 }
 
 // wait advances the time by 8 s, with a step of one host every 200 ms.
-func (w *simulation) wait(t *rapid.T) {
+func (s *simulation) wait(t *rapid.T) {
 	for range 40 {
-		w.now += 200 * time.Millisecond
-		w.step(t)
+		s.now += 200 * time.Millisecond
+		s.step(t)
 	}
 }
 
-func (w *simulation) togglePause(t *rapid.T) {
-	h := w.pick(t)
+func (s *simulation) togglePause(t *rapid.T) {
+	h := s.pick(t)
 	h.paused = !h.paused
 }
 
 // suspend advances the time while the monotonic clock of a host is stopped, as during the
 // suspension of its machine.
-func (w *simulation) suspend(t *rapid.T) {
-	h := w.pick(t)
-	d := time.Duration(rapid.IntRange(1, 20_000).Draw(t, "slept")) * time.Millisecond
-	w.now += d
+func (s *simulation) suspend(t *rapid.T) {
+	h := s.pick(t)
+	d := time.Duration(rapid.IntRange(1, 20_000).Draw(t, "duration")) * time.Millisecond
+	s.now += d
 	h.suspended += d
 }
 
-func (w *simulation) toggleTable(t *rapid.T) {
-	h := w.pick(t)
+func (s *simulation) toggleTable(t *rapid.T) {
+	h := s.pick(t)
 	h.tableUp = !h.tableUp
 }
 
-func (w *simulation) restart(t *rapid.T) {
-	w.start(w.pick(t))
+func (s *simulation) restart(t *rapid.T) {
+	s.start(s.pick(t))
 }
 
 // stepWallClock steps a wall clock forward, which only costs availability. Steps back are
 // left out: a host whose wall clock is stepped back during a suspension, so that both of its
 // clocks fail at once, is outside the guarantee.
-func (w *simulation) stepWallClock(t *rapid.T) {
-	w.pick(t).wallOffset += time.Duration(rapid.IntRange(0, 30_000).Draw(t, "jump")) * time.Millisecond
+func (s *simulation) stepWallClock(t *rapid.T) {
+	s.pick(t).wallOffset += time.Duration(rapid.IntRange(0, 30_000).Draw(t, "jump")) * time.Millisecond
 }
 
 // check verifies that at most one of the hosts that are not paused holds the lease.
-func (w *simulation) check(t *rapid.T) {
+func (s *simulation) check(t *rapid.T) {
 	var holders []spoolsill.HostID
-	for _, h := range w.hosts {
+	for _, h := range s.hosts {
 		if h.paused {
 			continue
 		}
-		if _, ok := h.keeper.Holds(w.reading(h)); ok {
+		if _, ok := h.keeper.Holds(s.reading(h)); ok {
 			holders = append(holders, h.id)
 		}
 	}
@@ -226,20 +226,20 @@
 
 func oneHolder(c lease.Config) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newSimulation(rapid.IntRange(1, 3).Draw(t, "hosts"), c)
+		s := newSimulation(rapid.IntRange(1, 3).Draw(t, "hosts"), c)
 		t.Repeat(map[string]func(*rapid.T){
-			"":       w.check,
-			"step":   w.step,
-			"step2":  w.step,
-			"step3":  w.step,
-			"arrive": w.deliverLate,
-			"pass":   w.advance,
-			"wait":   w.wait,
-			"pause":  w.togglePause,
-			"sleep":  w.suspend,
-			"table":  w.toggleTable,
-			"life":   w.restart,
-			"jump":   w.stepWallClock,
+			"":            s.check,
+			"step":        s.step,
+			"step2":       s.step,
+			"step3":       s.step,
+			"deliver":     s.deliverLate,
+			"pass":        s.advance,
+			"wait":        s.wait,
+			"pause":       s.togglePause,
+			"sleep":       s.suspend,
+			"table":       s.toggleTable,
+			"new process": s.restart,
+			"jump":        s.stepWallClock,
 		})
 	}
 }
@@ -257,33 +257,33 @@
 }
 
 // run runs all hosts that are not paused for d, without new faults.
-func (w *simulation) run(d time.Duration) {
+func (s *simulation) run(d time.Duration) {
 	const step = 50 * time.Millisecond
-	for end := w.now + d; w.now < end; w.now += step {
-		for _, h := range w.hosts {
+	for end := s.now + d; s.now < end; s.now += step {
+		for _, h := range s.hosts {
 			if h.paused {
 				continue
 			}
-			now := w.reading(h)
+			now := s.reading(h)
 			a := h.keeper.Next(now)
 			switch a.Kind {
 			case lease.ReadRow:
-				h.keeper.ReadDone(now, h.tableUp, w.version, w.row)
+				h.keeper.ReadDone(now, h.tableUp, s.version, s.row)
 			case lease.WriteRow:
-				w.writeNow(h, a)
+				s.writeNow(h, a)
 			case lease.RequestPromises:
-				w.askAll(h, a, now)
+				s.requestAllPromises(h, a, now)
 			}
 		}
 	}
 }
 
-func (w *simulation) writeNow(h *host, a lease.Action) {
-	now := w.reading(h)
+func (s *simulation) writeNow(h *host, a lease.Action) {
+	now := s.reading(h)
 	switch {
 	case !h.tableUp:
 		h.keeper.WriteDone(now, lease.WriteRejected)
-	case w.apply(lateWrite{
+	case s.apply(lateWrite{
 		row:     a.Row,
 		version: a.Version,
 	}):
@@ -293,25 +293,25 @@
 	}
 }
 
-func (w *simulation) askAll(h *host, a lease.Action, now lease.ClockReading) {
-	for _, x := range w.hosts {
-		if x != h && !x.paused && x.keeper.Promise(w.reading(x), a.Row.Epoch) {
+func (s *simulation) requestAllPromises(h *host, a lease.Action, now lease.ClockReading) {
+	for _, x := range s.hosts {
+		if x != h && !x.paused && x.keeper.Promise(s.reading(x), a.Row.Epoch) {
 			h.keeper.RecordPromise(now, x.id)
 		}
 	}
 }
 
-func (w *simulation) holder() *host {
-	for _, h := range w.hosts {
-		if _, ok := h.keeper.Holds(w.reading(h)); ok && !h.paused {
+func (s *simulation) holder() *host {
+	for _, h := range s.hosts {
+		if _, ok := h.keeper.Holds(s.reading(h)); ok && !h.paused {
 			return h
 		}
 	}
 	return nil
 }
 
-func (w *simulation) setTable(up bool) {
-	for _, h := range w.hosts {
+func (s *simulation) setTable(up bool) {
+	for _, h := range s.hosts {
 		h.tableUp = up
 	}
 }
--- a/member/member.go
+++ b/member/member.go
@@ -4,8 +4,9 @@
 //
 // A [View] combines the lists as they arrive, the results of calls to the
 // machines, and reports that a machine is leaving. A machine counts as leaving
-// from the first report, whatever its source, until neither a list nor another
-// report has confirmed it for [Config.HoldLeaving].
+// from the first report, whatever its source. The state ends with the first list
+// that arrives after neither a list nor another report has confirmed it for
+// [Config.HoldLeaving].
 //
 // The package performs no I/O, does not read the clock, takes no locks and
 // starts no goroutines.
@@ -60,7 +61,7 @@
 	hasList  bool
 	leaving  map[string]time.Time // by id, time of the last report
 	drained  map[string]bool      // by id, set if an operator drains the machine
-	failures map[string]int
+	failures map[string]int       // by id, consecutive failed calls
 }
 
 // NewView returns an empty view.
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -16,7 +16,7 @@
 // caller's deadline bounds the call regardless of what the remote side does. A
 // connection is closed when the remote side accepts no bytes of a message for
 // [DefaultWriteTimeout], when it sends nothing for a second while calls time out, or
-// when the accepting side receives nothing for a minute.
+// when the accepting side receives nothing for a minute and has no call in progress.
 //
 // A frame that is too long or can't be decoded closes its connection and is
 // reported; other connections are not affected.
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -36,12 +36,12 @@
 	Method      string                `msgpack:"m,omitempty"`
 	From        spoolsill.HostID      `msgpack:"f,omitempty"`
 	Incarnation spoolsill.Incarnation `msgpack:"n,omitempty"`
-	Stamp       timeline.Timestamp    `msgpack:"s"`
-	// Wait is the caller's remaining timeout for the reply; 0 means no timeout.
-	Wait time.Duration      `msgpack:"w,omitempty"`
-	Body msgpack.RawMessage `msgpack:"b,omitempty"`
-	Code Code               `msgpack:"c,omitempty"`
-	Text string             `msgpack:"t,omitempty"`
+	Timestamp   timeline.Timestamp    `msgpack:"s"`
+	// Timeout is the caller's remaining timeout for the reply; 0 means no timeout.
+	Timeout time.Duration      `msgpack:"w,omitempty"`
+	Body    msgpack.RawMessage `msgpack:"b,omitempty"`
+	Code    Code               `msgpack:"c,omitempty"`
+	Text    string             `msgpack:"t,omitempty"`
 
 	// length is the length in bytes of the received frame, including its prefix.
 	length int
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
 	if m.Kind < messageCall || m.Kind > messageError {
-		return nil, fmt.Errorf("%w: kind %d", ErrBadFrame, m.Kind)
+		return nil, fmt.Errorf("%w: unknown message kind %d", ErrBadFrame, m.Kind)
 	}
 	m.length = headerLength + int(n)
 	return &m, nil
--- a/peer/link.go
+++ b/peer/link.go
@@ -131,8 +131,9 @@
 	return w, nil
 }
 
-// current returns the connection, or nil if there is none. It closes a connection that
-// has been idle for so long that the remote side may be closing it.
+// current returns the connection for a call that is about to be made, or nil if there is
+// none. It closes a connection that has been idle for so long that the remote side may be
+// closing it.
 func (l *link) current() *linkConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,7 +183,7 @@
 			l.drop(w)
 			return
 		}
-		l.node.config.Clock.Observe(m.Stamp)
+		l.node.config.Clock.Observe(m.Timestamp)
 		l.deliver(w, m)
 	}
 }
--- a/peer/mutex.go
+++ b/peer/mutex.go
@@ -10,20 +10,20 @@
 	return make(ctxMutex, 1)
 }
 
-func (g ctxMutex) lock(ctx context.Context) error {
+func (m ctxMutex) lock(ctx context.Context) error {
 	select {
-	case g <- struct{}{}:
+	case m <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	// select picks at random when both cases are ready.
 	if err := ctx.Err(); err != nil {
-		g.unlock()
+		m.unlock()
 		return err
 	}
 	return nil
 }
 
-func (g ctxMutex) unlock() {
-	<-g
+func (m ctxMutex) unlock() {
+	<-m
 }
--- a/peer/network_test.go
+++ b/peer/network_test.go
@@ -26,10 +26,10 @@
 	once     sync.Once
 	// rate limits the calling side's reads in bytes per second; 0 means no limit.
 	rate int
-	// stalled makes new connections ones that are never accepted or read.
+	// stalled makes dial succeed with connections that are never accepted or read.
 	stalled atomic.Bool
 	mu      sync.Mutex
-	near    []*callerConn
+	conns   []*callerConn
 }
 
 func newNetwork(rate int) *network {
@@ -41,20 +41,20 @@
 }
 
 func (l *network) dial(ctx context.Context, _ string) (net.Conn, error) {
-	near, far := net.Pipe()
-	e := &callerConn{
-		Conn: near,
+	local, remote := net.Pipe()
+	c := &callerConn{
+		Conn: local,
 		rate: l.rate,
 	}
 	l.mu.Lock()
-	l.near = append(l.near, e)
+	l.conns = append(l.conns, c)
 	l.mu.Unlock()
 	if l.stalled.Load() {
-		return e, nil
+		return c, nil
 	}
 	select {
-	case l.accepted <- far:
-		return e, nil
+	case l.accepted <- remote:
+		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -66,7 +66,7 @@
 func (l *network) silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range l.near {
+	for _, e := range l.conns {
 		e.silent.Store(true)
 	}
 }
@@ -75,7 +75,7 @@
 func (l *network) dials() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.near)
+	return len(l.conns)
 }
 
 // Accept implements [net.Listener].
@@ -108,13 +108,13 @@
 
 // Read implements [net.Conn]. A silent connection loses the data it receives, like one
 // whose remote end has disappeared behind a middlebox that still accepts bytes.
-func (e *callerConn) Read(b []byte) (int, error) {
+func (c *callerConn) Read(b []byte) (int, error) {
 	for {
-		n, err := e.Conn.Read(b[:min(len(b), maxRead)])
-		if e.rate > 0 {
-			pause.For(context.Background(), time.Duration(n)*time.Second/time.Duration(e.rate))
+		n, err := c.Conn.Read(b[:min(len(b), maxRead)])
+		if c.rate > 0 {
+			pause.For(context.Background(), time.Duration(n)*time.Second/time.Duration(c.rate))
 		}
-		if err != nil || !e.silent.Load() {
+		if err != nil || !c.silent.Load() {
 			return n, err
 		}
 	}
@@ -147,12 +147,12 @@
 	return a, b
 }
 
-// echo returns the number of the question.
-func echo(_ context.Context, _ peer.Caller, q question) (answer, error) {
-	return answer(q), nil
+// echo is a handler that returns the number of the request.
+func echo(_ context.Context, _ peer.Caller, q request) (reply, error) {
+	return reply(q), nil
 }
 
-// callWithin makes a call to host "b" with a timeout.
+// callWithin calls a method of host "b" with a timeout.
 func callWithin[R, Q any](t *testing.T, n *peer.Node, timeout time.Duration, method string, q Q) (R, error) {
 	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
--- a/peer/node.go
+++ b/peer/node.go
@@ -50,8 +50,9 @@
 	// that can't be accepted.
 	Report func(remote string, err error)
 	// OnMessage, if not nil, is called with the size in bytes of each message sent and
-	// received, and the method of its call. The method is empty for replies to
-	// abandoned calls and for calls of methods that are not registered.
+	// received, and the method of its call. The method is empty for received replies to
+	// abandoned calls, and for received calls of methods that are not registered and their
+	// replies.
 	OnMessage func(method string, sent, received int)
 }
 
@@ -64,8 +65,8 @@
 	lastID        atomic.Uint64
 	bytesSent     atomic.Uint64
 	bytesReceived atomic.Uint64
-	// handling counts the calls received and not answered yet.
-	handling atomic.Int64
+	// inFlight counts the received calls that are not answered yet.
+	inFlight atomic.Int64
 }
 
 type handler func(ctx context.Context, c Caller, body []byte) (any, error)
@@ -133,7 +134,7 @@
 // InFlight returns the number of calls received whose handler is running or whose reply
 // is not sent yet.
 func (n *Node) InFlight() int {
-	return int(n.handling.Load())
+	return int(n.inFlight.Load())
 }
 
 // Handle registers f as the handler of a method. It replaces a handler that was
@@ -179,9 +180,9 @@
 	return r, nil
 }
 
-// acceptPause is the delay after a failed Accept. Such errors are mostly temporary, such
-// as too many open files, and must not end the process.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed Accept. Most such errors are temporary, as
+// when too many files are open, and must not end the process.
+const acceptRetryDelay = 50 * time.Millisecond
 
 // Serve accepts connections on l and serves their calls until ctx is done. It closes l,
 // and returns after all connections are closed.
@@ -203,7 +204,7 @@
 		}
 		if err != nil {
 			n.config.Report(l.Addr().String(), err)
-			pause.For(ctx, acceptPause)
+			pause.For(ctx, acceptRetryDelay)
 			continue
 		}
 		wg.Add(1)
@@ -214,8 +215,8 @@
 	}
 }
 
-// closeUnserved closes c, if not nil, which was accepted during shutdown. A connection
-// left open would make its caller wait for replies.
+// closeUnserved closes a connection that was accepted during shutdown, unless it is nil. If
+// the connection stayed open, its caller would wait for replies.
 func closeUnserved(c net.Conn) {
 	if c != nil {
 		_ = c.Close()
@@ -232,10 +233,11 @@
 	}
 }
 
+// stamp sets the sender and the timestamp of m.
 func (n *Node) stamp(m *message) {
 	m.From = n.config.Host
 	m.Incarnation = n.config.Incarnation
-	m.Stamp = n.config.Clock.Tick()
+	m.Timestamp = n.config.Clock.Tick()
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -16,11 +16,11 @@
 	"github.com/spoolsill/spoolsill/peer"
 )
 
-type question struct {
+type request struct {
 	Number int
 }
 
-type answer struct {
+type reply struct {
 	Number int
 }
 
@@ -60,11 +60,11 @@
 func TestConcurrentCallsGetTheirOwnReplies(t *testing.T) {
 	c := qt.New(t)
 	a, b, _, _ := pair(t)
-	peer.Handle(b, "double", func(_ context.Context, from peer.Caller, q question) (answer, error) {
+	peer.Handle(b, "double", func(_ context.Context, from peer.Caller, q request) (reply, error) {
 		if from.Host != "a" {
-			return answer{}, errors.New("wrong caller")
+			return reply{}, errors.New("wrong caller")
 		}
-		return answer{
+		return reply{
 			Number: 2 * q.Number,
 		}, nil
 	})
@@ -73,7 +73,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, err := peer.Call[answer](context.Background(), a, "b", "double", question{
+			r, err := peer.Call[reply](context.Background(), a, "b", "double", request{
 				Number: i,
 			})
 			c.Check(err, qt.IsNil)
@@ -86,40 +86,40 @@
 func TestErrorsTellWhetherCallMayHaveBeenReceived(t *testing.T) {
 	c := qt.New(t)
 	a, b, _, _ := pair(t)
-	_, err := peer.Call[answer](context.Background(), a, "none", "m", question{})
+	_, err := peer.Call[reply](context.Background(), a, "none", "m", request{})
 	c.Assert(errors.Is(err, peer.ErrUnreachable), qt.IsTrue)
-	_, err = peer.Call[answer](context.Background(), a, "nobody", "m", question{})
+	_, err = peer.Call[reply](context.Background(), a, "nobody", "m", request{})
 	c.Assert(errors.Is(err, peer.ErrUnreachable), qt.IsTrue)
-	_, err = peer.Call[answer](context.Background(), a, "b", "m", question{})
+	_, err = peer.Call[reply](context.Background(), a, "b", "m", request{})
 	c.Assert(peer.IsCode(err, peer.CodeNoSuchMethod), qt.IsTrue)
-	peer.Handle(b, "refuse", func(context.Context, peer.Caller, question) (answer, error) {
-		return answer{}, &peer.RemoteError{
+	peer.Handle(b, "refuse", func(context.Context, peer.Caller, request) (reply, error) {
+		return reply{}, &peer.RemoteError{
 			Code: "stale",
 			Text: "too late",
 		}
 	})
-	_, err = peer.Call[answer](context.Background(), a, "b", "refuse", question{})
+	_, err = peer.Call[reply](context.Background(), a, "b", "refuse", request{})
 	c.Assert(peer.IsCode(err, "stale"), qt.IsTrue)
 	entered := make(chan struct{})
-	peer.Handle(b, "hang", func(ctx context.Context, _ peer.Caller, _ question) (answer, error) {
+	peer.Handle(b, "hang", func(ctx context.Context, _ peer.Caller, _ request) (reply, error) {
 		close(entered)
 		<-ctx.Done()
-		return answer{}, ctx.Err()
+		return reply{}, ctx.Err()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-entered
 		cancel()
 	}()
-	_, err = peer.Call[answer](ctx, a, "b", "hang", question{})
+	_, err = peer.Call[reply](ctx, a, "b", "hang", request{})
 	c.Assert(errors.Is(err, peer.ErrReplyLost), qt.IsTrue)
 }
 
 func TestBadFrameClosesOnlyItsConnection(t *testing.T) {
 	c := qt.New(t)
 	a, b, address, reports := pair(t)
-	peer.Handle(b, "echo", func(_ context.Context, _ peer.Caller, q question) (answer, error) {
-		return answer(q), nil
+	peer.Handle(b, "echo", func(_ context.Context, _ peer.Caller, q request) (reply, error) {
+		return reply(q), nil
 	})
 	long := make([]byte, 4)
 	binary.BigEndian.PutUint32(long, peer.MaxFrame+1)
@@ -137,7 +137,7 @@
 		c.Assert(<-reports, qt.IsNotNil)
 		c.Assert(x.Close(), qt.IsNil)
 	}
-	r, err := peer.Call[answer](context.Background(), a, "b", "echo", question{
+	r, err := peer.Call[reply](context.Background(), a, "b", "echo", request{
 		Number: 4,
 	})
 	c.Assert(err, qt.IsNil)
@@ -198,8 +198,8 @@
 		},
 	})
 	defer from.Close()
-	peer.Handle(to, "double", func(_ context.Context, _ peer.Caller, q question) (answer, error) {
-		return answer{
+	peer.Handle(to, "double", func(_ context.Context, _ peer.Caller, q request) (reply, error) {
+		return reply{
 			Number: 2 * q.Number,
 		}, nil
 	})
@@ -209,7 +209,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		c, done := limit(ctx)
-		_, err := peer.Call[answer](c, from, "b", "double", question{
+		_, err := peer.Call[reply](c, from, "b", "double", request{
 			Number: 1,
 		})
 		done()
--- a/peer/server.go
+++ b/peer/server.go
@@ -38,7 +38,7 @@
 			n.report(c, err)
 			return
 		}
-		n.config.Clock.Observe(m.Stamp)
+		n.config.Clock.Observe(m.Timestamp)
 		if m.Kind != messageCall {
 			continue
 		}
@@ -58,8 +58,8 @@
 	}
 }
 
-// registeredMethod returns method if a handler is registered for it, and "" otherwise, so that
-// remote hosts can't make up arbitrary metric labels.
+// registeredMethod returns method if a handler is registered for it, and "" otherwise, so
+// that remote hosts can't create arbitrary metric labels.
 func (n *Node) registeredMethod(method string) string {
 	if _, ok := n.methods.Load(method); ok {
 		return method
@@ -72,16 +72,16 @@
 // too slow for all replies would carry only those to abandoned calls, while the rest
 // pile up in memory.
 func (n *Node) serveCall(ctx context.Context, w *connWriter, m *message) {
-	n.handling.Add(1)
-	defer n.handling.Add(-1)
-	ctx, cancel := withCallTimeout(ctx, m.Wait)
+	n.inFlight.Add(1)
+	defer n.inFlight.Add(-1)
+	ctx, cancel := withCallTimeout(ctx, m.Timeout)
 	defer cancel()
 	v, err := n.dispatch(ctx, m)
 	w.reply(ctx, m, v, err)
 }
 
 func (n *Node) rejectCall(ctx context.Context, w *connWriter, m *message) {
-	ctx, cancel := withCallTimeout(ctx, m.Wait)
+	ctx, cancel := withCallTimeout(ctx, m.Timeout)
 	defer cancel()
 	w.reply(ctx, m, nil, &RemoteError{
 		Code: CodeBusy,
@@ -92,11 +92,11 @@
 // withCallTimeout returns a context that expires after a caller's remaining timeout. The timeout
 // starts on receipt, so that no clocks of different hosts are compared; it therefore ends
 // later than the caller's own by the transmission time of the call.
-func withCallTimeout(ctx context.Context, wait time.Duration) (context.Context, context.CancelFunc) {
-	if wait <= 0 {
+func withCallTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	if timeout <= 0 {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, wait)
+	return context.WithTimeout(ctx, timeout)
 }
 
 func (n *Node) dispatch(ctx context.Context, m *message) (any, error) {
@@ -130,9 +130,9 @@
 	errWritePending = errors.New("peer: write still in progress")
 )
 
-// writeChunk is the number of bytes written under one deadline. A slow connection that
+// writeChunkSize is the number of bytes written under one deadline. A slow connection that
 // makes progress gets as much time as a long message needs.
-const writeChunk = 64 << 10
+const writeChunkSize = 64 << 10
 
 // A connWriter writes messages to a connection, one at a time.
 type connWriter struct {
@@ -149,17 +149,18 @@
 	}
 }
 
-// send writes a call. It fails with errNotWritten if nothing was written. It fails with
-// errWritePending if ctx's deadline passes after part of the call was written; the rest is
-// then written in the background, as long as the remote side accepts data, and onFinished
-// is called with the result.
+// send writes a call. It fails with errNotWritten if nothing was written before ctx was done
+// or because the call can't be encoded. It fails with errWritePending if ctx's deadline
+// passes after part of the call was written; the rest is then written in the background, as
+// long as the remote side accepts data, and onFinished is called with the result. After any
+// other error the connection must be closed.
 func (w *connWriter) send(ctx context.Context, m *message, onFinished func(error)) error {
 	if err := w.mu.lock(ctx); err != nil {
 		return fmt.Errorf("%w: %w", errNotWritten, err)
 	}
-	end, limited := ctx.Deadline()
+	deadline, limited := ctx.Deadline()
 	if limited {
-		m.Wait = max(time.Until(end), 1)
+		m.Timeout = max(time.Until(deadline), 1)
 	}
 	frame, err := w.encode(m)
 	if err != nil {
@@ -167,8 +168,8 @@
 		return fmt.Errorf("%w: %w", errNotWritten, err)
 	}
 	w.node.config.OnMessage(m.Method, len(frame), 0)
-	rest, err := w.write(frame, end)
-	timedOut := limited && errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(end)
+	rest, err := w.write(frame, deadline)
+	timedOut := limited && errors.Is(err, os.ErrDeadlineExceeded) && !time.Now().Before(deadline)
 	if timedOut && len(rest) == len(frame) {
 		w.mu.unlock()
 		return fmt.Errorf("%w: %w", errNotWritten, err)
@@ -193,15 +194,15 @@
 		return
 	}
 	defer w.mu.unlock()
-	frame, failed := w.encode(replyMessage(call.ID, v, err))
-	if failed != nil {
-		frame, failed = w.encode(replyMessage(call.ID, nil, failed))
+	frame, sendErr := w.encode(replyMessage(call.ID, v, err))
+	if sendErr != nil {
+		frame, sendErr = w.encode(replyMessage(call.ID, nil, sendErr))
 	}
-	if failed == nil {
+	if sendErr == nil {
 		w.node.config.OnMessage(w.node.registeredMethod(call.Method), len(frame), 0)
-		_, failed = w.write(frame, time.Time{})
+		_, sendErr = w.write(frame, time.Time{})
 	}
-	if failed != nil {
+	if sendErr != nil {
 		_ = w.conn.Close()
 	}
 }
@@ -215,18 +216,18 @@
 // write writes a frame. It fails when the write makes no progress for
 // DefaultWriteTimeout, or at end unless that is zero, and returns the part of the frame that
 // was not written. The caller holds w.mu.
-func (w *connWriter) write(frame []byte, end time.Time) ([]byte, error) {
+func (w *connWriter) write(frame []byte, deadline time.Time) ([]byte, error) {
 	to := countingWriter{
 		node: w.node,
 		to:   w.conn,
 	}
 	for len(frame) > 0 {
 		limit := time.Now().Add(DefaultWriteTimeout)
-		if !end.IsZero() && end.Before(limit) {
-			limit = end
+		if !deadline.IsZero() && deadline.Before(limit) {
+			limit = deadline
 		}
 		_ = w.conn.SetWriteDeadline(limit)
-		n, err := to.Write(frame[:min(len(frame), writeChunk)])
+		n, err := to.Write(frame[:min(len(frame), writeChunkSize)])
 		frame = frame[n:]
 		if err != nil {
 			return frame, err
--- a/peer/silence.go
+++ b/peer/silence.go
@@ -9,9 +9,9 @@
 )
 
 // silenceTimeout is how long a connection may receive nothing while calls on it time out
-// before it is dropped. Otherwise a connection that died without being closed would be
-// used indefinitely. Hosts answer within milliseconds; a paused host or a congested
-// network may take some hundred milliseconds.
+// before it is dropped. Without it, a connection that died without being closed would be
+// used indefinitely. Hosts answer within milliseconds; a paused host or a congested network
+// may add some hundred milliseconds.
 const silenceTimeout = time.Second
 
 // errSilent is reported for a connection that is dropped because of silenceTimeout.
@@ -21,16 +21,18 @@
 // it within milliseconds. A timeout of any other call says nothing about the
 // connection, since its handler may still be running.
 func hasShortTimeout(ctx context.Context) bool {
-	end, limited := ctx.Deadline()
-	return limited && time.Until(end) <= silenceTimeout
+	deadline, ok := ctx.Deadline()
+	return ok && time.Until(deadline) <= silenceTimeout
 }
 
 // A silenceDetector tracks how long calls on a connection have timed out without any data from
 // the remote side. It is safe for concurrent use.
 type silenceDetector struct {
-	mu            sync.Mutex
-	lastReceived  time.Time // when data last arrived
-	timeoutsSince time.Time // when the first call that timed out was written; invalid unless after lastReceived
+	mu           sync.Mutex
+	lastReceived time.Time // when data last arrived
+	// timeoutsSince is when the first call that has timed out since lastReceived was
+	// written. It is valid only if it is after lastReceived.
+	timeoutsSince time.Time
 }
 
 func (s *silenceDetector) dataReceived(now time.Time) {
--- a/peer/timeout_test.go
+++ b/peer/timeout_test.go
@@ -38,38 +38,38 @@
 // once.
 func TestAbandonedCallsDoNotFillASlowLink(t *testing.T) {
 	const (
-		interval = 150 * time.Millisecond
-		timeout  = 300 * time.Millisecond
-		calls    = 70
-		reply    = 1 << 20 // takes 0.84 s on the link
-		// maxHandling is the number of calls in flight at once, plus the one whose reply is
+		interval  = 150 * time.Millisecond
+		timeout   = 300 * time.Millisecond
+		calls     = 70
+		replySize = 1 << 20 // takes 0.84 s on the link
+		// maxInFlight is the number of calls in flight at once, plus the one whose reply is
 		// being sent.
-		maxHandling = int(timeout/interval) + 2
+		maxInFlight = int(timeout/interval) + 2
 	)
 	synctest.Test(t, func(t *testing.T) {
 		a, b := nodesOver(t, newNetwork(slowLinkRate), peer.Config{})
 		var encoded atomic.Int64
 		large := largeReply{
-			body:    make([]byte, reply),
+			body:    make([]byte, replySize),
 			encoded: &encoded,
 		}
-		peer.Handle(b, "large", func(context.Context, peer.Caller, question) (largeReply, error) {
+		peer.Handle(b, "large", func(context.Context, peer.Caller, request) (largeReply, error) {
 			return large, nil
 		})
 		peer.Handle(b, "echo", echo)
 		var wg sync.WaitGroup
-		most := 0
+		peak := 0
 		for range calls {
 			wg.Go(func() {
-				_, _ = callWithin[[]byte](t, a, timeout, "large", question{})
+				_, _ = callWithin[[]byte](t, a, timeout, "large", request{})
 			})
 			pause.For(t.Context(), interval)
-			most = max(most, b.InFlight())
+			peak = max(peak, b.InFlight())
 		}
 		wg.Wait()
-		qt.Check(t, most <= maxHandling, qt.IsTrue, qt.Commentf("%d calls being handled, want at most %d", most, maxHandling))
+		qt.Check(t, peak <= maxInFlight, qt.IsTrue, qt.Commentf("%d calls being handled, want at most %d", peak, maxInFlight))
 		start := time.Now()
-		r, err := callWithin[answer](t, a, 2*time.Minute, "echo", question{
+		r, err := callWithin[reply](t, a, 2*time.Minute, "echo", request{
 			Number: 3,
 		})
 		qt.Assert(t, err, qt.IsNil)
@@ -78,7 +78,7 @@
 		sent, _ := b.Traffic()
 		pause.For(t.Context(), 5*time.Second)
 		later, _ := b.Traffic()
-		qt.Check(t, uint64(encoded.Load()), qt.Equals, later/reply)
+		qt.Check(t, uint64(encoded.Load()), qt.Equals, later/replySize)
 		qt.Check(t, later, qt.Equals, sent)
 		qt.Check(t, b.InFlight(), qt.Equals, 0)
 	})
@@ -95,26 +95,26 @@
 		a, b := nodesOver(t, newNetwork(0), peer.Config{
 			Handlers: handlers,
 		})
-		var lasted atomic.Int64
-		peer.Handle(b, "hang", func(ctx context.Context, _ peer.Caller, _ question) (answer, error) {
+		var handlerDuration atomic.Int64
+		peer.Handle(b, "hang", func(ctx context.Context, _ peer.Caller, _ request) (reply, error) {
 			start := time.Now()
 			<-ctx.Done()
-			lasted.Store(int64(time.Since(start)))
-			return answer{}, ctx.Err()
+			handlerDuration.Store(int64(time.Since(start)))
+			return reply{}, ctx.Err()
 		})
 		peer.Handle(b, "echo", echo)
 		var wg sync.WaitGroup
 		for range handlers {
 			wg.Go(func() {
-				_, err := callWithin[answer](t, a, timeout, "hang", question{})
+				_, err := callWithin[reply](t, a, timeout, "hang", request{})
 				qt.Check(t, errors.Is(err, peer.ErrReplyLost), qt.IsTrue)
 			})
 		}
 		wg.Wait()
 		pause.For(t.Context(), time.Millisecond)
-		_, err := callWithin[answer](t, a, timeout, "echo", question{})
+		_, err := callWithin[reply](t, a, timeout, "echo", request{})
 		qt.Check(t, err, qt.IsNil)
-		qt.Check(t, time.Duration(lasted.Load()), qt.Equals, timeout)
+		qt.Check(t, time.Duration(handlerDuration.Load()), qt.Equals, timeout)
 	})
 }
 
@@ -130,12 +130,12 @@
 		start := time.Now()
 		// No byte of these calls is written, so they were certainly not received.
 		for i := range 4 {
-			_, err := callWithin[answer](t, a, timeout, "echo", question{})
+			_, err := callWithin[reply](t, a, timeout, "echo", request{})
 			qt.Check(t, errors.Is(err, peer.ErrUnreachable), qt.IsTrue)
 			qt.Check(t, time.Since(start), qt.Equals, time.Duration(i+1)*timeout)
 		}
 		l.stalled.Store(false)
-		_, err := callWithin[answer](t, a, timeout, "echo", question{})
+		_, err := callWithin[reply](t, a, timeout, "echo", request{})
 		qt.Check(t, err, qt.IsNil)
 	})
 }
@@ -154,7 +154,7 @@
 				Kind:   1,
 				ID:     uint64(i),
 				Method: "echo",
-				Body:   encoded(t, question{}),
+				Body:   encoded(t, request{}),
 			}))
 			qt.Assert(t, err, qt.IsNil)
 		}
@@ -168,15 +168,15 @@
 // Guards against a write timeout that covers a whole message: a long reply over a slow
 // link must arrive as long as the write makes progress.
 func TestLongReplyOverSlowLink(t *testing.T) {
-	const reply = 7_500_000 // takes 6 s on the link, longer than peer.DefaultWriteTimeout
+	const replySize = 7_500_000 // takes 6 s on the link, longer than peer.DefaultWriteTimeout
 	synctest.Test(t, func(t *testing.T) {
 		a, b := nodesOver(t, newNetwork(slowLinkRate), peer.Config{})
-		peer.Handle(b, "large", func(context.Context, peer.Caller, question) ([]byte, error) {
-			return make([]byte, reply), nil
+		peer.Handle(b, "large", func(context.Context, peer.Caller, request) ([]byte, error) {
+			return make([]byte, replySize), nil
 		})
-		r, err := callWithin[[]byte](t, a, 10*time.Second, "large", question{})
+		r, err := callWithin[[]byte](t, a, 10*time.Second, "large", request{})
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, len(r), qt.Equals, reply)
+		qt.Check(t, len(r), qt.Equals, replySize)
 	})
 }
 
@@ -186,12 +186,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newNetwork(0)
 		a, b := nodesOver(t, l, peer.Config{})
-		peer.Handle(b, "large", func(context.Context, peer.Caller, question) ([]byte, error) {
+		peer.Handle(b, "large", func(context.Context, peer.Caller, request) ([]byte, error) {
 			return make([]byte, peer.MaxFrame), nil
 		})
-		_, err := callWithin[[]byte](t, a, time.Second, "large", question{})
+		_, err := callWithin[[]byte](t, a, time.Second, "large", request{})
 		qt.Check(t, peer.IsCode(err, peer.CodeInternal), qt.IsTrue, qt.Commentf("%v", err))
-		_, err = callWithin[answer](t, a, time.Second, "large", make([]byte, peer.MaxFrame))
+		_, err = callWithin[reply](t, a, time.Second, "large", make([]byte, peer.MaxFrame))
 		qt.Check(t, errors.Is(err, peer.ErrUnreachable), qt.IsTrue, qt.Commentf("%v", err))
 		qt.Check(t, l.dials(), qt.Equals, 1)
 	})
@@ -210,21 +210,21 @@
 		l := newNetwork(0)
 		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
-		peer.Handle(b, "slow", func(ctx context.Context, _ peer.Caller, q question) (answer, error) {
+		peer.Handle(b, "slow", func(ctx context.Context, _ peer.Caller, q request) (reply, error) {
 			pause.For(context.WithoutCancel(ctx), 5*timeout)
-			return answer(q), nil
+			return reply(q), nil
 		})
 		for range 20 {
-			_, err := callWithin[answer](t, a, timeout, "slow", question{})
+			_, err := callWithin[reply](t, a, timeout, "slow", request{})
 			qt.Assert(t, errors.Is(err, peer.ErrReplyLost), qt.IsTrue)
-			_, err = callWithin[answer](t, a, timeout, "echo", question{})
+			_, err = callWithin[reply](t, a, timeout, "echo", request{})
 			qt.Assert(t, err, qt.IsNil)
 		}
 		qt.Check(t, l.dials(), qt.Equals, 1)
 		l.silence()
 		start := time.Now()
 		for time.Since(start) < time.Minute {
-			if _, err := callWithin[answer](t, a, timeout, "echo", question{}); err == nil {
+			if _, err := callWithin[reply](t, a, timeout, "echo", request{}); err == nil {
 				break
 			}
 			pause.For(t.Context(), interval)
@@ -270,11 +270,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newNetwork(0)
 		_, b := nodesOver(t, l, peer.Config{})
-		limited := true
-		peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q question) (answer, error) {
-			_, limited = ctx.Deadline()
+		hasDeadline := true
+		peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q request) (reply, error) {
+			_, hasDeadline = ctx.Deadline()
 			pause.For(ctx, time.Minute)
-			return answer(q), ctx.Err()
+			return reply(q), ctx.Err()
 		})
 		c, err := l.dial(t.Context(), "b")
 		qt.Assert(t, err, qt.IsNil)
@@ -283,7 +283,7 @@
 			ID:     7,
 			Method: "wait",
 			From:   "former",
-			Body: encoded(t, question{
+			Body: encoded(t, request{
 				Number: 5,
 			}),
 		}))
@@ -292,23 +292,23 @@
 		readFrame(t, c, &r)
 		qt.Check(t, r.ID, qt.Equals, uint64(7))
 		qt.Check(t, r.Kind, qt.Equals, uint8(2))
-		qt.Check(t, limited, qt.IsFalse)
+		qt.Check(t, hasDeadline, qt.IsFalse)
 
-		near, far := net.Pipe()
+		local, remote := net.Pipe()
 		caller := peer.NewNode(peer.Config{
 			Host: "c",
 			Addresses: map[spoolsill.HostID]string{
 				"b": "b",
 			},
-			Dial: func(context.Context, string) (net.Conn, error) { return near, nil },
+			Dial: func(context.Context, string) (net.Conn, error) { return local, nil },
 		})
 		defer caller.Close()
-		go func() { _, _ = callWithin[answer](t, caller, time.Second, "wait", question{}) }()
+		go func() { _, _ = callWithin[reply](t, caller, time.Second, "wait", request{}) }()
 		var q legacyCall
-		readFrame(t, far, &q)
+		readFrame(t, remote, &q)
 		qt.Check(t, q.Method, qt.Equals, "wait")
 		qt.Check(t, q.Kind, qt.Equals, uint8(1))
-		_ = far.Close()
+		_ = remote.Close()
 	})
 }
 
@@ -321,58 +321,58 @@
 		Kind:   1,
 		ID:     1,
 		Method: "wait",
-		Body: encoded(t, question{
+		Body: encoded(t, request{
 			Number: 5,
 		}),
 	})
 	for name, c := range map[string]struct {
-		pieces   [][]byte
-		interval time.Duration
-		lasts    time.Duration
-		answer   bool
+		pieces      [][]byte
+		interval    time.Duration
+		minLifetime time.Duration
+		wantReply   bool
 	}{
 		"nothing": {
-			lasts: idle,
+			minLifetime: idle,
 		},
 		"half a message": {
-			pieces: [][]byte{call[:9]},
-			lasts:  idle,
+			pieces:      [][]byte{call[:9]},
+			minLifetime: idle,
 		},
 		"a message in two pieces": {
-			pieces:   [][]byte{call[:9], call[9:]},
-			interval: idle - time.Second,
-			lasts:    idle - time.Second,
-			answer:   true,
+			pieces:      [][]byte{call[:9], call[9:]},
+			interval:    idle - time.Second,
+			minLifetime: idle - time.Second,
+			wantReply:   true,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newNetwork(0)
 				_, b := nodesOver(t, l, peer.Config{})
-				peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q question) (answer, error) {
+				peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q request) (reply, error) {
 					pause.For(ctx, 3*idle+time.Second)
-					return answer(q), ctx.Err()
+					return reply(q), ctx.Err()
 				})
 				x, err := l.dial(t.Context(), "b")
 				qt.Assert(t, err, qt.IsNil)
 				start := time.Now()
-				for i, p := range c.pieces {
+				for i, piece := range c.pieces {
 					if i > 0 {
 						pause.For(t.Context(), c.interval)
 					}
-					_, err = x.Write(p)
+					_, err = x.Write(piece)
 					qt.Assert(t, err, qt.IsNil)
 				}
-				if c.answer {
+				if c.wantReply {
 					var r legacyCall
 					readFrame(t, x, &r)
 					qt.Check(t, r.ID, qt.Equals, uint64(1))
 				}
-				// The client must not be the one that gives up.
+				// The server, not the client, must be the one to end the wait.
 				qt.Assert(t, x.SetReadDeadline(time.Now().Add(time.Hour)), qt.IsNil)
 				_, err = x.Read(make([]byte, 1))
 				qt.Check(t, errors.Is(err, io.EOF), qt.IsTrue, qt.Commentf("%v", err))
-				qt.Check(t, time.Since(start) >= c.lasts, qt.IsTrue)
+				qt.Check(t, time.Since(start) >= c.minLifetime, qt.IsTrue)
 				qt.Check(t, time.Since(start) < 6*idle, qt.IsTrue)
 			})
 		})
@@ -387,13 +387,13 @@
 		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
 		for range 20 {
-			_, err := callWithin[answer](t, a, time.Second, "echo", question{})
+			_, err := callWithin[reply](t, a, time.Second, "echo", request{})
 			qt.Assert(t, err, qt.IsNil)
 			pause.For(t.Context(), 10*time.Second)
 		}
 		qt.Check(t, l.dials(), qt.Equals, 1)
 		pause.For(t.Context(), 50*time.Second)
-		_, err := callWithin[answer](t, a, time.Second, "echo", question{})
+		_, err := callWithin[reply](t, a, time.Second, "echo", request{})
 		qt.Check(t, err, qt.IsNil)
 		qt.Check(t, l.dials(), qt.Equals, 2)
 	})
@@ -402,12 +402,12 @@
 // A failingListener fails its first calls of Accept, as when too many files are open.
 type failingListener struct {
 	net.Listener
-	fails atomic.Int64
+	failures atomic.Int64
 }
 
 // Accept implements net.Listener.
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.fails.Add(-1) >= 0 {
+	if l.failures.Add(-1) >= 0 {
 		return nil, errors.New("too many open files")
 	}
 	return l.Listener.Accept()
@@ -422,7 +422,7 @@
 	l := &failingListener{
 		Listener: inner,
 	}
-	l.fails.Store(2)
+	l.failures.Store(2)
 	var reported atomic.Int64
 	b := peer.NewNode(peer.Config{
 		Host:   "b",
@@ -438,7 +438,7 @@
 		},
 	})
 	defer a.Close()
-	_, err = peer.Call[answer](ctx, a, "b", "echo", question{})
+	_, err = peer.Call[reply](ctx, a, "b", "echo", request{})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, reported.Load(), qt.Equals, int64(2))
 	cancel()
@@ -495,12 +495,12 @@
 		l := newNetwork(0)
 		a, b := nodesOver(t, l, peer.Config{})
 		peer.Handle(b, "echo", echo)
-		_, err := callWithin[answer](t, a, timeout, "echo", question{})
+		_, err := callWithin[reply](t, a, timeout, "echo", request{})
 		qt.Assert(t, err, qt.IsNil)
 		l.silence()
 		start := time.Now()
 		for time.Since(start) < time.Minute {
-			if _, err := callWithin[answer](t, a, timeout, "echo", question{}); err == nil {
+			if _, err := callWithin[reply](t, a, timeout, "echo", request{}); err == nil {
 				break
 			}
 		}
--- a/peer/unsent_test.go
+++ b/peer/unsent_test.go
@@ -29,7 +29,7 @@
 			Dial: func(context.Context, string) (net.Conn, error) { return local, nil },
 		})
 		defer n.Close()
-		_, err := callWithin[answer](t, n, 100*time.Millisecond, "echo", question{
+		_, err := callWithin[reply](t, n, 100*time.Millisecond, "echo", request{
 			Number: 1,
 		})
 		qt.Check(t, errors.Is(err, peer.ErrUnreachable), qt.IsTrue, qt.Commentf("%v", err))
--- a/task.go
+++ b/task.go
@@ -9,7 +9,7 @@
 	TaskPlaced        TaskState = "placed"        // assigned to a worker, which has not confirmed the start
 	TaskRunning       TaskState = "running"       // the worker has confirmed the start
 	TaskCheckpointing TaskState = "checkpointing" // being preempted
-	TaskStopping      TaskState = "stopping"      // told to stop, not confirmed
+	TaskStopping      TaskState = "stopping"      // told to stop; the worker has not confirmed it
 	TaskDone          TaskState = "done"
 	TaskFailed        TaskState = "failed"
 	TaskCancelled     TaskState = "cancelled"
--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolsill/spoolsill/telemetry"
 )
 
-// BenchmarkNote measures recording one event of the leader.
-func BenchmarkNote(b *testing.B) {
+// BenchmarkRecordEvent measures the recording of one event of the leader.
+func BenchmarkRecordEvent(b *testing.B) {
 	m := telemetry.New()
 	n := sched.Note{
 		Kind:   sched.NoteEnded,
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -59,16 +59,16 @@
 	return x
 }
 
-func counter(m metric.Meter, name, text string) metric.Int64Counter {
-	c, err := m.Int64Counter(name, metric.WithDescription(text))
+func counter(m metric.Meter, name, description string) metric.Int64Counter {
+	c, err := m.Int64Counter(name, metric.WithDescription(description))
 	must(err)
 	return c
 }
 
-func histogram(m metric.Meter, name, text string) metric.Float64Histogram {
+func histogram(m metric.Meter, name, description string) metric.Float64Histogram {
 	h, err := m.Float64Histogram(name,
 		metric.WithUnit("s"),
-		metric.WithDescription(text),
+		metric.WithDescription(description),
 		metric.WithExplicitBucketBoundaries(bucketBounds...),
 	)
 	must(err)
@@ -82,9 +82,9 @@
 }
 
 // RegisterGauge registers a gauge whose value is read at each scrape.
-func (m *Metrics) RegisterGauge(name, text string, read func() int64) {
+func (m *Metrics) RegisterGauge(name, description string, read func() int64) {
 	_, err := m.meter.Int64ObservableGauge(name,
-		metric.WithDescription(text),
+		metric.WithDescription(description),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
 			o.Observe(read())
 			return nil
@@ -117,38 +117,38 @@
 }
 
 // RecordCall records a client's call and its duration.
-func (m *Metrics) RecordCall(kind, outcome string, took time.Duration) {
+func (m *Metrics) RecordCall(kind, outcome string, elapsed time.Duration) {
 	if m == nil {
 		return
 	}
 	ctx := context.Background()
 	k := attribute.String("kind", kind)
 	m.clientCalls.Add(ctx, 1, metric.WithAttributes(k, attribute.String("outcome", outcome)))
-	m.callDuration.Record(ctx, took.Seconds(), metric.WithAttributes(k))
+	m.callDuration.Record(ctx, elapsed.Seconds(), metric.WithAttributes(k))
 }
 
 // RecordStoreWrite records a write to the store.
-func (m *Metrics) RecordStoreWrite(outcome string, took time.Duration) {
+func (m *Metrics) RecordStoreWrite(outcome string, elapsed time.Duration) {
 	if m == nil {
 		return
 	}
-	m.storeWriteDuration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
+	m.storeWriteDuration.Record(context.Background(), elapsed.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
 // RecordAdvice records a request to the advisor.
-func (m *Metrics) RecordAdvice(outcome string, took time.Duration) {
+func (m *Metrics) RecordAdvice(outcome string, elapsed time.Duration) {
 	if m == nil {
 		return
 	}
-	m.adviceDuration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
+	m.adviceDuration.Record(context.Background(), elapsed.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
 // RecordTakeover records how long a new leader took to load all jobs.
-func (m *Metrics) RecordTakeover(took time.Duration) {
+func (m *Metrics) RecordTakeover(elapsed time.Duration) {
 	if m == nil {
 		return
 	}
-	m.takeoverDuration.Record(context.Background(), took.Seconds())
+	m.takeoverDuration.Record(context.Background(), elapsed.Seconds())
 }
 
 // RecordEvent records an event of the leader: a decision or a change in its view of the cell.
