--- a/id.go
+++ b/id.go
@@ -25,21 +25,21 @@
 // to it.
 type WorkerIncarnation struct {
 	Worker WorkerID
-	// Born is when the worker process started.
-	Born StartTime
+	// StartTime is when the worker process started.
+	StartTime StartTime
 }
 
 // Matches reports whether t may be i's start time. An unknown start time matches any.
 func (i WorkerIncarnation) Matches(t StartTime) bool {
-	return i.Born == 0 || t == 0 || i.Born == t
+	return i.StartTime == 0 || t == 0 || i.StartTime == t
 }
 
 // String returns the worker's id, followed by its start time if that is known.
 func (i WorkerIncarnation) String() string {
-	if i.Born == 0 {
+	if i.StartTime == 0 {
 		return string(i.Worker)
 	}
-	return string(i.Worker) + "@" + strconv.FormatUint(uint64(i.Born), 10)
+	return string(i.Worker) + "@" + strconv.FormatUint(uint64(i.StartTime), 10)
 }
 
 // RunnerID identifies a runner, an upstream process that serves requests.
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -140,8 +140,8 @@
 
 func (w *worker) life() spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
-		Worker: w.id,
-		Born:   w.born,
+		Worker:    w.id,
+		StartTime: w.born,
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -264,7 +264,7 @@
 	m.proxy = p
 	m.entry = wire.WorkerEntry{
 		ID:      id,
-		Born:    x.workers.CurrentLife(id).Born,
+		Born:    x.workers.CurrentLife(id).StartTime,
 		Address: address,
 		Machine: "m" + string(id),
 		Rack:    "r1-1",
--- a/internal/soak/workerfaults.go
+++ b/internal/soak/workerfaults.go
@@ -152,7 +152,7 @@
 	m.restarts++
 	m.entry.ID = spoolsill.WorkerID(fmt.Sprintf("%s-%d", m.entry.Machine, m.restarts))
 	x.workers.Replace(old, m.entry.ID)
-	m.entry.Born = x.workers.CurrentLife(m.entry.ID).Born
+	m.entry.Born = x.workers.CurrentLife(m.entry.ID).StartTime
 	m.activeID.Store(&m.entry.ID)
 	wire.DeleteWorker(x.store, old)
 	x.putEntry(m.entry)
@@ -166,7 +166,7 @@
 	m.restarts++
 	m.down = false
 	born := x.workers.Restart(m.entry.ID)
-	m.entry.Born = born.Born
+	m.entry.Born = born.StartTime
 	m.mu.Unlock()
 	x.logEvent("%s restarts", born)
 	if !wait(x.ctx, late) {
@@ -174,7 +174,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.entry.Born == born.Born {
+	if m.entry.Born == born.StartTime {
 		x.putEntry(m.entry)
 	}
 }
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -147,7 +147,7 @@
 	}
 	return map[string]any{
 		"clockMs": h.Clock,
-		"born":    h.Born,
+		"born":    h.StartTime,
 		"running": running,
 		"ended":   ended,
 	}
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -60,7 +60,7 @@
 func (m *machines) listIncarnation(id spoolsill.WorkerID, machine string) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
-		Born:    m.workers.CurrentLife(id).Born,
+		Born:    m.workers.CurrentLife(id).StartTime,
 		Machine: machine,
 		Service: "work",
 		Address: string(id),
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -155,7 +155,7 @@
 		}
 		b, r := h.renew(ctx, acked, wait, unanswered)
 		unanswered++
-		if r.Kind == Accepted && !h.target.Matches(b.Born) {
+		if r.Kind == Accepted && !h.target.Matches(b.StartTime) {
 			// The response is from another incarnation: from the next one, or a delayed one
 			// from an earlier one. The event loop handles it by its start time, and the
 			// renewer of the next incarnation starts from scratch.
--- a/node/delegated.go
+++ b/node/delegated.go
@@ -133,8 +133,8 @@
 	}
 	d.recordReply(l.Worker, r.Renew.Reply.Kind)
 	answered := spoolsill.WorkerIncarnation{
-		Worker: l.Worker,
-		Born:   r.Born,
+		Worker:    l.Worker,
+		StartTime: r.Born,
 	}
 	return r.Renew.heartbeat(answered, sent), r.Renew.Reply.reply()
 }
@@ -149,7 +149,7 @@
 		return r, false, nil
 	case d.node.hosts.reportsIncarnations(h):
 		return callDelegate[renewIncarnationReply](ctx, d, h, l.Target, methodRenewIncarnation, renewRequestOf(l))
-	case l.Born != 0:
+	case l.StartTime != 0:
 		return r, false, nil
 	default:
 		r.Renew, made, err = callDelegate[renewReply](ctx, d, h, l.Target, methodRenew, renewRequestOf(l))
@@ -218,7 +218,7 @@
 func (n *Node) handleRenewIncarnation(ctx context.Context, _ peer.Caller, q renewRequest) (renewIncarnationReply, error) {
 	h, r := n.workers.Renew(ctx, q.renewal())
 	return renewIncarnationReply{
-		Born:  h.Born,
+		Born:  h.StartTime,
 		Renew: renewReplyOf(h, r),
 	}, nil
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -141,7 +141,7 @@
 	id := spoolsill.WorkerID(workerName(i))
 	x.c.Assert(wire.PutWorker(x.store, wire.WorkerEntry{
 		ID:      id,
-		Born:    x.workers.CurrentLife(id).Born,
+		Born:    x.workers.CurrentLife(id).StartTime,
 		Address: workerAddress(i),
 		Machine: "m" + string(id),
 		Rack:    "r1-1",
--- a/sched/event.go
+++ b/sched/event.go
@@ -25,8 +25,8 @@
 // Incarnation returns the incarnation that the entry is for.
 func (w Worker) Incarnation() spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
-		Worker: w.ID,
-		Born:   w.Born,
+		Worker:    w.ID,
+		StartTime: w.Born,
 	}
 }
 
--- a/sched/incarnations.go
+++ b/sched/incarnations.go
@@ -24,8 +24,8 @@
 
 func (w *worker) incarnation() spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
-		Worker: w.id,
-		Born:   w.startTime,
+		Worker:    w.id,
+		StartTime: w.startTime,
 	}
 }
 
@@ -34,7 +34,7 @@
 // report no start times give each incarnation its own id.
 func (s *State) workerOf(l spoolsill.WorkerIncarnation) *worker {
 	w := s.workers[l.Worker]
-	if w == nil || !w.incarnation().Matches(l.Born) {
+	if w == nil || !w.incarnation().Matches(l.StartTime) {
 		return nil
 	}
 	return w
@@ -47,18 +47,18 @@
 func (s *State) observeIncarnation(l spoolsill.WorkerIncarnation, source string) *worker {
 	w := s.worker(l.Worker)
 	switch {
-	case l.Born == 0 || l.Born == w.startTime:
+	case l.StartTime == 0 || l.StartTime == w.startTime:
 		return w
-	case slices.Contains(w.former, l.Born):
+	case slices.Contains(w.former, l.StartTime):
 		return nil
 	case w.startTime == 0 && !w.dead:
-		w.startTime = l.Born
+		w.startTime = l.StartTime
 		w.renewedUntil = w.answeredAt // renewals start over with the new incarnation
 		return w
 	default:
 		// This applies even if the former incarnation is known to have ended: otherwise the
 		// capacity of a worker that reuses its id would be lost to the cell.
-		return s.beginNextIncarnation(w, l.Born, source)
+		return s.beginNextIncarnation(w, l.StartTime, source)
 	}
 }
 
--- a/sched/incarnations_test.go
+++ b/sched/incarnations_test.go
@@ -14,8 +14,8 @@
 // incarnationAt returns an incarnation of the worker "w".
 func incarnationAt(b spoolsill.StartTime) spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
-		Worker: "w",
-		Born:   b,
+		Worker:    "w",
+		StartTime: b,
 	}
 }
 
@@ -23,7 +23,7 @@
 func (x *cell) listWorkerIncarnation(l spoolsill.WorkerIncarnation) {
 	x.state.WorkerListed(x.now, sched.Worker{
 		ID:       l.Worker,
-		Born:     l.Born,
+		Born:     l.StartTime,
 		Service:  "work",
 		Address:  string(l.Worker),
 		Capacity: cores(10),
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -127,7 +127,7 @@
 	default:
 		s.dropRejected(r, a.Outcome)
 	}
-	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.incarnation().Matches(a.Born) {
+	if (a.Outcome == StartUnhealthy || a.Outcome == StartUnknown) && w.incarnation().Matches(a.StartTime) {
 		w.backoffUntil = now.Add(rejectBackoff)
 		w.health.recordRejection(now)
 	}
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -302,7 +302,7 @@
 	if w == nil {
 		return
 	}
-	if until.After(w.renewedUntil) && w.incarnation().Matches(l.Born) {
+	if until.After(w.renewedUntil) && w.incarnation().Matches(l.StartTime) {
 		w.renewedUntil = until
 	}
 	if until.After(w.leaseUntil) {
