--- a/logchart/doc.go
+++ b/logchart/doc.go
@@ -1,4 +1,4 @@
 // Package logchart draws charts over time from the saved logs of many processes: jobs
-// accepted and requests refused, tasks started and ended, the load of the cell, and the
-// number of hosts that could not reach the store. Vertical lines mark changes of leader.
+// accepted and requests refused, tasks started and ended, waiting stages, cores in use,
+// and hosts that cannot reach the store. Vertical lines mark changes of leader.
 package logchart
--- a/logchart/draw.go
+++ b/logchart/draw.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of the image, and the space between its panels.
+// The size of the image and the space between its panels.
 const (
 	width    = 25 * vg.Centimeter
 	height   = 30 * vg.Centimeter
@@ -32,7 +32,7 @@
 	grey  = color.RGBA{R: 150, G: 150, B: 150, A: 255}
 )
 
-// A panel is a chart with a scale of its own.
+// A panel is a chart with its own vertical scale.
 type panel struct {
 	title  string
 	curves []curve
@@ -71,7 +71,7 @@
 	}
 }
 
-// WriteSVG draws s as an SVG image with one panel below the other.
+// WriteSVG draws s as an SVG image with the panels stacked vertically.
 func (s *Series) WriteSVG(w io.Writer) error {
 	panels := s.panels()
 	plots := make([][]*plot.Plot, 0, len(panels))
@@ -103,10 +103,10 @@
 	maxValue := 1.0
 	for _, c := range x.curves {
 		xys := make(plotter.XYs, len(c.points))
-		for i, at := range c.points {
-			xys[i].X = at.Second
-			xys[i].Y = at.Value
-			maxValue = max(maxValue, at.Value)
+		for i, pt := range c.points {
+			xys[i].X = pt.Second
+			xys[i].Y = pt.Value
+			maxValue = max(maxValue, pt.Value)
 		}
 		if len(xys) == 0 {
 			continue
@@ -119,8 +119,8 @@
 		p.Add(l)
 		p.Legend.Add(c.name, l)
 	}
-	for _, at := range s.LeaderChanges {
-		l, err := plotter.NewLine(plotter.XYs{{X: at}, {X: at, Y: maxValue}})
+	for _, second := range s.LeaderChanges {
+		l, err := plotter.NewLine(plotter.XYs{{X: second}, {X: second, Y: maxValue}})
 		if err != nil {
 			return nil, err
 		}
--- a/logchart/series.go
+++ b/logchart/series.go
@@ -22,13 +22,13 @@
 	RequestsRefused []Point
 	TasksStarted    []Point
 	TasksEnded      []Point
-	// StagesWaiting counts the waiting stages, StagesLate those of them that can no
-	// longer meet their objective, and CoresUsed the cores in use, as reported by the
-	// leader.
+	// StagesWaiting, StagesLate and CoresUsed are reported by the leader: the number of
+	// waiting stages, how many of those can no longer meet their objective, and the
+	// number of cores in use.
 	StagesWaiting []Point
 	StagesLate    []Point
 	CoresUsed     []Point
-	// Away counts the hosts that cannot reach the store.
+	// Away is the number of hosts that cannot reach the store.
 	Away []Point
 	// LeaderChanges holds the times at which a host became leader, in seconds since
 	// the first log line.
@@ -51,8 +51,8 @@
 	}
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b logstory.Line) int { return a.Time.Compare(b.Time) })
-	begin := lines[0].Time
-	since := func(t time.Time) float64 { return t.Sub(begin).Seconds() }
+	start := lines[0].Time
+	since := func(t time.Time) float64 { return t.Sub(start).Seconds() }
 	last := int(since(lines[len(lines)-1].Time))
 	counts := map[string][]int{}
 	for m := range lineCounters {
--- a/logloss/logloss.go
+++ b/logloss/logloss.go
@@ -16,7 +16,7 @@
 const (
 	InTime        Outcome = "in time"
 	Late          Outcome = "late"
-	Failed        Outcome = "failed"    // a task failed as often as the queue allows
+	Failed        Outcome = "failed"    // a task failed as many times as the queue allows
 	Cancelled     Outcome = "cancelled" // by its client
 	NotEnded      Outcome = "not ended"
 	NeverAccepted Outcome = "never accepted"
@@ -25,9 +25,9 @@
 // A Reason is why a job was not in time.
 type Reason string
 
-// The reasons. Where several apply, a lost worker or a failed run comes first, then an
-// unreachable store or a change of leader while the job was open, then the dominant
-// wait. RanLong is left when none of them applies.
+// The reasons. If several apply, the first of these is reported: a lost worker, a failed
+// run, an unreachable store while the job was open, a change of leader while the job was
+// open, the dominant wait. RanLong means that none of them applies.
 const (
 	WorkerLost        Reason = "a worker with its work was lost"
 	RunFailed         Reason = "a run failed"
@@ -39,10 +39,10 @@
 	RanLong           Reason = "ran"
 )
 
-// A Cause counts the jobs of a queue that were not in time, with one outcome and for one
+// A Cause counts the jobs of a queue that were not in time and share an outcome and a
 // reason.
 type Cause struct {
-	Fate   Outcome
+	Fate   Outcome // named as in the JSON output of the losses command
 	Reason Reason
 	Jobs   int
 }
@@ -56,8 +56,8 @@
 	Causes []Cause
 }
 
-// minWaitShare is the share of a job's objective that a wait must exceed to be reported
-// as the reason.
+// minWaitShare is the fraction of a job's objective that a wait must exceed to be
+// reported as the reason.
 const minWaitShare = 0.2
 
 // A job holds what the logs say about one job.
@@ -78,7 +78,7 @@
 func Summarize(lines []logstory.Line) []Queue {
 	slices.SortStableFunc(lines, func(a, b logstory.Line) int { return a.Time.Compare(b.Time) })
 	jobs := map[string]*job{}
-	var leaders, outages []time.Time
+	var leaderChanges, outages []time.Time
 	for _, l := range lines {
 		switch l.Message {
 		case "job accepted":
@@ -88,24 +88,24 @@
 		case "job ended":
 			recordEnded(jobs, l)
 		case "this host leads":
-			leaders = append(leaders, l.Time)
+			leaderChanges = append(leaderChanges, l.Time)
 		case "store not reachable":
 			outages = append(outages, l.Time)
 		}
 	}
-	counts := map[string]*Queue{}
+	queues := map[string]*Queue{}
 	for _, j := range jobs {
-		q := counts[j.queue]
+		q := queues[j.queue]
 		if q == nil {
 			q = &Queue{
 				Name: j.queue,
 			}
-			counts[j.queue] = q
+			queues[j.queue] = q
 		}
-		q.add(j, leaders, outages)
+		q.add(j, leaderChanges, outages)
 	}
 	var out []Queue
-	for _, q := range counts {
+	for _, q := range queues {
 		slices.SortFunc(q.Causes, func(a, b Cause) int {
 			return cmp.Or(-cmp.Compare(a.Jobs, b.Jobs), strings.Compare(string(a.Fate), string(b.Fate)), strings.Compare(string(a.Reason), string(b.Reason)))
 		})
@@ -128,8 +128,8 @@
 	j.lastSeen = l.Time
 }
 
-// recordRefused records a refused submission. The client may retry it, so a job that
-// is known already keeps what was recorded of it.
+// recordRefused records a refused submission. Clients retry submissions, so a refusal
+// does not overwrite the record of a job that is already known.
 func recordRefused(jobs map[string]*job, l logstory.Line) {
 	path := l.Text("path")
 	i := strings.LastIndexByte(path, '/')
@@ -183,12 +183,12 @@
 }
 
 // reason returns why j was not in time. Recorded failures take precedence over long
-// waits, which may have another cause.
-func (j *job) reason(leaders, outages []time.Time) Reason {
+// waits because a wait may itself have another cause.
+func (j *job) reason(leaderChanges, outages []time.Time) Reason {
 	during := func(times []time.Time) bool {
 		return slices.ContainsFunc(times, func(t time.Time) bool { return !t.Before(j.firstSeen) && !t.After(j.lastSeen) })
 	}
-	long := time.Duration(minWaitShare * float64(j.objective))
+	minWait := time.Duration(minWaitShare * float64(j.objective))
 	switch {
 	case j.lostRuns > 0:
 		return WorkerLost
@@ -196,31 +196,31 @@
 		return RunFailed
 	case during(outages):
 		return StoreUnreachable
-	case during(leaders):
+	case during(leaderChanges):
 		return LeaderChanged
-	case j.quotaWait > long && j.quotaWait >= j.capacityWait+j.adviceWait:
+	case j.quotaWait > minWait && j.quotaWait >= j.capacityWait+j.adviceWait:
 		return WaitedForQuota
-	case j.adviceWait > long && j.adviceWait >= j.capacityWait:
+	case j.adviceWait > minWait && j.adviceWait >= j.capacityWait:
 		return WaitedForAdvice
-	case j.capacityWait > long:
+	case j.capacityWait > minWait:
 		return WaitedForCapacity
 	default:
 		return RanLong
 	}
 }
 
-func (q *Queue) add(j *job, leaders, outages []time.Time) {
+func (q *Queue) add(j *job, leaderChanges, outages []time.Time) {
 	q.Jobs++
-	f := j.outcome()
-	if f == InTime {
+	o := j.outcome()
+	if o == InTime {
 		q.InTime++
 		return
 	}
 	c := Cause{
-		Fate:   f,
-		Reason: j.reason(leaders, outages),
+		Fate:   o,
+		Reason: j.reason(leaderChanges, outages),
 	}
-	i := slices.IndexFunc(q.Causes, func(o Cause) bool { return o.Fate == c.Fate && o.Reason == c.Reason })
+	i := slices.IndexFunc(q.Causes, func(x Cause) bool { return x.Fate == c.Fate && x.Reason == c.Reason })
 	if i < 0 {
 		q.Causes = append(q.Causes, c)
 		i = len(q.Causes) - 1
--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -1,7 +1,8 @@
 // Package logstory extracts the history of one request, job, task, worker or host
-// from the saved logs of many processes: every line that mentions it, sorted by
-// time, together with the changes of leader, store and configuration around it. The
-// story of a request is that of its job.
+// from the saved logs of many processes. The history consists of the lines that mention
+// the id, sorted by time, and of the context lines around them, which report changes of
+// the leader, of connectivity and of the configuration. The history of a request is
+// that of its job.
 package logstory
 
 import (
@@ -24,12 +25,12 @@
 	Fields map[string]any
 }
 
-// maxLineBytes is the length of the longest line that [Read] accepts.
+// maxLineBytes is the maximum length of a line. [Read] fails on a longer one.
 const maxLineBytes = 1 << 20
 
 // Read parses the lines of a log. It ignores text before the JSON object of a line,
-// such as a log collector's timestamp, and returns the number of lines that it skipped
-// because they do not parse.
+// such as a log collector's timestamp. It skips lines that it cannot parse and returns
+// their number.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
@@ -90,8 +91,9 @@
 	return time.Duration(l.Number(key) * float64(time.Millisecond))
 }
 
-// contextMessages are the messages that [Story] adds as context: which host led, and
-// which services could be reached.
+// contextMessages are the messages of the context lines that [Story] adds: starts and
+// stops of hosts, changes of the leader, of connectivity and of the configuration, and
+// gaps in the log.
 var contextMessages = []string{
 	"host started", "host stops as planned", "host stopped", "this host leads", "this host no longer leads",
 	"jobs loaded", "leader changed", "leader's health changed", "store reachable", "store not reachable",
@@ -99,12 +101,13 @@
 	"configuration in force", "log lines left out",
 }
 
-// contextMargin is how far before the first and after the last line of a story
+// contextMargin extends the time span of a story, in both directions, within which
 // context lines are included.
 const contextMargin = 2 * time.Second
 
-// Story returns the lines that mention id, or the job of request id, and the context
-// lines around them, sorted by time. It returns nil if no line mentions id.
+// Story returns the lines that mention id and the context lines around them, sorted by
+// time. If id is a request, lines that mention its job are included. Story returns nil
+// if no line mentions id.
 func Story(lines []Line, id string) []Line {
 	ids := append(jobsOfRequest(lines, id), id)
 	var selected []Line
@@ -129,8 +132,8 @@
 	return selected
 }
 
-// jobsOfRequest returns the jobs that the lines of request id belong to. The line of a
-// refused request has no job field; its path ends in the job.
+// jobsOfRequest returns the ids of the jobs that the lines of request id refer to. The
+// line of a refused request has no job field, but its path ends with the job's id.
 func jobsOfRequest(lines []Line, id string) []string {
 	var jobs []string
 	for _, l := range lines {
@@ -150,8 +153,8 @@
 	return slices.ContainsFunc(ids, l.mentions)
 }
 
-// mentions reports whether l comes from host id or has a field that equals id, starts
-// with id and a dot (a task of job id), or ends in a slash and id (a path).
+// mentions reports whether l was logged by host id or has a field that equals id, starts
+// with id and a dot (a task of job id), or ends with a slash and id (a path).
 func (l *Line) mentions(id string) bool {
 	if l.Host == id {
 		return true
@@ -165,7 +168,7 @@
 	return false
 }
 
-// Write writes a story as text, one row per line, with times relative to the first
+// Write formats a story as text, one row per log line, with times relative to the first
 // line.
 func Write(w io.Writer, story []Line) error {
 	for _, l := range story {
--- a/logstory/logstory_test.go
+++ b/logstory/logstory_test.go
@@ -17,7 +17,7 @@
 {"host":"h2","msg":"this host leads","epoch":3,"time":"2026-01-01T00:00:01Z"}
 {"host":"h2","msg":"this host leads","epoch":2,"time":"2025-12-31T23:59:00Z"}
 {"host":"h1","msg":"request refused","path":"/q/a1","status":502,"time":"2026-01-01T00:00:01.9Z"}
-not a line of ours
+not a log line
 `
 
 func TestStoryHasLinesOfJobAndContext(t *testing.T) {
@@ -33,8 +33,8 @@
 	c.Assert(logstory.Story(lines, "none"), qt.HasLen, 0)
 }
 
-// A client knows the id of its request, not the job: the story of a request covers
-// its job, including the other attempts to submit it.
+// A client knows the id of its request but not that of the job. The story of a request
+// includes all lines of its job, also those of other requests that submitted the job.
 func TestStoryOfRequestCoversItsJob(t *testing.T) {
 	c := qt.New(t)
 	const log = `
