--- a/agent/client.go
+++ b/agent/client.go
@@ -16,10 +16,10 @@
 
 // ErrNotExecuted is returned when the agent certainly did not execute the
 // request: it rejected it, or no connection could be opened.
-var ErrNotExecuted = errors.New("agent: refused")
+var ErrNotExecuted = errors.New("agent: request not executed")
 
 // ErrUnknownOutcome is returned when the agent may have executed the request.
-var ErrUnknownOutcome = errors.New("agent: answer lost")
+var ErrUnknownOutcome = errors.New("agent: outcome unknown")
 
 // DefaultTimeout is the default of [Config.Timeout].
 const DefaultTimeout = time.Second
@@ -38,14 +38,14 @@
 	LeaseEnd int64 `json:"lease_end_ms"`
 }
 
-// A TaskAttempt identifies one start of a task.
+// A TaskAttempt identifies one attempt to run a task.
 type TaskAttempt struct {
 	Task    spoolsill.TaskID  `json:"task"`
 	Attempt spoolsill.Attempt `json:"attempt"`
 }
 
-// A RenewRequest extends the leases of Tasks to LeaseEnd. The agent also drops
-// the status of the tasks in Forget that have ended.
+// A RenewRequest extends the leases of Tasks to LeaseEnd. It also asks the agent
+// to drop the status of those tasks in Forget that have ended.
 type RenewRequest struct {
 	Epoch    spoolsill.Epoch `json:"epoch"`
 	LeaseEnd int64           `json:"lease_end_ms"`
@@ -66,7 +66,7 @@
 	Expired      State = "expired" // ended by the agent because its lease expired
 )
 
-// A Status is the status of one start of a task, as reported by the agent.
+// A Status is the status of one attempt of a task, as reported by the agent.
 type Status struct {
 	TaskAttempt
 	State State               `json:"state"`
@@ -89,7 +89,7 @@
 	Verb Verb `json:"verb"`
 }
 
-// A Config describes a [Client].
+// A Config configures a [Client].
 type Config struct {
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -130,8 +130,8 @@
 	return c.call(ctx, address, "/v1/start", s, nil)
 }
 
-// Renew extends leases and returns the status of every task that is known to
-// the agent.
+// Renew extends leases and returns the status of every task that the agent
+// knows.
 func (c *Client) Renew(ctx context.Context, address string, r RenewRequest) ([]Status, error) {
 	var out []Status
 	err := c.call(ctx, address, "/v1/renew", r, &out)
@@ -181,11 +181,12 @@
 	return nil
 }
 
-// classifyError distinguishes a failed dial, after which the agent can't have
-// received the request, from other errors.
+// classifyError wraps err in [ErrNotExecuted] if the connection could not be
+// opened, since the agent cannot have received the request then, and otherwise in
+// [ErrUnknownOutcome].
 func classifyError(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
--- a/api/api.go
+++ b/api/api.go
@@ -14,8 +14,9 @@
 // A PlanRequest is the body of POST /v1/plans. Exactly one of Submit, Cancel and
 // Drain is set.
 type PlanRequest struct {
-	// Hall is the hall to plan for. If it is empty, the hall named in the job
-	// file is used, or else the hall of the host that receives the request.
+	// Hall is the hall to plan for. If it is empty, the plan is for the hall named
+	// in the job file or, without one, for the hall of the host that receives the
+	// request.
 	Hall spoolsill.HallID `json:"hall,omitempty"`
 	// Submit is the text of a job file. FileName is used in error messages.
 	Submit   string             `json:"submit,omitempty"`
@@ -36,7 +37,7 @@
 	Text string `json:"text"`
 }
 
-// An UnavailableHall names a hall that did not respond, and the error.
+// An UnavailableHall is a hall that did not respond, with the error.
 type UnavailableHall struct {
 	Hall spoolsill.HallID `json:"hall"`
 	Text string           `json:"text"`
--- a/api/client.go
+++ b/api/client.go
@@ -18,12 +18,12 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// DefaultTimeout is the timeout of each attempt of a [Client] at one host.
+// DefaultTimeout is the timeout of each HTTP request of a [Client].
 const DefaultTimeout = 10 * time.Second
 
 const maxResponseBytes = 256 << 20
 
-// A StatusError is a response with an error status.
+// A StatusError is an HTTP response with an error status.
 type StatusError struct {
 	Status int
 	Code   string
@@ -49,13 +49,13 @@
 }
 
 // Plan requests a plan of the changes that an intent would make.
-func (c *Client) Plan(ctx context.Context, i PlanRequest) (holder.Plan, error) {
+func (c *Client) Plan(ctx context.Context, r PlanRequest) (holder.Plan, error) {
 	var p holder.Plan
-	return p, c.do(ctx, http.MethodPost, "/v1/plans", i, &p)
+	return p, c.do(ctx, http.MethodPost, "/v1/plans", r, &p)
 }
 
-// Confirm applies a plan of a hall. It is safe to call again if the response
-// was lost.
+// Confirm applies a plan of a hall. The call can be repeated if its response was
+// lost.
 func (c *Client) Confirm(ctx context.Context, h spoolsill.HallID, id spoolsill.PlanID) error {
 	path := "/v1/plans/" + url.PathEscape(string(id)) + "/confirm?hall=" + url.QueryEscape(string(h))
 	return c.do(ctx, http.MethodPost, path, nil, nil)
@@ -85,7 +85,7 @@
 	return out, c.do(ctx, http.MethodGet, "/v1/hosts", nil, &out)
 }
 
-// Config returns the configuration in force on the host that responds.
+// Config returns the configuration that is in force on the host that responds.
 func (c *Client) Config(ctx context.Context) (ConfigRevision, error) {
 	var out ConfigRevision
 	return out, c.do(ctx, http.MethodGet, "/v1/config", nil, &out)
@@ -148,8 +148,8 @@
 	var err error
 	for _, h := range c.Hosts {
 		err = c.doOnce(ctx, method, "http://"+h+path, body, result)
-		var op *net.OpError
-		if errors.As(err, &op) && op.Op == "dial" {
+		var opErr *net.OpError
+		if errors.As(err, &opErr) && opErr.Op == "dial" {
 			continue
 		}
 		return err
--- a/config/document.go
+++ b/config/document.go
@@ -16,7 +16,7 @@
 
 // Limits of a document. MaxRate is in requests per second.
 const (
-	MaxDocumentBytes = 1 << 20 // bytes
+	MaxDocumentBytes = 1 << 20
 	MaxTeams         = 2000
 	MaxRate          = 1_000_000
 	MaxWeight        = 1000
@@ -24,12 +24,12 @@
 
 // A Document is the configuration of the cell.
 type Document struct {
-	// Teams lists the quotas of teams, each for the whole cell.
+	// Teams lists the quotas of teams. A quota applies to the whole cell.
 	Teams []Team `toml:"team"`
 	// Callers lists the rate limits of callers.
 	Callers []Caller `toml:"caller"`
-	// DefaultCallerRate is the rate limit, in requests per second, of a caller
-	// that is not listed; 0 means no limit.
+	// DefaultCallerRate is the rate limit, in requests per second, of callers
+	// that are not listed; 0 means no limit.
 	DefaultCallerRate int `toml:"caller_rate_per_second"`
 	// Drained lists the ids of workers and runners that get no new work.
 	Drained []string `toml:"drained"`
@@ -71,7 +71,7 @@
 	if err != nil {
 		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, DescribeTOMLError(err))
 	}
-	if problems := d.check(); len(problems) > 0 {
+	if problems := d.validate(); len(problems) > 0 {
 		return Document{}, fmt.Errorf("%w: %s", ErrInvalidDocument, strings.Join(problems, "; "))
 	}
 	return d, nil
@@ -97,8 +97,8 @@
 	return err.Error()
 }
 
-// check returns a description of every invalid field.
-func (d Document) check() []string {
+// validate returns a description of every invalid field.
+func (d Document) validate() []string {
 	var problems []string
 	require := func(ok bool, format string, args ...any) {
 		if !ok {
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -23,8 +23,8 @@
 	Drain  spoolsill.WorkerID `msgpack:"d,omitempty"`
 }
 
-// Validate returns an error that wraps [ErrInvalidIntent] if i is invalid. It
-// lists every invalid field of a job.
+// Validate returns an error that wraps [ErrInvalidIntent] if i is invalid. For a
+// job, the error lists every invalid field.
 func (i Intent) Validate() error {
 	n := 0
 	if i.Submit != nil {
--- a/intent/plancache.go
+++ b/intent/plancache.go
@@ -14,16 +14,17 @@
 	DefaultMaxPlans = 1000
 )
 
-// A Config describes a [PlanCache].
+// A Config configures a [PlanCache].
 type Config struct {
-	// Life is the time within which a plan can be confirmed.
+	// Life is the time within which a plan can be confirmed; 0 means DefaultTTL.
 	Life time.Duration
-	// Plans is the maximum number of cached plans; the oldest is evicted first.
+	// Plans is the maximum number of cached plans; 0 means DefaultMaxPlans. The
+	// oldest plan is evicted first.
 	Plans int
 }
 
-// A PlanCache holds plans until they are evicted. It is not safe for concurrent
-// use.
+// A PlanCache holds plans until they are evicted; plans that have expired stay in
+// it until then. It is not safe for concurrent use.
 type PlanCache struct {
 	config Config
 	plans  map[spoolsill.PlanID]cachedPlan
@@ -35,7 +36,7 @@
 	expires time.Time
 }
 
-// NewPlanCache returns an empty cache. Zero fields of c get their defaults.
+// NewPlanCache returns an empty cache.
 func NewPlanCache(c Config) *PlanCache {
 	if c.Life == 0 {
 		c.Life = DefaultTTL
@@ -50,34 +51,34 @@
 }
 
 // Add stores a plan and returns the time at which it expires.
-func (b *PlanCache) Add(now time.Time, id spoolsill.PlanID, p place.Plan) time.Time {
-	for len(b.order) >= b.config.Plans {
-		delete(b.plans, b.order[0])
-		b.order = b.order[1:]
+func (c *PlanCache) Add(now time.Time, id spoolsill.PlanID, p place.Plan) time.Time {
+	for len(c.order) >= c.config.Plans {
+		delete(c.plans, c.order[0])
+		c.order = c.order[1:]
 	}
-	end := now.Add(b.config.Life)
-	b.plans[id] = cachedPlan{
+	expiry := now.Add(c.config.Life)
+	c.plans[id] = cachedPlan{
 		plan:    p,
-		expires: end,
+		expires: expiry,
 	}
-	b.order = append(b.order, id)
-	return end
+	c.order = append(c.order, id)
+	return expiry
 }
 
 // Get returns the plan with an id. It returns a [*place.StaleError] if the plan
 // is not in the cache or has expired. The plan stays in the cache, so that a
 // confirmation can be repeated.
-func (b *PlanCache) Get(now time.Time, id spoolsill.PlanID) (place.Plan, error) {
-	k, ok := b.plans[id]
+func (c *PlanCache) Get(now time.Time, id spoolsill.PlanID) (place.Plan, error) {
+	cached, ok := c.plans[id]
 	if !ok {
 		return place.Plan{}, &place.StaleError{
 			Text: fmt.Sprintf("plan %s is not known here: it is too old, or the hall's holder has changed", id),
 		}
 	}
-	if now.After(k.expires) {
+	if now.After(cached.expires) {
 		return place.Plan{}, &place.StaleError{
-			Text: fmt.Sprintf("plan %s has expired at %s", id, k.expires.UTC().Format(time.RFC3339)),
+			Text: fmt.Sprintf("plan %s has expired at %s", id, cached.expires.UTC().Format(time.RFC3339)),
 		}
 	}
-	return k.plan, nil
+	return cached.plan, nil
 }
--- a/jobfile/jobfile.go
+++ b/jobfile/jobfile.go
@@ -27,8 +27,8 @@
 // A File is the content of a job file.
 type File struct {
 	Job spoolsill.Job
-	// Hall is the hall in which the job is to run. If it is empty, the caller
-	// of Parse chooses the hall.
+	// Hall is the hall in which the job is to run. It is empty if the file does
+	// not specify one.
 	Hall spoolsill.HallID
 }
 
@@ -176,9 +176,9 @@
 	"TiB": spoolsill.GiB << 10,
 }
 
-const maxMemoryBytes = 1 << 50 // bytes
+const maxMemoryBytes = 1 << 50
 
-// ParseMemory parses a memory size such as "512MiB" or "4GiB".
+// ParseMemory parses a memory size such as "512MiB" or "4GiB". A unit is required.
 func ParseMemory(s string) (spoolsill.Bytes, bool) {
 	m := memoryPattern.FindStringSubmatch(s)
 	if m == nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -19,7 +19,7 @@
 // MaxFileBytes is the maximum size of a settings file.
 const MaxFileBytes = 1 << 20
 
-// An Error describes the first problem of a settings file.
+// An Error describes the first problem found in a settings file.
 type Error struct {
 	File string
 	Line int // 0 if unknown
@@ -29,14 +29,14 @@
 
 // Error implements error.
 func (e *Error) Error() string {
-	at := e.File
+	location := e.File
 	if e.Line > 0 {
-		at = fmt.Sprintf("%s:%d", e.File, e.Line)
+		location = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Key == "" {
-		return fmt.Sprintf("%s: %s", at, e.Text)
+		return fmt.Sprintf("%s: %s", location, e.Text)
 	}
-	return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Text)
+	return fmt.Sprintf("%s: %s: %s", location, e.Key, e.Text)
 }
 
 // A Duration is a time.Duration with a text encoding such as "1.5s".
@@ -69,15 +69,15 @@
 
 // A Host has the settings of the process itself.
 type Host struct {
-	// ID is the id of one of the hosts listed under hall. All hosts of a
-	// deployment can share one file that omits it; the id then comes from the
-	// command line.
+	// ID is the id of one of the hosts listed under hall. A file that is shared
+	// by all hosts of a deployment can omit it; it is then passed on the command
+	// line.
 	ID spoolsill.HostID `toml:"id"`
 	// HTTPAddress and PeerAddress are copied from the host's entry under hall.
 	HTTPAddress string `toml:"-"`
 	PeerAddress string `toml:"-"`
-	// DrainDelay is the time for which a stopping host still accepts requests
-	// after it reports that it is not ready, so that the load balancer notices.
+	// DrainDelay is how long a stopping host still accepts requests after it
+	// reports that it is not ready, so that the load balancer can react.
 	DrainDelay Duration `toml:"drain_delay"`
 	// StopTimeout is the maximum duration of a graceful shutdown.
 	StopTimeout Duration `toml:"stop_within"`
@@ -87,8 +87,8 @@
 type Platform struct {
 	URL     string   `toml:"url"`
 	Timeout Duration `toml:"timeout"`
-	// ReadsPerSecond and WritesPerSecond are this host's share of the cell's
-	// budget of calls.
+	// ReadsPerSecond and WritesPerSecond limit this host's calls to its share of
+	// the cell's budget.
 	ReadsPerSecond  int `toml:"reads_per_second"`
 	WritesPerSecond int `toml:"writes_per_second"`
 }
@@ -100,22 +100,23 @@
 	Hosts  []HallHost       `toml:"host"`
 }
 
-// A HallHost lists one entry host of a hall: its address for other entry hosts
-// and its address for callers and operators, each an IP address and port.
+// A HallHost describes one entry host of a hall. PeerAddress serves other entry
+// hosts, HTTPAddress serves callers and operators; each is an IP address and port.
 type HallHost struct {
 	ID          spoolsill.HostID `toml:"id"`
 	PeerAddress string           `toml:"peer"`
 	HTTPAddress string           `toml:"http"`
 }
 
-// A Service has the settings of one service that callers send requests to.
+// A Service has the settings of one service, to which callers send requests.
 type Service struct {
 	ID spoolsill.ServiceID `toml:"id"`
-	// Slots is the number of concurrent requests of a runner and Connections
-	// its number of connections, each summed over all entry hosts.
+	// Slots is the maximum number of concurrent requests of a runner and
+	// Connections its maximum number of connections, each in total over all
+	// entry hosts.
 	Slots       int `toml:"slots"`
 	Connections int `toml:"connections"`
-	// SlotLifetime is the maximum time for which a request occupies a slot.
+	// SlotLifetime is the maximum time that a request occupies a slot.
 	SlotLifetime Duration `toml:"slot_lifetime"`
 	// MaxBodyBytes and MaxAnswerBytes limit the bodies of requests and responses.
 	MaxBodyBytes   int64 `toml:"max_body_bytes"`
@@ -169,8 +170,8 @@
 	return Parse(file, b, id)
 }
 
-// Parse is like [Load] for the text of a settings file. The name of the file is
-// only used in errors.
+// Parse is like [Load] but takes the text of the file. The name of the file is only
+// used in errors.
 func Parse(file string, text []byte, id spoolsill.HostID) (Settings, error) {
 	if len(text) > MaxFileBytes {
 		return Settings{}, &Error{
--- a/table/remote/breaker.go
+++ b/table/remote/breaker.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of [CircuitBreaker], and the limit of its open duration.
+// Defaults of [CircuitBreaker] and the upper limit of its open duration.
 const (
 	DefaultFailureThreshold = 4
 	DefaultOpenDuration     = 250 * time.Millisecond
@@ -16,10 +16,12 @@
 // consecutive failures. It then admits a single trial call, whose success
 // closes it. It is safe for concurrent use; the zero value is ready to use.
 type CircuitBreaker struct {
-	// Trip is the number of consecutive failures that opens the breaker.
+	// Trip is the number of consecutive failures that opens the breaker; 0 means
+	// DefaultFailureThreshold.
 	Trip int
-	// Rest is how long the breaker stays open the first time. The time doubles
-	// with each further failure, up to one second.
+	// Rest is how long the breaker stays open the first time; 0 means
+	// DefaultOpenDuration. The time doubles with each further failure, up to one
+	// second.
 	Rest time.Duration
 
 	mu               sync.Mutex
@@ -44,12 +46,12 @@
 	return true
 }
 
-// RecordResult records whether an allowed call was answered.
-func (b *CircuitBreaker) RecordResult(now time.Time, answered bool) {
+// RecordResult records whether an allowed call succeeded.
+func (b *CircuitBreaker) RecordResult(now time.Time, success bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.probing = false
-	if answered {
+	if success {
 		b.failures = 0
 		b.consecutiveOpens = 0
 		b.openUntil = time.Time{}
--- a/table/remote/client.go
+++ b/table/remote/client.go
@@ -23,22 +23,23 @@
 // Defaults of [Config], and the maximum size of a response.
 const (
 	DefaultTimeout   = time.Second
-	DefaultReads     = 40 // a second
-	DefaultWrites    = 20 // a second
+	DefaultReads     = 40 // calls per second
+	DefaultWrites    = 20 // calls per second
 	maxResponseBytes = 64 << 20
 )
 
 // ErrNotFound is returned for an object that does not exist.
 var ErrNotFound = errors.New("remote: not found")
 
-// A Config describes a [Client].
+// A Config configures a [Client].
 type Config struct {
 	// URL is the base URL of the platform, such as "http://127.0.0.1:6000".
 	URL string
-	// Timeout is the timeout of each call. Writes of objects have ten times as
-	// long.
+	// Timeout is the timeout of each call; 0 means DefaultTimeout. PutObject has
+	// ten times this timeout.
 	Timeout time.Duration
-	// Reads and Writes limit the calls per second of this process.
+	// Reads and Writes limit the calls per second of this process; 0 means
+	// DefaultReads and DefaultWrites.
 	Reads  int
 	Writes int
 	// Dial opens connections; nil means TCP.
@@ -93,7 +94,7 @@
 	c.http.CloseIdleConnections()
 }
 
-// Silent reports whether the circuit breaker is open after recent calls to the
+// Silent reports whether the circuit breaker is open because recent calls to the
 // platform failed.
 func (c *Client) Silent() bool {
 	return c.breaker.Open()
@@ -232,7 +233,7 @@
 // if the read budget is exhausted.
 func (c *Client) read(ctx context.Context, path string, result any) error {
 	if !c.reads.Allow() {
-		return fmt.Errorf("%w: read budget is used up", table.ErrUnavailable)
+		return fmt.Errorf("%w: read budget exhausted", table.ErrUnavailable)
 	}
 	v, err, _ := c.inflight.Do(path, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Timeout)
@@ -264,7 +265,7 @@
 // [ErrNotFound] does not count as a failure.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, result any) error {
 	if !c.breaker.Allow(time.Now()) {
-		return fmt.Errorf("%w: breaker is open", table.ErrUnavailable)
+		return fmt.Errorf("%w: circuit breaker is open", table.ErrUnavailable)
 	}
 	b, err := c.call(ctx, method, path, body)
 	c.breaker.RecordResult(time.Now(), err == nil || errors.Is(err, ErrNotFound))
@@ -296,8 +297,9 @@
 	return b, statusError(response.StatusCode, b)
 }
 
-// statusError distinguishes statuses with which the platform rejects a call from
-// those after which it may have taken effect.
+// statusError returns the error for an HTTP status: nil for success, [ErrNotFound] for
+// status 404, [table.ErrUnavailable] if the platform rejected the call, and
+// [table.ErrUnknownOutcome] if the call may have taken effect.
 func statusError(status int, body []byte) error {
 	switch {
 	case status < 300:
@@ -311,11 +313,12 @@
 	}
 }
 
-// classifyError distinguishes a failed dial, after which the call can't have taken
-// effect, from other errors.
+// classifyError wraps err in [table.ErrUnavailable] if the connection could not be
+// opened, since the call cannot have taken effect then, and otherwise in
+// [table.ErrUnknownOutcome].
 func classifyError(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return fmt.Errorf("%w: %w", table.ErrUnavailable, err)
 	}
 	return fmt.Errorf("%w: %w", table.ErrUnknownOutcome, err)
--- a/table/table.go
+++ b/table/table.go
@@ -1,19 +1,19 @@
 // Package table defines the data types of the platform's transactional table:
 // rows with versions, and atomic transactions.
 //
-// The package does no I/O. Its users declare the calls that they need as a small
-// interface over these types; package remote implements the calls.
+// The package does no I/O. Packages that use the table declare small interfaces
+// with the calls that they need; package remote implements them.
 package table
 
 import "errors"
 
 // ErrUnavailable is returned when the table did not accept a call. The call
 // certainly had no effect.
-var ErrUnavailable = errors.New("table: down")
+var ErrUnavailable = errors.New("table: unavailable")
 
 // ErrUnknownOutcome is returned when the response to a call was lost. The call
 // may have taken effect.
-var ErrUnknownOutcome = errors.New("table: answer lost")
+var ErrUnknownOutcome = errors.New("table: outcome unknown")
 
 // A Row is a key with its value. Version is 1 when the row is created and
 // increases by one with each write.
@@ -44,7 +44,8 @@
 }
 
 // A Result is the result of a transaction. If the transaction was not applied,
-// Conflicts has the current rows whose conditions did not hold.
+// Conflicts has the current row of each condition that did not hold; its version
+// is 0 if there is no such row.
 type Result struct {
 	Applied   bool
 	Conflicts []Row
