--- a/entry/host.go
+++ b/entry/host.go
@@ -365,7 +365,7 @@
 // PlatformUnresponsive reports whether the platform has not answered recent
 // calls.
 func (h *Host) PlatformUnresponsive() bool {
-	return h.platform.Silent()
+	return h.platform.Unavailable()
 }
 
 // CheckInvariants verifies the invariants of the hall's state. It fails with
--- a/entry/status.go
+++ b/entry/status.go
@@ -34,7 +34,7 @@
 		HTTPAddress: h.settings.Host.HTTPAddress,
 		Started:     h.started,
 		Stopping:    h.stopping.Load(),
-		Degraded:    h.platform.Silent(),
+		Degraded:    h.platform.Unavailable(),
 		LeaseHolder: x,
 		Epoch:       epoch,
 		HoldsLease:  h.holder.Holds(),
--- a/holder/commit.go
+++ b/holder/commit.go
@@ -32,7 +32,7 @@
 // table. While the table is unavailable and the host holds the lease, it also
 // copies them to the other hosts.
 func (t *tenure) advanceJournal() {
-	unavailable := t.h.config.Table.Silent()
+	unavailable := t.h.config.Table.Unavailable()
 	holds := t.holdsLease()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/holder/config.go
+++ b/holder/config.go
@@ -41,8 +41,8 @@
 	Commit(ctx context.Context, t table.Txn) (table.Result, error)
 	Get(ctx context.Context, key string) (table.Row, error)
 	List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error)
-	// Silent reports whether the table is currently not responding.
-	Silent() bool
+	// Unavailable reports whether the table is currently not responding.
+	Unavailable() bool
 }
 
 // Objects is the part of the platform's object store that a [Holder] uses.
--- a/holder/drain.go
+++ b/holder/drain.go
@@ -32,7 +32,7 @@
 			return
 		}
 		// While the table responds, the tenure writes the entries itself.
-		writes := h.Holds() && !h.config.Table.Silent()
+		writes := h.Holds() && !h.config.Table.Unavailable()
 		if !writes && h.handOver(ctx, list) {
 			return
 		}
--- a/table/remote/client.go
+++ b/table/remote/client.go
@@ -94,9 +94,9 @@
 	c.http.CloseIdleConnections()
 }
 
-// Silent reports whether the circuit breaker is open because recent calls to the
-// platform failed.
-func (c *Client) Silent() bool {
+// Unavailable reports whether the circuit breaker is open because recent calls to
+// the platform failed.
+func (c *Client) Unavailable() bool {
 	return c.breaker.Open()
 }
 
