--- a/sched/incarnations.go
+++ b/sched/incarnations.go
@@ -24,8 +24,8 @@
 
 func (w *worker) incarnation() spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
-		Worker: w.id,
-		Born:   w.startTime,
+		Worker:    w.id,
+		StartTime: w.startTime,
 	}
 }
 
@@ -34,7 +34,7 @@
 // report no start times give each incarnation its own id.
 func (s *State) workerOf(l spoolsill.WorkerIncarnation) *worker {
 	w := s.workers[l.Worker]
-	if w == nil || !w.incarnation().Matches(l.Born) {
+	if w == nil || !w.incarnation().Matches(l.StartTime) {
 		return nil
 	}
 	return w
@@ -47,18 +47,18 @@
 func (s *State) observeIncarnation(l spoolsill.WorkerIncarnation, source string) *worker {
 	w := s.worker(l.Worker)
 	switch {
-	case l.Born == 0 || l.Born == w.startTime:
+	case l.StartTime == 0 || l.StartTime == w.startTime:
 		return w
-	case slices.Contains(w.former, l.Born):
+	case slices.Contains(w.former, l.StartTime):
 		return nil
 	case w.startTime == 0 && !w.dead:
-		w.startTime = l.Born
+		w.startTime = l.StartTime
 		w.renewedUntil = w.answeredAt // renewals start over with the new incarnation
 		return w
 	default:
 		// This applies even if the former incarnation is known to have ended: otherwise the
 		// capacity of a worker that reuses its id would be lost to the cell.
-		return s.beginNextIncarnation(w, l.Born, source)
+		return s.beginNextIncarnation(w, l.StartTime, source)
 	}
 }
 
@@ -104,7 +104,7 @@
 	s.note(Note{
 		Kind:   NoteWorkerRestarted,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s is of an incarnation started at %d; the one started at %d %s, with %d runs, %d of them in doubt, and ends received up to %d",
+		Reason: fmt.Sprintf("%s is from the incarnation started at %d; the incarnation started at %d %s; it had %d runs, %d of them in doubt, and the last end received from it is number %d",
 			source, w.startTime, old.startTime, ended, len(old.runs), old.uncertainRuns(), old.lastEndSeen),
 		Age: s.now.Sub(old.answeredAt),
 	})
@@ -184,17 +184,17 @@
 	}
 }
 
-// noteUncounted logs an end that is ignored as a duplicate although its run is still counted at
-// the worker.
-func (s *State) noteUncounted(w *worker, e End) {
+// noteEndNotCounted logs an end that is ignored as a duplicate although its run is still
+// counted at the worker.
+func (s *State) noteEndNotCounted(w *worker, e End) {
 	if w.runs[e.Run] == nil {
 		return
 	}
 	s.note(Note{
-		Kind:   NoteUncounted,
+		Kind:   NoteEndNotCounted,
 		Job:    e.Run.Task.Stage.Job,
 		Run:    e.Run,
 		Worker: w.id,
-		Reason: fmt.Sprintf("%s, sequence %d, from a worker whose ends are received up to %d", e.Kind, e.Sequence, w.lastEndSeen),
+		Reason: fmt.Sprintf("%s, number %d, although the last end received from the worker is number %d", e.Kind, e.Sequence, w.lastEndSeen),
 	})
 }
