--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -15,14 +15,17 @@
 // A Config describes a [Ledger].
 type Config struct {
 	// Started is the start time of the process. Keys created before it may
-	// have been claimed without this ledger knowing.
+	// have been claimed from the previous process of the host, whose ledger
+	// is lost.
 	Started time.Time
-	// Keep is how long a claim is retained. Claims of older keys are refused.
+	// Keep is how long a claim is retained. Keys created longer ago cannot be
+	// claimed.
 	Keep time.Duration
-	// MaxEntries is the maximum number of retained claims. Further claims are
-	// refused.
+	// MaxEntries is the maximum number of retained claims. While it is reached,
+	// new claims get the verdict [Full].
 	MaxEntries int
-	// Skew is the maximum clock error of a caller or another host.
+	// Skew is the maximum clock error of a caller or another host that is
+	// tolerated.
 	Skew time.Duration
 }
 
@@ -65,13 +68,14 @@
 	Full
 )
 
+// An entry is a retained claim.
 type entry struct {
 	owner     Owner
 	claimedAt time.Time
 	result    Result
-	// uncertain is set if the key was created before this process started. The
-	// previous process of this host may have granted it, whatever the result
-	// of the current claim is.
+	// uncertain is set if the key may have been created before this process
+	// started. The previous process of the host may have granted it, so it
+	// remains set when the key passes to another owner.
 	uncertain bool
 }
 
@@ -88,7 +92,7 @@
 type Ledger struct {
 	config  Config
 	entries map[spoolsill.RequestKey]*entry
-	queue   []spoolsill.RequestKey // oldest first
+	queue   []spoolsill.RequestKey // the keys of entries, oldest claim first
 }
 
 // NewLedger returns an empty ledger.
@@ -143,6 +147,7 @@
 	return Taken, e.result
 }
 
+// add adds an entry for a key that has none.
 func (l *Ledger) add(now time.Time, c Claim) *entry {
 	e := &entry{
 		owner:     c.Owner,
@@ -172,8 +177,8 @@
 	return len(l.entries)
 }
 
-// expire removes claims whose keys are too old to be claimed again, allowing
-// for clock skew.
+// expire removes the claims that are older than Keep, plus the tolerated clock
+// error. Their keys are too old to be claimed again.
 func (l *Ledger) expire(now time.Time) {
 	for len(l.queue) > 0 {
 		k := l.queue[0]
--- a/claim/rapid_test.go
+++ b/claim/rapid_test.go
@@ -13,9 +13,9 @@
 	"github.com/spoolsill/spoolsill/internal/seed"
 )
 
-// A hallModel is a model of a home hall: the ledgers of its hosts, and several
-// dispatchers that claim a small set of keys repeatedly, with host restarts,
-// lost messages and an intermittently unavailable table.
+// A hallModel is a model of a home hall: the ledgers of its hosts, and
+// dispatchers that concurrently claim a small set of keys. Hosts restart,
+// messages are lost and the table is temporarily unavailable.
 type hallModel struct {
 	now         time.Time
 	hosts       []*claim.Ledger
@@ -25,16 +25,15 @@
 	runs        map[spoolsill.RequestKey]int
 	nonce       uint64
 	pending     []*pendingClaim
-	forgetStart bool // restarted hosts do not know their start time
+	forgetStart bool // the ledgers of restarted hosts get no start time
 }
 
-// A pendingClaim is a claim in progress: one dispatcher queries the hosts in
-// order.
+// A pendingClaim is a claim whose dispatcher is querying the hosts in order.
 type pendingClaim struct {
 	claim  claim.Claim
 	tally  claim.Tally
-	next   int
-	hasRow bool
+	next   int  // index of the next host to query
+	hasRow bool // the claim's row is in the table
 }
 
 func newHallModel(n int) *hallModel {
@@ -92,6 +91,8 @@
 	h.concludeClaim(t, c)
 }
 
+// queryHost sends a claim to the next host. Either the claim or the host's
+// response may be lost.
 func (h *hallModel) queryHost(t *rapid.T, c *pendingClaim) {
 	l := h.hosts[c.next]
 	c.next++
@@ -132,6 +133,7 @@
 	}
 }
 
+// run runs a request. It fails the test if one with the same key has run before.
 func (h *hallModel) run(t *rapid.T, c *pendingClaim) {
 	h.runs[c.claim.Key]++
 	if h.runs[c.claim.Key] > 1 {
@@ -158,9 +160,11 @@
 	}
 }
 
+// recordResult sends the result of a claim to all hosts. Any of the messages may
+// be lost.
 func (h *hallModel) recordResult(t *rapid.T, c *pendingClaim, o spoolsill.Outcome) {
 	for _, l := range h.hosts {
-		if rapid.IntRange(0, 2).Draw(t, "settle lost") == 0 {
+		if rapid.IntRange(0, 2).Draw(t, "result lost") == 0 {
 			continue
 		}
 		l.RecordResult(c.claim.Key, c.claim.Owner, claim.Result{
@@ -184,6 +188,7 @@
 	h.now = h.now.Add(time.Second)
 }
 
+// atMostOnce returns the property that no key is dispatched twice.
 func atMostOnce(forgetStart bool) func(*rapid.T) {
 	return func(t *rapid.T) {
 		h := newHallModel(rapid.IntRange(1, 3).Draw(t, "hosts"))
@@ -204,7 +209,7 @@
 }
 
 // TestAtMostOnceFailsIfHostsForgetTheirStart lets restarted hosts grant keys
-// that were created before the restart. The property must then fail.
+// that were created before the restart. The property must then be violated.
 func TestAtMostOnceFailsIfHostsForgetTheirStart(t *testing.T) {
 	qt.Assert(t, seed.FindsFailure(t, atMostOnce(true)), qt.IsTrue)
 }
--- a/claim/tally.go
+++ b/claim/tally.go
@@ -34,7 +34,8 @@
 	decided   Decision
 }
 
-// Add counts one verdict and reports whether to query the next host.
+// Add counts the verdict of one host and reports whether the next host has to
+// be queried.
 func (t *Tally) Add(v Verdict) bool {
 	switch v {
 	case Granted:
@@ -49,12 +50,13 @@
 	return t.decided == 0
 }
 
-// Decide returns the decision. Hosts that could not be reached are not added.
+// Decide returns the decision. A host that could not be reached has no verdict.
 //
-// If all hosts grant a key, it has not been granted before, since any of them
-// would know. If at least one host grants it, it has not been granted by all
-// hosts, but possibly through the table. If no host grants it, but some answer
-// [Uncertain], either may have happened.
+// If all hosts grant a key, no other request with it has run, since at least one
+// of the hosts would know. If only some of them grant it, no other request was
+// granted the key by all hosts, but one may have run by decision of the table.
+// If no host grants the key, but some answer [Uncertain], either may have
+// happened.
 func (t *Tally) Decide() Decision {
 	switch {
 	case t.decided != 0:
--- a/entry/api.go
+++ b/entry/api.go
@@ -28,7 +28,7 @@
 // request.
 const maxOperatorBody = 4 << 20
 
-// handler returns the handler of the host's HTTP interface.
+// handler returns the handler of the host's HTTP API.
 func (h *Host) handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/healthz", h.getHealth)
@@ -57,6 +57,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// writeError writes an error response. If err was returned by another host, the
+// text is that of the original error, without the prefix added by package peer.
 func writeError(w http.ResponseWriter, err error) {
 	status, code := errorStatus(err)
 	text := err.Error()
@@ -70,6 +72,7 @@
 	})
 }
 
+// errorStatus returns the HTTP status and the error code for err.
 func errorStatus(err error) (int, string) {
 	var r *peer.RemoteError
 	if errors.As(err, &r) {
@@ -120,8 +123,8 @@
 	writeJSON(w, http.StatusOK, p)
 }
 
-// decodeIntent decodes an operator's intent and the hall that it applies to,
-// which is empty if none is named.
+// decodeIntent decodes an operator's intent and the hall that it applies to. The
+// hall is empty if neither the request nor the job file names one.
 func decodeIntent(b []byte) (spoolsill.HallID, intent.Intent, error) {
 	var x api.PlanRequest
 	if err := json.Unmarshal(b, &x); err != nil {
@@ -159,6 +162,8 @@
 	})
 }
 
+// requestedHall returns the hall named in the query, or the host's own hall if
+// none is.
 func (h *Host) requestedHall(q *http.Request) spoolsill.HallID {
 	if x := q.URL.Query().Get("hall"); x != "" {
 		return spoolsill.HallID(x)
@@ -178,8 +183,8 @@
 	return out
 }
 
-// callHolders calls the holders of the requested halls concurrently. Halls whose
-// call fails are returned as unavailable.
+// callHolders calls the holders of the requested halls concurrently. It returns
+// the replies by hall, and as unavailable the halls whose call failed.
 func callHolders[R any](h *Host, q *http.Request, o holderOp, body any) (map[spoolsill.HallID]R, []api.UnavailableHall) {
 	type result struct {
 		hall spoolsill.HallID
@@ -247,11 +252,11 @@
 		})
 		return
 	}
-	for _, m := range unavailable {
-		if !isJobNotFound(m) {
+	for _, u := range unavailable {
+		if !isJobNotFound(u) {
 			writeJSON(w, http.StatusServiceUnavailable, api.ErrorResponse{
 				Code: "unavailable",
-				Text: fmt.Sprintf("job %s is in no hall that answers; hall %s does not: %s", id, m.Hall, m.Text),
+				Text: fmt.Sprintf("job %s is in no hall that answers; hall %s does not: %s", id, u.Hall, u.Text),
 			})
 			return
 		}
@@ -262,8 +267,10 @@
 	})
 }
 
-func isJobNotFound(m api.UnavailableHall) bool {
-	return m.Text == (&peer.RemoteError{
+// isJobNotFound reports whether the call to a hall failed because the hall has no
+// such job. It compares the text of the error, since only that is retained.
+func isJobNotFound(u api.UnavailableHall) bool {
+	return u.Text == (&peer.RemoteError{
 		Code: codeJobNotFound,
 		Text: holder.ErrJobNotFound.Error(),
 	}).Error()
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -19,7 +19,7 @@
 // is tolerated.
 const maxClockSkew = 2 * time.Second
 
-// claimKeyPrefix is the prefix of the keys of claim rows.
+// claimKeyPrefix is the prefix of the row keys of claims.
 const claimKeyPrefix = "claim/"
 
 type claimReply struct {
@@ -55,12 +55,12 @@
 	claim       claim.Claim
 	home        settings.Hall
 	rowWritten  bool        // the claim row was written to the table
-	deleteTimer *time.Timer // deletes the row when the claim expires
+	deleteTimer *time.Timer // deletes the row, if written, after the claim expires
 }
 
 // homeHall returns the hall that keeps the claim of a key: the hall that the
-// key names, or else one chosen by rendezvous hashing, so that all hosts choose
-// the same one.
+// key names, or otherwise one chosen by rendezvous hashing, so that all hosts
+// choose the same one.
 func (h *Host) homeHall(k spoolsill.RequestKey) settings.Hall {
 	named := k.HomeHall()
 	var best settings.Hall
@@ -79,7 +79,8 @@
 }
 
 // claimKey claims the key of an unrepeatable request; see package claim. If the
-// key was used before, the last result is the outcome of the first request.
+// decision is [claim.KeyUsed], the result is that of the first request with the
+// key, if known.
 func (h *Host) claimKey(ctx context.Context, r spoolsill.Request) (claimedKey, claim.Decision, claim.Result) {
 	c := claimedKey{
 		home: h.homeHall(r.Key),
@@ -127,8 +128,8 @@
 	return callPeer[claimReply](ctx, h, x, methodClaim, q)
 }
 
-// claimInTable decides a claim that not every host of the home hall could grant
-// by a conditional write to the platform's table.
+// claimInTable decides a claim that only some hosts of the home hall have
+// granted, by a conditional write to the platform's table.
 func (h *Host) claimInTable(ctx context.Context, c *claimedKey) claim.Decision {
 	key := claimKeyPrefix + string(c.claim.Key)
 	value, err := msgpack.Marshal(&c.claim.Owner)
@@ -159,8 +160,8 @@
 }
 
 // readClaimRow reads a claim row after the reply to its write was lost. It
-// returns the row as a conflict, whose owner tells whether the write took
-// effect, and fails with [table.ErrUnavailable] if there is none.
+// returns the row as a conflict, whose owner shows whether the write was
+// applied. If there is no row, it fails with [table.ErrUnavailable].
 func (h *Host) readClaimRow(ctx context.Context, key string) (table.Result, error) {
 	row, err := h.platform.Get(ctx, key)
 	if err != nil {
@@ -174,6 +175,8 @@
 	}, nil
 }
 
+// ownsRows reports whether there are rows and all of them contain the owner of
+// claim c.
 func (h *Host) ownsRows(rows []table.Row, c claimedKey) bool {
 	for _, r := range rows {
 		var o claim.Owner
@@ -184,8 +187,8 @@
 	return len(rows) > 0
 }
 
-// scheduleRowDeletion deletes a claim row once hosts no longer keep the claim.
-// Stopping the timer that it returns cancels the deletion.
+// scheduleRowDeletion schedules the deletion of a claim row for when the hosts no
+// longer keep the claim. Stopping the returned timer cancels the deletion.
 func (h *Host) scheduleRowDeletion(key string) *time.Timer {
 	return time.AfterFunc(claim.DefaultKeep+2*maxClockSkew, func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
@@ -197,7 +200,7 @@
 }
 
 // releaseClaim releases the claim of a request that certainly did not run, so
-// that its caller can retry.
+// that the caller can retry it with the same key.
 func (h *Host) releaseClaim(ctx context.Context, c claimedKey) {
 	h.recordClaimResult(ctx, c, claim.Result{
 		Outcome: spoolsill.OutcomeNotRun,
@@ -217,7 +220,7 @@
 	})
 }
 
-// recordClaimResult sends the outcome of a claimed request to the hosts of the
+// recordClaimResult sends the result of a claimed request to all hosts of the
 // home hall.
 func (h *Host) recordClaimResult(ctx context.Context, c claimedKey, r claim.Result) {
 	if len(r.Body) > claim.MaxBody {
--- a/entry/config.go
+++ b/entry/config.go
@@ -15,15 +15,16 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// configPollInterval is the mean time between reads of the newest configuration
-// from the table.
+// configPollInterval is the mean interval between reads of the newest
+// configuration from the table.
 const configPollInterval = 2 * time.Second
 
-// errConfigStale is returned when another change was accepted first.
+// errConfigStale is returned when the version that a change is based on is not
+// the newest one.
 var errConfigStale = errors.New("the configuration has changed since: read it and try again")
 
-// pollConfig reads the newest configuration from the table and applies it until
-// ctx ends.
+// pollConfig periodically reads the newest configuration from the table and
+// applies it, until ctx is done.
 func (h *Host) pollConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		readAt := time.Now()
@@ -35,23 +36,24 @@
 	}
 }
 
-// applyConfigRow applies the configuration in row, the newest, and reports
-// whether it or a newer one is in force. No row counts as applied.
+// applyConfigRow applies the configuration in row, the row of the newest one, and
+// reports whether this or a newer configuration is in force. If the row does not
+// exist, there is nothing to apply and the result is true.
 func (h *Host) applyConfigRow(row table.Row) bool {
 	if row.Version == 0 {
 		return true
 	}
 	r, err := config.DecodeRevision(row.Value)
 	if err != nil {
-		h.recordFault("the newest configuration can't be read: " + err.Error())
+		h.recordFault("cannot decode the newest configuration: " + err.Error())
 		return false
 	}
 	h.applyConfig(r)
 	return h.ConfigVersion() >= r.Version
 }
 
-// recordConfigRead records the time of a read of the newest configuration from
-// the table.
+// recordConfigRead records that the newest configuration was read from the table
+// at time t, by this host or by another host of the hall.
 func (h *Host) recordConfigRead(t time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,21 +64,22 @@
 
 // configSynced reports whether the version in force is at least as new as every
 // version accepted before this host started: the table was read since then, by
-// this host or by another host of the hall. The caller holds h.mu.
+// this host or by another host of the hall. h.mu must be held.
 func (h *Host) configSynced() bool {
 	return h.configReadAt.After(h.started) && !h.configStore.Behind()
 }
 
-// SyncedConfigVersion returns the version of the configuration in force and
-// whether it is at least as new as every version accepted before the host
-// started.
+// SyncedConfigVersion returns the version of the configuration in force, and
+// whether it is known to be at least as new as every version accepted before the
+// host started.
 func (h *Host) SyncedConfigVersion() (spoolsill.Version, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.configStore.Current().Version, h.configSynced()
 }
 
-// applyConfig applies a revision if it is newer than the one in force.
+// applyConfig applies a revision if it is newer than the one in force. An invalid
+// revision is rejected and counted as a fault.
 func (h *Host) applyConfig(r config.Revision) {
 	h.mu.Lock()
 	applied, err := h.configStore.Apply(r)
@@ -99,8 +102,8 @@
 	h.updateRunners()
 }
 
-// fetchConfig fetches the configuration of another host of the hall and applies
-// it.
+// fetchConfig fetches the configuration in force on another host of the hall and
+// applies it.
 func (h *Host) fetchConfig(ctx context.Context, from spoolsill.HostID) {
 	r, err := callPeer[config.Revision](ctx, h, from, methodConfig, empty{})
 	if err == nil && r.Version > 0 {
@@ -149,6 +152,8 @@
 	return r.Version, nil
 }
 
+// headVersion returns the version of the configuration in the row of the newest
+// one, or 0 if the row does not exist.
 func headVersion(row table.Row) (spoolsill.Version, error) {
 	if row.Version == 0 {
 		return 0, nil
@@ -157,8 +162,8 @@
 	return r.Version, err
 }
 
-// resolveConfigWrite determines whether a write whose reply was lost took
-// effect. The nonce tells r from another revision of the same version.
+// resolveConfigWrite determines whether a write of r whose reply was lost was
+// applied. The nonce distinguishes r from another revision with the same version.
 func (h *Host) resolveConfigWrite(ctx context.Context, r config.Revision) (spoolsill.Version, error) {
 	row, err := h.platform.Get(ctx, config.VersionKey(r.Version))
 	if err != nil {
@@ -178,10 +183,10 @@
 	return r.Version, nil
 }
 
-// maxHistoryRevisions bounds the versions that the history lists.
+// maxHistoryRevisions bounds the number of revisions in the history.
 const maxHistoryRevisions = 100
 
-// configHistory returns the accepted versions, newest first.
+// configHistory returns the accepted revisions, newest first.
 func (h *Host) configHistory(ctx context.Context) ([]config.Revision, error) {
 	h.mu.Lock()
 	newest := h.configStore.Current().Version
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -24,13 +24,14 @@
 	"github.com/spoolsill/spoolsill/settings"
 )
 
-// newFleet starts a hall with one entry host over loopback sockets.
+// newFleet starts a hall with one entry host on loopback sockets.
 func newFleet(t testing.TB, b entry.Breaks, work time.Duration) (*standin.Cell, *fleet.Fleet) {
 	return newFleetIn(t, 1, b, work, false)
 }
 
-// newFleetIn starts a hall of entry hosts. They use an in-memory network if
-// memory is set, and loopback sockets otherwise.
+// newFleetIn starts a hall with the given number of entry hosts and waits until
+// they are ready. They use an in-memory network if memory is set, and loopback
+// sockets otherwise. Runners spend the duration work on each request.
 func newFleetIn(t testing.TB, hosts int, b entry.Breaks, work time.Duration, memory bool) (*standin.Cell, *fleet.Fleet) {
 	c := qt.New(t)
 	halls := []spoolsill.HallID{"vake"}
@@ -75,7 +76,7 @@
 	return cell, f
 }
 
-// A response is the response to one request.
+// A response is the HTTP response to one request.
 type response struct {
 	status int
 	head   http.Header
@@ -108,7 +109,7 @@
 }
 
 // completedAcrossStop sends n requests to a host, calls its Stop method once all
-// of them are running, and returns how many got the complete answer.
+// of them are running, and returns how many received the complete answer.
 func completedAcrossStop(t *testing.T, b entry.Breaks, n int) int {
 	cell, f := newFleet(t, b, 400*time.Millisecond)
 	var wg sync.WaitGroup
@@ -207,9 +208,9 @@
 	}
 }
 
-// A request that is repeated with the same key, also at another host, runs once
-// and gets the first answer. The key is issued seconds after the hosts started,
-// since hosts can't tell whether an older key was used before.
+// A request that is repeated with the same key, also at another host, must run
+// once and get the first answer. The key is created seconds after the hosts
+// started, since hosts cannot tell whether a key created earlier was used.
 func TestUnrepeatableRequestRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/entry/header.go
+++ b/entry/header.go
@@ -11,9 +11,9 @@
 	"github.com/spoolsill/spoolsill/upstream"
 )
 
-// Request headers. Times are durations such as "1.5s", so that they don't
-// depend on the clocks of callers, except for HeaderIssued, which is Unix time
-// in milliseconds.
+// Request headers. Times are durations such as "1.5s", so that they do not
+// depend on the clocks of callers. The exception is HeaderIssued, which is a Unix
+// time in milliseconds.
 const (
 	HeaderKey          = upstream.HeaderKey
 	HeaderCaller       = "Spoolsill-Caller"
@@ -76,7 +76,7 @@
 	r.Issued = p.issued(now)
 	if r.Unrepeatable {
 		p.require(r.Key != "", HeaderKey, "", "a key, since the request is unrepeatable")
-		p.require(head.Get(HeaderIssued) != "", HeaderIssued, "", "the time at which the key was made, since the request is unrepeatable")
+		p.require(head.Get(HeaderIssued) != "", HeaderIssued, "", "the time at which the key was created, since the request is unrepeatable")
 	}
 	if p.err != nil {
 		return spoolsill.Request{}, p.err
@@ -89,7 +89,7 @@
 	err  error
 }
 
-// require records an error if ok is false. The first error is kept.
+// require records an error if ok is false and none has been recorded before.
 func (p *headerParser) require(ok bool, header, value, allowed string) {
 	if ok || p.err != nil {
 		return
@@ -112,7 +112,8 @@
 	HeaderIssued:       true,
 }
 
-// checkNames rejects unknown and repeated headers with headerPrefix.
+// checkNames rejects unknown and repeated headers whose names start with
+// headerPrefix.
 func (p *headerParser) checkNames() {
 	for h, v := range p.head {
 		if !strings.HasPrefix(h, headerPrefix) {
@@ -165,9 +166,9 @@
 	return v == "true"
 }
 
-// issued parses the time at which the key was made, which defaults to now. It
-// rejects a time ahead of this host's clock by more than maxClockSkew: it would
-// hide that the key was made before this host started.
+// issued parses the time at which the key was created, which defaults to now. It
+// rejects a time that is ahead of this host's clock by maxClockSkew or more, since
+// such a time could hide that the key was created before this host started.
 func (p *headerParser) issued(now time.Time) time.Time {
 	v := p.head.Get(HeaderIssued)
 	if v == "" {
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -14,29 +14,32 @@
 // Timing of the heartbeats between the hosts of a hall.
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	heartbeatTimeout  = 1500 * time.Millisecond // a host not heard from for this long is unresponsive
+	// heartbeatTimeout is how long after its last heartbeat or reply a host counts
+	// as responsive.
+	heartbeatTimeout = 1500 * time.Millisecond
 )
 
-// peerState is what this host knows of another host of its hall from
-// heartbeats and the replies to them.
+// A peerState is what this host knows about another host of its hall from its
+// heartbeats and its replies to heartbeats.
 type peerState struct {
 	lastHeard    time.Time
-	incarnation  spoolsill.Incarnation
-	version      spoolsill.Version
+	incarnation  spoolsill.Incarnation // 0 until a heartbeat has arrived
+	version      spoolsill.Version     // of the configuration in force
 	unresponsive bool
 }
 
+// A heartbeat is both the message and the reply to it.
 type heartbeat struct {
-	Version  spoolsill.Version `msgpack:"v"`
-	Leaving  []string          `msgpack:"l"`
+	Version  spoolsill.Version `msgpack:"v"` // of the configuration in force
+	Leaving  []string          `msgpack:"l"` // ids of the machines known to be leaving
 	Stopping bool              `msgpack:"s"`
-	// ConfigAge is the time since the last read of the newest configuration
-	// from the table that the sender knows of; it is negative if there was none.
+	// ConfigAge is the time since the newest configuration was last read from
+	// the table, as far as the sender knows; it is negative if it never was.
 	ConfigAge time.Duration `msgpack:"r"`
 }
 
-// sendHeartbeats sends heartbeats to the hall's other hosts until ctx ends, and
-// checks for hosts that have become unresponsive.
+// sendHeartbeats periodically sends heartbeats to the hall's other hosts and
+// checks for hosts that have become unresponsive, until ctx is done.
 func (h *Host) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, x := range h.hallPeers() {
@@ -80,7 +83,7 @@
 }
 
 // applyHeartbeat updates the state of another host of the hall from a heartbeat
-// or the reply to one. A senderIncarnation of 0 is not known.
+// or the reply to one. senderIncarnation is 0 if it is not known, as in replies.
 func (h *Host) applyHeartbeat(ctx context.Context, from spoolsill.HostID, senderIncarnation spoolsill.Incarnation, b heartbeat) {
 	now := time.Now()
 	leavingChanged := false
@@ -117,6 +120,7 @@
 	}
 }
 
+// markUnresponsive records which hosts have become unresponsive.
 func (h *Host) markUnresponsive() {
 	now := time.Now()
 	h.mu.Lock()
--- a/entry/holdercalls.go
+++ b/entry/holdercalls.go
@@ -17,7 +17,7 @@
 	"github.com/spoolsill/spoolsill/table"
 )
 
-// A holderOp is an operation that a hall's holder carries out.
+// A holderOp is an operation that is performed by a hall's holder.
 type holderOp string
 
 const (
@@ -37,8 +37,8 @@
 	codeJobNotFound    peer.Code = "no-job"
 )
 
-// maxHops bounds how often a call is forwarded: to a host of the hall, and from
-// there to the holder.
+// maxHops bounds the number of times a call is forwarded: to a host of the hall,
+// and from there to the holder.
 const maxHops = 2
 
 type holderRequest struct {
@@ -52,7 +52,8 @@
 	Body msgpack.RawMessage `msgpack:"b"`
 }
 
-// callHolder calls the holder of a hall, which may be any host of the cell.
+// callHolder calls the holder of a hall, which may be any host of the cell,
+// including this one.
 func callHolder[R any](ctx context.Context, h *Host, hall spoolsill.HallID, o holderOp, q any) (R, error) {
 	var r R
 	b, err := msgpack.Marshal(q)
@@ -74,8 +75,8 @@
 	return h.routeHolderCall(ctx, q)
 }
 
-// routeHolderCall answers a call if this host is the holder of the call's hall,
-// and forwards it otherwise.
+// routeHolderCall answers a call if this host is the holder of its hall, and
+// otherwise forwards it.
 func (h *Host) routeHolderCall(ctx context.Context, q holderRequest) (holderReply, error) {
 	if q.Hall != h.hall.ID {
 		return h.forwardToHall(ctx, q)
@@ -98,7 +99,8 @@
 	return peer.Call[holderReply](ctx, h.node, to, methodHolderCall, q)
 }
 
-// forwardToHall tries the hosts of another hall in turn until one can answer.
+// forwardToHall forwards a call to the hosts of another hall in turn. It continues
+// with the next host if one cannot be reached or reports [holder.ErrNotHolder].
 func (h *Host) forwardToHall(ctx context.Context, q holderRequest) (holderReply, error) {
 	x, ok := h.findHall(q.Hall)
 	if !ok || q.Hops >= maxHops {
@@ -154,8 +156,8 @@
 	return f(q)
 }
 
-// remoteError returns err as an error with the code that the calling host
-// matches.
+// remoteError converts err to an error that is sent to the calling host with a
+// code.
 func remoteError(err error) error {
 	var r *peer.RemoteError
 	if errors.As(err, &r) {
@@ -185,12 +187,11 @@
 	}
 }
 
-// jobKeyPrefix is the prefix of the keys of rows that map a job to its hall.
+// jobKeyPrefix is the prefix of the row keys that map a job to its hall.
 const jobKeyPrefix = "job/"
 
-// registerJob reserves a job's id for the hall. It is idempotent for the same
-// plan. While the table is unavailable, only ids that start with the hall's
-// name can be registered, since no other hall assigns those.
+// registerJob reserves the id of the job that plan p adds to the hall. It is
+// idempotent for the same plan.
 func (h *Host) registerJob(ctx context.Context, id spoolsill.JobID, p spoolsill.PlanID) error {
 	key := jobKeyPrefix + string(id)
 	value := string(h.hall.ID) + " " + string(p)
@@ -215,6 +216,9 @@
 	}
 }
 
+// registerOffline handles a reservation that could not be written to the table
+// because of err. It accepts only ids that start with the hall's name and a
+// hyphen. This relies on other halls adding no jobs with such ids.
 func (h *Host) registerOffline(id spoolsill.JobID, err error) error {
 	if strings.HasPrefix(string(id), string(h.hall.ID)+"-") {
 		return nil
--- a/entry/host.go
+++ b/entry/host.go
@@ -36,16 +36,16 @@
 	Log      logrus.FieldLogger
 	// Dial opens the host's outgoing connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// HTTP and Peer accept connections; a listener that is nil is opened on
-	// the address in Settings.
+	// HTTP and Peer are the listeners for callers and operators, and for other
+	// hosts. If one is nil, the host listens on the address in Settings.
 	HTTP net.Listener
 	Peer net.Listener
-	// Break disables safety mechanisms. For tests only.
+	// Break disables safety mechanisms. It must be zero in production.
 	Break Breaks
 }
 
-// Breaks disables safety mechanisms, so that tests can show which failure each
-// prevents.
+// Breaks disables safety mechanisms, so that tests and fault benchmarks can show
+// which failure each of them prevents.
 type Breaks struct {
 	Holder holder.Breaks
 	Claim  bool // dispatch unrepeatable requests without a claim
@@ -82,9 +82,9 @@
 	members          *member.View
 	configStore      config.Store
 	savedIncarnation incarnationRow
-	configReadAt     time.Time // last known read of the newest configuration from the table, by this host or another host of the hall
+	configReadAt     time.Time // of the last such read; see recordConfigRead
 	ledger           *claim.Ledger
-	peerStates       map[spoolsill.HostID]peerState
+	peerStates       map[spoolsill.HostID]peerState // of the hall's other hosts
 }
 
 // A service holds the router and the upstream client of one service.
@@ -94,7 +94,7 @@
 	client   *upstream.Client
 }
 
-// New returns a host that is not running; [Host.Run] starts it.
+// New returns a host that is not running. [Host.Run] starts it.
 func New(c Config) *Host {
 	now := time.Now()
 	h := &Host{
@@ -160,7 +160,7 @@
 		Clock:       h.clock,
 		Report: func(remote string, err error) {
 			h.log.WithError(err).WithField("remote", remote).Warn("peer connection failed")
-			h.recordFault("peer connection with " + remote + " broke: " + err.Error())
+			h.recordFault("peer connection with " + remote + " failed: " + err.Error())
 		},
 	}
 	if d := h.config.Dial; d != nil {
@@ -224,8 +224,8 @@
 	}
 }
 
-// Run serves until ctx ends or [Host.Stop] has finished. It returns an error
-// only if the host can't listen or accept connections.
+// Run runs the host until ctx is done or [Host.Stop] has completed. It returns an
+// error only if the host cannot listen or accept connections.
 func (h *Host) Run(ctx context.Context) error {
 	ctx, h.stop = context.WithCancel(ctx)
 	defer h.stop()
@@ -298,11 +298,11 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// Stop shuts the host down gracefully: it reports that it is not ready, gives
-// the load balancer the configured delay to notice, refuses new work, waits for
-// work in flight and releases the hall's lease. It returns when Run has
-// returned. If ctx ends first, Stop cuts off the remaining work and returns
-// false.
+// Stop shuts the host down gracefully: the host reports that it is not ready,
+// waits for the configured delay so that load balancers notice, rejects new
+// work, completes work in flight and releases the hall's lease. Stop returns
+// when Run has returned. If ctx is done first, Stop aborts the remaining work
+// and returns false.
 func (h *Host) Stop(ctx context.Context) bool {
 	if h.stopping.Swap(true) {
 		<-h.stopped
@@ -321,6 +321,7 @@
 	return clean
 }
 
+// drain performs the steps of a graceful shutdown before the host is stopped.
 func (h *Host) drain(ctx context.Context) {
 	pause.For(ctx, time.Duration(h.settings.Host.DrainDelay))
 	h.mu.Lock()
@@ -343,10 +344,10 @@
 }
 
 // leaseReleaseTimeout bounds the release of the hall's lease by Stop. While the
-// platform does not answer, the lease can't be released and expires by itself.
+// platform does not respond, the lease cannot be released and eventually expires.
 const leaseReleaseTimeout = 5 * time.Second
 
-// Ring returns the buffer of the host's recent events.
+// Ring returns the ring buffer of the host's events.
 func (h *Host) Ring() *timeline.Ring {
 	return h.ring
 }
@@ -362,7 +363,7 @@
 	return n
 }
 
-// PlatformUnresponsive reports whether the platform has not answered recent
+// PlatformUnresponsive reports whether the platform did not respond to recent
 // calls.
 func (h *Host) PlatformUnresponsive() bool {
 	return h.platform.Silent()
@@ -388,8 +389,8 @@
 	})
 }
 
-// recordFault counts and records a fault, such as a broken connection or input
-// that was rejected.
+// recordFault counts a fault and records it as an event. Examples are a failed
+// connection and rejected input.
 func (h *Host) recordFault(text string) {
 	h.metrics.faults.Add(context.Background(), 1)
 	h.recordEvent(timeline.KindFault, text)
--- a/entry/incarnation.go
+++ b/entry/incarnation.go
@@ -13,9 +13,10 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// An incarnationRow records in the platform's table whether the last
-// incarnation of a host shut down cleanly. A host that crashed may have left
-// requests running at runners; after a clean shutdown there are none.
+// An incarnationRow is the value of the row in the platform's table that records
+// whether the last incarnation of a host shut down cleanly. After a crash,
+// requests of the host may still be running at runners; after a clean shutdown
+// there are none.
 type incarnationRow struct {
 	ID            spoolsill.Incarnation `msgpack:"l"`
 	CleanShutdown bool                  `msgpack:"c"`
@@ -23,17 +24,18 @@
 	version uint64 // of the row as written by this incarnation; 0 if not written
 }
 
-// incarnationRetryInterval is the delay between attempts to read and replace
-// the row.
+// incarnationRetryInterval is the delay between attempts to register the
+// incarnation.
 const incarnationRetryInterval = 500 * time.Millisecond
 
+// incarnationKey returns the key of the host's incarnation row.
 func (h *Host) incarnationKey() string {
 	return "life/" + string(h.settings.Host.ID)
 }
 
 // recoverOwnSlots lets the host use its own slots at once if its last
 // incarnation shut down cleanly or there was none. Otherwise they become usable
-// when the slot lifetime of their service has passed since the start.
+// when the slot lifetime of their service has passed since the host started.
 func (h *Host) recoverOwnSlots(ctx context.Context) {
 	for ctx.Err() == nil && time.Since(h.started) < h.maxSlotLifetime() {
 		clean, err := h.registerIncarnation(ctx)
@@ -47,6 +49,7 @@
 	}
 }
 
+// maxSlotLifetime returns the longest slot lifetime of the services.
 func (h *Host) maxSlotLifetime() time.Duration {
 	var d time.Duration
 	for _, s := range h.services {
@@ -64,8 +67,9 @@
 
 var errIncarnationReplaced = errors.New("another incarnation of this host has started")
 
-// registerIncarnation replaces the row with that of this incarnation, and
-// reports whether the last one shut down cleanly.
+// registerIncarnation replaces the row of the last incarnation with one for this
+// incarnation, and reports whether the last one shut down cleanly or there was
+// none.
 func (h *Host) registerIncarnation(ctx context.Context) (bool, error) {
 	row, err := h.platform.Get(ctx, h.incarnationKey())
 	if err != nil {
@@ -88,9 +92,9 @@
 	return last.CleanShutdown, nil
 }
 
-// writeIncarnation replaces the given version of the row. A write whose reply
-// is lost is reported as failed; the host then waits for the slot lifetime,
-// which is always safe.
+// writeIncarnation replaces the given version of the row. A write whose reply is
+// lost is reported as failed. The own slots then become usable only after the
+// slot lifetime, which is always safe.
 func (h *Host) writeIncarnation(ctx context.Context, version uint64, clean bool) error {
 	v, err := msgpack.Marshal(&incarnationRow{
 		ID:            h.incarnation,
@@ -118,8 +122,8 @@
 	return nil
 }
 
-// recordCleanShutdown records that this incarnation left no requests behind. It
-// is called when no request is queued or running any more.
+// recordCleanShutdown records that no request of this incarnation is running. It
+// must be called only when no request is queued or running and none can arrive.
 func (h *Host) recordCleanShutdown(ctx context.Context) {
 	h.mu.Lock()
 	v := h.savedIncarnation.version
@@ -128,6 +132,6 @@
 		return
 	}
 	if err := h.writeIncarnation(ctx, v, true); err != nil {
-		h.log.WithError(err).Warn("clean shutdown could not be recorded")
+		h.log.WithError(err).Warn("cannot record the clean shutdown")
 	}
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -14,11 +14,12 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// memberPollInterval is the mean time between reads of the platform's list.
+// memberPollInterval is the mean interval between reads of the platform's list of
+// workers and runners.
 const memberPollInterval = time.Second
 
-// pollMembers updates the view of workers and runners from the platform's list
-// until ctx ends.
+// pollMembers periodically updates the view of workers and runners from the
+// platform's list, until ctx is done.
 func (h *Host) pollMembers(ctx context.Context) {
 	var last member.List
 	for ctx.Err() == nil {
@@ -40,8 +41,8 @@
 	}
 }
 
-// fetchMembersFromPeers asks the hall's other hosts for the list if this host
-// has none yet. It is called when the platform does not answer.
+// fetchMembersFromPeers fetches the list from the hall's other hosts if this host
+// has none yet. It is called when the platform does not respond.
 func (h *Host) fetchMembersFromPeers(ctx context.Context) (member.List, error) {
 	h.mu.Lock()
 	_, known := h.members.ListTime()
@@ -97,8 +98,8 @@
 	}
 }
 
-// hallWorkers returns the hall's workers for package holder, and whether a list
-// of them has been received.
+// hallWorkers returns the hall's workers, and whether a list of them has been
+// received.
 func (h *Host) hallWorkers() ([]spoolsill.Worker, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,8 +107,8 @@
 	return h.members.Workers(h.hall.ID), known
 }
 
-// hallQuotas returns the hall's share of every team's quota. Shares are equal,
-// so that the halls together stay within the quota even while they can't reach
+// hallQuotas returns the hall's part of every team's quota. All halls get equal
+// parts, so that together they do not exceed the quota even if they cannot reach
 // each other.
 func (h *Host) hallQuotas() []place.Quota {
 	h.mu.Lock()
@@ -131,7 +132,7 @@
 	return out
 }
 
-// recordRunnerCall counts calls that a runner did not answer. Answered calls
+// recordRunnerCall counts the calls that a runner did not answer. Answered calls
 // are ignored.
 func (h *Host) recordRunnerCall(id spoolsill.RunnerID, answered bool) {
 	if answered {
@@ -142,8 +143,8 @@
 	h.members.RecordCall(string(id), answered)
 }
 
-// markRunnerLeaving records that a runner announced its shutdown. The next
-// heartbeat passes this on to the hall's other hosts.
+// markRunnerLeaving records that a runner has announced that it is leaving. The
+// next heartbeat propagates this to the hall's other hosts.
 func (h *Host) markRunnerLeaving(id spoolsill.RunnerID) {
 	h.mu.Lock()
 	changed := h.members.SetLeaving(time.Now(), string(id))
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -26,7 +26,7 @@
 	queueTime  metric.Float64Histogram
 }
 
-// newMetrics returns the metrics of a host. It panics if an instrument can't be
+// newMetrics returns the metrics of a host. It panics if an instrument cannot be
 // created, which is a programming error since names and units are constants.
 func newMetrics(h *Host) *metrics {
 	r := prometheus.NewRegistry()
@@ -57,7 +57,8 @@
 	}
 }
 
-// registerGauges registers gauges whose values are read on collection.
+// registerGauges registers gauges whose values are read when metrics are
+// collected.
 func (h *Host) registerGauges(m metric.Meter) {
 	gauge := func(name, text string, read func(s gaugeValues) int64) {
 		_, err := m.Int64ObservableGauge(name, metric.WithDescription(text), metric.WithInt64Callback(
--- a/entry/overflow.go
+++ b/entry/overflow.go
@@ -16,13 +16,15 @@
 // Limits of the overflow of requests to other halls.
 const (
 	offerTimeout = 20 * time.Millisecond
-	maxOffers    = 3                     // hosts asked per request
-	minTimeLeft  = 50 * time.Millisecond // with less left another hall is not worth trying
+	maxOffers    = 3 // hosts queried per request
+	// minTimeLeft is the minimum time until a request expires for it to be
+	// forwarded. With less, trying another hall is not worthwhile.
+	minTimeLeft = 50 * time.Millisecond
 )
 
 // routeRequest routes a call in the host's own hall. If the request was not run
-// there for a cause that mayOverflow accepts, it is forwarded to a host of
-// another hall that has free slots and agrees to take it.
+// there for a cause that mayOverflow accepts, the call is forwarded to a host of
+// another hall that has a free slot.
 func (h *Host) routeRequest(ctx context.Context, s *service, c router.Call) router.Reply {
 	p := s.router.Do(ctx, c)
 	if p.Outcome != spoolsill.OutcomeNotRun || !mayOverflow(p.Cause) {
@@ -37,6 +39,8 @@
 	return p
 }
 
+// mayOverflow reports whether a request that was not run in its own hall for
+// cause c may be forwarded to another hall.
 func mayOverflow(c route.Cause) bool {
 	return c == route.CauseOverload || c == route.CauseNoRunner || c == route.CauseRefused
 }
@@ -45,8 +49,8 @@
 	Service spoolsill.ServiceID `msgpack:"s"`
 }
 
-// findOverflowHost asks random hosts of other halls whether they have a free
-// slot, and returns the first that does.
+// findOverflowHost queries randomly chosen hosts of other halls for a free slot,
+// one after another, and returns the first that has one.
 func (h *Host) findOverflowHost(ctx context.Context, s spoolsill.ServiceID) (spoolsill.HostID, bool) {
 	var hosts []spoolsill.HostID
 	for _, x := range h.settings.Halls {
@@ -95,9 +99,9 @@
 	Body       []byte             `msgpack:"b"`
 }
 
-// relay forwards a call to a host of another hall. If that host can't be reached
-// or refuses, it returns p, the reply of the own hall. If the host's reply is
-// lost, the outcome is unknown, since the request may have run.
+// relay forwards a call to a host of another hall. If that host cannot be reached
+// or rejects the call, relay returns p, the reply of the own hall. If the host's
+// reply is lost, the outcome is unknown, since the request may have run.
 func (h *Host) relay(ctx context.Context, to spoolsill.HostID, c router.Call, p router.Reply) router.Reply {
 	ctx, cancel := context.WithDeadline(ctx, c.Request.Expires())
 	defer cancel()
@@ -131,8 +135,8 @@
 	}
 }
 
-// handleRelay routes a request from another hall. It does not forward it any
-// further.
+// handleRelay routes a request from another hall. It does not forward it to a
+// third one.
 func (h *Host) handleRelay(ctx context.Context, _ peer.Caller, q relayRequest) (relayReply, error) {
 	s, ok := h.services[q.Request.Service]
 	if !ok || h.stopping.Load() {
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -31,7 +31,8 @@
 	methodHolderCall   = "cell"
 )
 
-// peerTimeout bounds calls between hosts that don't forward a request.
+// peerTimeout is the timeout of calls between hosts that do not forward a request;
+// see callPeer.
 const peerTimeout = time.Second
 
 func (h *Host) registerHandlers() {
@@ -80,13 +81,15 @@
 	Accepted bool `msgpack:"y"`
 }
 
+// An entriesMessage is a request to keep copies of entries, or the reply to a
+// copiesRequest.
 type entriesMessage struct {
 	Epoch   spoolsill.Epoch    `msgpack:"e"`
 	Stored  spoolsill.Sequence `msgpack:"s"`
-	Entries [][]byte           `msgpack:"n"`
-	// HandOver says that the sender is shutting down and hands over its entries.
+	Entries [][]byte           `msgpack:"n"` // encoded by package recordlog
+	// HandOver is set if the sender is shutting down and hands over its entries.
 	HandOver bool `msgpack:"g,omitempty"`
-	// Complete says that no other host of the hall keeps entries that the
+	// Complete is set if no other host of the hall keeps entries that the
 	// sender lacks.
 	Complete bool `msgpack:"w,omitempty"`
 }
@@ -96,7 +99,7 @@
 	Last  recordlog.Position `msgpack:"l"`
 }
 
-// holderPeers calls the hall's other hosts for package holder.
+// holderPeers implements [holder.Peers] for a host.
 type holderPeers Host
 
 // Promise implements holder.Peers.
@@ -215,7 +218,7 @@
 	Loans   []route.LoanID      `msgpack:"l"`
 }
 
-// slotPeers calls the hall's other hosts for package router.
+// slotPeers implements [router.Peers] for a host.
 type slotPeers Host
 
 // Borrow implements router.Peers.
@@ -256,6 +259,7 @@
 	return empty{}, nil
 }
 
+// badInput returns err as a [*peer.RemoteError] with [peer.CodeBadInput].
 func badInput(err error) error {
 	return &peer.RemoteError{
 		Code: peer.CodeBadInput,
--- a/entry/ratelimit.go
+++ b/entry/ratelimit.go
@@ -10,11 +10,12 @@
 	"github.com/spoolsill/spoolsill/config"
 )
 
-// maxCallers bounds the number of rate limiters kept. All are dropped when it
-// is reached.
+// maxCallers bounds the number of rate limiters. When it is reached, all of them
+// are dropped.
 const maxCallers = 100_000
 
-// rateLimits limits the request rate of each caller at this host.
+// rateLimits limits the request rate of each caller at this host. It is safe for
+// concurrent use.
 type rateLimits struct {
 	mu          sync.Mutex
 	callers     map[spoolsill.CallerID]config.Caller
@@ -41,8 +42,8 @@
 	l.limiters = map[spoolsill.CallerID]*rate.Limiter{}
 }
 
-// allow reports whether a caller may send a request now. If not, it returns the
-// time after which the caller may retry.
+// allow reports whether a caller may send a request now. If not, it also returns
+// the delay after which the caller may retry.
 func (l *rateLimits) allow(now time.Time, id spoolsill.CallerID) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,6 +60,8 @@
 	return wait, false
 }
 
+// limiter returns the rate limiter of a caller, or nil if the caller's rate is not
+// limited. l.mu must be held.
 func (l *rateLimits) limiter(id spoolsill.CallerID) *rate.Limiter {
 	if x, ok := l.limiters[id]; ok {
 		return x
--- a/entry/request.go
+++ b/entry/request.go
@@ -21,7 +21,8 @@
 	"github.com/spoolsill/spoolsill/upstream"
 )
 
-// failureBody is the body of a response that does not come from a runner.
+// failureBody is the body of the response to a request that did not run or whose
+// outcome is unknown.
 type failureBody struct {
 	Outcome      spoolsill.Outcome `json:"outcome"`
 	Cause        route.Cause       `json:"cause"`
@@ -68,7 +69,7 @@
 	writeReply(w, p)
 }
 
-// rejectRequest responds to a request that is invalid and was not run.
+// rejectRequest responds to an invalid request, which is not run.
 func (h *Host) rejectRequest(w http.ResponseWriter, status int, text string) {
 	h.metrics.recordRejection(status)
 	h.recordFault("request refused: " + text)
@@ -80,7 +81,8 @@
 }
 
 // readCall reads the body of a request, before the request occupies a slot. A
-// request without a key gets a random one.
+// request without a key gets a random one. If the body is too long or incomplete,
+// readCall rejects the request and returns false.
 func (h *Host) readCall(w http.ResponseWriter, q *http.Request, s *service, r spoolsill.Request) (router.Call, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, s.settings.MaxBodyBytes))
 	var large *http.MaxBytesError
@@ -89,7 +91,7 @@
 		return router.Call{}, false
 	}
 	if err != nil {
-		h.rejectRequest(w, http.StatusBadRequest, "the body did not come whole")
+		h.rejectRequest(w, http.StatusBadRequest, "the request body is incomplete")
 		return router.Call{}, false
 	}
 	if r.Key == "" {
@@ -103,10 +105,10 @@
 	}, true
 }
 
-// A reply is the response to a caller.
+// A reply is the result of a request that is returned to the caller.
 type reply struct {
 	router.Reply
-	replayed bool
+	replayed bool // Answer is that of an earlier request with the same key
 }
 
 // serve applies the caller's rate limit, claims the key if the request is
@@ -123,8 +125,8 @@
 	return h.serveOnce(ctx, s, c)
 }
 
-// serveOnce runs an unrepeatable request at most once. It goes on when the
-// caller disconnects.
+// serveOnce runs an unrepeatable request at most once. It continues if the caller
+// disconnects.
 func (h *Host) serveOnce(ctx context.Context, s *service, c router.Call) reply {
 	ctx = context.WithoutCancel(ctx)
 	claimed, decision, first := h.claimKey(ctx, c.Request)
--- a/entry/status.go
+++ b/entry/status.go
@@ -10,11 +10,12 @@
 	"github.com/spoolsill/spoolsill/peer"
 )
 
+// getHealth handles health checks. A running host is always healthy.
 func (h *Host) getHealth(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, h.status())
 }
 
-// getReady is the readiness check for load balancers. A host that can't reach
+// getReady handles readiness checks of load balancers. A host that cannot reach
 // the platform is degraded, but still ready.
 func (h *Host) getReady(w http.ResponseWriter, _ *http.Request) {
 	s := h.status()
@@ -57,8 +58,8 @@
 	return h.status(), nil
 }
 
-// getHosts returns the status of every host of the cell. Hosts that don't answer
-// are listed with the reason.
+// getHosts returns the status of every host of the cell. Hosts that do not
+// respond are listed with the reason.
 func (h *Host) getHosts(w http.ResponseWriter, q *http.Request) {
 	type result struct {
 		s   api.HostStatus
--- a/entry/timeline.go
+++ b/entry/timeline.go
@@ -10,11 +10,11 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// maxEvents is the largest number of events that one call returns.
+// maxEvents is the maximum number of events that one call returns.
 const maxEvents = 10_000
 
-// getTimeline returns the merged events of all hosts that answer and lists the
-// hosts that don't.
+// getTimeline returns the merged events of all hosts that respond, and lists the
+// hosts that do not.
 func (h *Host) getTimeline(w http.ResponseWriter, q *http.Request) {
 	v := q.URL.Query()
 	limit, err := strconv.Atoi(v.Get("limit"))
@@ -41,6 +41,8 @@
 	})
 }
 
+// collectEvents fetches the events of all hosts of the cell concurrently. It
+// returns them merged, and the hosts that did not respond.
 func (h *Host) collectEvents(ctx context.Context, f timeline.Filter, limit int) ([]timeline.Event, []spoolsill.HostID) {
 	type result struct {
 		id     spoolsill.HostID
--- a/holder/call.go
+++ b/holder/call.go
@@ -32,9 +32,9 @@
 // ErrJobNotFound is returned for a job that is not known in the hall.
 var ErrJobNotFound = errors.New("holder: no such job in this hall")
 
-// Plan returns the changes that an intent would make, without making them. It
-// returns [intent.ErrInvalidIntent], a [*place.StaleError] or [ErrNotHolder] on
-// failure.
+// Plan returns the changes that an intent would make, without making them. Its
+// error wraps [intent.ErrInvalidIntent] or [ErrNotHolder], or is a
+// [*place.StaleError].
 func (h *Holder) Plan(i intent.Intent) (Plan, error) {
 	if err := i.Validate(); err != nil {
 		return Plan{}, err
@@ -73,9 +73,9 @@
 }
 
 // Confirm applies a plan exactly as [Holder.Plan] returned it, and returns once
-// it is durable. It returns a [*place.StaleError], [ErrNotHolder] or
-// [ErrUnknownOutcome] on failure. Confirming a plan is idempotent, so it may be
-// retried after [ErrUnknownOutcome].
+// it is durable. Its error is a [*place.StaleError], [ErrNotHolder],
+// [ErrUnknownOutcome] or an error of Config.Register. Confirming a plan is
+// idempotent, so it may be retried after [ErrUnknownOutcome].
 func (h *Holder) Confirm(ctx context.Context, id spoolsill.PlanID) error {
 	t, err := h.current()
 	if err != nil {
@@ -98,7 +98,8 @@
 	}
 }
 
-// registerJobID reserves the id of the job that a plan adds, if it adds one.
+// registerJobID reserves the id of the job that a plan adds, if it adds one. It
+// does nothing for a plan that is already confirmed.
 func (t *tenure) registerJobID(ctx context.Context, id spoolsill.PlanID) error {
 	if t.h.config.Register == nil {
 		return nil
@@ -125,6 +126,9 @@
 	return nil
 }
 
+// confirm applies a plan and appends its records to the journal. The channel
+// that it returns is closed once they are durable. A plan that is already
+// confirmed is not applied again.
 func (t *tenure) confirm(id spoolsill.PlanID) (<-chan struct{}, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,7 +194,7 @@
 	return err
 }
 
-// query runs f on the state of the current tenure, with its lock held.
+// query calls f with the state of the current tenure, while holding its lock.
 func query[R any](h *Holder, f func(*place.State) (R, error)) (R, error) {
 	var zero R
 	t, err := h.current()
--- a/holder/commit.go
+++ b/holder/commit.go
@@ -25,12 +25,13 @@
 	maxRetryDelay = 2 * time.Second
 )
 
-// errLeaseLost is returned when another host has taken over the lease.
+// errLeaseLost is returned when the table shows that another host has taken over
+// the lease.
 var errLeaseLost = errors.New("holder: another host has taken over the lease")
 
-// advanceJournal acts on durable records and writes pending entries to the
-// table. While the table is unavailable and the host holds the lease, it also
-// copies them to the other hosts.
+// advanceJournal acts on durable records and starts the next write to the table.
+// While the table is unavailable and the host holds the lease, it also copies
+// entries to the other hosts.
 func (t *tenure) advanceJournal() {
 	unavailable := t.h.config.Table.Silent()
 	holds := t.holdsLease()
@@ -42,8 +43,8 @@
 	}
 	if t.tableUnavailable && !unavailable {
 		// Entries appended while the table was unavailable exist only in the
-		// memory of the hall's hosts. Write them without waiting for the retry
-		// delay.
+		// memory of the hall's hosts, so they are written without waiting for
+		// the retry delay.
 		t.nextWrite = time.Time{}
 	}
 	t.tableUnavailable = unavailable
@@ -61,7 +62,7 @@
 	}()
 }
 
-// replicate copies entries to the hall's other hosts while the table is
+// replicate starts copying entries to the hall's other hosts if the table is
 // unavailable. t.mu must be held.
 func (t *tenure) replicate(unavailable bool) {
 	if !unavailable {
@@ -80,6 +81,7 @@
 	}()
 }
 
+// sendCopies copies entries to every other host of the hall.
 func (t *tenure) sendCopies(entries []recordlog.Entry) {
 	ctx, cancel := context.WithTimeout(t.ctx, time.Second)
 	defer cancel()
@@ -96,11 +98,12 @@
 	t.processDurable()
 }
 
-// writeEntries writes entries to the table.
+// writeEntries writes entries to the table. If another host has taken over the
+// lease, it ends the tenure.
 func (t *tenure) writeEntries(entries []recordlog.Entry) {
 	err := t.commitEntries(entries)
 	if errors.Is(err, errLeaseLost) {
-		t.h.event(timeline.Event{
+		t.h.recordEvent(timeline.Event{
 			Kind: timeline.KindLease,
 			Text: "the table refused the journal: another host has the lease",
 		})
@@ -117,7 +120,7 @@
 }
 
 // writeDone handles the result of a write. If the write succeeded, it returns
-// the last entry in the table and true.
+// the sequence number of the last entry in the table and true.
 func (t *tenure) writeDone(err error) (spoolsill.Sequence, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,6 +158,8 @@
 	}()
 }
 
+// scheduleRetry sets the earliest time of the next write after a failed one. The
+// delay grows exponentially and is randomized. t.mu must be held.
 func (t *tenure) scheduleRetry() {
 	d := min(minRetryDelay<<min(t.writeFailures, 8), maxRetryDelay)
 	t.writeFailures++
@@ -162,8 +167,8 @@
 }
 
 // commitEntries writes entries in one transaction. It returns nil if they are
-// in the table, errLeaseLost if they will never be, and another error if the
-// outcome is unknown.
+// in the table, errLeaseLost if another host has taken over the lease, and
+// another error if the write failed or its outcome is unknown.
 func (t *tenure) commitEntries(entries []recordlog.Entry) error {
 	x := table.Txn{}
 	if !t.h.config.Break.Fence {
@@ -196,9 +201,9 @@
 	return t.checkConflict(r.Conflicts, x.Puts)
 }
 
-// checkConflict determines whether the conflicting rows come from an earlier
-// attempt at the same write, whose response was lost. It returns nil if they
-// are identical to puts, and errLeaseLost otherwise.
+// checkConflict determines whether the conflicting rows were written by an
+// earlier attempt at the same write, whose response was lost. It returns nil if
+// they are identical to puts, and errLeaseLost otherwise.
 func (t *tenure) checkConflict(rows []table.Row, puts []table.Put) error {
 	unmatched := map[string][]byte{}
 	for _, p := range puts {
@@ -220,9 +225,9 @@
 // journalPageSize is the number of journal rows read per request.
 const journalPageSize = 500
 
-// load rebuilds the state from the snapshot, the journal and the copies that
-// the previous holder left. It retries until it succeeds or the tenure ends,
-// and reports whether it succeeded.
+// load rebuilds the state from the snapshot, the journal and the entries that
+// exist only as copies on the hall's hosts. It retries until it succeeds or the
+// tenure ends, and reports whether it succeeded.
 func (t *tenure) load() bool {
 	for {
 		err := t.tryLoad()
@@ -231,7 +236,7 @@
 			return true
 		}
 		t.h.config.Log.WithError(err).Warn("cannot load the hall's journal, retrying")
-		t.h.event(timeline.Event{
+		t.h.recordEvent(timeline.Event{
 			Kind: timeline.KindFault,
 			Text: "the hall's record can't be loaded: " + err.Error(),
 		})
@@ -283,8 +288,8 @@
 	return nil
 }
 
-// readEpoch reads the version of the epoch row. All writes of the tenure are
-// conditional on it.
+// readEpoch reads the version of the epoch row, on which all writes of the
+// tenure are conditional. It ends the tenure if the row has another epoch.
 func (t *tenure) readEpoch() error {
 	row, err := t.h.config.Table.Get(t.ctx, lease.EpochKey(t.h.config.Hall))
 	if err != nil {
@@ -302,6 +307,8 @@
 	return nil
 }
 
+// readSnapshot reads the newest snapshot. It returns the zero Entry if there is
+// none.
 func (t *tenure) readSnapshot() (recordlog.Entry, error) {
 	row, err := t.h.config.Table.Get(t.ctx, recordlog.SnapshotKey(t.h.config.Hall))
 	if err != nil || row.Version == 0 {
@@ -321,6 +328,8 @@
 	return e, nil
 }
 
+// readJournal applies the entries in the table that follow last to s, and
+// returns the position of the last one.
 func (t *tenure) readJournal(s *place.State, last recordlog.Position) (recordlog.Position, error) {
 	for {
 		rows, err := t.h.config.Table.List(t.ctx, recordlog.Prefix(t.h.config.Hall), recordlog.Key(t.h.config.Hall, last.Sequence), journalPageSize)
@@ -359,8 +368,8 @@
 }
 
 // recoverCopies applies the entries that the previous holder copied to the
-// hosts of the hall, including this one, but did not write to the table. They
-// are added to the journal of this tenure.
+// hosts of the hall, including this one, but did not write to the table. Their
+// records are appended to w, so that this tenure writes them.
 func (t *tenure) recoverCopies(s *place.State, w *recordlog.Writer, last recordlog.Position) error {
 	latest, _ := t.h.Copies(t.epoch, last)
 	for _, h := range t.h.config.Hosts {
--- a/holder/config.go
+++ b/holder/config.go
@@ -19,11 +19,11 @@
 )
 
 // ErrNotHolder is returned by calls that only the holder of the hall's lease
-// can answer.
+// can answer, on other hosts and until the holder is ready.
 var ErrNotHolder = errors.New("holder: this host does not hold the hall's lease")
 
-// ErrUnknownOutcome is returned when a decision was made but did not become
-// durable in time. It may still take effect.
+// ErrUnknownOutcome is returned when it is not known whether a plan will take
+// effect, for example because its records did not become durable in time.
 var ErrUnknownOutcome = errors.New("holder: not known whether it is in force")
 
 // Defaults of [Config].
@@ -41,7 +41,7 @@
 	Commit(ctx context.Context, t table.Txn) (table.Result, error)
 	Get(ctx context.Context, key string) (table.Row, error)
 	List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error)
-	// Silent reports whether the table is currently not responding.
+	// Silent reports whether the table does not respond at present.
 	Silent() bool
 }
 
@@ -64,28 +64,28 @@
 	// a limited time. It reports whether the host has promised.
 	Promise(ctx context.Context, h spoolsill.HostID, e spoolsill.Epoch) bool
 	// Copy sends copies of entries to a host and reports whether the host keeps
-	// them. stored is the newest entry in the table: the host may drop copies
-	// up to it.
+	// them. stored, if not 0, is the newest entry in the table: the host drops
+	// its copies up to it.
 	Copy(ctx context.Context, h spoolsill.HostID, e spoolsill.Epoch, stored spoolsill.Sequence, entries []recordlog.Entry) bool
-	// HandOver sends the entries that only this host has, which is stopping, to
-	// another host. It reports whether the host keeps them. A host that is
-	// stopping too does not.
+	// HandOver sends the entries that only this host has to another host, since
+	// this host is stopping. It reports whether the other host keeps them, which
+	// it does not if it is stopping too.
 	HandOver(ctx context.Context, h spoolsill.HostID, e spoolsill.Epoch, entries []recordlog.Entry) bool
-	// Copies returns the entries that a host keeps and that follow last, the
-	// newest entry in the table, or all its entries if last is zero. complete
+	// Copies returns the entries kept by a host that follow last, the newest
+	// entry in the table, or all entries that it keeps if last is zero. complete
 	// reports whether the host knows all entries that any host of the hall
 	// keeps.
 	Copies(ctx context.Context, h spoolsill.HostID, last recordlog.Position) (list []recordlog.Entry, complete bool, err error)
 }
 
-// Breaks disables safety mechanisms, so that tests can show which failure each
-// of them prevents. Nothing else sets it.
+// Breaks disables safety mechanisms, so that tests and fault benchmarks can show
+// which failure each of them prevents. It must be zero in production.
 type Breaks struct {
 	Promise bool // extend the lease past its end without promises
 	Fence   bool // write the journal without the condition on the epoch
 	Settle  bool // make decisions before reconciling with the workers
 	Record  bool // act on decisions before they are durable
-	Lapse   bool // restart a task before the leases on its worker have expired
+	Lapse   bool // restart tasks before the leases on their worker have expired
 }
 
 // A Config describes a [Holder].
@@ -104,15 +104,15 @@
 	Workers func() (list []spoolsill.Worker, ok bool)
 	// Quotas returns the quota of each team in this hall.
 	Quotas func() []place.Quota
-	// Register reserves the id of a job that plan p adds for this hall, before
-	// the plan is applied. It returns a [*place.StaleError] if another hall has
-	// a job with that id. If Register is nil, ids are not reserved.
+	// Register reserves the id of the job that plan p adds to this hall, before
+	// the plan is applied. It returns a [*place.StaleError] if the id is already
+	// reserved for another plan. If Register is nil, ids are not reserved.
 	Register func(ctx context.Context, j spoolsill.JobID, p spoolsill.PlanID) error
 	Events   *timeline.Ring
 	Log      logrus.FieldLogger
 
-	// Lease configures the lease. New sets Host, Incarnation, Hosts, Join and
-	// NoPromises.
+	// Lease configures the lease. [New] sets its fields Host, Incarnation, Hosts,
+	// Join and NoPromises.
 	Lease  lease.Config
 	Place  place.Config
 	Intent intent.Config
@@ -122,12 +122,13 @@
 	TaskMargin time.Duration
 	// RenewInterval is the interval between renewals of a worker's leases.
 	RenewInterval time.Duration
-	// Group is the interval at which decisions are made and written together.
+	// Group is the interval at which decisions are made. Those of one interval
+	// are written together.
 	Group time.Duration
 	// SnapshotEvery is the number of entries between snapshots.
 	SnapshotEvery int
-	// MaxRequests is the maximum number of concurrent requests to workers, not
-	// counting the periodic renewals.
+	// MaxRequests is the maximum number of concurrent requests to workers,
+	// excluding the periodic renewals.
 	MaxRequests int
 	Break       Breaks
 }
--- a/holder/drain.go
+++ b/holder/drain.go
@@ -9,19 +9,20 @@
 	"github.com/spoolsill/spoolsill/recordlog"
 )
 
-// SetStopping marks the host as about to stop. The host continues to work, but no
-// longer accepts entries from other hosts that are stopping: if two stopping
-// hosts handed their entries to each other, both copies would be lost.
+// SetStopping records that the host is about to stop. The holder continues to
+// work, but no longer accepts entries from other hosts that are stopping: if two
+// stopping hosts handed over their entries to each other, both copies would be
+// lost.
 func (h *Holder) SetStopping() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stopping = true
 }
 
-// Drain stops making decisions. It returns once all entries that this host
-// knows are in the table or on a host that is not stopping, or when ctx is
-// done. Until then this host keeps the hall's lease, or acquires it if it is
-// free, because only the holder can write to the table.
+// Drain makes the holder stop making decisions. It returns once all entries
+// known to this host are in the table or on a host that is not stopping, or when
+// ctx is done. Until then this host keeps the hall's lease, or acquires it if it
+// is free, because only the lease holder can write entries to the table.
 func (h *Holder) Drain(ctx context.Context) {
 	h.mu.Lock()
 	h.draining = true
@@ -56,7 +57,7 @@
 	return h.copies.All()
 }
 
-// Release ends the tenure, hands over the entries that only this host has, and
+// Release ends the tenure, hands over the entries that this host keeps, and
 // releases the lease. It returns once the release is in the table, or when ctx
 // is done. [Holder.Run] must be running.
 func (h *Holder) Release(ctx context.Context) {
@@ -85,8 +86,8 @@
 	}
 }
 
-// handOverAll hands the copies that this host keeps over to another host of the
-// hall. It retries until one has accepted them or ctx is done.
+// handOverAll hands over the entries that this host keeps to another host of the
+// hall, if there are any. It retries until one has accepted them or ctx is done.
 func (h *Holder) handOverAll(ctx context.Context) {
 	for ctx.Err() == nil {
 		list := h.unstoredEntries()
@@ -108,8 +109,8 @@
 	return false
 }
 
-// AcceptHandOver keeps copies of the entries of a host that is stopping. It
-// reports whether it does. It keeps none if this host is stopping too.
+// AcceptHandOver keeps copies of the entries that a stopping host hands over,
+// and reports whether it does. It keeps none if this host is stopping too.
 func (h *Holder) AcceptHandOver(e spoolsill.Epoch, entries []recordlog.Entry) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -18,8 +18,9 @@
 // worker is given no new tasks.
 const unresponsiveAfter = 3
 
-// A driver manages one worker: it renews the leases, starts and signals tasks
-// and processes the worker's reports. Its fields are guarded by t.mu.
+// A driver manages one worker for a tenure: it renews the leases of tasks, starts
+// and signals tasks, and processes the worker's reports. Its fields are guarded
+// by t.mu.
 type driver struct {
 	t       *tenure
 	id      spoolsill.WorkerID
@@ -32,15 +33,17 @@
 	pendingStarts map[agent.TaskAttempt]lease.ClockReading
 	// ackedStarts are the acknowledged start requests, with the time of the
 	// acknowledgment. The worker may have processed a renewal that was sent
-	// before that time ahead of the start, so a report that lacks the task does
-	// not mean that it is not running. An entry is removed when a renewal that
-	// was sent later is answered.
+	// before that time ahead of the start, so the task may be running even if
+	// the report lacks it. An entry is removed when a renewal that was sent
+	// later is answered.
 	ackedStarts map[agent.TaskAttempt]lease.ClockReading
-	// createdAt is when this tenure began to manage the worker. Start requests
-	// of a previous holder may be accepted for the duration of a lease after it.
+	// createdAt is when this tenure began to manage the worker. For the duration
+	// of a lease after that time, the worker may still accept start requests of
+	// a previous holder.
 	createdAt lease.ClockReading
-	// forgetAfter are the ended tasks that the worker still reports. The worker
-	// may forget a task once the entry with that sequence number is durable.
+	// forgetAfter maps each ended task that the worker still reports to a
+	// sequence number. The worker may forget the task once the entry with that
+	// number, and thus the record of the task's end, is durable.
 	forgetAfter  map[agent.TaskAttempt]spoolsill.Sequence
 	failures     int  // consecutive failed renewals
 	responded    bool // a renewal has succeeded in this tenure
@@ -49,7 +52,7 @@
 }
 
 func newDriver(t *tenure, id spoolsill.WorkerID) *driver {
-	now := t.h.reading()
+	now := t.h.readClocks()
 	return &driver{
 		t:             t,
 		id:            id,
@@ -66,7 +69,7 @@
 // worker without tasks.
 const idleRenewFactor = 5
 
-// renewDelay returns the delay before the next renewal.
+// renewDelay returns the randomized delay before the next renewal.
 func (d *driver) renewDelay() time.Duration {
 	interval := d.t.h.config.RenewInterval
 	d.t.mu.Lock()
@@ -77,8 +80,8 @@
 	return interval - interval/10 + rand.N(interval/5)
 }
 
-// requestRenewal makes run send the next renewal within the normal interval,
-// if the worker was idle and a later one is scheduled.
+// requestRenewal makes run send the next renewal within the normal interval, if
+// it is scheduled later because the worker was idle.
 func (d *driver) requestRenewal() {
 	select {
 	case d.renewSoon <- struct{}{}:
@@ -86,7 +89,7 @@
 	}
 }
 
-// setAddress sets the worker's address. t.mu must be held.
+// setAddress sets the address of the worker. t.mu must be held.
 func (d *driver) setAddress(a string) {
 	d.address = a
 }
@@ -122,7 +125,7 @@
 
 // renew renews the leases on the worker and processes its report.
 func (d *driver) renew() {
-	sent := d.t.h.reading()
+	sent := d.t.h.readClocks()
 	q, address := d.buildRenewal()
 	if address == "" {
 		d.recordUnlisted()
@@ -146,10 +149,10 @@
 
 // buildRenewal returns the renewal to send and the worker's address. While the
 // host does not hold the hall's lease, only the leases of services are renewed:
-// a service may temporarily run twice, tasks of other kinds must not.
+// a service may temporarily run twice, a task of another kind must not.
 func (d *driver) buildRenewal() (agent.RenewRequest, string) {
 	holds := d.t.holdsLease()
-	now := d.t.h.reading()
+	now := d.t.h.readClocks()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	q := agent.RenewRequest{
@@ -176,9 +179,9 @@
 	return q, d.address
 }
 
-// recordUnlisted handles a worker without an address, which is in the state but
-// not in the list of workers. It counts as a failed renewal once the list is
-// available.
+// recordUnlisted records that a renewal could not be sent because the worker has
+// no address: it is in the state, but not in the list of workers. This counts as
+// a failed renewal once a list is available.
 func (d *driver) recordUnlisted() {
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
@@ -193,14 +196,14 @@
 	d.responded = true
 }
 
-// recordFailure records a failed renewal. If the worker stays unresponsive until
-// the leases on it have expired, its tasks are reported as lost. t.mu must be
-// held.
+// recordFailure records a failed renewal. If the worker remains unresponsive
+// until the leases on it have expired, its tasks are reported as lost. t.mu must
+// be held.
 func (d *driver) recordFailure() {
 	d.failures++
 	if d.failures == unresponsiveAfter {
 		d.t.state.SetUnresponsive(d.id, true)
-		d.t.h.event(timeline.Event{
+		d.t.h.recordEvent(timeline.Event{
 			Kind:   timeline.KindMembership,
 			Worker: d.id,
 			Text:   "worker does not answer",
@@ -219,10 +222,11 @@
 }
 
 // leasesExpired reports whether every lease that may have been granted on the
-// worker has certainly expired, by both the wall and the monotonic clock.
+// worker has certainly expired, by both the wall and the monotonic clock. t.mu
+// must be held.
 func (d *driver) leasesExpired() bool {
 	c := d.t.h.config
-	now := d.t.h.reading()
+	now := d.t.h.readClocks()
 	wait := c.TaskLease + c.TaskMargin
 	return now.Mono-d.grantedAt.Mono > wait && now.Wall.Sub(d.grantedAt.Wall) > wait
 }
@@ -255,7 +259,7 @@
 }
 
 // applyStatus processes the status of one task and reports whether the task is
-// running but not in the state.
+// running but not in the state. t.mu must be held.
 func (d *driver) applyStatus(s agent.Status) bool {
 	a, allocated := d.allocation(s.TaskAttempt)
 	if s.State == agent.Running {
@@ -274,7 +278,7 @@
 		return false
 	}
 	if allocated {
-		d.report(s.TaskAttempt, outcomes[s.State])
+		d.report(s.TaskAttempt, outcomeByState[s.State])
 	}
 	if _, ok := d.forgetAfter[s.TaskAttempt]; !ok {
 		d.forgetAfter[s.TaskAttempt] = d.t.writer.Seal()
@@ -282,7 +286,7 @@
 	return false
 }
 
-var outcomes = map[agent.State]place.Outcome{
+var outcomeByState = map[agent.State]place.Outcome{
 	agent.Exited:       place.Exited,
 	agent.Failed:       place.Failed,
 	agent.Checkpointed: place.Checkpointed,
@@ -290,7 +294,8 @@
 	agent.Expired:      place.Expired,
 }
 
-// allocation returns the resources that a task holds on the worker.
+// allocation returns the resources that a task holds on the worker, or false if
+// it holds none. t.mu must be held.
 func (d *driver) allocation(r agent.TaskAttempt) (place.Allocation, bool) {
 	for _, a := range d.t.state.Allocations(d.id) {
 		if a.Task == r.Task && a.Attempt == r.Attempt {
@@ -301,8 +306,9 @@
 }
 
 // stopUnknown stops a task that the worker runs but that is not in the state.
+// t.mu must be held.
 func (d *driver) stopUnknown(r agent.TaskAttempt) {
-	d.t.h.event(timeline.Event{
+	d.t.h.recordEvent(timeline.Event{
 		Kind:   timeline.KindFault,
 		Job:    r.Task.Job,
 		Task:   r.Task.String(),
@@ -313,8 +319,9 @@
 }
 
 // reportMissing handles a task that is placed on the worker but that the worker
-// did not report. The task is reported as missing unless its start request has
-// just been acknowledged, has not been sent, or may still arrive.
+// did not report. The task is reported as not found unless its start request
+// has just been acknowledged, has not been sent, or may still arrive. t.mu must
+// be held.
 func (d *driver) reportMissing(r agent.TaskAttempt) {
 	_, acked := d.ackedStarts[r]
 	if acked || d.startUnsent(r) || d.startMayArrive(r) {
@@ -324,8 +331,9 @@
 	d.report(r, place.NotFound)
 }
 
-// startMayArrive reports whether the worker may still receive and accept the
-// start request of a task, because the lease in it may not have expired.
+// startMayArrive reports whether the worker may still receive and accept a start
+// request of a task, which is possible until the lease in the request has
+// certainly expired. The request may be one of a previous holder.
 func (d *driver) startMayArrive(r agent.TaskAttempt) bool {
 	from, ok := d.pendingStarts[r]
 	if !ok {
@@ -336,13 +344,13 @@
 		from = d.createdAt
 	}
 	c := d.t.h.config
-	return d.t.h.reading().Mono-from.Mono <= c.TaskLease+c.TaskMargin
+	return d.t.h.readClocks().Mono-from.Mono <= c.TaskLease+c.TaskMargin
 }
 
 // startUnsent reports whether the start request of a task is still waiting for
 // the task's placement to become durable.
 func (d *driver) startUnsent(r agent.TaskAttempt) bool {
-	for _, a := range d.t.pending {
+	for _, a := range d.t.pendingActions {
 		if a.record.Kind == place.TaskPlaced && a.record.Task == r.Task && a.record.Attempt == r.Attempt {
 			return true
 		}
@@ -350,17 +358,17 @@
 	return false
 }
 
-// applyUsage records the resources that a task uses and applies the resulting
-// measure.
+// applyUsage reports the resources that a task uses to the state, and carries
+// out the resulting enforcement. t.mu must be held.
 func (d *driver) applyUsage(s agent.Status) {
-	m, records := d.t.state.ReportUsage(time.Now(), s.Task, s.Used)
+	e, records := d.t.state.ReportUsage(time.Now(), s.Task, s.Used)
 	d.t.appendRecords(records)
-	if m == place.EnforceThrottle {
+	if e == place.EnforceThrottle {
 		d.t.spawn(func() { d.signal(s.TaskAttempt, agent.Throttle) })
 	}
 }
 
-// report records what happened to a task. t.mu must be held.
+// report records the outcome of an attempt to run a task. t.mu must be held.
 func (d *driver) report(r agent.TaskAttempt, o place.Outcome) {
 	d.t.appendRecords(d.t.state.Report(time.Now(), place.Report{
 		Task:    r.Task,
@@ -384,7 +392,7 @@
 	switch {
 	case err == nil:
 		delete(d.pendingStarts, r)
-		d.ackedStarts[r] = d.t.h.reading()
+		d.ackedStarts[r] = d.t.h.readClocks()
 		d.report(r, place.Started)
 	case errors.Is(err, agent.ErrNotExecuted):
 		delete(d.pendingStarts, r)
@@ -397,10 +405,10 @@
 }
 
 // prepareStart returns the start request of a task and the worker's address. It
-// reports false if the task must not be started any more or the address is not
+// returns false if the task must not be started any more or the address is not
 // known. The lease in the request counts as granted before the request is sent.
 func (d *driver) prepareStart(r agent.TaskAttempt) (agent.StartRequest, string, bool) {
-	now := d.t.h.reading()
+	now := d.t.h.readClocks()
 	d.t.mu.Lock()
 	defer d.t.mu.Unlock()
 	a, allocated := d.allocation(r)
@@ -422,8 +430,8 @@
 	}, d.address, d.address != ""
 }
 
-// signal sends a signal to a task. A lost signal is sent again after the next
-// renewal.
+// signal sends a signal to a task. If the signal is lost, the report of the next
+// renewal causes it to be sent again.
 func (d *driver) signal(r agent.TaskAttempt, v agent.Verb) {
 	d.t.mu.Lock()
 	address := d.address
@@ -440,9 +448,9 @@
 	}
 }
 
-// reconcile renews the leases on all workers and applies their reports to the
-// state, before the first decision of the tenure. It marks the workers that do
-// not respond as unresponsive.
+// reconcile sends a renewal to every worker and applies the reports to the state,
+// before the first decision of the tenure. It marks the workers that do not
+// respond as unresponsive.
 func (t *tenure) reconcile() {
 	t.mu.Lock()
 	var list []*driver
--- a/holder/holder.go
+++ b/holder/holder.go
@@ -25,11 +25,11 @@
 	mu             sync.Mutex // guards the fields below
 	keeper         *lease.Keeper
 	copies         recordlog.Copies
-	tenure         *tenure
+	tenure         *tenure // the current one; nil if there is none
 	wg             sync.WaitGroup
-	copiesComplete bool // copies has all that any host of the hall keeps
+	copiesComplete bool // copies contains all entries that any host of the hall keeps
 	// stopping is set when the process is about to stop, draining when no more
-	// decisions are made, releasing when no more tenures begin.
+	// decisions are to be made, and releasing when no more tenures are to begin.
 	stopping  bool
 	draining  bool
 	releasing bool
@@ -41,12 +41,12 @@
 		config:  c.withDefaults(),
 		started: time.Now(),
 	}
-	h.keeper = lease.NewKeeper(h.config.Lease, h.reading())
+	h.keeper = lease.NewKeeper(h.config.Lease, h.readClocks())
 	return h
 }
 
-// reading reads the wall clock and the monotonic clock.
-func (h *Holder) reading() lease.ClockReading {
+// readClocks reads the wall clock and the monotonic clock.
+func (h *Holder) readClocks() lease.ClockReading {
 	now := time.Now()
 	return lease.ClockReading{
 		Wall: now.Round(0),
@@ -55,7 +55,7 @@
 }
 
 // Run acquires and renews the lease, and places tasks while it holds it, until
-// ctx is done. It does not release the lease, see [Holder.Release].
+// ctx is done. It does not release the lease; [Holder.Release] does.
 func (h *Holder) Run(ctx context.Context) {
 	defer h.wg.Wait()
 	h.spawn(func() { h.fetchCopies(ctx) })
@@ -76,12 +76,12 @@
 func (h *Holder) Holds() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_, ok := h.keeper.Holds(h.reading())
+	_, ok := h.keeper.Holds(h.readClocks())
 	return ok
 }
 
-// Ready reports whether this host holds the lease and has completed the
-// takeover from the previous holder, so that it answers calls.
+// Ready reports whether this host holds the lease and has loaded and reconciled
+// the state of the previous holder, so that it answers calls.
 func (h *Holder) Ready() bool {
 	t, err := h.current()
 	if err != nil {
@@ -97,18 +97,18 @@
 func (h *Holder) LeaseHolder() (spoolsill.HostID, spoolsill.Epoch, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if e, ok := h.keeper.Holds(h.reading()); ok {
+	if e, ok := h.keeper.Holds(h.readClocks()); ok {
 		return h.config.Host, e, true
 	}
 	x, ok := h.keeper.Holder()
 	return x, h.keeper.Epoch(), ok
 }
 
-// advanceLease performs the action that the lease requires now, and starts or
-// ends the tenure accordingly.
+// advanceLease starts the next operation that the lease requires, if any, and
+// starts or ends the tenure accordingly.
 func (h *Holder) advanceLease(ctx context.Context) {
 	h.mu.Lock()
-	a := h.keeper.Next(h.reading())
+	a := h.keeper.Next(h.readClocks())
 	h.mu.Unlock()
 	switch a.Kind {
 	case lease.ReadRow:
@@ -121,6 +121,7 @@
 	h.updateTenure(ctx)
 }
 
+// spawn runs f in a goroutine for which Run waits.
 func (h *Holder) spawn(f func()) {
 	h.wg.Add(1)
 	go func() {
@@ -140,9 +141,11 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.keeper.ReadDone(h.reading(), err == nil, row.Version, r)
+	h.keeper.ReadDone(h.readClocks(), err == nil, row.Version, r)
 }
 
+// writeLease writes the lease row, and on a takeover also the epoch row. Before a
+// takeover, it makes this host reject copies of earlier epochs.
 func (h *Holder) writeLease(ctx context.Context, a lease.Action) {
 	x := table.Txn{
 		Conditions: []table.Condition{{
@@ -166,7 +169,7 @@
 	r, err := h.config.Table.Commit(context.WithoutCancel(ctx), x)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.keeper.WriteDone(h.reading(), writeOutcome(r, err))
+	h.keeper.WriteDone(h.readClocks(), writeOutcome(r, err))
 }
 
 func writeOutcome(r table.Result, err error) lease.WriteOutcome {
@@ -183,9 +186,9 @@
 }
 
 // requestPromises asks every other host of the roster to promise not to take
-// over the lease.
+// over the lease, without waiting for the replies.
 func (h *Holder) requestPromises(ctx context.Context, r lease.Row) {
-	sentAt := h.reading()
+	sentAt := h.readClocks()
 	for _, x := range r.Roster {
 		if x == h.config.Host {
 			continue
@@ -208,7 +211,7 @@
 func (h *Holder) Promise(e spoolsill.Epoch) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.keeper.Promise(h.reading(), e)
+	return h.keeper.Promise(h.readClocks(), e)
 }
 
 // KeepCopies keeps copies of entries for the holder of epoch e, and drops the
@@ -229,11 +232,11 @@
 }
 
 // Copies returns the entries known to this host that follow last, the newest
-// entry in the table, or all of them if last is zero. From then on, it refuses
-// copies of epochs before e. The entries include those that a tenure of this
-// host has not written yet: the host that asks may be the only one that reaches
-// the table, and may have lost its own copies. complete reports whether this
-// host knows all entries that any host of the hall keeps.
+// entry in the table, or all of them if last is zero. Afterwards, this host
+// rejects copies of epochs before e. The entries include those that a tenure of
+// this host has not written yet: the requesting host may be the only one that
+// reaches the table, and may have lost its own copies. complete reports whether
+// this host knows all entries that any host of the hall keeps.
 func (h *Holder) Copies(e spoolsill.Epoch, last recordlog.Position) (list []recordlog.Entry, complete bool) {
 	h.keepUnstored()
 	h.mu.Lock()
@@ -245,7 +248,7 @@
 	return h.copies.After(last.Epoch, last.Sequence), h.copiesComplete
 }
 
-// PeerRestarted records that another host of the hall has restarted and thereby
+// PeerRestarted records that another host of the hall has restarted and thus
 // lost the copies that it kept.
 func (h *Holder) PeerRestarted() {
 	h.mu.Lock()
@@ -261,8 +264,8 @@
 	}
 }
 
-// updateTenure starts a tenure when the lease is acquired and ends it when the
-// lease is lost.
+// updateTenure starts a tenure if the lease was acquired, and ends it if another
+// host has taken over the lease or the tenure was cancelled.
 func (h *Holder) updateTenure(ctx context.Context) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -276,16 +279,16 @@
 		}
 		t.cancel()
 		h.tenure = nil
-		h.event(timeline.Event{
+		h.recordEvent(timeline.Event{
 			Kind: timeline.KindLease,
 			Text: "tenure ended",
 		})
 	}
-	e, holds := h.keeper.Holds(h.reading())
+	e, holds := h.keeper.Holds(h.readClocks())
 	if !holds || h.tenure != nil || h.releasing || ctx.Err() != nil {
 		return
 	}
-	h.event(timeline.Event{
+	h.recordEvent(timeline.Event{
 		Kind: timeline.KindLease,
 		Text: "took the hall's lease",
 	})
@@ -309,23 +312,25 @@
 	h.keepCopies(t.epoch, list)
 }
 
-// dropStored drops the copies of entries that are in the table. Otherwise they
-// would be handed over to other hosts as if only this host had them.
+// dropStored drops the copies that are not needed once the entry at p is in the
+// table. Otherwise they would be handed over to other hosts as if only this host
+// had them.
 func (h *Holder) dropStored(p recordlog.Position) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.copies.Drop(p)
 }
 
-// keepCopies keeps copies of entries of epoch e. h.mu must be held.
+// keepCopies keeps copies of entries of epoch e, and logs a warning if it cannot.
+// h.mu must be held.
 func (h *Holder) keepCopies(e spoolsill.Epoch, list []recordlog.Entry) {
 	if len(list) > 0 && !h.copies.Add(e, list) {
-		h.config.Log.WithField("epoch", e).WithField("entries", len(list)).Warn("entries that the table lacks are not kept: another host leads the hall")
+		h.config.Log.WithField("epoch", e).WithField("entries", len(list)).Warn("cannot keep entries that are not in the table: a later epoch has begun or too many entries are kept")
 	}
 }
 
-// endTenure ends the tenure, if there is one, and keeps copies of its entries
-// that are not in the table.
+// endTenure ends the tenure, if there is one, waits for its goroutines, and keeps
+// copies of its entries that are not in the table.
 func (h *Holder) endTenure() {
 	h.mu.Lock()
 	t := h.tenure
@@ -342,7 +347,7 @@
 	h.keepCopies(t.epoch, list)
 }
 
-func (h *Holder) event(e timeline.Event) {
+func (h *Holder) recordEvent(e timeline.Event) {
 	h.config.Events.Add(e)
 }
 
@@ -351,7 +356,7 @@
 func (h *Holder) current() (*tenure, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.keeper.Holds(h.reading()); !ok || h.tenure == nil {
+	if _, ok := h.keeper.Holds(h.readClocks()); !ok || h.tenure == nil {
 		return nil, ErrNotHolder
 	}
 	return h.tenure, nil
--- a/holder/join.go
+++ b/holder/join.go
@@ -9,17 +9,18 @@
 	"github.com/spoolsill/spoolsill/recordlog"
 )
 
-// joinTimeout is how long after its start a host does not take over the hall's
-// lease while it has not received the copies of the other hosts. It is longer
-// than most process pauses and network partitions. If the other hosts are gone,
-// it is also the delay before the first decision after a restart.
+// joinTimeout is how long after its start a host waits for the copies of the
+// other hosts before it may take over the hall's lease without them. It is
+// longer than most process pauses and network partitions. If the other hosts
+// are gone, it is also the delay before the first decision after a restart.
 const joinTimeout = 10 * time.Second
 
 // fetchCopies fetches the copies that the hall's other hosts keep, so that
-// entries that exist only as copies survive the restart of one host after
-// another. Every host that has not restarted keeps a copy of each durable entry
-// that the table lacks, so the response of one such host is sufficient. If all
-// hosts have restarted, the responses of all other hosts are needed.
+// entries that exist only as copies survive when one host after another
+// restarts. Every host that has not restarted keeps a copy of each durable entry
+// that is missing from the table, so the response of one such host is
+// sufficient. If all hosts have restarted, the responses of all other hosts are
+// needed.
 func (h *Holder) fetchCopies(ctx context.Context) {
 	for ctx.Err() == nil && !h.hasJoined() {
 		answered := 0
@@ -44,6 +45,7 @@
 	}
 }
 
+// lastEpoch returns the epoch of the last entry, or 0 if there is none.
 func lastEpoch(list []recordlog.Entry) spoolsill.Epoch {
 	if len(list) == 0 {
 		return 0
--- a/holder/reconcile_test.go
+++ b/holder/reconcile_test.go
@@ -20,7 +20,8 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// cellConfig returns the configuration of an in-memory hall with one worker.
+// cellConfig returns the configuration of a cell with one hall and one worker, on
+// an in-memory network.
 func cellConfig() standin.CellConfig {
 	return standin.CellConfig{
 		Halls:    []spoolsill.HallID{"vake"},
@@ -37,7 +38,7 @@
 	}
 }
 
-// fleetConfig returns the configuration of a single entry host for cell.
+// fleetConfig returns the configuration of a fleet with a single entry host.
 func fleetConfig(cell *standin.Cell, b holder.Breaks) fleet.Config {
 	return fleet.Config{
 		Cell:         cell,
@@ -56,10 +57,10 @@
 	}
 }
 
-// takeOverWithUnknownTask starts a task on a hall's only worker, without a
-// record of it, then starts the hall's host and submits a job that needs the
-// whole worker. It returns how often the capacity of the worker was exceeded,
-// and the state of the job's task after 10 seconds.
+// takeOverWithUnknownTask starts a task on the hall's only worker that is in no
+// record, then starts the hall's host and submits a job that needs the whole
+// worker. It returns how often the capacity of the worker was exceeded, and the
+// state of the job's task after 10 seconds.
 func takeOverWithUnknownTask(t *testing.T, b holder.Breaks) (over int, state spoolsill.TaskState) {
 	c := qt.New(t)
 	cell, err := standin.NewCell(cellConfig())
@@ -106,9 +107,9 @@
 	})
 }
 
-// TestCapacityIsExceededWithoutReconciliation makes decisions before the
-// worker's tasks are known. The first renewal is sent at a random time and may
-// reveal the unknown task early, so the test makes several attempts.
+// TestCapacityIsExceededWithoutReconciliation has the holder make decisions
+// before the worker's tasks are known. The first renewal is sent at a random time
+// and may reveal the unknown task early, so the test makes several attempts.
 func TestCapacityIsExceededWithoutReconciliation(t *testing.T) {
 	const tries = 30
 	over := 0
@@ -126,9 +127,9 @@
 	t.Fatalf("not over capacity in %d tries", tries)
 }
 
-// startOnPausedWorker has a task placed on a paused worker, so that the start
-// request and a renewal are pending there at the same time. It returns the texts
-// of the task's events.
+// startOnPausedWorker submits a job while the only worker is paused, so that the
+// start request and a renewal are pending there at the same time. It returns the
+// texts of the task's events.
 func startOnPausedWorker(t *testing.T) string {
 	c := qt.New(t)
 	cell, err := standin.NewCell(cellConfig())
@@ -164,9 +165,9 @@
 
 // TestRenewalSentBeforeStartDoesNotLoseTask guards against starting a running
 // task a second time. The worker may process a renewal before the start request
-// while the responses arrive in the opposite order, so a report that lacks the
-// task does not mean that it is not running. The order in which the worker
-// processes the two is random, hence the number of attempts.
+// while the responses arrive in the opposite order, so the task may be running
+// even if the report lacks it. The order in which the worker processes the two
+// is random, hence the number of attempts.
 func TestRenewalSentBeforeStartDoesNotLoseTask(t *testing.T) {
 	const tries = 200
 	for range tries {
@@ -179,7 +180,7 @@
 }
 
 // TestTaskThatExceedsItsDeclaredResourcesIsCheckpointed makes the worker report
-// four times the declared processors as used.
+// four times the declared resources as used.
 func TestTaskThatExceedsItsDeclaredResourcesIsCheckpointed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/holder/snapshot.go
+++ b/holder/snapshot.go
@@ -12,17 +12,18 @@
 // maxDeletes is the maximum number of journal rows deleted in one transaction.
 const maxDeletes = 500
 
-// A snapshotter tracks which part of the journal the newest snapshot covers.
-type snapshotter struct {
-	last spoolsill.Sequence // last entry that the newest snapshot covers
-	busy bool               // a snapshot is being written
+// A snapshotState tracks which part of the journal the newest snapshot covers.
+type snapshotState struct {
+	last    spoolsill.Sequence // the last entry that the newest snapshot covers
+	writing bool               // a snapshot is being written
 }
 
-// maybeSnapshot writes a snapshot in the background if SnapshotEvery entries
-// were stored since the last one. t.mu must be held.
+// maybeSnapshot starts writing a snapshot in the background if none is being
+// written, all entries are in the table, and at least Config.SnapshotEvery of
+// them follow the last snapshot. t.mu must be held.
 func (t *tenure) maybeSnapshot() {
 	s := t.writer.Stored()
-	if t.snap.busy || t.writer.UnstoredCount() > 0 || int(s-t.snap.last) < t.h.config.SnapshotEvery {
+	if t.snap.writing || t.writer.UnstoredCount() > 0 || int(s-t.snap.last) < t.h.config.SnapshotEvery {
 		return
 	}
 	e := recordlog.Entry{
@@ -32,26 +33,26 @@
 		Incarnation: t.h.config.Incarnation,
 		Records:     t.state.Snapshot(time.Now()),
 	}
-	t.snap.busy = true
+	t.snap.writing = true
 	t.wg.Add(1)
 	go func() {
 		defer t.wg.Done()
-		err := t.snapshot(e)
+		err := t.writeSnapshot(e)
 		if err != nil {
 			t.h.config.Log.WithError(err).Warn("cannot write the snapshot")
 		}
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.snap.busy = false
+		t.snap.writing = false
 		if err == nil {
 			t.snap.last = s
 		}
 	}()
 }
 
-// snapshot writes the snapshot object, then the row that refers to it, and
-// deletes the journal rows that the snapshot covers.
-func (t *tenure) snapshot(e recordlog.Entry) error {
+// writeSnapshot writes the writeSnapshot object, then the row that refers to it, and
+// deletes the journal rows that the writeSnapshot covers.
+func (t *tenure) writeSnapshot(e recordlog.Entry) error {
 	b, err := recordlog.Encode(e)
 	if err != nil {
 		return err
@@ -61,7 +62,7 @@
 		return err
 	}
 	next := t.snap.last + 1
-	x := t.fenced()
+	x := t.fencedTxn()
 	x.Puts = []table.Put{{
 		Key:   recordlog.SnapshotKey(t.h.config.Hall),
 		Value: []byte(name),
@@ -81,13 +82,13 @@
 		if next > e.Sequence {
 			return nil
 		}
-		x = t.fenced()
+		x = t.fencedTxn()
 	}
 }
 
-// fenced returns a transaction that is applied only while no later epoch has
+// fencedTxn returns a transaction that is applied only while no later epoch has
 // begun.
-func (t *tenure) fenced() table.Txn {
+func (t *tenure) fencedTxn() table.Txn {
 	return table.Txn{
 		Conditions: []table.Condition{{
 			Key:     lease.EpochKey(t.h.config.Hall),
--- a/holder/tenure.go
+++ b/holder/tenure.go
@@ -15,10 +15,10 @@
 )
 
 // maxUnstoredEntries is the number of entries missing from the table above which
-// no further decisions are made.
+// no further decisions are made, until some of them are written.
 const maxUnstoredEntries = 256
 
-// A tenure is the time for which the host holds the lease under one epoch.
+// A tenure is the time during which the host holds the lease under one epoch.
 type tenure struct {
 	h          *Holder
 	epoch      spoolsill.Epoch
@@ -32,18 +32,18 @@
 
 	mu               sync.Mutex // guards the fields below
 	closed           bool       // no more goroutines are started
-	ready            bool
+	ready            bool       // the state is loaded and reconciled
 	state            *place.State
 	planCache        *intent.PlanCache
 	writer           *recordlog.Writer
-	pending          []action
+	pendingActions   []action
 	waiters          []waiter
 	drivers          map[spoolsill.WorkerID]*driver
-	replicated       bool      // other hosts keep copies
+	replicated       bool      // other hosts may keep copies of entries of this tenure
 	tableUnavailable bool      // as of the last call of advanceJournal
 	nextWrite        time.Time // earliest time of the next table write
 	writeFailures    int       // consecutive failed table writes
-	snap             snapshotter
+	snap             snapshotState
 	workers          []spoolsill.Worker
 	workersListed    bool // the list of workers is available
 }
@@ -90,7 +90,7 @@
 	t.mu.Lock()
 	t.ready = true
 	t.mu.Unlock()
-	t.h.event(timeline.Event{
+	t.h.recordEvent(timeline.Event{
 		Kind: timeline.KindLease,
 		Text: "all differences are settled, placement goes on",
 	})
@@ -106,9 +106,10 @@
 }
 
 // refreshInterval is the interval at which the list of workers and the quotas
-// are read.
+// are updated.
 const refreshInterval = 500 * time.Millisecond
 
+// loop makes decisions and advances the journal until the tenure ends.
 func (t *tenure) loop() {
 	group := time.NewTicker(t.h.config.Group)
 	defer group.Stop()
@@ -146,11 +147,12 @@
 func (t *tenure) holdsLease() bool {
 	t.h.mu.Lock()
 	defer t.h.mu.Unlock()
-	e, ok := t.h.keeper.Holds(t.h.reading())
+	e, ok := t.h.keeper.Holds(t.h.readClocks())
 	return ok && e == t.epoch && t.ctx.Err() == nil
 }
 
-// decide makes decisions and reports whether there may be more to make.
+// decide makes decisions, if that is possible now, and reports whether there may
+// be more to make.
 func (t *tenure) decide() bool {
 	if !t.holdsLease() || t.h.isDraining() {
 		return true
@@ -165,17 +167,17 @@
 	return more
 }
 
-// appendRecords appends records that are applied to the state to the journal,
-// and queues the actions that follow from them. It returns the sequence number
-// of their last entry. t.mu must be held.
+// appendRecords appends records, which the state has already applied, to the
+// journal, and queues the actions that follow from them. It returns the sequence
+// number of the journal's last entry. t.mu must be held.
 func (t *tenure) appendRecords(records []place.Record) spoolsill.Sequence {
 	t.writer.Append(records)
 	s := t.writer.Seal()
 	for _, r := range records {
-		t.recordEvent(r)
+		t.recordDecision(r)
 		switch r.Kind {
 		case place.TaskPlaced, place.TaskCheckpointing, place.TaskStopping:
-			t.pending = append(t.pending, action{
+			t.pendingActions = append(t.pendingActions, action{
 				sequence: s,
 				record:   r,
 			})
@@ -184,8 +186,8 @@
 	return s
 }
 
-func (t *tenure) recordEvent(r place.Record) {
-	t.h.event(timeline.Event{
+func (t *tenure) recordDecision(r place.Record) {
+	t.h.recordEvent(timeline.Event{
 		Kind:   timeline.KindDecision,
 		Job:    r.Task.Job,
 		Task:   taskName(r),
@@ -194,6 +196,8 @@
 	})
 }
 
+// taskName returns the task of a record, or an empty string if the record is not
+// about a single task.
 func taskName(r place.Record) string {
 	if r.Task.Job == "" || r.Kind == place.JobCancelled {
 		return ""
@@ -227,19 +231,19 @@
 	return s
 }
 
-// processDurable executes the actions and notifies the waiters whose entries are
-// durable. t.mu must be held.
+// processDurable executes the pending actions and notifies the waiters whose
+// entries are durable. t.mu must be held.
 func (t *tenure) processDurable() {
 	durable := t.writer.Durable()
 	if t.h.config.Break.Record {
 		durable = 1 << 62
 	}
 	n := 0
-	for n < len(t.pending) && t.pending[n].sequence <= durable {
-		t.execute(t.pending[n].record)
+	for n < len(t.pendingActions) && t.pendingActions[n].sequence <= durable {
+		t.execute(t.pendingActions[n].record)
 		n++
 	}
-	t.pending = t.pending[n:]
+	t.pendingActions = t.pendingActions[n:]
 	kept := t.waiters[:0]
 	for _, w := range t.waiters {
 		if w.sequence <= durable {
@@ -251,7 +255,8 @@
 	t.waiters = kept
 }
 
-// execute acts on a durable record. t.mu must be held.
+// execute sends the request to the worker that a durable record requires. t.mu
+// must be held.
 func (t *tenure) execute(r place.Record) {
 	d := t.driver(r.Worker)
 	attempt := agent.TaskAttempt{
@@ -268,8 +273,8 @@
 	}
 }
 
-// spawn runs f in a goroutine of the tenure. At most Config.MaxRequests of
-// them run at once. t.mu must be held.
+// spawn runs f in a goroutine of the tenure. At most Config.MaxRequests such
+// functions run at once. t.mu must be held.
 func (t *tenure) spawn(f func()) {
 	if t.closed {
 		return
@@ -287,7 +292,8 @@
 	}()
 }
 
-// refresh updates the list of workers and the quotas.
+// refresh updates the list of workers and the quotas, and drains the workers that
+// are leaving. It does nothing until a list is available.
 func (t *tenure) refresh() {
 	list, ok := t.h.config.Workers()
 	if !ok {
--- a/oplog/bench_test.go
+++ b/oplog/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolsill/spoolsill/oplog"
 )
 
-// BenchmarkLine measures logging a line about a run, of which the leader writes about
-// four for each task.
+// BenchmarkLine logs lines like those about the run of a task, of which a leader writes
+// about four per task.
 func BenchmarkLine(b *testing.B) {
 	l := oplog.New(io.Discard)
 	ctx, cancel := context.WithCancel(b.Context())
@@ -20,10 +20,10 @@
 	defer l.Wait()
 	defer cancel()
 	e := l.WithField("host", "front-1")
-	// The rate limit applies per message: with many messages no line is dropped.
-	var kinds [2000]string
-	for i := range kinds {
-		kinds[i] = fmt.Sprintf("task placed %d", i)
+	// The rate limit applies per message, so with many messages it drops no line.
+	var messages [2000]string
+	for i := range messages {
+		messages[i] = fmt.Sprintf("task placed %d", i)
 	}
 	n := 0
 	b.ReportAllocs()
@@ -37,6 +37,6 @@
 			"task":   "a7897bb9cc451f01.0.0.0",
 			"run":    uint32(1),
 			"worker": "i-a807225722",
-		}).Info(kinds[n%len(kinds)])
+		}).Info(messages[n%len(messages)])
 	}
 }
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -1,11 +1,11 @@
-// Package oplog writes the operators' log: JSON lines that never block the program that
-// logs them.
+// Package oplog writes the operators' log as JSON lines, without ever blocking the
+// goroutine that logs.
 //
-// Lines pass through a bounded queue to a goroutine that writes them. When a slow reader
-// has let the queue fill up, lines are dropped. Each message has a rate limit, so that
-// the volume stays bounded under load; warnings and errors have a limit of their own.
-// Dropped lines are counted; their number is logged at most once a second and served as
-// a metric.
+// Lines pass through a bounded queue to a goroutine that writes them. When the queue is
+// full because the reader is slow, lines are dropped. Lines with the same message are rate
+// limited, so that the volume of the log remains bounded under load; warnings and errors
+// have a separate limit. Dropped lines are counted. Their number is logged at most once a
+// second, and [Log.Dropped] returns it for a metric.
 package oplog
 
 import (
@@ -23,7 +23,7 @@
 )
 
 const (
-	// maxQueuedLines is the capacity of the queue for a slow reader, about 2 MB.
+	// maxQueuedLines is the capacity of the queue, about 2 MB.
 	maxQueuedLines = 8192
 	// linesPerSecond and linesBurst limit the lines with the same message that are
 	// less severe than warnings. A leader starts about 250 tasks a second at peak;
@@ -34,9 +34,9 @@
 	// message.
 	warningsPerSecond = 200
 	warningsBurst     = 400
-	// writeInterval is how long lines are collected for one write. maxWriteBytes limits
-	// a write to what a pipe takes atomically (PIPE_BUF), so that a reader that reads
-	// in chunks sees whole lines; a longer line is written by itself. A leader with
+	// writeInterval is how long lines are collected after a write. maxWriteBytes limits
+	// a write to what a pipe accepts atomically (PIPE_BUF), so that a reader that reads
+	// in chunks receives whole lines; a longer line is written by itself. A leader with
 	// 1,600 starts a second writes 2,500 lines a second, about sixteen per write.
 	writeInterval = 10 * time.Millisecond
 	maxWriteBytes = 4 << 10
@@ -44,26 +44,26 @@
 	reportInterval = time.Second
 )
 
-// A Log is a logger that writes through a bounded queue.
+// A Log is a logger that writes through a bounded queue. It is safe for concurrent use.
 type Log struct {
 	*logrus.Logger
 
-	out     io.Writer
-	queue   chan []byte
-	dropped atomic.Int64
-	mu      sync.Mutex
-	limits  map[string]*rate.Limiter
-	done    chan struct{}
+	out      io.Writer
+	queue    chan []byte
+	dropped  atomic.Int64
+	mu       sync.Mutex
+	limiters map[string]*rate.Limiter
+	done     chan struct{}
 }
 
 // New returns a log that writes to out. Nothing is written until [Log.Run] is called.
 func New(out io.Writer) *Log {
 	l := &Log{
-		Logger: logrus.New(),
-		out:    out,
-		queue:  make(chan []byte, maxQueuedLines),
-		limits: map[string]*rate.Limiter{},
-		done:   make(chan struct{}),
+		Logger:   logrus.New(),
+		out:      out,
+		queue:    make(chan []byte, maxQueuedLines),
+		limiters: map[string]*rate.Limiter{},
+		done:     make(chan struct{}),
 	}
 	l.SetOutput(writer{
 		log: l,
@@ -82,7 +82,7 @@
 	return l.dropped.Load()
 }
 
-// Run writes lines until ctx ends, then writes those still queued and returns.
+// Run writes lines until ctx is done, then writes those still queued and returns.
 func (l *Log) Run(ctx context.Context) {
 	defer close(l.done)
 	t := time.NewTicker(reportInterval)
@@ -110,7 +110,7 @@
 	<-l.done
 }
 
-// writeAll writes b and all queued lines, joined into writes of at most maxWriteBytes.
+// writeAll writes b and all queued lines, combined into writes of at most maxWriteBytes.
 func (l *Log) writeAll(b []byte) {
 	for {
 		select {
@@ -129,32 +129,32 @@
 	}
 }
 
-// write writes b. Lines that cannot be written are counted as dropped, since there is
-// no other place to report the error.
+// write writes b. If that fails, its lines are counted as dropped, since there is no other
+// place to report the error.
 func (l *Log) write(b []byte) {
 	if _, err := l.out.Write(b); err != nil {
 		l.dropped.Add(int64(bytes.Count(b, []byte("\n"))))
 	}
 }
 
-// allow reports whether the rate limit admits one more line with message kind.
-func (l *Log) allow(kind string, level logrus.Level) bool {
+// allow reports whether the rate limit admits one more line with the given message.
+func (l *Log) allow(message string, level logrus.Level) bool {
 	perSecond, burst := linesPerSecond, linesBurst
 	if level <= logrus.WarnLevel {
 		perSecond, burst = warningsPerSecond, warningsBurst
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.limits[kind]
-	if m == nil {
-		m = rate.NewLimiter(rate.Limit(perSecond), burst)
-		l.limits[kind] = m
+	x := l.limiters[message]
+	if x == nil {
+		x = rate.NewLimiter(rate.Limit(perSecond), burst)
+		l.limiters[message] = x
 	}
-	return m.Allow()
+	return x.Allow()
 }
 
-// A formatter drops lines over their rate limit by returning no bytes, for which [writer]
-// queues nothing.
+// A formatter formats lines as JSON. For a line that exceeds its rate limit it returns no
+// bytes, which [writer] ignores.
 type formatter struct {
 	log  *Log
 	json logrus.JSONFormatter
--- a/oplog/oplog_test.go
+++ b/oplog/oplog_test.go
@@ -55,6 +55,7 @@
 	})
 }
 
+// A stalled writer blocks until release is closed.
 type stalled struct {
 	release chan struct{}
 }
@@ -64,8 +65,8 @@
 	return len(b), nil
 }
 
-// A message that floods the log is rate limited and the dropped lines are counted;
-// errors with another message are still written.
+// A message that floods the log must be rate limited and the dropped lines counted, while
+// an error with another message is still written.
 func TestFloodOfOneMessageIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -99,7 +100,8 @@
 	return len(b), nil
 }
 
-// Lines in quick succession share writes, and the first line is written without delay.
+// Lines in quick succession must share writes, while the first line is written without
+// delay.
 func TestLinesShareWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/recordlog/copies.go
+++ b/recordlog/copies.go
@@ -6,27 +6,28 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// MaxCopies is the largest number of copied entries that a host keeps.
+// MaxCopies is the maximum number of copied entries that a host keeps.
 const MaxCopies = 100_000
 
 // Copies holds entries that the hall's holder copied to this host while the table was
-// unavailable. It is not safe for concurrent use.
+// unavailable. The zero value is empty and ready to use. It is not safe for concurrent
+// use.
 type Copies struct {
-	epoch   spoolsill.Epoch
+	epoch   spoolsill.Epoch // the latest known
 	entries map[spoolsill.Sequence]Entry
 }
 
-// Add stores entries copied in an epoch, and drops entries of earlier epochs. If a
-// later epoch is known, or there would be more than [MaxCopies] entries, it stores
-// nothing and returns false.
+// Add stores entries that the holder of the given epoch has copied, and drops those of
+// earlier epochs. If a later epoch is known, or if there would be more than [MaxCopies]
+// entries, it stores and drops nothing and returns false.
 func (c *Copies) Add(epoch spoolsill.Epoch, entries []Entry) bool {
 	if epoch < c.epoch || len(c.entries)+len(entries) > MaxCopies {
 		return false
 	}
 	c.Fence(epoch)
-	for n, e := range c.entries {
+	for s, e := range c.entries {
 		if e.Epoch < epoch {
-			delete(c.entries, n)
+			delete(c.entries, s)
 		}
 	}
 	if c.entries == nil {
@@ -38,16 +39,16 @@
 	return true
 }
 
-// Fence makes [Copies.Add] reject entries of epochs before epoch from now on.
+// Fence makes later calls of [Copies.Add] reject entries of epochs before epoch.
 func (c *Copies) Fence(epoch spoolsill.Epoch) {
 	if epoch > c.epoch {
 		c.epoch = epoch
 	}
 }
 
-// Drop removes the entries that are not needed any more once the table holds the entry
-// at p: those up to p, and all of earlier epochs, which the writer of that entry has
-// taken over.
+// Drop removes the entries that are not needed once the entry at p is in the table: those
+// of its epoch up to p, and all entries of earlier epochs, which the writer of the entry
+// has taken over or discarded.
 func (c *Copies) Drop(p Position) {
 	for s, e := range c.entries {
 		if e.Epoch < p.Epoch || e.Epoch == p.Epoch && s <= p.Sequence {
@@ -73,9 +74,9 @@
 	return all
 }
 
-// After returns the entries that follow sequence number s without a gap. Entries of
-// epochs before epoch, in which s was written, are ignored: the holder that wrote s has
-// taken them over or discarded them.
+// After returns the entries that follow sequence number s without a gap. It ignores
+// entries of epochs before epoch, the one in which s was written: the holder that wrote s
+// has taken them over or discarded them.
 func (c *Copies) After(epoch spoolsill.Epoch, s spoolsill.Sequence) []Entry {
 	var out []Entry
 	for _, e := range c.All() {
--- a/recordlog/entry.go
+++ b/recordlog/entry.go
@@ -15,22 +15,22 @@
 // Format is the format version of the entries that [Encode] writes.
 const Format = 1
 
-// MaxRecords is the largest number of records in one entry.
+// MaxRecords is the maximum number of records in one entry.
 const MaxRecords = 2048
 
-// MaxEntryBytes is the largest size of an encoded entry or snapshot that [Decode]
-// accepts.
+// MaxEntryBytes is the maximum size in bytes of an encoded entry or snapshot that
+// [Decode] accepts.
 const MaxEntryBytes = 64 << 20
 
 // ErrDamaged is returned for an entry that has an invalid length or checksum, or that
 // cannot be decoded.
-var ErrDamaged = errors.New("journal: damaged entry")
+var ErrDamaged = errors.New("recordlog: damaged entry")
 
 // ErrNewerFormat is returned for an entry with a newer format version than [Format].
-var ErrNewerFormat = errors.New("journal: entry has a newer format")
+var ErrNewerFormat = errors.New("recordlog: entry has a newer format")
 
-// An Entry is a group of records that are written together. A snapshot is stored in the
-// same form.
+// An Entry is a group of records that are written together. A snapshot is also encoded as
+// an Entry, whose Sequence is that of the last entry it covers.
 type Entry struct {
 	Epoch       spoolsill.Epoch       `msgpack:"e"`
 	Sequence    spoolsill.Sequence    `msgpack:"s"`
@@ -46,9 +46,9 @@
 	Sequence spoolsill.Sequence `msgpack:"s"`
 }
 
-const headerLength = 1 + 8
+const headerLength = 1 + 8 // format version and checksum
 
-// Encode encodes e, preceded by the format version and a checksum.
+// Encode returns the encoding of e, which starts with the format version and a checksum.
 func Encode(e Entry) ([]byte, error) {
 	body, err := msgpack.Marshal(&e)
 	if err != nil {
@@ -80,12 +80,12 @@
 	return e, nil
 }
 
-// Prefix returns the common prefix of the keys of a hall's entries.
+// Prefix returns the common prefix of the row keys of a hall's entries.
 func Prefix(h spoolsill.HallID) string {
 	return "journal/" + string(h) + "/"
 }
 
-// Key returns the key of an entry. Keys sort by sequence number.
+// Key returns the row key of an entry. Keys sort by sequence number.
 func Key(h spoolsill.HallID, s spoolsill.Sequence) string {
 	return fmt.Sprintf("%s%016d", Prefix(h), uint64(s))
 }
--- a/recordlog/recordlog_test.go
+++ b/recordlog/recordlog_test.go
@@ -85,28 +85,29 @@
 }
 
 // write starts a write, or completes the one in flight.
-func (s *writerModel) write(t *rapid.T) {
-	if s.writeInFlight == nil {
-		if a := s.writer.NextWrite(); a.Kind == recordlog.ActionWrite {
-			s.writeInFlight = &a
+func (m *writerModel) write(t *rapid.T) {
+	if m.writeInFlight == nil {
+		if a := m.writer.NextWrite(); a.Kind == recordlog.ActionWrite {
+			m.writeInFlight = &a
 		}
 		return
 	}
 	outcome := rapid.IntRange(0, 2).Draw(t, "outcome")
 	if outcome > 0 {
-		s.put(t, s.writeInFlight.Entries)
+		m.put(t, m.writeInFlight.Entries)
 	}
 	// Outcome 0: not applied. Outcome 1: applied, and the reply is lost. Outcome 2:
 	// applied and acknowledged.
-	s.writer.WriteDone(outcome == 2)
-	s.writeInFlight = nil
+	m.writer.WriteDone(outcome == 2)
+	m.writeInFlight = nil
 }
 
-// put writes all entries, or finds all of them present and unchanged.
-func (s *writerModel) put(t *rapid.T, entries []recordlog.Entry) {
+// put writes entries to the table. It fails the test if only some of them are already
+// there, or if one would be changed.
+func (m *writerModel) put(t *rapid.T, entries []recordlog.Entry) {
 	present := 0
 	for _, e := range entries {
-		if old, ok := s.rows[e.Sequence]; ok {
+		if old, ok := m.rows[e.Sequence]; ok {
 			present++
 			if old != text(e) {
 				t.Fatalf("entry %d: %s would overwrite %s", e.Sequence, text(e), old)
@@ -117,7 +118,7 @@
 		t.Fatalf("write of %d entries, of which %d are already in the table", len(entries), present)
 	}
 	for _, e := range entries {
-		s.rows[e.Sequence] = text(e)
+		m.rows[e.Sequence] = text(e)
 	}
 }
 
@@ -125,50 +126,52 @@
 	return fmt.Sprint(e.Sequence, e.Records)
 }
 
-func (s *writerModel) add(t *rapid.T) {
+func (m *writerModel) add(t *rapid.T) {
 	var list []place.Record
 	for range rapid.IntRange(1, 3).Draw(t, "records") {
-		s.records++
+		m.records++
 		list = append(list, place.Record{
 			Kind: place.PlanApplied,
-			At:   int64(s.records),
+			At:   int64(m.records),
 		})
 	}
-	s.writer.Append(list)
-	s.writer.Seal()
+	m.writer.Append(list)
+	m.writer.Seal()
 }
 
-func (s *writerModel) copy(t *rapid.T) {
-	if s.copyInFlight == nil {
-		if a := s.writer.NextCopy(); a.Kind == recordlog.ActionCopy {
-			s.copyInFlight = &a
+func (m *writerModel) copy(t *rapid.T) {
+	if m.copyInFlight == nil {
+		if a := m.writer.NextCopy(); a.Kind == recordlog.ActionCopy {
+			m.copyInFlight = &a
 		}
 		return
 	}
-	e := s.copyInFlight.Entries
+	e := m.copyInFlight.Entries
 	ok := rapid.Bool().Draw(t, "copied")
 	if ok {
-		s.copies.Add(1, e)
+		m.copies.Add(1, e)
 	}
-	s.writer.CopyDone(e[len(e)-1].Sequence, ok)
-	s.copyInFlight = nil
+	m.writer.CopyDone(e[len(e)-1].Sequence, ok)
+	m.copyInFlight = nil
 }
 
-// check verifies that the entries that count as durable are in the table or, without a
-// gap, copied to the other host.
-func (s *writerModel) check(t *rapid.T) {
-	if int(s.writer.Stored()) > len(s.rows) {
-		t.Fatalf("%d entries count as stored, but the table has %d", s.writer.Stored(), len(s.rows))
+// check verifies that all entries that count as durable are in the table or among the
+// copies that follow it without a gap.
+func (m *writerModel) check(t *rapid.T) {
+	if int(m.writer.Stored()) > len(m.rows) {
+		t.Fatalf("%d entries count as stored, but the table has %d", m.writer.Stored(), len(m.rows))
 	}
-	kept := s.writer.Stored() + spoolsill.Sequence(len(s.copies.After(0, s.writer.Stored())))
-	if s.writer.Durable() > kept {
-		t.Fatalf("entry %d counts as durable, but only %d entries are kept", s.writer.Durable(), kept)
+	kept := m.writer.Stored() + spoolsill.Sequence(len(m.copies.After(0, m.writer.Stored())))
+	if m.writer.Durable() > kept {
+		t.Fatalf("entry %d counts as durable, but only %d entries are kept", m.writer.Durable(), kept)
 	}
 }
 
+// checkWriter returns the property that durable entries are kept. With noPeers, the writer
+// makes no copies.
 func checkWriter(noPeers bool) func(*rapid.T) {
 	return func(t *rapid.T) {
-		s := &writerModel{
+		m := &writerModel{
 			rows: map[spoolsill.Sequence]string{},
 			writer: recordlog.NewWriter(recordlog.Config{
 				Epoch:    1,
@@ -176,11 +179,11 @@
 			}),
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"":       s.check,
-			"add":    s.add,
-			"write":  s.write,
-			"write2": s.write,
-			"copy":   s.copy,
+			"":       m.check,
+			"add":    m.add,
+			"write":  m.write,
+			"write2": m.write,
+			"copy":   m.copy,
 		})
 	}
 }
@@ -189,7 +192,7 @@
 	rapid.Check(t, checkWriter(false))
 }
 
-// The check of the model must fail for a writer that makes no copies.
+// The property must be violated by a writer that makes no copies.
 func TestModelDetectsMissingCopies(t *testing.T) {
 	qt.Assert(t, seed.FindsFailure(t, checkWriter(true)), qt.IsTrue)
 }
@@ -216,11 +219,11 @@
 	c.Assert(x.After(0, 4), qt.HasLen, 0)
 }
 
-// A host that restarts loses the copies that it acknowledged before. If the late
-// acknowledgement were taken for the reply to a copy sent after the restart, entries
-// would count as durable of which the other host has no copy, and confirmed jobs would be
-// lost with the holder. Copy calls carry no number, so only one is in flight at a time,
-// and a restart invalidates its reply.
+// A restarted host has lost the copies that it acknowledged before. If such an
+// acknowledgement, arriving late, were mistaken for the reply to a copy sent after the
+// restart, entries would count as durable of which the other host has no copy, and
+// confirmed jobs would be lost with the holder. Copy calls carry no number, so only one is
+// in flight at a time, and a restart invalidates its reply.
 func TestCopyAcknowledgedBeforeRestartDoesNotCount(t *testing.T) {
 	c := qt.New(t)
 	w := recordlog.NewWriter(recordlog.Config{
--- a/recordlog/writer.go
+++ b/recordlog/writer.go
@@ -15,10 +15,11 @@
 	ActionCopy             // copy Entries to every other host of the hall
 )
 
-// MaxTxnEntries is the largest number of entries in one table transaction.
+// MaxTxnEntries is the maximum number of entries in one table transaction.
 const MaxTxnEntries = 32
 
-// An Action is what the caller of [Writer.NextWrite] or [Writer.NextCopy] has to do.
+// An Action is an operation that the caller of [Writer.NextWrite] or [Writer.NextCopy] has
+// to perform.
 type Action struct {
 	Kind    ActionKind
 	Entries []Entry
@@ -31,28 +32,31 @@
 	Epoch       spoolsill.Epoch
 	// Last is the sequence number of the newest entry in the table.
 	Last spoolsill.Sequence
-	// HasPeers reports that the hall has other hosts to copy entries to. If it has none,
-	// entries count as durable in memory alone while the table is unavailable.
+	// HasPeers is set if the hall has other hosts, to which entries can be copied. If it
+	// is not set, entries that are only in memory count as durable while the table is
+	// unavailable.
 	HasPeers bool
 }
 
-// A Writer makes entries durable in order. It performs no I/O: it tells its caller what
-// to write and copy, and is told the results. It is not safe for concurrent use.
+// A Writer makes entries durable in order. It performs no I/O: its caller obtains the
+// writes and copies to perform from it, and reports their results to it. It is not safe
+// for concurrent use.
 type Writer struct {
 	config        Config
 	pending       []place.Record     // not yet in an entry
-	unstored      []Entry            // not in the table yet, in order
-	copied        spoolsill.Sequence // the last entry that every other host has a copy of
+	unstored      []Entry            // not known to be in the table, in order
+	copied        spoolsill.Sequence // the last entry of which every other host has a copy
 	durable       spoolsill.Sequence // the last durable entry; it never decreases
 	lastSealed    spoolsill.Sequence // the last entry created
-	stored        spoolsill.Sequence // the last entry in the table
+	stored        spoolsill.Sequence // the last entry known to be in the table
 	writeInFlight bool
 	copyInFlight  bool
-	// copyInvalid reports that a host has restarted since the copy in flight began, so
-	// that it may have lost what it acknowledged. The next copy waits for the pending
-	// reply, which could otherwise be taken for its own.
+	// copyInvalid is set if a host has restarted since the copy in flight was started. The
+	// host may then have lost entries that it acknowledged. The next copy is started only
+	// after the pending result was reported, which could otherwise be mistaken for its
+	// own.
 	copyInvalid bool
-	batch       []Entry // of the write in flight, or of one that may have taken effect
+	batch       []Entry // of the write in flight, or of a failed write that may have been applied
 }
 
 // NewWriter returns a writer whose first entry follows c.Last.
@@ -65,14 +69,14 @@
 	}
 }
 
-// Append adds records for the next entry. They are durable once [Writer.Durable] reaches
-// the sequence number that the following [Writer.Seal] returns.
+// Append adds records to the next entry. They are durable once [Writer.Durable] reaches
+// the sequence number that the following call of [Writer.Seal] returns.
 func (w *Writer) Append(records []place.Record) {
 	w.pending = append(w.pending, records...)
 }
 
-// Seal groups the pending records into entries and returns the sequence number of the
-// last entry.
+// Seal groups the records appended since the last call into entries. It returns the
+// sequence number of the last entry created by this or an earlier call.
 func (w *Writer) Seal() spoolsill.Sequence {
 	for len(w.pending) > 0 {
 		n := min(len(w.pending), MaxRecords)
@@ -90,14 +94,14 @@
 }
 
 // Durable returns the sequence number of the newest durable entry: one that is in the
-// table, or that every other host of the hall has a copy of.
+// table, or of which every other host of the hall has a copy.
 func (w *Writer) Durable() spoolsill.Sequence {
 	w.durable = max(w.durable, w.stored, w.copied)
 	return w.durable
 }
 
-// PeerRestarted tells w that another host of the hall has restarted and lost its copies,
-// so that all entries missing from the table are copied again. Entries that were durable
+// PeerRestarted records that another host of the hall has restarted and lost its copies.
+// All entries missing from the table are then copied again. Entries that were durable
 // before still count as durable.
 func (w *Writer) PeerRestarted() {
 	w.Durable()
@@ -120,8 +124,8 @@
 	return len(w.unstored)
 }
 
-// NextWrite returns the next write to the table, if there is one to start. After a
-// failed write it returns the same entries again.
+// NextWrite returns the next write to the table, or an action of kind ActionNone if there
+// is none to start. After a failed write it returns the same entries again.
 func (w *Writer) NextWrite() Action {
 	if w.writeInFlight || len(w.unstored) == 0 {
 		return Action{}
@@ -137,8 +141,9 @@
 	}
 }
 
-// NextCopy returns the entries to copy to the other hosts, if there are any. It must be
-// called only while the table is unavailable and the host holds the lease.
+// NextCopy returns the entries to copy to the other hosts, or an action of kind ActionNone
+// if there is no copy to start. It must be called only while the table is unavailable and
+// the host holds the lease.
 func (w *Writer) NextCopy() Action {
 	if w.copyInFlight || max(w.stored, w.copied) >= w.lastSealed {
 		return Action{}
@@ -163,9 +168,9 @@
 	}
 }
 
-// WriteDone records whether the write of the last [Writer.NextWrite] was applied.
-// Entries that were not applied, or may not have been, are written again unchanged, so
-// that they take effect once.
+// WriteDone records whether the write returned by the last [Writer.NextWrite] is known to
+// have been applied. If not, the same entries are written again unchanged, so that they
+// take effect only once.
 func (w *Writer) WriteDone(applied bool) {
 	w.writeInFlight = false
 	if !applied {
@@ -178,8 +183,8 @@
 	}
 }
 
-// CopyDone records the result of the last [Writer.NextCopy]: whether every other host of
-// the hall has accepted the copies, of which upTo is the last.
+// CopyDone records the result of the copy returned by the last [Writer.NextCopy]: whether
+// every other host of the hall has accepted the entries, the last of which is upTo.
 func (w *Writer) CopyDone(upTo spoolsill.Sequence, accepted bool) {
 	valid := w.copyInFlight && !w.copyInvalid
 	w.copyInFlight = false
--- a/timeline/clock.go
+++ b/timeline/clock.go
@@ -39,9 +39,9 @@
 	return fmt.Sprintf("%s+%d", t.Time().UTC().Format("15:04:05.000000"), t.Counter)
 }
 
-// MaxSkew is how far a received timestamp may be ahead of the local wall clock.
-// Timestamps further ahead are rejected, so that one wrong clock cannot advance all
-// others.
+// MaxSkew is how far a received timestamp may be ahead of the local wall clock. A
+// timestamp that is further ahead is rejected, so that one wrong clock cannot advance the
+// clocks of all other processes.
 const MaxSkew = time.Minute
 
 // A Clock is a hybrid logical clock. It is safe for concurrent use. The zero value is
@@ -54,7 +54,8 @@
 	last Timestamp
 }
 
-// Tick returns a timestamp that is later than all that c has returned or observed.
+// Tick returns a timestamp that is later than all timestamps that c has returned or
+// observed before.
 func (c *Clock) Tick() Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,6 +80,8 @@
 	return true
 }
 
+// advance sets c.last to t, or to the next counter value if t is not later. c.mu must be
+// held.
 func (c *Clock) advance(t Timestamp) {
 	if t.Wall > c.last.Wall {
 		c.last = t
--- a/timeline/ring.go
+++ b/timeline/ring.go
@@ -19,17 +19,17 @@
 	Size int
 }
 
-// A Ring is a buffer of the newest events of one process. It is safe for concurrent
-// use.
+// A Ring is a ring buffer that holds the newest events of one process. It is safe for
+// concurrent use.
 type Ring struct {
 	config Config
 
 	mu     sync.Mutex
 	events []Event
-	next   int
+	next   int // index of the oldest event once the buffer is full
 }
 
-// NewRing returns an empty ring. If c.Clock is nil, the ring gets a clock of its own.
+// NewRing returns an empty ring. If c.Clock is nil, the ring uses a new clock.
 func NewRing(c Config) *Ring {
 	if c.Size <= 0 {
 		c.Size = DefaultSize
--- a/timeline/timeline_test.go
+++ b/timeline/timeline_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Timestamps that two clocks exchange keep their order although the wall clock of one
-// is seconds behind and steps backwards.
+// Timestamps that two clocks exchange must be in causal order, even if the wall clock of
+// one of them is seconds behind and steps backwards.
 func TestTimestampsAreCausallyOrdered(t *testing.T) {
 	c := qt.New(t)
 	ahead, behind := time.UnixMicro(10_000_000), time.UnixMicro(1_000_000)
