--- a/entry/config.go
+++ b/entry/config.go
@@ -45,7 +45,7 @@
 	}
 	r, err := config.DecodeRevision(row.Value)
 	if err != nil {
-		h.recordFault("cannot decode the newest configuration: " + err.Error())
+		h.recordFault("the newest configuration can't be read: " + err.Error())
 		return false
 	}
 	h.applyConfig(r)
--- a/entry/header.go
+++ b/entry/header.go
@@ -76,7 +76,7 @@
 	r.Issued = p.issued(now)
 	if r.Unrepeatable {
 		p.require(r.Key != "", HeaderKey, "", "a key, since the request is unrepeatable")
-		p.require(head.Get(HeaderIssued) != "", HeaderIssued, "", "the time at which the key was created, since the request is unrepeatable")
+		p.require(head.Get(HeaderIssued) != "", HeaderIssued, "", "the time at which the key was made, since the request is unrepeatable")
 	}
 	if p.err != nil {
 		return spoolsill.Request{}, p.err
--- a/entry/host.go
+++ b/entry/host.go
@@ -160,7 +160,7 @@
 		Clock:       h.clock,
 		Report: func(remote string, err error) {
 			h.log.WithError(err).WithField("remote", remote).Warn("peer connection failed")
-			h.recordFault("peer connection with " + remote + " failed: " + err.Error())
+			h.recordFault("peer connection with " + remote + " broke: " + err.Error())
 		},
 	}
 	if d := h.config.Dial; d != nil {
--- a/entry/request.go
+++ b/entry/request.go
@@ -91,7 +91,7 @@
 		return router.Call{}, false
 	}
 	if err != nil {
-		h.rejectRequest(w, http.StatusBadRequest, "the request body is incomplete")
+		h.rejectRequest(w, http.StatusBadRequest, "the body did not come whole")
 		return router.Call{}, false
 	}
 	if r.Key == "" {
