--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -19,11 +19,13 @@
 
 // A Config describes a [Keeper].
 type Config struct {
+	// Host and Incarnation identify the process to which the keeper belongs.
 	Host        spoolsill.HostID
 	Incarnation spoolsill.Incarnation
 	// Hosts are the entry hosts of the hall, this one included.
 	Hosts []spoolsill.HostID
-	// Duration is the duration of the lease, measured from before it is requested.
+	// Duration is the duration of the lease, measured from the start of the write that
+	// acquires or renews it.
 	Duration time.Duration
 	// Renew is the interval between renewals, and Poll the interval between reads of
 	// a lease held by another host.
@@ -35,8 +37,8 @@
 	// Promise is the duration of a promise.
 	Promise time.Duration
 	// Extension limits how long after the last renewal promises can extend a lease
-	// while the table is unreachable. A host that is not on the roster waits longer
-	// than that before it takes over.
+	// while the table is unreachable. A host that is not on the roster (see [Row]) is not
+	// asked for promises, and therefore waits longer than that before it takes over.
 	Extension time.Duration
 	// Join is how long after its start the host waits for [Keeper.MarkJoined] before it
 	// takes over an existing lease; 0 means that it does not wait.
@@ -65,8 +67,9 @@
 	Mono time.Duration
 }
 
-// Since returns the time elapsed from o to r on the clock on which it is longer. What this
-// host holds is measured with it, so that it expires early rather than late.
+// Since returns the time elapsed from o to r on the clock on which it is longer. This host's
+// lease and the promises made to it are measured with Since, so that they expire early
+// rather than late.
 func (r ClockReading) Since(o ClockReading) time.Duration {
 	return max(r.Mono-o.Mono, r.Wall.Sub(o.Wall))
 }
@@ -90,15 +93,21 @@
 
 // An Action is an operation that the caller of [Keeper.Next] has to perform.
 type Action struct {
-	Kind    ActionKind
-	Row     Row
+	Kind ActionKind
+	// Row is the row to write or, for RequestPromises, the row that names the epoch and the
+	// roster.
+	Row Row
+	// Version is the version that the row must have for the write to be applied; 0 means
+	// that the row must not exist.
 	Version uint64
 	// Takeover reports that the write changes the holder, so that the epoch row must
 	// be written in the same transaction.
 	Takeover bool
 }
 
-// A Keeper is the state machine of a hall's lease on one host.
+// A Keeper is the state machine of a hall's lease on one host. Its owner calls
+// [Keeper.Next] repeatedly, performs the returned actions, and reports their results with
+// [Keeper.ReadDone], [Keeper.WriteDone] and [Keeper.RecordPromise].
 type Keeper struct {
 	config  Config
 	started ClockReading
@@ -132,8 +141,8 @@
 	takeover bool
 }
 
-// NewKeeper returns a keeper that has not read the lease row. now is the start of the
-// host.
+// NewKeeper returns a keeper that has not read the lease row. now is when the host's process
+// started.
 func NewKeeper(c Config, now ClockReading) *Keeper {
 	return &Keeper{
 		config:   c.withDefaults(),
@@ -154,9 +163,9 @@
 	return k.epoch, k.extendedByPromises(now)
 }
 
-// Tenure returns the epoch that the host holds or held last, and whether no other host is
-// known to have taken over the lease since. Unlike [Keeper.Holds], it does not imply that
-// the lease is still valid.
+// Tenure returns the epoch under which the host holds or last held the lease. It reports
+// false once the lease has been released or abandoned, or another host is known to have
+// taken it over. Unlike [Keeper.Holds], true does not imply that the lease is still valid.
 func (k *Keeper) Tenure() (spoolsill.Epoch, bool) {
 	return k.epoch, k.held
 }
@@ -195,8 +204,8 @@
 	return true
 }
 
-// Next returns the action to perform at now. After a ReadRow or WriteRow it returns neither
-// until ReadDone or WriteDone is called.
+// Next returns the action to perform at now, of kind NoAction if there is none. After a
+// ReadRow or WriteRow it returns neither until ReadDone or WriteDone is called.
 func (k *Keeper) Next(now ClockReading) Action {
 	if k.promisesDue(now) {
 		k.lastRequest = now
@@ -430,8 +439,8 @@
 	return true
 }
 
-// RecordPromise records that a host made the promise that was requested at the given time,
-// from which the promise is measured.
+// RecordPromise records that another host has promised not to take over the lease.
+// requested is when this host sent the request; the promise is measured from then.
 func (k *Keeper) RecordPromise(requested ClockReading, from spoolsill.HostID) {
 	k.promises[from] = requested
 }
@@ -454,7 +463,8 @@
 	k.held = false
 }
 
-// Released reports whether there is no lease left to release.
+// Released reports whether there is no lease left to release: it has been released in the
+// table, or this host does not hold it.
 func (k *Keeper) Released() bool {
 	return !k.held
 }
--- a/lease/row.go
+++ b/lease/row.go
@@ -12,11 +12,13 @@
 // ErrBadRow is returned for a lease row that can't be decoded.
 var ErrBadRow = errors.New("lease: bad row")
 
-// A Row is the state of a hall's lease.
+// A Row is the state of a hall's lease, as stored in the table.
 type Row struct {
+	// Holder and Incarnation identify the process that last acquired the lease.
 	Holder      spoolsill.HostID      `msgpack:"h"`
 	Incarnation spoolsill.Incarnation `msgpack:"i"`
-	Epoch       spoolsill.Epoch       `msgpack:"e"`
+	// Epoch increases by one each time the lease is acquired.
+	Epoch spoolsill.Epoch `msgpack:"e"`
 	// WriteID increases with each write and distinguishes the writes of one holder.
 	WriteID uint64 `msgpack:"b"`
 	// Roster lists the hosts that may hold the lease: the holder and those that may
@@ -26,7 +28,7 @@
 	Released bool `msgpack:"x"`
 }
 
-// Encode returns r in the encoding of the table.
+// Encode returns r as the value of its row in the table, in msgpack.
 func (r Row) Encode() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
@@ -50,7 +52,8 @@
 }
 
 // EpochKey returns the key of the row that is written only when the lease of a hall
-// is acquired. The holder's writes are conditional on the version of this row.
+// is acquired. The holder's writes are conditional on the version of this row, so they
+// fail once the lease has been acquired again.
 func EpochKey(h spoolsill.HallID) string {
 	return "epoch/" + string(h)
 }
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -7,17 +7,18 @@
 // across processes.
 //
 // The error of a failed call tells whether the call may have been executed:
-// [ErrUnreachable] means that the call was never sent, [ErrReplyLost] that the remote
-// side may have received it, and a [*RemoteError] that the remote side rejected it.
+// [ErrUnreachable] means that it certainly was not, [ErrReplyLost] that the remote side
+// may have received it, and a [*RemoteError] that the remote side answered with an error,
+// which either the handler returned or this package (see [Code]).
 //
 // A call carries the caller's remaining timeout. The handler's context is cancelled
 // when the timeout expires, and a reply whose transmission has not started by then
 // is discarded, so that abandoned calls use neither memory nor bandwidth. The
 // caller's deadline bounds the call regardless of what the remote side does. A
-// connection is closed when the remote side accepts no bytes of a message for
-// [DefaultWriteTimeout], when it sends nothing for a second while calls time out, or
-// when the accepting side receives nothing for a minute and has no call in progress.
+// connection is closed when a write to it exceeds [DefaultWriteTimeout], when the remote
+// side sends nothing for a second while calls with a timeout of at most a second expire,
+// or when the accepting side receives nothing for a minute and has no call in progress.
 //
-// A frame that is too long or can't be decoded closes its connection and is
-// reported; other connections are not affected.
+// A received frame that is too long or can't be decoded closes its connection and is
+// passed to [Config].Report; other connections are not affected.
 package peer
--- a/peer/error.go
+++ b/peer/error.go
@@ -14,14 +14,14 @@
 
 // The codes that this package itself returns. Handlers may define their own.
 const (
-	CodeInternal     Code = "internal"
-	CodeNoSuchMethod Code = "no-such-method"
-	CodeBusy         Code = "busy"
-	CodeBadInput     Code = "bad-input"
+	CodeInternal     Code = "internal"       // the handler failed, or its reply can't be encoded
+	CodeNoSuchMethod Code = "no-such-method" // no handler is registered for the method
+	CodeBusy         Code = "busy"           // the connection already has Config.Handlers calls in progress
+	CodeBadInput     Code = "bad-input"      // the request can't be decoded
 )
 
-// A RemoteError is an error returned by the remote side. A handler returns one to
-// set the code; any other error is sent with [CodeInternal].
+// A RemoteError is an error returned by the remote side. A handler that returns one sets
+// the code that the caller receives; any other error is sent with [CodeInternal].
 type RemoteError struct {
 	Code Code
 	Text string
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -19,7 +19,8 @@
 
 const headerLength = 4
 
-// ErrBadFrame is returned for a frame that is too long or can't be decoded.
+// ErrBadFrame is passed to [Config].Report for a received frame that is too long or can't
+// be decoded. The error of a call that is too long to be sent wraps it and [ErrUnreachable].
 var ErrBadFrame = errors.New("peer: bad frame")
 
 type messageKind uint8
--- a/peer/node.go
+++ b/peer/node.go
@@ -18,16 +18,19 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// Defaults of [Config].
+// The timeouts of connections, and the default of [Config].Handlers.
 const (
+	// DefaultDialTimeout bounds the time to open a connection.
 	DefaultDialTimeout = time.Second
-	// DefaultWriteTimeout is how long a write may make no progress before the
-	// connection is closed.
+	// DefaultWriteTimeout bounds the time to write 64 KiB of a message, or the rest if
+	// that is shorter. The connection is closed when it is exceeded.
 	DefaultWriteTimeout = 5 * time.Second
-	DefaultHandlers     = 512
+	// DefaultHandlers is the limit on calls in progress per connection.
+	DefaultHandlers = 512
 )
 
-// A Caller identifies the process that made a call.
+// A Caller identifies the process that made a call: the host, and which run of its
+// process.
 type Caller struct {
 	Host        spoolsill.HostID
 	Incarnation spoolsill.Incarnation
@@ -35,19 +38,22 @@
 
 // A Config describes a [Node].
 type Config struct {
+	// Host and Incarnation identify this process to the hosts that it calls.
 	Host        spoolsill.HostID
 	Incarnation spoolsill.Incarnation
 	// Addresses maps each host that can be called to its IP and port. [Node.SetAddress]
 	// adds more.
 	Addresses map[spoolsill.HostID]string
-	Clock     *timeline.Clock
+	// Clock supplies the timestamps of sent frames and is advanced by those of received
+	// frames; nil means a new clock.
+	Clock *timeline.Clock
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Handlers limits the calls in progress per connection; 0 means DefaultHandlers.
-	// Calls beyond the limit are rejected with CodeBusy.
+	// Handlers limits the received calls in progress per connection; 0 means
+	// DefaultHandlers. Calls beyond the limit are rejected with CodeBusy.
 	Handlers int
-	// Report, if not nil, is called for each connection that fails and each connection
-	// that can't be accepted.
+	// Report, if not nil, is called with the remote address of each connection that fails,
+	// and with the address of the listener if a connection can't be accepted.
 	Report func(remote string, err error)
 	// OnMessage, if not nil, is called with the size in bytes of each message sent and
 	// received, and the method of its call. The method is empty for received replies to
@@ -71,7 +77,8 @@
 
 type handler func(ctx context.Context, c Caller, body []byte) (any, error)
 
-// NewNode returns a node without registered methods.
+// NewNode returns a node without registered methods. The first call to a host opens the
+// connection to it.
 func NewNode(c Config) *Node {
 	if c.Clock == nil {
 		c.Clock = &timeline.Clock{}
@@ -98,8 +105,8 @@
 	return n
 }
 
-// SetAddress sets the address of a host. If the address changes, the
-// connection to the previous address is closed.
+// SetAddress sets the address of a host. If the address changes, the connection to the
+// previous address is closed, and calls waiting for a reply on it fail with [ErrReplyLost].
 func (n *Node) SetAddress(h spoolsill.HostID, address string) {
 	n.mu.Lock()
 	old := n.links[h]
@@ -137,8 +144,9 @@
 	return int(n.inFlight.Load())
 }
 
-// Handle registers f as the handler of a method. It replaces a handler that was
-// registered before.
+// Handle registers f as the handler of a method, in place of any previous handler. f is
+// called in a new goroutine for each call, with a ctx that is cancelled when the caller's
+// timeout expires or the connection is closed.
 func Handle[Q, R any](n *Node, method string, f func(ctx context.Context, c Caller, q Q) (R, error)) {
 	n.methods.Store(method, handler(func(ctx context.Context, c Caller, body []byte) (any, error) {
 		var q Q
@@ -152,8 +160,8 @@
 	}))
 }
 
-// Call calls a method of host to and waits for the reply. The package comment
-// describes the errors.
+// Call calls a method of the host named by to with the request q, and waits for the
+// reply until ctx is done. The package comment describes the errors.
 func Call[R, Q any](ctx context.Context, n *Node, to spoolsill.HostID, method string, q Q) (R, error) {
 	var r R
 	l, ok := n.link(to)
@@ -185,7 +193,9 @@
 const acceptRetryDelay = 50 * time.Millisecond
 
 // Serve accepts connections on l and serves their calls until ctx is done. It closes l,
-// and returns after all connections are closed.
+// and returns nil after all accepted connections are closed and their handlers have
+// returned. If l fails without being closed, the error is passed to [Config].Report and
+// accepting is retried.
 func (n *Node) Serve(ctx context.Context, l net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -223,7 +233,8 @@
 	}
 }
 
-// Close closes all outgoing connections.
+// Close closes all outgoing connections. Calls waiting for a reply fail with
+// [ErrReplyLost]; a later call opens a new connection.
 func (n *Node) Close() {
 	n.mu.Lock()
 	links := slices.Collect(maps.Values(n.links))
--- a/router/router.go
+++ b/router/router.go
@@ -21,42 +21,43 @@
 
 // Peers sends calls to the other hosts of the hall.
 type Peers interface {
-	// Borrow asks a host for slots of a service.
+	// Borrow asks a host to lend up to n slots of a service.
 	Borrow(ctx context.Context, h spoolsill.HostID, s spoolsill.ServiceID, n int) ([]route.Loan, error)
-	// Return returns slots to the host that lent them.
+	// Return gives slots back to the host that lent them.
 	Return(ctx context.Context, h spoolsill.HostID, s spoolsill.ServiceID, ids []route.LoanID)
 }
 
 // A Config configures a [Router].
 type Config struct {
-	Route    route.Config
-	Upstream Upstream
-	Peers    Peers
-	Events   *timeline.Ring
-	// Saw is called after each call with whether the runner answered it; it may
-	// be nil.
+	Route    route.Config   // of the service, its queue and the hall's hosts
+	Upstream Upstream       // sends calls to the runners
+	Peers    Peers          // calls the other hosts
+	Events   *timeline.Ring // records each request that is sent to a runner
+	// Saw is called after each call to a runner; it may be nil. answered is false if
+	// Upstream returned an error; a response with an error status is an answer.
 	Saw func(r spoolsill.RunnerID, answered bool)
-	// Leaves is called if a runner answers that it is leaving; it may be nil.
+	// Leaves is called if a runner's response announces that it is leaving; it may
+	// be nil.
 	Leaves func(r spoolsill.RunnerID)
 }
 
 // A Call is a request and the content that is sent to the runner.
 type Call struct {
 	Request spoolsill.Request
-	Path    string
-	Type    string
+	Path    string // of the URL
+	Type    string // the content type of Body
 	Body    []byte
 }
 
 // A Reply is the result of a request. Answer is the runner's answer if Outcome
-// is Done.
+// is [spoolsill.OutcomeDone]; otherwise Cause is why the request failed.
 type Reply struct {
 	Outcome    spoolsill.Outcome
 	Cause      route.Cause
-	RetryAfter time.Duration
-	Runner     spoolsill.RunnerID
+	RetryAfter time.Duration      // after which the caller should retry; 0 means no advice
+	Runner     spoolsill.RunnerID // that answered; empty if the request failed
 	Answer     upstream.Answer
-	Waited     time.Duration // in the queue
+	Waited     time.Duration // from the arrival to the last dispatch or the failure
 }
 
 // A Router routes the requests of one service. It is safe for concurrent use.
@@ -74,7 +75,8 @@
 	wg         sync.WaitGroup
 }
 
-// New returns a router without runners.
+// New returns a router without runners. [Router.Run] must be running while the
+// router is used.
 func New(c Config) *Router {
 	if c.Saw == nil {
 		c.Saw = func(spoolsill.RunnerID, bool) {}
@@ -92,8 +94,9 @@
 	}
 }
 
-// Run performs the operations that become due until ctx ends. It then fails the
-// queued calls and cancels those in flight.
+// Run performs the operations that become due at a certain time, such as failing
+// expired requests, until ctx ends. It then fails the queued calls, cancels those
+// in flight and waits for their end.
 func (r *Router) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.wg.Wait()
@@ -128,7 +131,8 @@
 	}
 }
 
-// SetRunners replaces the list of the service's runners.
+// SetRunners replaces the list of the service's runners. A runner that is not
+// listed any more gets no new requests.
 func (r *Router) SetRunners(list []spoolsill.Runner) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,14 +142,18 @@
 	r.execute(r.state.SetRunners(time.Now(), list))
 }
 
-// EnableOwnSlots sets the time from which the host may use its own slots.
+// EnableOwnSlots sets the time from which the host may use its own slots. A host
+// that can't tell whether it was stopped cleanly before its restart must wait for
+// the lifetime of a slot, since its earlier requests may still occupy them; until
+// then it can only borrow. The zero time means that no wait is needed.
 func (r *Router) EnableOwnSlots(from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.execute(r.state.EnableOwnSlots(time.Now(), from))
 }
 
-// Lend handles a request of another host for n slots.
+// Lend handles a request of another host for up to n slots, and returns those that
+// it lends.
 func (r *Router) Lend(n int) []route.Loan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,8 +168,8 @@
 }
 
 // StopAndWait makes r fail new requests, and waits until no request is queued or
-// running and no slot is held or lent, or until ctx ends. It reports whether
-// nothing is outstanding.
+// running, no slot may still be occupied by a request without an answer, and no
+// slot is lent, or until ctx ends. It reports whether nothing is outstanding.
 func (r *Router) StopAndWait(ctx context.Context) bool {
 	r.mu.Lock()
 	r.state.Drain()
@@ -198,7 +206,8 @@
 	return r.state.FreeSlots(time.Now())
 }
 
-// Runners describes the service's runners.
+// Runners returns the state of the service's runners as seen by this host, sorted
+// by ID.
 func (r *Router) Runners() []route.RunnerView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,8 +215,8 @@
 }
 
 // Do routes a call and returns its result. If ctx ends while the call is queued,
-// the call is cancelled. Once it has been sent, Do waits for its end regardless
-// of ctx.
+// the call is cancelled. Once it has been sent, Do waits for its result regardless
+// of ctx, but not beyond the time at which the request expires.
 func (r *Router) Do(ctx context.Context, c Call) Reply {
 	arrived := time.Now()
 	t, acts := r.arrive(arrived, c)
