--- a/internal/bench/placebench/input.go
+++ b/internal/bench/placebench/input.go
@@ -187,7 +187,7 @@
 
 // addRunningServices adds the services that would be running in the steady state as
 // arrivals at time zero, with their remaining run times. It returns their number.
-func (in *input) addRunningServices(r *rand.Rand, gap time.Duration) int {
+func (p *input) addRunningServices(r *rand.Rand, gap time.Duration) int {
 	n := 0
 	for _, k := range workloadMix {
 		if k.kind != spoolsill.KindService {
@@ -199,7 +199,7 @@
 			for i := range taskRuntimes {
 				taskRuntimes[i] = max(time.Duration(r.Float64()*float64(taskRuntimes[i])), time.Second)
 			}
-			in.arrivals = append(in.arrivals, arrival{
+			p.arrivals = append(p.arrivals, arrival{
 				job:      j,
 				runtimes: taskRuntimes,
 			})
@@ -210,10 +210,10 @@
 
 // addBulkCancel cancels, at the middle of the run, every second patient job that arrived
 // in the preceding twentieth of the run.
-func (in *input) addBulkCancel(c Config) {
+func (p *input) addBulkCancel(c Config) {
 	cancelTime := c.Duration / 2
-	for i := range in.arrivals {
-		a := &in.arrivals[i]
+	for i := range p.arrivals {
+		a := &p.arrivals[i]
 		if a.job.Class == spoolsill.ClassPatient && a.at < cancelTime && a.at > cancelTime-c.Duration/20 && i%2 == 0 {
 			a.cancelAfter = cancelTime - a.at
 		}
--- a/jobfile/jobfile.go
+++ b/jobfile/jobfile.go
@@ -102,7 +102,7 @@
 	return doc, nil
 }
 
-func (doc jobDocument) toFile() (File, []string) {
+func (d jobDocument) toFile() (File, []string) {
 	var problems []string
 	reject := func(field, value, allowed string) {
 		problems = append(problems, (&spoolsill.FieldError{
@@ -112,31 +112,31 @@
 		}).Error())
 	}
 	j := spoolsill.Job{
-		ID:           spoolsill.JobID(doc.ID),
-		Team:         spoolsill.TeamID(doc.Team),
-		Kind:         spoolsill.Kind(doc.Kind),
-		Tasks:        doc.Tasks,
-		Worth:        doc.Worth,
-		Unrepeatable: doc.Unrepeatable,
-		Command:      doc.Command,
+		ID:           spoolsill.JobID(d.ID),
+		Team:         spoolsill.TeamID(d.Team),
+		Kind:         spoolsill.Kind(d.Kind),
+		Tasks:        d.Tasks,
+		Worth:        d.Worth,
+		Unrepeatable: d.Unrepeatable,
+		Command:      d.Command,
 	}
-	if err := j.Class.UnmarshalText([]byte(doc.Class)); err != nil {
-		reject("class", doc.Class, "urgent, normal or patient")
+	if err := j.Class.UnmarshalText([]byte(d.Class)); err != nil {
+		reject("class", d.Class, "urgent, normal or patient")
 	}
 	var ok bool
-	if j.Shape.Processors, ok = ParseProcessors(doc.Processors); !ok {
-		reject("processors", doc.Processors, `cores like "2" or "0.5", or "500m"`)
+	if j.Shape.Processors, ok = ParseProcessors(d.Processors); !ok {
+		reject("processors", d.Processors, `cores like "2" or "0.5", or "500m"`)
 	}
-	if j.Shape.Memory, ok = ParseMemory(doc.Memory); !ok {
-		reject("memory", doc.Memory, `bytes like "512MiB" or "4GiB"`)
+	if j.Shape.Memory, ok = ParseMemory(d.Memory); !ok {
+		reject("memory", d.Memory, `bytes like "512MiB" or "4GiB"`)
 	}
-	j.Shape.Accelerators = spoolsill.Accelerators(doc.Accelerators)
-	if doc.Runtime != "" {
-		d, err := time.ParseDuration(doc.Runtime)
+	j.Shape.Accelerators = spoolsill.Accelerators(d.Accelerators)
+	if d.Runtime != "" {
+		runtime, err := time.ParseDuration(d.Runtime)
 		if err != nil {
-			reject("runtime", doc.Runtime, `a duration like "90s" or "2h"`)
+			reject("runtime", d.Runtime, `a duration like "90s" or "2h"`)
 		}
-		j.Runtime = d
+		j.Runtime = runtime
 	}
 	if len(problems) == 0 {
 		for _, e := range j.Validate() {
@@ -145,7 +145,7 @@
 	}
 	return File{
 		Job:  j,
-		Hall: spoolsill.HallID(doc.Hall),
+		Hall: spoolsill.HallID(d.Hall),
 	}, problems
 }
 
