--- a/agent/client.go
+++ b/agent/client.go
@@ -16,10 +16,10 @@
 
 // ErrNotExecuted is returned when the agent certainly did not execute the
 // request: it rejected it, or no connection could be opened.
-var ErrNotExecuted = errors.New("agent: request not executed")
+var ErrNotExecuted = errors.New("agent: refused")
 
 // ErrUnknownOutcome is returned when the agent may have executed the request.
-var ErrUnknownOutcome = errors.New("agent: outcome unknown")
+var ErrUnknownOutcome = errors.New("agent: answer lost")
 
 // DefaultTimeout is the default of [Config.Timeout].
 const DefaultTimeout = time.Second
--- a/table/remote/client.go
+++ b/table/remote/client.go
@@ -233,7 +233,7 @@
 // if the read budget is exhausted.
 func (c *Client) read(ctx context.Context, path string, result any) error {
 	if !c.reads.Allow() {
-		return fmt.Errorf("%w: read budget exhausted", table.ErrUnavailable)
+		return fmt.Errorf("%w: read budget is used up", table.ErrUnavailable)
 	}
 	v, err, _ := c.inflight.Do(path, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.config.Timeout)
@@ -265,7 +265,7 @@
 // [ErrNotFound] does not count as a failure.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, result any) error {
 	if !c.breaker.Allow(time.Now()) {
-		return fmt.Errorf("%w: circuit breaker is open", table.ErrUnavailable)
+		return fmt.Errorf("%w: breaker is open", table.ErrUnavailable)
 	}
 	b, err := c.call(ctx, method, path, body)
 	c.breaker.RecordResult(time.Now(), err == nil || errors.Is(err, ErrNotFound))
--- a/table/table.go
+++ b/table/table.go
@@ -9,11 +9,11 @@
 
 // ErrUnavailable is returned when the table did not accept a call. The call
 // certainly had no effect.
-var ErrUnavailable = errors.New("table: unavailable")
+var ErrUnavailable = errors.New("table: down")
 
 // ErrUnknownOutcome is returned when the response to a call was lost. The call
 // may have taken effect.
-var ErrUnknownOutcome = errors.New("table: outcome unknown")
+var ErrUnknownOutcome = errors.New("table: answer lost")
 
 // A Row is a key with its value. Version is 1 when the row is created and
 // increases by one with each write.
