--- a/leader/advice.go
+++ b/leader/advice.go
@@ -11,7 +11,7 @@
 )
 
 // An Advisor asks the advisor service through the hosts of the cell. The service answers one
-// question of a host at a time, so a high rate needs many hosts.
+// query of a host at a time, so a high rate needs many hosts.
 type Advisor interface {
 	// Hosts returns the hosts that can ask now.
 	Hosts() []spoolsill.HostID
@@ -21,47 +21,47 @@
 }
 
 const (
-	// askMargin is added to the cost of a question to get its timeout.
+	// askMargin is added to the cost of a query to get its timeout.
 	askMargin = 300 * time.Millisecond
-	// longQuestionCost is the cost above which a question is long. The last
-	// reservedHosts hosts get no long questions, so that short ones soon find a free host.
-	longQuestionCost = 150 * time.Millisecond
-	reservedHosts    = 2
-	// failedHostBackoff is how long a host whose question failed is avoided if others are
+	// longQueryCost is the cost above which a query is long. The last
+	// reservedHosts hosts get no long queries, so that short ones soon find a free host.
+	longQueryCost = 150 * time.Millisecond
+	reservedHosts = 2
+	// failedHostBackoff is how long a host whose query failed is avoided if others are
 	// available: as long as most problems of a single host last.
 	failedHostBackoff = 3 * time.Second
-	// maxDepth bounds the questions in flight from one host.
+	// maxDepth bounds the queries in flight from one host.
 	maxDepth = 3
 	// overheadWeight is the weight of the newest answer in the moving averages.
 	overheadWeight = 0.1
-	// hostsCacheTime is how long the list of hosts is cached: many questions are sent
+	// hostsCacheTime is how long the list of hosts is cached: many queries are sent
 	// within it, and hosts come and go less often.
 	hostsCacheTime = 20 * time.Millisecond
 )
 
-// An adviceDispatcher distributes questions over hosts. Each host gets one at a time, or several if
-// an answer spends more time in transit than the service needs for a question: with one at a time,
+// An adviceDispatcher distributes queries over hosts. Each host gets one at a time, or several if
+// an answer spends more time in transit than the service needs for a query: with one at a time,
 // the host would be idle during the transit.
 type adviceDispatcher struct {
 	leader *Leader
 	queue  []sched.AdviceOrder // most urgent first
 	busy   map[spoolsill.HostID]int
 	// overhead is a moving average of the latency of answers beyond the cost of the
-	// question; averageCost is that of the cost.
+	// query; averageCost is that of the cost.
 	overhead, averageCost time.Duration
 	failed                map[spoolsill.HostID]time.Time
-	answered              chan answeredQuestion
+	answered              chan answeredQuery
 	// hosts is the cached list of available hosts, as of listed.
 	hosts  []spoolsill.HostID
 	listed time.Time
 }
 
-// An answeredQuestion is the outcome of a question that a host was made to ask.
-type answeredQuestion struct {
+// An answeredQuery is the outcome of a query that the leader had a host make.
+type answeredQuery struct {
 	host   spoolsill.HostID
 	failed bool
-	// took is the time from question to answer; cost is the service's time for the question,
-	// and ahead its time for the questions in flight before it.
+	// took is the time from query to answer; cost is the service's time for the query,
+	// and ahead its time for the queries in flight before it.
 	took, ahead, cost time.Duration
 }
 
@@ -70,18 +70,18 @@
 		leader:   l,
 		busy:     map[spoolsill.HostID]int{},
 		failed:   map[spoolsill.HostID]time.Time{},
-		answered: make(chan answeredQuestion, eventBuffer),
+		answered: make(chan answeredQuery, eventBuffer),
 	}
 }
 
 func (a *adviceDispatcher) enqueue(o sched.AdviceOrder) {
 	i, _ := slices.BinarySearchFunc(a.queue, o, func(e, o sched.AdviceOrder) int {
-		return cmp.Or(compareQuestions(e, o), -1) // insert after equal elements
+		return cmp.Or(compareQueries(e, o), -1) // insert after equal elements
 	})
 	a.queue = slices.Insert(a.queue, i, o)
 }
 
-// dispatch sends questions to free hosts, the most urgent first.
+// dispatch sends queries to free hosts, the most urgent first.
 func (a *adviceDispatcher) dispatch(ctx context.Context) {
 	a.collectAnswers()
 	if len(a.queue) == 0 {
@@ -89,9 +89,9 @@
 	}
 	hosts := a.availableHosts(a.leader.config.Clock.Now())
 	rest := a.queue[:0]
-	longBusy := false // all hosts for long questions are busy
+	longBusy := false // all hosts for long queries are busy
 	for i, o := range a.queue {
-		long := o.Cost > longQuestionCost
+		long := o.Cost > longQueryCost
 		if long && longBusy {
 			rest = append(rest, o)
 			continue
@@ -130,13 +130,13 @@
 }
 
 // observe updates the averages with an answer.
-func (a *adviceDispatcher) observe(q answeredQuestion) {
+func (a *adviceDispatcher) observe(q answeredQuery) {
 	overhead := max(q.took-q.ahead-q.cost, 0)
 	a.overhead += time.Duration(overheadWeight * float64(overhead-a.overhead))
 	a.averageCost += time.Duration(overheadWeight * float64(q.cost-a.averageCost))
 }
 
-// depth returns how many questions a host may have in flight.
+// depth returns how many queries a host may have in flight.
 func (a *adviceDispatcher) depth() int {
 	if a.averageCost <= 0 {
 		return 1
@@ -165,9 +165,9 @@
 	return available
 }
 
-// compareQuestions orders urgent questions first, then by purpose: those for runs whose capacity is
+// compareQueries orders urgent queries first, then by purpose: those for runs whose capacity is
 // held, those for waiting gangs, and all others. Then it orders by priority.
-func compareQuestions(a, b sched.AdviceOrder) int {
+func compareQueries(a, b sched.AdviceOrder) int {
 	return cmp.Or(
 		-compareBools(a.Urgent, b.Urgent),
 		cmp.Compare(b.Purpose, a.Purpose),
@@ -187,8 +187,8 @@
 	}
 }
 
-// pickHost returns the host with the fewest questions in flight, the last one if there are several.
-// It returns false if all hosts are busy. Long questions don't go to the last reservedHosts hosts,
+// pickHost returns the host with the fewest queries in flight, the last one if there are several.
+// It returns false if all hosts are busy. Long queries don't go to the last reservedHosts hosts,
 // or fewer if that were more than half of them, so that short ones find a free host there.
 func (a *adviceDispatcher) pickHost(hosts []spoolsill.HostID, long bool) (spoolsill.HostID, bool) {
 	if long {
@@ -218,7 +218,7 @@
 		if err != nil {
 			l.config.Log.WithError(err).WithField("host", string(h)).WithField("stage", o.Stage.String()).Warn("question to the advisor failed")
 		}
-		a.answered <- answeredQuestion{
+		a.answered <- answeredQuery{
 			host:   h,
 			failed: err != nil,
 			took:   took,
--- a/leader/advice_test.go
+++ b/leader/advice_test.go
@@ -39,14 +39,14 @@
 	})
 }
 
-// Questions for urgent work are sent ahead of those already queued, and none is lost.
-func TestUrgentQuestionsAreSentFirst(t *testing.T) {
+// Queries for urgent work are sent ahead of those already queued, and none is lost.
+func TestUrgentQueriesAreSentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
 		var mu sync.Mutex
 		var asked []string
-		x.onQuestion = func(stage sched.StageID) {
+		x.onQuery = func(stage sched.StageID) {
 			mu.Lock()
 			defer mu.Unlock()
 			asked = append(asked, string(stage.Job))
@@ -80,7 +80,7 @@
 		}
 		add("later", "advised", later)
 		submitAll()
-		pause.For(x.ctx, 80*time.Millisecond) // two questions are in flight, two wait
+		pause.For(x.ctx, 80*time.Millisecond) // two queries are in flight, two wait
 		mu.Lock()
 		before := len(asked)
 		mu.Unlock()
@@ -101,7 +101,7 @@
 	})
 }
 
-// Guards against a backlog of questions while hosts are idle, which comes about when responses
+// Guards against a backlog of queries while hosts are idle, which comes about when responses
 // spend more time in transit than the advisor needs to compute them.
 func TestSlowAdvisorResponsesDoNotDelayQuestions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/leader/fixture_test.go
+++ b/leader/fixture_test.go
@@ -46,8 +46,8 @@
 	observer leader.Observer
 	// hostWithoutAdvisor can't reach the advisor.
 	hostWithoutAdvisor spoolsill.HostID
-	// onQuestion is called for each question to the advisor; may be nil.
-	onQuestion func(stage sched.StageID)
+	// onQuery is called for each query to the advisor; may be nil.
+	onQuery func(stage sched.StageID)
 	// advisorDelay is added to the latency of the advisor.
 	advisorDelay time.Duration
 	// logs receives the log entries of the leaders; may be nil.
@@ -123,7 +123,7 @@
 			Advisor: &cellfake.Advisor{
 				HostIDs: []spoolsill.HostID{host, "other"},
 				Cut:     x.hostWithoutAdvisor,
-				OnQuery: x.onQuestion,
+				OnQuery: x.onQuery,
 				Takes:   x.advisorDelay,
 			},
 			WorkersTable: workersTable,
