--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -23,7 +23,8 @@
 	lossyCallInterval = 700 * time.Microsecond
 	// lossThreshold is the share of unanswered renewals above which calls count as getting
 	// lost. lossWeight is the weight of the newest renewal in that share, which makes it an
-	// average over about the last 50: a second's renewals in the cell that it was chosen for.
+	// average over about the last 50. An idle worker responds once per baseEndWait, so these
+	// are the renewals of some 25 workers in one second.
 	lossThreshold = 0.015
 	lossWeight    = 0.02
 	// renewRetryDelay is the delay before the next renewal after one without a response.
