--- a/sched/advice_test.go
+++ b/sched/advice_test.go
@@ -156,11 +156,11 @@
 	}
 }
 
-// Guards against queries about workers that don't answer. They look idle, since their runs
+// Guards against queries about workers that do not respond. They look idle, since their runs
 // are dropped, but nothing new is started there.
-func TestQueriesOmitSilentWorkers(t *testing.T) {
+func TestQueriesOmitUnresponsiveWorkers(t *testing.T) {
 	x := newCell(t)
-	x.addWorker("silent")
+	x.addWorker("unresponsive")
 	x.addWorker("busy")
 	x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{
 		"busy": nil,
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// retractLosses drops the losses that were recorded while a worker was silent. It is called when
-// the worker answers again.
+// retractLosses drops the losses that were recorded while a worker did not respond. It is called
+// when the worker answers again.
 func (s *State) retractLosses(w *worker) {
 	for _, t := range s.suspects {
 		if t.evidence.retract(w.incarnation()) {
--- a/sched/crashmodel_test.go
+++ b/sched/crashmodel_test.go
@@ -14,14 +14,14 @@
 // reasons, partitions, late orders and changes of the leader, and counts the task's
 // starts as the platform does.
 type crashModel struct {
-	x           *cell
-	row         []byte
-	nextMachine int
-	workers     []spoolsill.WorkerID
-	run         *sched.StartOrder // the run that the task actually has
-	silent      map[spoolsill.WorkerID]bool
-	crashes     int
-	startsAfter int // starts of the task after three crashes
+	x            *cell
+	row          []byte
+	nextMachine  int
+	workers      []spoolsill.WorkerID
+	run          *sched.StartOrder // the run that the task actually has
+	unresponsive map[spoolsill.WorkerID]bool
+	crashes      int
+	startsAfter  int // starts of the task after three crashes
 }
 
 func (m *crashModel) addWorker() {
@@ -33,7 +33,7 @@
 // out.
 func (m *crashModel) round(t *rapid.T) {
 	for _, w := range m.workers {
-		if m.silent[w] {
+		if m.unresponsive[w] {
 			continue
 		}
 		if m.run != nil && m.run.Worker == w {
@@ -119,8 +119,8 @@
 func TestAtMostTwoStartsAfterThreeCrashes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := &crashModel{
-			x:      newCell(t),
-			silent: map[spoolsill.WorkerID]bool{},
+			x:            newCell(t),
+			unresponsive: map[spoolsill.WorkerID]bool{},
 		}
 		m.x.state.AddJob(m.x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
 		for range 3 {
@@ -132,7 +132,7 @@
 				m.crash(rt)
 			case 3:
 				w := rapid.SampledFrom(m.workers).Draw(rt, "worker")
-				m.silent[w] = !m.silent[w]
+				m.unresponsive[w] = !m.unresponsive[w]
 			case 4:
 				m.takeOver(rt)
 			case 5:
--- a/sched/quota_test.go
+++ b/sched/quota_test.go
@@ -93,7 +93,7 @@
 			x.answerStart(o, sched.StartAccepted)
 			x.endRun(o, sched.EndDone)
 		}, 10},
-		{"run at a worker that is silent", func(x *cell, o sched.StartOrder) {
+		{"run at an unresponsive worker", func(x *cell, o sched.StartOrder) {
 			x.answerStart(o, sched.StartAccepted)
 			x.advance(3*time.Second, map[spoolsill.WorkerID][]sched.RunID{"other": nil})
 		}, 4},
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -143,7 +143,7 @@
 	x.c.Assert(taskNames(x.step()), qt.DeepEquals, []string{"j.0.0.0#2"})
 }
 
-func TestTasksOfSilentWorkerRestartAfterLeaseExpires(t *testing.T) {
+func TestTasksOfUnresponsiveWorkerRestartAfterLeaseExpires(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("a")
 	x.state.AddJob(x.now, job("j", "q", tasks(1, 1)), sched.Progress{})
@@ -162,8 +162,8 @@
 	x.c.Assert(x.started[1].Worker, qt.Equals, spoolsill.WorkerID("b"))
 }
 
-// A worker that answers after a silence may be about to stop all its runs since its lease
-// expires. It gets no task before its lease is renewed.
+// A worker that answers again after it did not respond for a while may be about to stop all its
+// runs since its lease expires. It gets no task before its lease is renewed.
 func TestWorkerGetsNoTaskBeforeLeaseRenewal(t *testing.T) {
 	x := newCell(t)
 	x.addWorker("w")
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -405,7 +405,8 @@
 }
 
 // acceptsStarts reports whether something new may be started at w now. Its lease must have been
-// renewed: a worker that answers again after a silence may be about to end all its runs.
+// renewed: a worker that answers again after it did not respond for a while may be about to end
+// all its runs.
 func (w *worker) acceptsStarts(now time.Time) bool {
 	return w.present(now) && !w.entryInvalid && !w.Draining && !w.dead && len(w.unknownRuns) == 0 &&
 		now.Sub(w.answeredAt) < maxAnswerAge && !w.unresponsive && !now.Before(w.backoffUntil) &&
