--- a/internal/bubble/bubble.go
+++ b/internal/bubble/bubble.go
@@ -1,6 +1,6 @@
-// Package bubble lets a command run code in bubbles of testing/synctest, on
-// their fake clock. Bubbles exist only within tests, so [Main] runs the command
-// as a test.
+// Package bubble lets a command run code in bubbles of testing/synctest, with
+// their fake clocks. Bubbles exist only in tests, so [Main] runs the command as a
+// test.
 package bubble
 
 import (
@@ -11,11 +11,12 @@
 	"testing/synctest"
 )
 
+// current is the test that Main runs, or nil.
 var current *testing.T
 
-// Main runs f, in which [Run] and [Each] may be called, and exits with the code
-// that f returns. To drop the output of package testing, it replaces os.Stdout by
-// the null device; it also removes all command-line arguments.
+// Main runs f, which may call [Run] and [Each], and exits with the code that f
+// returns. It replaces os.Stdout by the null device, to discard the output of
+// package testing, and removes all command-line arguments.
 func Main(f func() int) {
 	os.Args = os.Args[:1]
 	if null, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0); err == nil {
@@ -30,8 +31,8 @@
 	}}, nil, nil)
 }
 
-// Run runs f in a bubble and returns when f and all goroutines that it started
-// have ended. It panics outside of [Main].
+// Run runs f in a bubble and returns when f and all goroutines started in the
+// bubble have exited. It panics outside of [Main].
 func Run(f func()) {
 	if current == nil {
 		panic("bubble: Run outside of Main")
@@ -39,9 +40,9 @@
 	synctest.Test(current, func(*testing.T) { f() })
 }
 
-// Each runs f(0) to f(n-1), each in a bubble of its own, in parallel as tests
-// are: up to GOMAXPROCS at a time. It returns when all have ended, and panics
-// outside of [Main].
+// Each runs f(0) to f(n-1), each in a bubble of its own, as parallel tests: up to
+// GOMAXPROCS at a time. It returns when all have exited, and panics outside of
+// [Main].
 func Each(n int, f func(i int)) {
 	if current == nil {
 		panic("bubble: Each outside of Main")
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -21,18 +21,19 @@
 // A Config describes a run of the demo.
 type Config struct {
 	Seed uint64
-	// Callers is the number of concurrent callers and Requests the number of
-	// requests that they send in total; 0 means the default.
+	// Callers is the number of concurrent callers, Requests the total number of
+	// requests that they send. The defaults are DefaultCallers and
+	// DefaultRequests.
 	Callers  int
 	Requests int
 	// Out receives the progress messages and the result.
 	Out io.Writer
-	// JSON writes the result as JSON in place of a table, without progress
-	// messages.
+	// JSON is set to write the result as JSON instead of a table, without
+	// progress messages.
 	JSON bool
 }
 
-// Defaults of [Config].
+// Default values of [Config].
 const (
 	DefaultCallers  = 48
 	DefaultRequests = 12_000
@@ -54,7 +55,7 @@
 	Recovery map[string]time.Duration  `json:"recovery_ns"`
 }
 
-// runTimeout is the timeout of a run.
+// runTimeout keeps a run under one minute.
 const runTimeout = 58 * time.Second
 
 // Run runs the demo and reports whether no invariant was violated.
@@ -138,8 +139,8 @@
 	return d, nil
 }
 
-// cellConfig returns a configuration of the size of the deployment in Tbilisi:
-// 50 workers and 50 runners in three halls.
+// cellConfig returns a configuration of the size of the deployment in Tbilisi: 50
+// workers and 50 runners in three halls.
 func cellConfig(halls []spoolsill.HallID, random func() uint64) standin.CellConfig {
 	return standin.CellConfig{
 		Halls:    halls,
@@ -152,7 +153,7 @@
 		Service: "quizdesk",
 		Runners: 50,
 		Slots:   8,
-		Work:    func(spoolsill.RequestKey) time.Duration { return heavyTail(random()) },
+		Work:    func(spoolsill.RequestKey) time.Duration { return heavyTailedDuration(random()) },
 		Runtime: func(s agent.StartRequest) (time.Duration, bool) {
 			if s.Runtime == 0 {
 				return time.Hour, false
@@ -162,9 +163,9 @@
 	}
 }
 
-// heavyTail returns the duration of a request for a random r: 2 to 19 ms, and
-// twenty times that for one request in fifty.
-func heavyTail(r uint64) time.Duration {
+// heavyTailedDuration maps a random r to the duration of a request: 2 to 19 ms,
+// and twenty times that for one request in fifty.
+func heavyTailedDuration(r uint64) time.Duration {
 	d := time.Duration(2+r%18) * time.Millisecond
 	if r>>16%50 == 0 {
 		d *= 20
@@ -201,16 +202,16 @@
 		e.SetIndent("", "  ")
 		return d.result.Total == 0, e.Encode(d.result)
 	}
-	d.table()
+	d.printTable()
 	return d.result.Total == 0, nil
 }
 
-func (d *demo) table() {
+func (d *demo) printTable() {
 	out := d.config.Out
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\npromise\tbroken")
-	for _, p := range standin.Invariants() {
-		fmt.Fprintf(w, "%s\t%d\n", p, d.result.Broken[p])
+	for _, inv := range standin.Invariants() {
+		fmt.Fprintf(w, "%s\t%d\n", inv, d.result.Broken[inv])
 	}
 	_ = w.Flush()
 	for _, s := range d.result.Cases {
--- a/internal/demo/play.go
+++ b/internal/demo/steps.go
@@ -75,11 +75,11 @@
 		return err
 	}
 	stop()
-	d.printf("the callers have ended")
-	return d.checkEnd(ctx)
+	d.printf("the callers have stopped")
+	return d.recordFinalStates(ctx)
 }
 
-// submitJobs puts a configuration and confirms a plan for each kind of job.
+// submitJobs puts the first configuration and submits a job of each kind.
 func (d *demo) submitJobs(ctx context.Context) error {
 	a, err := d.client.PutConfig(ctx, api.PutConfigRequest{
 		Author: "demo",
@@ -100,26 +100,27 @@
 	return nil
 }
 
-// configTimeout is how long a configuration may take to be in force at all hosts.
+// configTimeout is the maximum time until an accepted configuration is in force
+// at all hosts.
 const configTimeout = 8 * time.Second
 
 // waitConfig waits until a version is in force at every running host. It records
-// a violation if that takes longer than configTime.
+// a violation if that takes longer than configTimeout.
 func (d *demo) waitConfig(ctx context.Context, v spoolsill.Version) error {
 	began := time.Now()
 	for {
-		late := spoolsill.HostID("")
+		outdated := spoolsill.HostID("")
 		for id, x := range d.fleet.ConfigVersions() {
 			if x < v {
-				late = id
+				outdated = id
 			}
 		}
-		if late == "" {
+		if outdated == "" {
 			d.printf("configuration %d is in force at every host after %.1f s", v, time.Since(began).Seconds())
 			return nil
 		}
 		if time.Since(began) > configTimeout {
-			d.cell.Truth.RecordViolation(standin.InvariantConfig, "configuration %d is not in force at host %s after %s", v, late, configTimeout)
+			d.cell.Truth.RecordViolation(standin.InvariantConfig, "configuration %d is not in force at host %s after %s", v, outdated, configTimeout)
 			return nil
 		}
 		if ctx.Err() != nil {
@@ -129,6 +130,7 @@
 	}
 }
 
+// submit plans a job and confirms the plan.
 func (d *demo) submit(ctx context.Context, hall spoolsill.HallID, job string) error {
 	p, err := d.client.Plan(ctx, api.PlanRequest{
 		Hall:   hall,
@@ -144,10 +146,10 @@
 	return nil
 }
 
-// startCallers sends requests from concurrent callers until the returned
-// function is called, which waits for the requests in flight.
+// startCallers starts concurrent callers that send requests. The returned function
+// stops them and waits for the requests in flight.
 func (d *demo) startCallers(ctx context.Context) (stop func()) {
-	work, end := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	go d.balancer.Run(ctx)
 	pause.For(ctx, 300*time.Millisecond)
 	var wg sync.WaitGroup
@@ -155,15 +157,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for work.Err() == nil && d.callers.Started.Load() < int64(d.config.Requests) {
+			for sendCtx.Err() == nil && d.callers.Started.Load() < int64(d.config.Requests) {
 				d.callers.Request(ctx)
-				pause.For(work, 40*time.Millisecond)
+				pause.For(sendCtx, 40*time.Millisecond)
 			}
 		}()
 	}
 	d.printf("%d callers send requests, a third of them unrepeatable", d.config.Callers)
 	return func() {
-		end()
+		cancel()
 		wg.Wait()
 	}
 }
@@ -179,7 +181,7 @@
 	d.printProgress()
 	killed, _ := d.fleet.Holder(d.halls[0])
 	d.fleet.Kill(killed)
-	d.printf("host %s, which held hall %s, was killed", d.fleet.HostID(killed), d.halls[0])
+	d.printf("host %s, the holder of hall %s, was killed", d.fleet.HostID(killed), d.halls[0])
 	if err := d.waitHolder(ctx, d.halls[0]); err != nil {
 		return err
 	}
@@ -214,8 +216,8 @@
 	pause.For(ctx, 500*time.Millisecond)
 }
 
-// interruptPlatform takes the platform down for five seconds, and puts another
-// configuration after it.
+// interruptPlatform takes the platform down for five seconds and then puts the
+// second configuration.
 func (d *demo) interruptPlatform(ctx context.Context) error {
 	d.cell.Platform.Fault.SetDown(true)
 	d.printf("the platform is down")
@@ -223,7 +225,7 @@
 	pause.For(ctx, 5*time.Second)
 	d.printf("%d requests were done during the outage", d.callers.Done.Load()-before)
 	if err := d.submit(ctx, d.halls[2], "id = \"didube-late\"\nteam = \"decks\"\nkind = \"batch\"\ntasks = 3\nprocessors = \"1\"\nmemory = \"1GiB\"\nruntime = \"1s\"\n"); err != nil {
-		d.printf("a job can't be submitted during the outage: %s", err)
+		d.printf("submitting a job during the outage failed: %s", err)
 	}
 	d.cell.Platform.Fault.SetDown(false)
 	d.printf("the platform is back")
@@ -249,18 +251,19 @@
 	for _, o := range others {
 		d.cell.Network.SetPartitioned(h, o, true)
 	}
-	d.printf("hall %s is cut off from the other halls and the platform", h)
+	d.printf("hall %s is partitioned from the other halls and the platform", h)
 	pause.For(ctx, 5*time.Second)
 	d.printProgress()
 	for _, o := range others {
 		d.cell.Network.SetPartitioned(h, o, false)
 	}
-	d.printf("hall %s is back", h)
+	d.printf("the partition of hall %s has ended", h)
 	pause.For(ctx, 2*time.Second)
 	return d.waitHolder(ctx, d.halls[2])
 }
 
-// waitHolder waits until a hall has a holder that answers.
+// waitHolder waits until the holder of a hall responds, and records the time that
+// it took.
 func (d *demo) waitHolder(ctx context.Context, hall spoolsill.HallID) error {
 	began := time.Now()
 	for {
@@ -278,9 +281,9 @@
 	}
 }
 
-// checkEnd waits until all tasks of the service run, and records how many tasks
-// of each job are running.
-func (d *demo) checkEnd(ctx context.Context) error {
+// recordFinalStates waits until all tasks of the service run, and then records the
+// number of running tasks of each job.
+func (d *demo) recordFinalStates(ctx context.Context) error {
 	for {
 		j, err := d.client.Job(ctx, "deck-cache")
 		if err == nil && j.Job.States[spoolsill.TaskRunning] == 6 {
--- a/internal/naive/ledger.go
+++ b/internal/naive/ledger.go
@@ -7,8 +7,8 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// A Ledger applies the records of package place one after another and checks
-// each of them. It recomputes all sums at every check.
+// A Ledger applies the records of package place in order and checks each of them
+// against the invariants of placement. It recomputes all sums at every check.
 type Ledger struct {
 	workers   map[spoolsill.WorkerID]spoolsill.Worker
 	jobs      map[spoolsill.JobID]spoolsill.Job
@@ -21,9 +21,9 @@
 	State   spoolsill.TaskState
 	Worker  spoolsill.WorkerID
 	Attempt spoolsill.Attempt
-	Ran     bool // a start was confirmed
-	Ready   int64
-	Avoid   map[spoolsill.WorkerID]bool
+	Ran     bool                        // a worker confirmed a start
+	Ready   int64                       // Unix time in microseconds from which a requeued task may be placed
+	Avoid   map[spoolsill.WorkerID]bool // workers on which it failed or that refused it
 }
 
 // NewLedger returns an empty ledger.
@@ -54,7 +54,7 @@
 	return l.tasks
 }
 
-// Used returns the resources that are allocated to tasks on a worker.
+// Used returns the resources allocated to tasks on a worker.
 func (l *Ledger) Used(w spoolsill.WorkerID) spoolsill.Resources {
 	var sum spoolsill.Resources
 	for id, t := range l.tasks {
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// TeamUsed returns the resources that are allocated to tasks of a team.
+// TeamUsed returns the resources allocated to tasks of a team.
 func (l *Ledger) TeamUsed(team spoolsill.TeamID) spoolsill.Resources {
 	var sum spoolsill.Resources
 	for id, t := range l.tasks {
@@ -77,7 +77,7 @@
 }
 
 // Apply applies the records of one decision. It returns an error for the first
-// record that is invalid, or for a gang that was placed only in part.
+// invalid record, or if a gang was placed only partially.
 func (l *Ledger) Apply(records []place.Record) error {
 	gangs := map[spoolsill.JobID]bool{}
 	for _, r := range records {
@@ -111,7 +111,7 @@
 		}
 		return nil
 	case place.JobCancelled:
-		l.cancel(r.Task.Job)
+		l.cancelJob(r.Task.Job)
 		return nil
 	case place.PlanApplied, place.RuntimesLearned:
 		return nil
@@ -120,7 +120,7 @@
 	}
 }
 
-func (l *Ledger) cancel(id spoolsill.JobID) {
+func (l *Ledger) cancelJob(id spoolsill.JobID) {
 	l.cancelled[id] = true
 	for tid, t := range l.tasks {
 		if tid.Job == id && t.State == spoolsill.TaskQueued {
@@ -135,25 +135,25 @@
 		return fmt.Errorf("%s: no such task", r.Task)
 	}
 	if t.State.Final() {
-		return fmt.Errorf("%s: is %s, which is final, but changes", r.Task, t.State)
+		return fmt.Errorf("%s: changes after its final state %s", r.Task, t.State)
 	}
 	j := l.jobs[r.Task.Job]
 	switch r.Kind {
 	case place.TaskPlaced:
-		return l.place(r, t)
+		return l.placeTask(r, t)
 	case place.TaskRunning:
 		t.State = spoolsill.TaskRunning
 		t.Ran = true
 	case place.TaskCheckpointing:
 		if j.Unrepeatable || j.Kind == spoolsill.KindGang && r.Cause == place.CausePreempted {
-			return fmt.Errorf("%s: must not be preempted", r.Task)
+			return fmt.Errorf("%s: checkpointed, but must not be preempted", r.Task)
 		}
 		t.State = spoolsill.TaskCheckpointing
 	case place.TaskStopping:
 		t.State = spoolsill.TaskStopping
 	case place.TaskRequeued:
 		if j.Unrepeatable && r.Cause != place.CauseRefused {
-			return fmt.Errorf("%s: is unrepeatable, may have run, and is queued again", r.Task)
+			return fmt.Errorf("%s: unrepeatable, but requeued although it may have run", r.Task)
 		}
 		t.State = spoolsill.TaskQueued
 		t.Worker = ""
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func (l *Ledger) place(r place.Record, t *Task) error {
+func (l *Ledger) placeTask(r place.Record, t *Task) error {
 	w, ok := l.workers[r.Worker]
 	switch {
 	case t.State.HoldsCapacity():
@@ -193,29 +193,30 @@
 	return nil
 }
 
-// checkGang checks that no task of a gang is queued while another one is
-// allocated to a worker.
+// checkGang returns an error if some tasks of a gang are queued while others are
+// allocated to workers.
 func (l *Ledger) checkGang(id spoolsill.JobID) error {
-	waiting, holding := 0, 0
+	queued, allocated := 0, 0
 	for tid, t := range l.tasks {
 		if tid.Job != id {
 			continue
 		}
 		if t.State == spoolsill.TaskQueued {
-			waiting++
+			queued++
 		}
 		if t.State.HoldsCapacity() {
-			holding++
+			allocated++
 		}
 	}
-	if waiting > 0 && holding > 0 {
-		return fmt.Errorf("gang %s: %d tasks have workers, %d are queued", id, holding, waiting)
+	if queued > 0 && allocated > 0 {
+		return fmt.Errorf("gang %s: %d tasks have workers, %d are queued", id, allocated, queued)
 	}
 	return nil
 }
 
-// Startable returns the queued tasks of jobs other than gangs that fit on some
-// worker now. It checks every worker for every task.
+// Startable returns the queued tasks that fit on some worker at time now, in Unix
+// microseconds. Tasks of gangs are excluded. It checks every worker for every
+// task.
 func (l *Ledger) Startable(now int64) []spoolsill.TaskID {
 	free := map[spoolsill.WorkerID]spoolsill.Resources{}
 	for id, w := range l.workers {
--- a/internal/naive/scheduler.go
+++ b/internal/naive/scheduler.go
@@ -4,14 +4,14 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A Policy determines how a [Scheduler] selects workers.
+// A Policy determines how a [Scheduler] orders jobs and selects workers.
 type Policy int
 
 // The policies.
 const (
 	// FirstFit selects the first worker with enough free resources. Jobs start
-	// strictly in the order of submission: one that does not fit blocks all
-	// later ones.
+	// strictly in order of submission: a job that does not fit blocks all later
+	// jobs.
 	FirstFit Policy = iota
 	// LeastLoaded selects the worker with the most free processors. Jobs that
 	// do not fit are skipped.
@@ -39,7 +39,7 @@
 	tasks []int
 }
 
-// A Start is the start of a task on a worker.
+// A Start is one attempt of a task on a worker.
 type Start struct {
 	Task    spoolsill.TaskID
 	Attempt spoolsill.Attempt
@@ -66,19 +66,19 @@
 // Submit appends a job to the queue.
 func (s *Scheduler) Submit(j spoolsill.Job) {
 	s.jobs[j.ID] = j
-	w := &queueEntry{
+	e := &queueEntry{
 		job: j,
 	}
 	for i := range j.Tasks {
-		w.tasks = append(w.tasks, i)
+		e.tasks = append(e.tasks, i)
 	}
-	s.queue = append(s.queue, w)
+	s.queue = append(s.queue, e)
 }
 
-// Cancel removes the first entry of a job from the queue.
+// Cancel removes the first queue entry of a job. Running tasks continue.
 func (s *Scheduler) Cancel(id spoolsill.JobID) {
-	for i, w := range s.queue {
-		if w.job.ID == id {
+	for i, e := range s.queue {
+		if e.job.ID == id {
 			s.queue = append(s.queue[:i], s.queue[i+1:]...)
 			return
 		}
@@ -88,13 +88,13 @@
 // TaskEnded frees the resources of a task. If requeue is set, the task is
 // appended to the queue.
 func (s *Scheduler) TaskEnded(id spoolsill.TaskID, requeue bool) {
-	n, ok := s.running[id]
+	w, ok := s.running[id]
 	if !ok {
 		return
 	}
 	delete(s.running, id)
 	j := s.jobs[id.Job]
-	n.free = n.free.Add(j.Shape)
+	w.free = w.free.Add(j.Shape)
 	if requeue {
 		s.queue = append(s.queue, &queueEntry{
 			job:   j,
@@ -109,12 +109,12 @@
 	var out []Start
 	kept := s.queue[:0]
 	blocked := false
-	for _, w := range s.queue {
+	for _, e := range s.queue {
 		if !blocked {
-			out = append(out, s.startJob(w)...)
+			out = append(out, s.startJob(e)...)
 		}
-		if len(w.tasks) > 0 {
-			kept = append(kept, w)
+		if len(e.tasks) > 0 {
+			kept = append(kept, e)
 			blocked = blocked || s.policy == FirstFit
 		}
 	}
@@ -123,49 +123,51 @@
 }
 
 // startJob starts the tasks of a job that fit; for a gang, all or none.
-func (s *Scheduler) startJob(w *queueEntry) []Start {
+func (s *Scheduler) startJob(e *queueEntry) []Start {
 	var out []Start
-	for len(out) < len(w.tasks) {
-		n := s.find(w.job.Shape)
-		if n == nil {
+	for len(out) < len(e.tasks) {
+		w := s.selectWorker(e.job.Shape)
+		if w == nil {
 			break
 		}
 		id := spoolsill.TaskID{
-			Job:   w.job.ID,
-			Index: w.tasks[len(out)],
+			Job:   e.job.ID,
+			Index: e.tasks[len(out)],
 		}
-		n.free = n.free.Sub(w.job.Shape)
-		s.running[id] = n
+		w.free = w.free.Sub(e.job.Shape)
+		s.running[id] = w
 		s.attempts[id]++
 		out = append(out, Start{
 			Task:    id,
 			Attempt: s.attempts[id],
-			Worker:  n.id,
+			Worker:  w.id,
 		})
 	}
-	if w.job.Kind == spoolsill.KindGang && len(out) < len(w.tasks) {
-		for _, x := range out {
-			s.running[x.Task].free = s.running[x.Task].free.Add(w.job.Shape)
-			delete(s.running, x.Task)
-			s.attempts[x.Task]--
+	if e.job.Kind == spoolsill.KindGang && len(out) < len(e.tasks) {
+		for _, started := range out {
+			s.running[started.Task].free = s.running[started.Task].free.Add(e.job.Shape)
+			delete(s.running, started.Task)
+			s.attempts[started.Task]--
 		}
 		return nil
 	}
-	w.tasks = w.tasks[len(out):]
+	e.tasks = e.tasks[len(out):]
 	return out
 }
 
-func (s *Scheduler) find(shape spoolsill.Resources) *worker {
+// selectWorker returns a worker with enough free resources, or nil if there is
+// none.
+func (s *Scheduler) selectWorker(shape spoolsill.Resources) *worker {
 	var best *worker
-	for _, n := range s.workers {
-		if !shape.FitsIn(n.free) {
+	for _, w := range s.workers {
+		if !shape.FitsIn(w.free) {
 			continue
 		}
 		if s.policy == FirstFit {
-			return n
+			return w
 		}
-		if best == nil || n.free.Processors > best.free.Processors {
-			best = n
+		if best == nil || w.free.Processors > best.free.Processors {
+			best = w
 		}
 	}
 	return best
--- a/internal/packed/encode_test.go
+++ b/internal/packed/encode_test.go
@@ -17,8 +17,8 @@
 	Flag  bool
 }
 
-// Guards against an encoding that the plain decoder of another release can't read, and
-// against a decoder that can't read plainly encoded rows.
+// Guards against an encoding that the standard decoder, as used by other releases, can't
+// read, and against a decoder that can't read rows in the standard encoding.
 func TestEncodedValuesAreReadByAnyDecoder(t *testing.T) {
 	v := sample{
 		Name: "a",
--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,5 +1,5 @@
-// Package packed encodes values as compact MessagePack, and decodes untrusted or damaged
-// input without excessive allocations or panics.
+// Package packed encodes values as compact MessagePack, and decodes untrusted or
+// damaged input without excessive allocations or panics.
 package packed
 
 import (
@@ -28,10 +28,10 @@
 	return b.Bytes(), nil
 }
 
-// Decode decodes the first value of b into v and returns the bytes after it. It first skips
-// the value, which checks the lengths in b against its size, before anything of these
-// lengths is allocated: five bytes can declare an array of 2^32-1 entries. A panic of the
-// library, as for nil in the place of a time, is returned as ErrDamaged.
+// Decode decodes the first value of b into v and returns the bytes after it. It skips the
+// value first, which checks the declared lengths against the size of b before anything is
+// allocated: five bytes can declare an array of 2^32-1 entries. A panic of the library, as
+// for nil instead of a time, is returned as ErrDamaged.
 func Decode(b []byte, v any) (rest []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause provides a sleep that a context can end.
+// Package pause provides a sleep that a context can cancel.
 package pause
 
 import (
--- a/internal/seed/failure.go
+++ b/internal/seed/failure.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// searchChecks is the number of sequences that [FindsFailure] tries.
+// searchChecks is the number of inputs that [FindsFailure] tries.
 const searchChecks = "2000"
 
-// FindsFailure reports whether rapid finds a sequence for which a property
-// fails. Tests use it to show that a property detects a fault when the mechanism
-// that prevents the fault is disabled. It sets a global flag, so it must not be
-// called in parallel tests.
+// FindsFailure reports whether rapid finds an input for which a property fails.
+// Tests use it to show that a property detects a fault once the mechanism that
+// prevents the fault is disabled. It sets a global flag and must not be called in
+// parallel tests.
 func FindsFailure(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
 	checks := flag.Lookup("rapid.checks")
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -1,20 +1,20 @@
-// Package seed makes property tests reproducible: it sets a fixed seed unless
-// the command line sets one.
+// Package seed makes property tests reproducible: it sets a fixed seed unless one
+// is set on the command line.
 package seed
 
 import (
 	"flag"
 	"testing"
 
-	// rapid registers the flags that are set here.
+	// rapid registers the flags that this package sets.
 	_ "pgregory.net/rapid"
 )
 
 // Default is the default seed of property tests.
 const Default = "20261202"
 
-// Main runs the tests of a package with the fixed seed. Packages with property
-// tests call it from their TestMain.
+// Main runs the tests of a package with the fixed seed and returns the exit code.
+// Packages with property tests call it from TestMain.
 func Main(m *testing.M) int {
 	flag.Parse()
 	set("rapid.seed", Default)
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -27,12 +27,13 @@
 	Service  spoolsill.ServiceID
 	Runners  int
 	Slots    int
-	// Work returns how long a request takes; nil means no time.
+	// Work returns the duration of a request; nil means 0.
 	Work func(spoolsill.RequestKey) time.Duration
-	// Runtime returns how long a task runs, and whether it then fails; see
-	// [WorkerConfig.Runtime] for nil.
+	// Runtime returns the run time of a task and whether the task then fails.
+	// For nil, see [WorkerConfig.Runtime].
 	Runtime func(agent.StartRequest) (time.Duration, bool)
-	// Use returns the resource usage reported for a task; nil means its shape.
+	// Use returns the resource usage that is reported for a task; nil means its
+	// shape.
 	Use func(agent.StartRequest) spoolsill.Resources
 	// Platform is the listen address of the platform; empty means any free port.
 	Platform string
@@ -151,8 +152,8 @@
 	return r, err
 }
 
-func (x *Cell) serve(at Node, address string, h http.Handler) (string, error) {
-	l, err := x.Network.Listen(at, address)
+func (x *Cell) serve(node Node, address string, h http.Handler) (string, error) {
+	l, err := x.Network.Listen(node, address)
 	if err != nil {
 		return "", err
 	}
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -12,15 +12,14 @@
 // A Fault injects faults into a fake server. The zero value injects none. It
 // is safe for concurrent use.
 type Fault struct {
-	mu         sync.Mutex
-	down       bool
-	delay      time.Duration
-	unanswered int // calls still to be handled without an answer
-	pause      chan struct{}
+	mu              sync.Mutex
+	down            bool
+	delay           time.Duration
+	responsesToDrop int // number of calls left to handle without a response
+	pause           chan struct{}
 }
 
-// SetDown makes the server answer every call with status 503, without handling
-// it.
+// SetDown makes the server reject every call with status 503.
 func (f *Fault) SetDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,11 +34,11 @@
 }
 
 // DropAnswers makes the server handle the next n calls but abort their
-// connections in place of an answer.
+// connections instead of sending the responses.
 func (f *Fault) DropAnswers(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unanswered = n
+	f.responsesToDrop = n
 }
 
 // Pause blocks all calls until the returned function is called.
@@ -58,15 +57,15 @@
 	}
 }
 
-// wrap returns a handler that applies the faults before it calls next.
+// wrap returns a handler that applies the injected faults to calls of next.
 func (f *Fault) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		down, lose := f.apply(r.Context())
+		down, dropResponse := f.apply(r.Context())
 		if down {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
 		}
-		if !lose {
+		if !dropResponse {
 			next.ServeHTTP(w, r)
 			return
 		}
@@ -77,29 +76,31 @@
 	})
 }
 
-func (f *Fault) apply(ctx context.Context) (down, lose bool) {
+// apply waits out a pause and the delay, and reports whether to reject the call
+// or to drop its response.
+func (f *Fault) apply(ctx context.Context) (down, dropResponse bool) {
 	f.mu.Lock()
-	held, slow := f.pause, f.delay
+	resumed, wait := f.pause, f.delay
 	f.mu.Unlock()
-	if held != nil {
+	if resumed != nil {
 		select {
-		case <-held:
+		case <-resumed:
 		case <-ctx.Done():
 		}
 	}
-	if slow > 0 {
-		pause.For(ctx, slow)
+	if wait > 0 {
+		pause.For(ctx, wait)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.unanswered > 0 && !f.down {
-		f.unanswered--
+	if f.responsesToDrop > 0 && !f.down {
+		f.responsesToDrop--
 		return false, true
 	}
 	return f.down, false
 }
 
-// A discardWriter is an http.ResponseWriter that drops the answer.
+// A discardWriter is an http.ResponseWriter that discards the response.
 type discardWriter struct {
 	header http.Header
 }
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -32,7 +32,7 @@
 	paused      map[string]chan struct{} // node name -> closed when it resumes
 	conns       map[*conn]bool
 	links       map[string]*link // node name -> its link, if rate-limited
-	next        int
+	lastPort    int              // of in-memory listeners
 }
 
 // NewNetwork returns a network without partitions. With memory set it opens no
@@ -51,9 +51,9 @@
 
 // Listen returns a listener of a node on an address; an empty address means any
 // free port.
-func (n *Network) Listen(at Node, address string) (net.Listener, error) {
+func (n *Network) Listen(node Node, address string) (net.Listener, error) {
 	if n.memory {
-		return n.listenMemory(at, address)
+		return n.listenMemory(node, address)
 	}
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -64,16 +64,16 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nodes[l.Addr().String()] = at
+	n.nodes[l.Addr().String()] = node
 	return l, nil
 }
 
-func (n *Network) listenMemory(at Node, address string) (net.Listener, error) {
+func (n *Network) listenMemory(node Node, address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if address == "" {
-		n.next++
-		address = fmt.Sprintf("127.9.0.1:%d", n.next)
+		n.lastPort++
+		address = fmt.Sprintf("127.9.0.1:%d", n.lastPort)
 	}
 	if _, ok := n.listeners[address]; ok {
 		return nil, fmt.Errorf("standin: %s is in use", address)
@@ -85,7 +85,7 @@
 		closed:  make(chan struct{}),
 	}
 	n.listeners[address] = l
-	n.nodes[address] = at
+	n.nodes[address] = node
 	return l, nil
 }
 
@@ -118,8 +118,8 @@
 	return false
 }
 
-// SetPaused pauses or resumes a node. A paused node neither sends nor receives;
-// what it was about to send is sent after it resumes.
+// SetPaused pauses or resumes a node. A paused node neither sends nor receives
+// data; its pending writes complete after it resumes.
 func (n *Network) SetPaused(name string, paused bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,9 +192,9 @@
 // track registers one end of a connection, so that a partition can close it.
 // The end belongs to owner: its reads and writes block while owner is paused.
 func (n *Network) track(c net.Conn, from, to, owner Node) net.Conn {
-	open, cancel := context.WithCancel(context.Background())
+	connCtx, cancel := context.WithCancel(context.Background())
 	x := &conn{
-		ctx:     open,
+		ctx:     connCtx,
 		cancel:  cancel,
 		Conn:    c,
 		network: n,
@@ -227,9 +227,9 @@
 	}
 	k, err := c.Conn.Read(b)
 	if l != nil && k > 0 {
-		// A close uses no bandwidth: queued behind the bytes of other
-		// connections, it would be seen only after the end of a test.
-		l.in.carry(c.ctx, k)
+		// The end of a connection uses no bandwidth. Queued behind the bytes
+		// of other connections, it would be seen only after the end of a test.
+		l.in.transmit(c.ctx, k)
 	}
 	c.network.waitUntilResumed(c.owner.Name)
 	return k, err
@@ -245,7 +245,7 @@
 	done := 0
 	for done < len(b) {
 		p := b[done:min(done+packetSize, len(b))]
-		l.out.carry(c.ctx, len(p))
+		l.out.transmit(c.ctx, len(p))
 		k, err := c.Conn.Write(p)
 		done += k
 		if err != nil {
--- a/internal/standin/pipe.go
+++ b/internal/standin/pipe.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A pipe is one end of an in-memory connection. Each direction is buffered, as
-// by the kernel for sockets: a write returns before the other end reads, and
-// data written before a close can still be read.
+// A pipe is one end of an in-memory connection. Each direction is buffered like
+// that of a socket: a write returns before the other end reads, and data written
+// before a close can still be read.
 type pipe struct {
 	address memoryAddr
 	in, out *stream
@@ -39,7 +39,7 @@
 	mu     sync.Mutex
 	data   []byte
 	closed bool
-	change chan struct{} // closed at the next change
+	change chan struct{} // closed by the next notifyAll
 }
 
 func newStream() *stream {
@@ -48,8 +48,8 @@
 	}
 }
 
-// changed wakes all waiting readers and writers. s.mu must be held.
-func (s *stream) changed() {
+// notifyAll wakes all waiting readers and writers. s.mu must be held.
+func (s *stream) notifyAll() {
 	close(s.change)
 	s.change = make(chan struct{})
 }
@@ -61,18 +61,18 @@
 		return
 	}
 	s.closed = true
-	s.changed()
+	s.notifyAll()
 }
 
 // Read implements net.Conn.
 func (p *pipe) Read(b []byte) (int, error) {
 	for {
-		passed := p.read.wait()
+		expired := p.read.wait()
 		p.in.mu.Lock()
 		if len(p.in.data) > 0 {
 			k := copy(b, p.in.data)
 			p.in.data = p.in.data[k:]
-			p.in.changed()
+			p.in.notifyAll()
 			p.in.mu.Unlock()
 			return k, nil
 		}
@@ -83,7 +83,7 @@
 		}
 		select {
 		case <-change:
-		case <-passed:
+		case <-expired:
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
@@ -93,7 +93,7 @@
 func (p *pipe) Write(b []byte) (int, error) {
 	done := 0
 	for {
-		passed := p.write.wait()
+		expired := p.write.wait()
 		p.out.mu.Lock()
 		if p.out.closed {
 			p.out.mu.Unlock()
@@ -103,7 +103,7 @@
 		if k > 0 {
 			p.out.data = append(p.out.data, b[done:done+k]...)
 			done += k
-			p.out.changed()
+			p.out.notifyAll()
 		}
 		change := p.out.change
 		p.out.mu.Unlock()
@@ -112,7 +112,7 @@
 		}
 		select {
 		case <-change:
-		case <-passed:
+		case <-expired:
 			return done, os.ErrDeadlineExceeded
 		}
 	}
@@ -153,44 +153,45 @@
 // A deadline closes a channel at a time that can be changed. A change also
 // applies to goroutines that already wait on the channel.
 type deadline struct {
-	mu     sync.Mutex
-	timer  *time.Timer
-	passed chan struct{}
+	mu      sync.Mutex
+	timer   *time.Timer
+	expired chan struct{}
 }
 
+// wait returns a channel that is closed when the deadline expires.
 func (d *deadline) wait() chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.passed == nil {
-		d.passed = make(chan struct{})
+	if d.expired == nil {
+		d.expired = make(chan struct{})
 	}
-	return d.passed
+	return d.expired
 }
 
 func (d *deadline) set(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.passed == nil {
-		d.passed = make(chan struct{})
+	if d.expired == nil {
+		d.expired = make(chan struct{})
 	}
 	if d.timer != nil && !d.timer.Stop() {
-		<-d.passed // the timer has fired; wait until its function has closed the channel
+		<-d.expired // the timer has fired; wait until its function has closed the channel
 	}
 	d.timer = nil
-	closed := isClosed(d.passed)
+	closed := isClosed(d.expired)
 	wait := time.Until(t)
 	if !t.IsZero() && wait <= 0 {
 		if !closed {
-			close(d.passed)
+			close(d.expired)
 		}
 		return
 	}
 	if closed {
-		d.passed = make(chan struct{})
+		d.expired = make(chan struct{})
 	}
 	if !t.IsZero() {
-		passed := d.passed
-		d.timer = time.AfterFunc(wait, func() { close(passed) })
+		expired := d.expired
+		d.timer = time.AfterFunc(wait, func() { close(expired) })
 	}
 }
 
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -61,15 +61,15 @@
 	p.members = l
 }
 
-// Handler returns the platform's HTTP interface.
+// Handler returns the HTTP API of the platform.
 func (p *Platform) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(p.Fault.wrap)
-	r.Post("/v1/txn", p.commit)
-	r.Get("/v1/rows", p.rows)
-	r.Get("/v1/members", p.list)
-	r.Put("/v1/objects/*", p.put)
-	r.Get("/v1/objects/*", p.get)
+	r.Post("/v1/txn", p.commitTxn)
+	r.Get("/v1/rows", p.listRows)
+	r.Get("/v1/members", p.listMembers)
+	r.Put("/v1/objects/*", p.putObject)
+	r.Get("/v1/objects/*", p.getObject)
 	return r
 }
 
@@ -93,7 +93,7 @@
 	return out
 }
 
-func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) commitTxn(w http.ResponseWriter, r *http.Request) {
 	var x wireTxn
 	if err := json.NewDecoder(r.Body).Decode(&x); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -109,7 +109,7 @@
 	})
 }
 
-func (p *Platform) rows(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) listRows(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	var rows []table.Row
 	if k := q.Get("key"); k != "" {
@@ -127,11 +127,11 @@
 	})
 }
 
-func (p *Platform) list(w http.ResponseWriter, _ *http.Request) {
+func (p *Platform) listMembers(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, p.Members())
 }
 
-func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) putObject(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -142,7 +142,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) getObject(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	b, ok := p.objects[chi.URLParam(r, "*")]
 	p.mu.Unlock()
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -20,12 +20,12 @@
 	Runner spoolsill.Runner
 	Truth  *Truth
 	Slots  int
-	// Work returns how long a request takes; nil means no time.
+	// Work returns the duration of a request; nil means 0.
 	Work func(spoolsill.RequestKey) time.Duration
 }
 
-// A Runner is a fake runner that answers requests. It completes a request that
-// it has begun even if the connection closes. It is safe for concurrent use.
+// A Runner is a fake runner. It completes a request that it has started even if
+// the connection is closed. It is safe for concurrent use.
 type Runner struct {
 	Fault  Fault
 	config RunnerConfig
@@ -34,9 +34,9 @@
 	maxInFlight atomic.Int64
 	received    atomic.Int64
 
-	mu      sync.Mutex
-	failAll bool
-	leaving time.Time
+	mu           sync.Mutex
+	failAll      bool
+	leavingSince time.Time
 }
 
 // NewRunner returns a runner.
@@ -46,8 +46,7 @@
 	}
 }
 
-// FailAll makes every request fail immediately with status 500, until it is
-// called with false.
+// FailAll sets whether every request fails immediately with status 500.
 func (r *Runner) FailAll(fail bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,11 +57,11 @@
 // without a violation of [InvariantLeaving].
 const LeavingGrace = 3 * time.Second
 
-// SetLeaving makes the runner announce in its answers that it is leaving.
+// SetLeaving makes the runner announce in its responses that it is leaving.
 func (r *Runner) SetLeaving() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leaving = time.Now()
+	r.leavingSince = time.Now()
 }
 
 // RequestsReceived returns how many requests the runner has received.
@@ -75,7 +74,7 @@
 	return r.maxInFlight.Load()
 }
 
-// Handler returns the runner's HTTP interface.
+// Handler returns the HTTP API of the runner.
 func (r *Runner) Handler() http.Handler {
 	return r.Fault.wrap(http.HandlerFunc(r.serve))
 }
@@ -94,18 +93,20 @@
 	if r.isLeaving() {
 		w.Header().Set(upstream.HeaderLeaving, "true")
 	}
-	if r.failing() {
+	if r.shouldFail() {
 		http.Error(w, "runner fails", http.StatusInternalServerError)
 		return
 	}
 	if r.config.Work != nil {
-		// The work continues when the caller has disconnected.
+		// The work continues even if the caller disconnects.
 		pause.For(context.WithoutCancel(q.Context()), r.config.Work(k))
 	}
 	w.Header().Set("Content-Type", "text/plain")
 	_, _ = io.WriteString(w, Answer(k, body))
 }
 
+// recordInFlight updates the maximum number of requests in flight, and records a
+// violation if n exceeds the slots.
 func (r *Runner) recordInFlight(n int64) {
 	for {
 		m := r.maxInFlight.Load()
@@ -121,20 +122,22 @@
 func (r *Runner) isLeaving() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.leaving.IsZero()
+	return !r.leavingSince.IsZero()
 }
 
-func (r *Runner) failing() bool {
+// shouldFail reports whether requests are to fail. It records a violation if the
+// runner has been leaving for more than LeavingGrace.
+func (r *Runner) shouldFail() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.leaving.IsZero() && time.Since(r.leaving) > LeavingGrace {
-		r.config.Truth.RecordViolation(InvariantLeaving, "runner %s got a request %s after it began to leave", r.config.Runner.ID, time.Since(r.leaving))
+	if !r.leavingSince.IsZero() && time.Since(r.leavingSince) > LeavingGrace {
+		r.config.Truth.RecordViolation(InvariantLeaving, "runner %s received a request %s after it started leaving", r.config.Runner.ID, time.Since(r.leavingSince))
 	}
 	return r.failAll
 }
 
-// Answer returns the answer that every runner gives to a request. Callers
-// compare it with what they received to detect truncated and misrouted answers.
+// Answer returns the body of every runner's response to a request. Callers
+// compare it with the received body to detect truncated and misrouted responses.
 func Answer(k spoolsill.RequestKey, body []byte) string {
 	h := fnv.New64a()
 	_, _ = h.Write(body)
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -26,7 +26,7 @@
 }
 
 // Commit applies a transaction if all its conditions hold, and otherwise returns
-// the rows that conflict.
+// the conflicting rows.
 func (t *Table) Commit(x table.Txn) table.Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,8 +70,8 @@
 	return r
 }
 
-// List returns the rows whose keys have a prefix and are greater than after, in
-// ascending order. It returns at most limit rows unless limit is 0.
+// List returns the rows whose keys have the prefix and are greater than after, in
+// ascending order of their keys. It returns at most limit rows unless limit is 0.
 func (t *Table) List(prefix, after string, limit int) []table.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,8 +98,8 @@
 	return t.bytes
 }
 
-// Counts returns the number of writes and reads so far. A write is a
-// transaction, also one that was not applied.
+// Counts returns the number of writes and reads so far. Every transaction counts
+// as a write, even if it was not applied.
 func (t *Table) Counts() (writes, reads int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/truth.go
+++ b/internal/standin/truth.go
@@ -8,7 +8,7 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// An Invariant is the name of an invariant of the system.
+// An Invariant names an invariant of the system.
 type Invariant string
 
 // The invariants that are checked against the records of the fakes.
@@ -19,13 +19,13 @@
 	InvariantNotRun      Invariant = "not-run"      // a request that is reported as not run did not run
 	InvariantAtMostOnce  Invariant = "at-most-once" // an unrepeatable request runs at most once
 	InvariantLeaving     Invariant = "leaving"      // a leaving upstream gets no new work after [LeavingGrace]
-	InvariantPlannedStop Invariant = "planned-stop" // a planned stop interrupts no work
+	InvariantPlannedStop Invariant = "planned-stop" // a planned stop of a host interrupts no work
 	InvariantConfig      Invariant = "config"       // an accepted configuration never reverts
 	InvariantSlotLimit   Invariant = "slot-limit"   // no runner has more requests in flight than slots
-	InvariantDurability  Invariant = "nothing-lost" // what was confirmed is not lost
+	InvariantDurability  Invariant = "nothing-lost" // no confirmed change is lost
 )
 
-// Invariants returns all invariants in the order of reports.
+// Invariants returns all invariants in the order in which they are reported.
 func Invariants() []Invariant {
 	return []Invariant{InvariantCapacity, InvariantSingleRun, InvariantWholeAnswer, InvariantNotRun, InvariantAtMostOnce, InvariantLeaving, InvariantPlannedStop, InvariantConfig, InvariantSlotLimit, InvariantDurability}
 }
@@ -33,41 +33,41 @@
 // Truth records which requests and tasks the fakes ran, and the violations of
 // invariants. The zero value is ready for use. It is safe for concurrent use.
 type Truth struct {
-	mu         sync.Mutex
-	runs       map[spoolsill.RequestKey]int
-	places     map[string]map[spoolsill.WorkerID]int
-	violations map[Invariant][]string
+	mu            sync.Mutex
+	requestStarts map[spoolsill.RequestKey]int
+	running       map[string]map[spoolsill.WorkerID]int
+	violations    map[Invariant][]string
 }
 
-// RecordViolation records a violation of p.
-func (t *Truth) RecordViolation(p Invariant, format string, args ...any) {
+// RecordViolation records a violation of inv.
+func (t *Truth) RecordViolation(inv Invariant, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.recordViolationLocked(p, format, args...)
+	t.recordViolationLocked(inv, format, args...)
 }
 
-func (t *Truth) recordViolationLocked(p Invariant, format string, args ...any) {
+func (t *Truth) recordViolationLocked(inv Invariant, format string, args ...any) {
 	if t.violations == nil {
 		t.violations = map[Invariant][]string{}
 	}
-	t.violations[p] = append(t.violations[p], fmt.Sprintf(format, args...))
+	t.violations[inv] = append(t.violations[inv], fmt.Sprintf(format, args...))
 }
 
 // RequestStarted records that a runner started a request.
 func (t *Truth) RequestStarted(k spoolsill.RequestKey) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.runs == nil {
-		t.runs = map[spoolsill.RequestKey]int{}
+	if t.requestStarts == nil {
+		t.requestStarts = map[spoolsill.RequestKey]int{}
 	}
-	t.runs[k]++
+	t.requestStarts[k]++
 }
 
 // RequestStarts returns how many times a request was started.
 func (t *Truth) RequestStarts(k spoolsill.RequestKey) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.runs[k]
+	return t.requestStarts[k]
 }
 
 // TaskStarted records that a task started on a worker, which violates
@@ -75,21 +75,21 @@
 func (t *Truth) TaskStarted(id spoolsill.TaskID, w spoolsill.WorkerID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.places == nil {
-		t.places = map[string]map[spoolsill.WorkerID]int{}
+	if t.running == nil {
+		t.running = map[string]map[spoolsill.WorkerID]int{}
 	}
-	at := t.places[id.String()]
-	if at == nil {
-		at = map[spoolsill.WorkerID]int{}
-		t.places[id.String()] = at
+	workers := t.running[id.String()]
+	if workers == nil {
+		workers = map[spoolsill.WorkerID]int{}
+		t.running[id.String()] = workers
 	}
-	at[w]++
+	workers[w]++
 	n := 0
-	for _, k := range at {
+	for _, k := range workers {
 		n += k
 	}
 	if n > 1 {
-		t.recordViolationLocked(InvariantSingleRun, "task %s runs in %d places, now also on %s", id, n, w)
+		t.recordViolationLocked(InvariantSingleRun, "task %s has %d concurrent runs, the latest on worker %s", id, n, w)
 	}
 }
 
@@ -97,10 +97,10 @@
 func (t *Truth) TaskEnded(id spoolsill.TaskID, w spoolsill.WorkerID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.places[id.String()]
-	at[w]--
-	if at[w] <= 0 {
-		delete(at, w)
+	workers := t.running[id.String()]
+	workers[w]--
+	if workers[w] <= 0 {
+		delete(workers, w)
 	}
 }
 
@@ -110,11 +110,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	counts = map[Invariant]int{}
-	for _, p := range Invariants() {
-		counts[p] = len(t.violations[p])
-		for i, c := range t.violations[p] {
+	for _, inv := range Invariants() {
+		counts[inv] = len(t.violations[inv])
+		for i, c := range t.violations[inv] {
 			if i < 3 {
-				cases = append(cases, string(p)+": "+c)
+				cases = append(cases, string(inv)+": "+c)
 			}
 		}
 	}
--- a/internal/standin/wire/doc.go
+++ b/internal/standin/wire/doc.go
@@ -1,4 +1,4 @@
 // Package wire serves the fake store, workers and advisor of package cellfake
-// over the platform's HTTP interfaces, so that tests run complete hosts against
-// them.
+// over the HTTP APIs of the platform, so that tests can run complete hosts
+// against them.
 package wire
--- a/internal/standin/wire/platform.go
+++ b/internal/standin/wire/platform.go
@@ -26,11 +26,11 @@
 	Rack     string
 	Capacity spoolsill.Resources
 	Draining bool
-	// Remaining is how long a draining worker stays at least.
+	// Remaining is the minimum time until a draining worker exits.
 	Remaining time.Duration
 }
 
-// PutWorker writes a worker's entry in the format that workers use.
+// PutWorker writes a worker's entry as the worker itself would.
 func PutWorker(s *cellfake.Store, e WorkerEntry) error {
 	state := "ready"
 	if e.Draining {
@@ -55,8 +55,8 @@
 	return put(s, platform.WorkersTable, string(e.ID), entry)
 }
 
-// DeleteWorker removes a worker's entry, as the platform does for a worker that
-// has ended or that it no longer hears from.
+// DeleteWorker removes a worker's entry, as the platform does when a worker has
+// exited or become unresponsive.
 func DeleteWorker(s *cellfake.Store, id spoolsill.WorkerID) {
 	s.Delete(store.Key{
 		Table: platform.WorkersTable,
@@ -69,7 +69,7 @@
 	Queue    sched.QueueID
 	Prefix   string
 	Priority int
-	// Advised means that hosts must ask the advisor before placement.
+	// Advised is set if hosts must query the advisor before placement.
 	Advised bool
 }
 
--- a/internal/standin/wire/store.go
+++ b/internal/standin/wire/store.go
@@ -45,15 +45,15 @@
 // maxEntries is the largest number of entries in a transaction.
 const maxEntries = 100
 
-// StoreHandler returns the HTTP interface of a store.
+// StoreHandler returns the HTTP API of a store.
 func StoreHandler(s *cellfake.Store) http.Handler {
 	m := chi.NewRouter()
 	m.Post("/api/rows-tx", func(w http.ResponseWriter, r *http.Request) { commit(s, w, r) })
-	m.Get("/api/rows-get", func(w http.ResponseWriter, r *http.Request) { list(s, w, r) })
+	m.Get("/api/rows-get", func(w http.ResponseWriter, r *http.Request) { listRows(s, w, r) })
 	m.Get("/api/rows-feed", func(w http.ResponseWriter, r *http.Request) { feed(s, w, r) })
 	m.Get("/api/rows-parts", func(w http.ResponseWriter, r *http.Request) {
 		parts, err := s.Partitions(r.Context(), r.URL.Query().Get("table"))
-		writeAnswer(w, http.StatusOK, map[string][]string{
+		writeResponse(w, http.StatusOK, map[string][]string{
 			"parts": parts,
 		}, err)
 	})
@@ -91,8 +91,8 @@
 	if !x.Applied {
 		status = http.StatusPreconditionFailed
 	}
-	writeAnswer(w, status, rows{
-		Rows: encode(x.Current),
+	writeResponse(w, status, rows{
+		Rows: encodeRows(x.Current),
 		Ver:  x.Version,
 	}, err)
 }
@@ -108,12 +108,12 @@
 	return len(parts) <= 1
 }
 
-func list(s *cellfake.Store, w http.ResponseWriter, r *http.Request) {
+func listRows(s *cellfake.Store, w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	limit, _ := strconv.Atoi(q.Get("limit"))
 	p, err := s.List(r.Context(), q.Get("table"), q.Get("part"), q.Get("from"), limit)
-	writeAnswer(w, http.StatusOK, rows{
-		Rows: encode(p.Rows),
+	writeResponse(w, http.StatusOK, rows{
+		Rows: encodeRows(p.Rows),
 		More: p.More,
 		Ver:  p.Version,
 	}, err)
@@ -128,13 +128,13 @@
 	}
 	wait, _ := strconv.Atoi(q.Get("waitMs"))
 	c, err := s.Feed(r.Context(), q.Get("table"), store.Version(after), time.Duration(wait)*time.Millisecond)
-	writeAnswer(w, http.StatusOK, rows{
-		Rows: encode(c.Rows),
+	writeResponse(w, http.StatusOK, rows{
+		Rows: encodeRows(c.Rows),
 		Ver:  c.Version,
 	}, err)
 }
 
-func encode(rs []store.Row) []row {
+func encodeRows(rs []store.Row) []row {
 	out := []row{}
 	for _, r := range rs {
 		out = append(out, row{
@@ -149,9 +149,9 @@
 	return out
 }
 
-// writeAnswer writes a body, or the status for an error. An error without a
-// status stands for a lost answer: writeAnswer aborts the connection.
-func writeAnswer(w http.ResponseWriter, status int, body any, err error) {
+// writeResponse writes a body, or the status for an error. An error without a
+// status stands for a lost response, for which it aborts the connection.
+func writeResponse(w http.ResponseWriter, status int, body any, err error) {
 	switch {
 	case errors.Is(err, store.ErrRefused):
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/standin/wire/workers.go
+++ b/internal/standin/wire/workers.go
@@ -14,6 +14,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
+// An order is the body of a call to a worker. Each kind of call uses some of the
+// fields.
 type order struct {
 	Task       string            `json:"task"`
 	Run        sched.RunNumber   `json:"run"`
@@ -34,7 +36,7 @@
 	}, err
 }
 
-// WorkerHandler returns the HTTP interface of one worker.
+// WorkerHandler returns the HTTP API of one worker.
 func WorkerHandler(f *cellfake.Workers, id spoolsill.WorkerID) http.Handler {
 	t := leader.Target{
 		WorkerIncarnation: spoolsill.WorkerIncarnation{
@@ -55,7 +57,7 @@
 			writeReply(w, p)
 			return
 		}
-		writeAnswer(w, http.StatusOK, encodeHeartbeat(h), nil)
+		writeResponse(w, http.StatusOK, encodeHeartbeat(h), nil)
 	}))
 	m.Post("/api/run-start", decodeOrder(func(w http.ResponseWriter, r *http.Request, o order) {
 		id, err := o.run()
@@ -90,7 +92,7 @@
 	return m
 }
 
-// checkInstance answers calls that are addressed to another instance with status
+// checkInstance rejects calls that are addressed to another instance with status
 // 421.
 func checkInstance(id spoolsill.WorkerID, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -113,6 +115,7 @@
 	}
 }
 
+// conflictReasons maps rejections to the reasons that are sent with status 409.
 var conflictReasons = map[leader.ReplyKind]string{
 	leader.Fenced:     "fence",
 	leader.RunEnded:   "old",
@@ -127,12 +130,12 @@
 	}
 	switch r.Kind {
 	case leader.Accepted:
-		writeAnswer(w, http.StatusOK, body, nil)
+		writeResponse(w, http.StatusOK, body, nil)
 	case leader.NoAnswer:
 		panic(http.ErrAbortHandler)
 	default:
 		body["reason"] = conflictReasons[r.Kind]
-		writeAnswer(w, http.StatusConflict, body, nil)
+		writeResponse(w, http.StatusConflict, body, nil)
 	}
 }
 
@@ -153,7 +156,7 @@
 	}
 }
 
-// AdvisorHandler returns the HTTP interface of an advisor.
+// AdvisorHandler returns the HTTP API of an advisor.
 func AdvisorHandler(a *cellfake.Advisor) http.Handler {
 	m := chi.NewRouter()
 	m.Post("/api/advise", func(w http.ResponseWriter, r *http.Request) {
@@ -170,7 +173,7 @@
 		for _, t := range tickets {
 			good = append(good, [2]string{string(t.Worker), t.Text})
 		}
-		writeAnswer(w, http.StatusOK, map[string]any{
+		writeResponse(w, http.StatusOK, map[string]any{
 			"good":     good,
 			"valid_ms": valid.Milliseconds(),
 		}, err)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -18,16 +18,17 @@
 type WorkerConfig struct {
 	Worker spoolsill.Worker
 	Truth  *Truth
-	// Runtime returns how long a task runs, and whether it then fails. Nil
-	// means the declared run time, and no end for a task that declares none.
+	// Runtime returns the run time of a task and whether the task then fails.
+	// If Runtime is nil, a task runs for its declared run time, or until it is
+	// stopped if it declares none.
 	Runtime func(agent.StartRequest) (time.Duration, bool)
-	// Use returns the resource usage reported for a task; nil means its shape.
+	// Use returns the resource usage that is reported for a task; nil means its
+	// shape.
 	Use func(agent.StartRequest) spoolsill.Resources
 }
 
-// A Worker is the fake agent of one worker. It starts every task that it is
-// told to start before the lease expires, even beyond its capacity. It is safe
-// for concurrent use.
+// A Worker is the fake agent of one worker. It starts every task whose lease has
+// not expired, even beyond its capacity. It is safe for concurrent use.
 type Worker struct {
 	Fault   Fault
 	config  WorkerConfig
@@ -56,15 +57,15 @@
 	}
 }
 
-// FailAll makes every task that starts from now on fail after a millisecond,
-// until it is called with false.
+// FailAll sets whether tasks that start from now on fail after a millisecond.
 func (w *Worker) FailAll(fail bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failAll = fail
 }
 
-// Kill ends all tasks without reporting it, as a machine that loses power.
+// Kill ends all tasks and makes the agent unavailable, like a power failure of
+// the machine.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,7 +78,7 @@
 	w.Fault.SetDown(true)
 }
 
-// Handler returns the agent's HTTP interface.
+// Handler returns the HTTP API of the agent.
 func (w *Worker) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Use(w.count, w.Fault.wrap)
@@ -133,11 +134,13 @@
 	w.started.Add(1)
 	w.config.Truth.TaskStarted(s.Task, w.config.Worker.ID)
 	w.checkCapacity()
-	d, fails := w.runtime(s)
-	go w.run(ctx, ref, t, d, fails)
+	d, fails := w.taskRuntime(s)
+	go w.runTask(ctx, ref, t, d, fails)
 }
 
-func (w *Worker) runtime(s agent.StartRequest) (time.Duration, bool) {
+// taskRuntime returns the run time of a task and whether it then fails.
+// w.mu must be held.
+func (w *Worker) taskRuntime(s agent.StartRequest) (time.Duration, bool) {
 	if w.failAll {
 		return time.Millisecond, true
 	}
@@ -145,11 +148,13 @@
 		return w.config.Runtime(s)
 	}
 	if s.Runtime <= 0 {
-		return 1 << 50, false
+		return 1 << 50, false // 13 days, longer than any test
 	}
 	return s.Runtime, false
 }
 
+// checkCapacity records a violation if the running tasks exceed the worker's
+// capacity. w.mu must be held.
 func (w *Worker) checkCapacity() {
 	var sum spoolsill.Resources
 	for _, t := range w.tasks {
@@ -162,7 +167,9 @@
 	}
 }
 
-func (w *Worker) run(ctx context.Context, ref agent.TaskAttempt, t *workerTask, d time.Duration, fails bool) {
+// runTask waits for the end of a task: after d, by a stop, or when its lease
+// expires.
+func (w *Worker) runTask(ctx context.Context, ref agent.TaskAttempt, t *workerTask, d time.Duration, fails bool) {
 	defer t.stop()
 	done := time.NewTimer(d)
 	defer done.Stop()
@@ -196,6 +203,7 @@
 	return !time.Now().Before(t.lease)
 }
 
+// finish records that a task ended in state s, or in its stopState if s is empty.
 func (w *Worker) finish(ref agent.TaskAttempt, t *workerTask, s agent.State) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -205,7 +213,8 @@
 	w.end(ref, t, s)
 }
 
-// end records the end of a running task. w.mu must be held.
+// end records that a task ended in state s, unless it already had ended. w.mu
+// must be held.
 func (w *Worker) end(ref agent.TaskAttempt, t *workerTask, s agent.State) {
 	if t.state != agent.Running {
 		return
--- a/internal/zero/zero.go
+++ b/internal/zero/zero.go
@@ -1,4 +1,4 @@
-// Package zero sets defaults for zero values in configuration structs.
+// Package zero replaces zero values in configuration structs by defaults.
 package zero
 
 // Default sets *v to d if *v is the zero value of its type.
