--- a/cmd/spoolsill/main.go
+++ b/cmd/spoolsill/main.go
@@ -1,4 +1,4 @@
-// Command spoolsill is the Spoolsill command line for callers and operators. See
+// Command spoolsill is the command-line client of Spoolsill for callers and operators. See
 // docs/OPERATIONS.md.
 package main
 
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs stand-ins for a platform, workers and runners on the loopback
-// interface, for trying entry hosts by hand. See README.md.
+// Command standin runs a fake platform, workers and runners on the loopback interface, for
+// trying out entry hosts. See README.md.
 package main
 
 import (
@@ -40,7 +40,7 @@
 	k.FatalIfErrorf(run(f))
 }
 
-// run runs the stand-ins until a signal arrives, then prints the violated promises.
+// run runs the fakes until a signal arrives, then prints the violations of invariants.
 func run(f flags) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -1,4 +1,4 @@
-// Package capacity measures the resource use of entry hosts. It runs the real hosts on
+// Package capacity measures the resource usage of entry hosts. It runs the real hosts on
 // virtual time at several sizes and fits the marginal cost of a worker, of a task start
 // per second and of a host.
 package capacity
@@ -28,27 +28,29 @@
 	StartsPerSecond float64 `json:"starts_per_s"`
 	Tasks           int     `json:"tasks"`
 
-	// CPUShare is the processor time per second and host. It is an upper bound: it includes the
-	// stand-ins, which run in the same process.
+	// CPUShare is the processor time per second and host. It is an upper bound, since it
+	// includes the fakes, which run in the same process.
 	CPUShare float64 `json:"cpu"`
 	// PeerBytesPerSecond is the number of bytes per second that a host sends to other hosts.
 	PeerBytesPerSecond float64 `json:"peer_bytes_per_s"`
-	// TableWritesPerSecond and TableReadsPerSecond are the calls of the table by all hosts
-	// of the hall.
+	// TableWritesPerSecond and TableReadsPerSecond are the rates of table calls of all
+	// hosts of the hall.
 	TableWritesPerSecond float64 `json:"table_writes_per_s"`
 	TableReadsPerSecond  float64 `json:"table_reads_per_s"`
 	// WorkerCallsPerSecond is the number of calls to the hall's workers per second.
 	WorkerCallsPerSecond float64 `json:"worker_calls_per_s"`
-	// HeapBytes is the allocated heap of the process divided by the number of hosts.
+	// HeapBytes is the allocated heap of the process, fakes included, divided by the number
+	// of hosts.
 	HeapBytes float64 `json:"heap_bytes"`
 }
 
-// A Slope is a linear fit of a cost over points.
+// A Slope is a linear fit of a cost to points. Value is the cost of each unit of Per.
 type Slope struct {
 	Cost  string  `json:"cost"`
 	Per   string  `json:"per"`
 	Value float64 `json:"value"`
-	// Intercept is the fitted cost at zero, MaxError the largest absolute residual.
+	// Intercept is the fitted cost at zero, MaxError the largest absolute deviation of a
+	// point.
 	Intercept float64 `json:"rest"`
 	MaxError  float64 `json:"error"`
 }
@@ -135,22 +137,22 @@
 	return s
 }
 
-// warmUp is the virtual time before a measurement, window the virtual time that is
-// measured.
+// warmUp is the virtual time before the measurement, window the length of the measurement
+// in virtual time.
 const (
 	warmUp = 5 * time.Second
 	window = 30 * time.Second
 )
 
-// measurePoint measures one hall on a virtual clock of its own.
-func measurePoint(workers, perHall, starts int) (Point, error) {
+// measurePoint measures one hall in a bubble of its own.
+func measurePoint(workers, hostsPerHall, startsPerSecond int) (Point, error) {
 	var p Point
 	var err error
-	bubble.Run(func() { p, err = measureHall(workers, perHall, starts) })
+	bubble.Run(func() { p, err = measureHall(workers, hostsPerHall, startsPerSecond) })
 	return p, err
 }
 
-func measureHall(workers, perHall, starts int) (Point, error) {
+func measureHall(workers, hostsPerHall, startsPerSecond int) (Point, error) {
 	halls := []spoolsill.HallID{"hall"}
 	cell, err := standin.NewCell(standin.CellConfig{
 		Halls:    halls,
@@ -173,7 +175,7 @@
 	f, err := fleet.New(fleet.Config{
 		Cell:         cell,
 		Halls:        halls,
-		HostsPerHall: perHall,
+		HostsPerHall: hostsPerHall,
 		HallLease:    5 * time.Second,
 		TaskLease:    15 * time.Second,
 		Service: settings.Service{
@@ -193,18 +195,18 @@
 	}
 	c := f.OperatorClient()
 	defer c.HTTPClient.CloseIdleConnections()
-	return observe(ctx, cell, f, c, Point{
+	return measureWindow(ctx, cell, f, c, Point{
 		Workers:         workers,
-		Hosts:           perHall,
-		StartsPerSecond: float64(starts),
+		Hosts:           hostsPerHall,
+		StartsPerSecond: float64(startsPerSecond),
 	})
 }
 
-// observe submits load through the warm-up and the measurement window and returns p with
-// the resource use in the window.
-func observe(ctx context.Context, cell *standin.Cell, f *fleet.Fleet, c *api.Client, p Point) (Point, error) {
+// measureWindow submits load during the warm-up and the measurement window, and returns p
+// with the resource usage in the window.
+func measureWindow(ctx context.Context, cell *standin.Cell, f *fleet.Fleet, c *api.Client, p Point) (Point, error) {
 	n := 0
-	load := func(d time.Duration) error {
+	submitLoad := func(d time.Duration) error {
 		for end := time.Now().Add(d); time.Now().Before(end); {
 			if p.StartsPerSecond > 0 {
 				n++
@@ -216,23 +218,23 @@
 		}
 		return nil
 	}
-	if err := load(warmUp); err != nil {
+	if err := submitLoad(warmUp); err != nil {
 		return p, err
 	}
 	writes, reads := cell.Platform.Table.Counts()
 	sent := bytesSent(f)
 	calls := cell.AgentCalls()
 	cpu := processorTime()
-	if err := load(window); err != nil {
+	if err := submitLoad(window); err != nil {
 		return p, err
 	}
-	s, hosts := window.Seconds(), float64(p.Hosts)
+	elapsed, hosts := window.Seconds(), float64(p.Hosts)
 	w, r := cell.Platform.Table.Counts()
-	p.CPUShare = (processorTime() - cpu).Seconds() / s / hosts
-	p.TableWritesPerSecond = float64(w-writes) / s
-	p.TableReadsPerSecond = float64(r-reads) / s
-	p.PeerBytesPerSecond = float64(bytesSent(f)-sent) / s / hosts
-	p.WorkerCallsPerSecond = float64(cell.AgentCalls()-calls) / s
+	p.CPUShare = (processorTime() - cpu).Seconds() / elapsed / hosts
+	p.TableWritesPerSecond = float64(w-writes) / elapsed
+	p.TableReadsPerSecond = float64(r-reads) / elapsed
+	p.PeerBytesPerSecond = float64(bytesSent(f)-sent) / elapsed / hosts
+	p.WorkerCallsPerSecond = float64(cell.AgentCalls()-calls) / elapsed
 	p.HeapBytes = float64(heapBytes()) / hosts
 	return p, nil
 }
--- a/internal/bench/cellbench/cell.go
+++ b/internal/bench/cellbench/cell.go
@@ -45,7 +45,7 @@
 	lastDecide    time.Duration
 	decidePending bool
 	adviceOrders  []sched.AdviceOrder
-	idleHosts     int // hosts without an outstanding advice request
+	idleHosts     int // hosts without an outstanding query to the advisor
 	gangs         map[sched.StageID]map[sched.RunID]*run
 	starts        int
 	stops         int
@@ -60,12 +60,13 @@
 	sequence      uint64
 }
 
-// A run is a task at a worker. A member of a gang waits until all members have arrived.
+// A run is one run of a task on a worker. The run of a gang member waits until all members
+// have been started.
 type run struct {
 	id        sched.RunID
 	worker    *worker
-	totalWork time.Duration // total run time, on a worker with runtimeFactor 1
-	priorWork time.Duration // part of it done by earlier runs
+	totalWork time.Duration // run time of the task on a worker with runtimeFactor 1
+	priorWork time.Duration // part of totalWork done by earlier runs
 	began     time.Duration // zero while waiting for the gang
 	runtime   time.Duration
 	started   bool
@@ -152,8 +153,8 @@
 	x.loop.After(tickInterval, x.tick)
 }
 
-// scheduleDecide calls decide now or, if it ran less than minDecideInterval ago, when that
-// has passed.
+// scheduleDecide calls decide, immediately or once minDecideInterval has passed since the
+// last call.
 func (x *cell) scheduleDecide() {
 	wait := x.lastDecide + minDecideInterval - x.loop.Now()
 	if wait <= 0 {
@@ -169,7 +170,7 @@
 	}
 }
 
-// decide has the state make decisions and carries them out.
+// decide lets the state decide and carries out the decisions.
 func (x *cell) decide() {
 	now := x.loop.Time()
 	x.lastDecide = x.loop.Now()
@@ -190,15 +191,16 @@
 	x.write()
 }
 
+// write writes the next batch to the store, unless a write is in progress.
 func (x *cell) write() {
 	if x.writing {
 		return
 	}
-	b, any, err := x.state.Batch(x.loop.Time())
+	b, ok, err := x.state.Batch(x.loop.Time())
 	if err != nil {
 		x.violations = append(x.violations, err.Error())
 	}
-	if !any {
+	if !ok {
 		return
 	}
 	x.writing = true
@@ -209,7 +211,7 @@
 	})
 }
 
-// batchWritten handles the completion of a write to the store.
+// batchWritten handles a completed write of a batch to the store.
 func (x *cell) batchWritten(b sched.Batch) {
 	for _, s := range b.Statuses {
 		if a := x.jobs[s.ID]; a != nil && s.State.Final() {
@@ -226,7 +228,8 @@
 	}
 }
 
-// askAdvisor has idle hosts send the pending advice requests, the most urgent first.
+// askAdvisor sends pending queries to the advisor from idle hosts, in the order of
+// compareAdviceOrders.
 func (x *cell) askAdvisor() {
 	for x.idleHosts > 0 && len(x.adviceOrders) > 0 {
 		i := 0
@@ -246,7 +249,8 @@
 	}
 }
 
-// compareAdviceOrders orders by urgency, then by descending purpose, then by priority.
+// compareAdviceOrders orders by urgency, then by purpose in descending order, then by
+// priority.
 func compareAdviceOrders(a, b sched.AdviceOrder) int {
 	if a.Urgent != b.Urgent {
 		if a.Urgent {
@@ -275,7 +279,7 @@
 }
 
 // allowed reports whether the advisor allows a stage on a worker. It decides by a hash, so
-// the answer is stable; some stages are allowed on no worker.
+// that the result is stable. Some stages are allowed on no worker.
 func (x *cell) allowed(s sched.StageID, id spoolsill.WorkerID) bool {
 	a := x.jobs[s.Job]
 	if a == nil {
@@ -315,8 +319,8 @@
 	x.joinGang(a, r)
 }
 
-// duration returns the run time at the run's worker, with the restore time if it starts
-// from a checkpoint.
+// duration returns the run time on the run's worker, including the restore time if the run
+// starts from a checkpoint.
 func (r *run) duration() time.Duration {
 	d := time.Duration(float64(r.totalWork-r.priorWork) * r.worker.runtimeFactor)
 	if r.priorWork > 0 {
@@ -325,8 +329,8 @@
 	return d
 }
 
-// joinGang adds a member to its gang and starts all members once the gang is complete.
-// They run as long as the slowest member.
+// joinGang adds a member to its gang and starts all members once the gang is complete. All
+// members run as long as the slowest one.
 func (x *cell) joinGang(a *arrival, r *run) {
 	s := r.id.Task.Stage
 	g := x.gangs[s]
@@ -374,7 +378,7 @@
 	x.loop.After(runtime, func() { x.endRun(r, k, "") })
 }
 
-// endRun ends a run and has its worker report it.
+// endRun ends a run, which its worker then reports.
 func (x *cell) endRun(r *run, k sched.EndKind, saved string) {
 	w := r.worker
 	if w.runs[r.id] != r {
@@ -422,7 +426,7 @@
 	return strconv.FormatInt(min(done, r.totalWork).Milliseconds(), 10)
 }
 
-// heartbeat sends a heartbeat of the worker every heartbeatInterval.
+// heartbeat sends a heartbeat of the worker and repeats that every heartbeatInterval.
 func (x *cell) heartbeat(w *worker) {
 	x.sendHeartbeat(w)
 	x.loop.After(heartbeatInterval, func() { x.heartbeat(w) })
@@ -453,6 +457,7 @@
 	x.scheduleDecide()
 }
 
+// progressPercent returns the progress that the worker reports, in percent.
 func (r *run) progressPercent(now time.Duration) int {
 	if !r.started || r.runtime <= 0 {
 		return 0
--- a/internal/bench/cellbench/input.go
+++ b/internal/bench/cellbench/input.go
@@ -17,10 +17,10 @@
 	Max   float64
 }
 
-func (s LogNormal) sample(r *rand.Rand) float64 {
-	x := s.Mean * math.Exp(s.Sigma*r.NormFloat64()-s.Sigma*s.Sigma/2)
-	if s.Max > 0 {
-		x = min(x, s.Max)
+func (d LogNormal) sample(r *rand.Rand) float64 {
+	x := d.Mean * math.Exp(d.Sigma*r.NormFloat64()-d.Sigma*d.Sigma/2)
+	if d.Max > 0 {
+		x = min(x, d.Max)
 	}
 	return x
 }
@@ -30,20 +30,20 @@
 	Queue sched.Queue
 	// JobsPerSecond is the number of jobs that arrive per second.
 	JobsPerSecond float64
-	// Steps is the number of steps, which run in sequence; Tasks is the number of tasks of
-	// a step.
+	// Steps is the number of steps of a job, which run in sequence. Tasks is the number of
+	// tasks of a step.
 	Steps LogNormal
 	Tasks LogNormal
 	// Work is the mean run time of the tasks of a step, in seconds.
 	Work LogNormal
-	// Cores and Memory, in GiB, are the needs of a task. Accelerators lists the numbers of
-	// accelerators to choose from; nil means none.
+	// Cores and Memory, in GiB, are the needs of a task. Accelerators lists the possible
+	// numbers of accelerators of a task; nil means none.
 	Cores        LogNormal
 	Memory       LogNormal
 	Accelerators []int
 	// GangShare is the fraction of jobs that are gangs.
 	GangShare float64
-	// Saves is the fraction of jobs whose progress is checkpointed.
+	// Saves is the fraction of jobs whose tasks save checkpoints.
 	Saves float64
 	// EstimateOff is the maximum relative error of run time estimates.
 	EstimateOff float64
@@ -51,7 +51,7 @@
 	Good float64
 	// FailureRate is the fraction of runs that fail.
 	FailureRate float64
-	// Worth is the worth of a job of mean load that ends in time.
+	// Worth is the worth of a job of mean load that completes in time.
 	Worth float64
 }
 
@@ -60,7 +60,8 @@
 	Service  spoolsill.ServiceID
 	Workers  int
 	Capacity spoolsill.Resources
-	// Speeds lists the factors on run times, assigned to the workers in turn; nil means 1.
+	// Speeds lists factors by which run times are multiplied, assigned to the workers in
+	// turn; nil means 1.
 	Speeds []float64
 }
 
@@ -75,9 +76,10 @@
 	load float64
 }
 
-// acceleratorCores is the number of cores that an accelerator counts as in a job's load.
+// acceleratorCores is the number of cores that one accelerator counts as.
 const acceleratorCores = 8
 
+// arrivals draws the jobs of all kinds as Poisson processes.
 func arrivals(c Config, r *rand.Rand) []arrival {
 	var out []arrival
 	for i := range c.Kinds {
@@ -93,6 +95,7 @@
 	return out
 }
 
+// arrival draws job n of a kind.
 func (k *JobKind) arrival(r *rand.Rand, at time.Duration, n int) arrival {
 	a := arrival{
 		at:   at,
@@ -132,6 +135,7 @@
 // of its step.
 const taskTimeVariation = 0.3
 
+// need draws the resources that each task of a job needs.
 func (k *JobKind) need(r *rand.Rand) spoolsill.Resources {
 	n := spoolsill.Resources{
 		Processors: spoolsill.Millicores(k.Cores.sample(r) * float64(spoolsill.Core)),
@@ -143,7 +147,7 @@
 	return n
 }
 
-// equivalentCores returns the cores of n, with accelerators converted to cores.
+// equivalentCores returns the number of cores of n, with accelerators converted to cores.
 func equivalentCores(n spoolsill.Resources) float64 {
 	return float64(n.Processors)/float64(spoolsill.Core) + acceleratorCores*float64(n.Accelerators)
 }
--- a/internal/bench/cellbench/mixes.go
+++ b/internal/bench/cellbench/mixes.go
@@ -7,8 +7,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Accelerated returns a pool of a few workers with accelerators, with load from large
-// tasks that need a quarter to all of a worker's accelerators and from many that need one.
+// Accelerated returns a configuration with a few workers with accelerators. Some tasks need
+// a quarter to all of a worker's accelerators, many need one.
 func Accelerated(seed uint64, d time.Duration, load float64) Config {
 	return Config{
 		Seed:     seed,
@@ -33,8 +33,8 @@
 	}
 }
 
-// Gangs returns a pool of workers whose load is mostly gangs, with patient and urgent
-// work besides.
+// Gangs returns a configuration whose load is mostly gangs, with patient and urgent jobs
+// in addition.
 func Gangs(seed uint64, d time.Duration, load float64) Config {
 	return Config{
 		Seed:     seed,
@@ -58,7 +58,7 @@
 	}
 }
 
-// A Mix is a named workload mix. The load parameter of Config scales the arrival rates.
+// A Mix is a named workload mix. The load argument of Config scales the arrival rates.
 type Mix struct {
 	Name   string
 	Config func(seed uint64, d time.Duration, load float64) Config
--- a/internal/bench/cellbench/run.go
+++ b/internal/bench/cellbench/run.go
@@ -14,8 +14,7 @@
 type Config struct {
 	Seed     uint64
 	Duration time.Duration
-	// Hosts is the number of hosts, each of which can send the advisor one request at a
-	// time.
+	// Hosts is the number of hosts. Each sends at most one query to the advisor at a time.
 	Hosts int
 	Pools []Pool
 	Kinds []JobKind
@@ -63,7 +62,7 @@
 // A tally accumulates the worth and the outcomes of jobs by queue.
 type tally struct {
 	config        Config
-	meanLoad      map[sched.QueueID]float64 // mean load of a job
+	meanLoad      map[sched.QueueID]float64 // mean load of the jobs
 	possibleWorth map[sched.QueueID]float64
 	earnedWorth   map[sched.QueueID]float64
 	jobs          map[sched.QueueID]int
@@ -110,10 +109,12 @@
 	lateFactor     = 3
 )
 
+// worth returns the worth of a job that completes in time.
 func (t *tally) worth(a *arrival) float64 {
 	return a.kind.Worth * min(baseWorth+(1-baseWorth)*a.load/t.meanLoad[a.job.Queue], maxWorthFactor)
 }
 
+// recordEnd records the end of a job and credits its worth if it completed.
 func (t *tally) recordEnd(a *arrival, s sched.JobState, took time.Duration) {
 	q := a.job.Queue
 	t.took[q] = append(t.took[q], took)
--- a/internal/bench/cellbench/run_test.go
+++ b/internal/bench/cellbench/run_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// At a very low load, nearly all worth must be earned.
+// At a load of 5%, more than 80% of the worth must be earned.
 func TestIdleCellServesInTime(t *testing.T) {
 	for _, m := range cellbench.Mixes() {
 		r := cellbench.Run(m.Config(3, time.Minute, 0.05))
--- a/internal/bench/event/event.go
+++ b/internal/bench/event/event.go
@@ -1,5 +1,5 @@
-// Package event provides a discrete-event simulation loop with a virtual clock, and
-// quantiles of the durations that a simulation collects.
+// Package event provides an event loop with a virtual clock for discrete-event
+// simulations, and quantiles of the durations that they collect.
 package event
 
 import (
@@ -49,7 +49,7 @@
 	return l.now
 }
 
-// Time returns the virtual time as a [time.Time], counted from a fixed epoch.
+// Time returns the virtual time as a [time.Time]. Time 0 is a fixed date.
 func (l *Loop) Time() time.Time {
 	return time.UnixMicro(1_000_000_000_000).Add(l.now)
 }
@@ -64,7 +64,7 @@
 	})
 }
 
-// Run runs the events scheduled up to and including end and advances the clock to end.
+// Run runs all events that are due at end or earlier, and advances the clock to end.
 func (l *Loop) Run(end time.Duration) {
 	for len(l.queue) > 0 && l.queue[0].at <= end {
 		x := heap.Pop(&l.queue).(entry)
--- a/internal/bench/event/quantile.go
+++ b/internal/bench/event/quantile.go
@@ -14,7 +14,7 @@
 	P999  float64 `json:"p999"`
 }
 
-// QuantilesOf returns the exact (nearest-rank) quantiles of durations.
+// QuantilesOf returns the exact quantiles of durations, by the nearest-rank method.
 func QuantilesOf(durations []time.Duration) Quantiles {
 	sorted := append([]time.Duration(nil), durations...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i] < sorted[j] })
--- a/internal/bench/faultbench/run.go
+++ b/internal/bench/faultbench/run.go
@@ -1,5 +1,5 @@
-// Package faultbench runs many random sequences of failures and aggregates the promise
-// violations.
+// Package faultbench runs many random sequences of failures and aggregates the violations
+// of invariants.
 package faultbench
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/spoolsill/spoolsill/internal/standin"
 )
 
-// A Config says which sequences to run.
+// A Config describes the sequences to run.
 type Config struct {
-	// Seed is the seed of the first sequence; each following one has the next seed. Runs
-	// is the number of sequences.
+	// Seed is the seed of the first sequence and is incremented for each following one.
+	// Runs is the number of sequences.
 	Seed uint64
 	Runs int
-	// DisabledMechanism names a safety mechanism to disable. It is empty if all are enabled.
+	// DisabledMechanism names the safety mechanism to disable. If empty, all are enabled.
 	DisabledMechanism string
-	// Schedule, if it has steps, is run by each sequence, with each time moved randomly by
-	// up to Move. Otherwise each sequence generates a schedule from its seed.
+	// Schedule, if it has steps, is run by each sequence, with every time shifted randomly
+	// by up to Move. Otherwise each sequence generates a schedule from its seed.
 	Schedule fault.Schedule
 	Move     time.Duration
 	// Progress, if not nil, is called after each sequence.
@@ -35,7 +35,7 @@
 // A Result holds the aggregated results of the sequences.
 type Result struct {
 	Seed uint64 `json:"seed"`
-	// Runs is the number of completed sequences, less than requested if the run was
+	// Runs is the number of completed sequences. It is less than requested if the run was
 	// interrupted.
 	Runs              int                        `json:"runs"`
 	Failed            int                        `json:"failed"`
@@ -52,7 +52,7 @@
 	Unfinished        int                        `json:"unfinished"`
 }
 
-// ViolationCount returns the number of promise violations and unfinished sequences.
+// ViolationCount returns the number of violations. An unfinished sequence counts as one.
 func (r Result) ViolationCount() int {
 	n := r.Unfinished
 	for _, k := range r.Violations {
@@ -61,6 +61,7 @@
 	return n
 }
 
+// breaksByMechanism maps the names of mechanisms to the settings that disable them.
 var breaksByMechanism = map[string]entry.Breaks{
 	"": {},
 	"promise": {
@@ -97,15 +98,15 @@
 }
 
 // Run runs the sequences, as many in parallel as there are processors. It must be called
-// in [bubble.Main]. When ctx ends, it starts no further sequence and returns the results
-// of those that have completed.
+// in [bubble.Main]. Once ctx is done, it starts no further sequence and returns the results
+// of the completed ones.
 func Run(ctx context.Context, c Config) (Result, error) {
 	b, ok := breaksByMechanism[c.DisabledMechanism]
 	if !ok {
 		return Result{}, fmt.Errorf("mechanism %q is not known: want promise, fence, settle, record, lapse, claim or drain", c.DisabledMechanism)
 	}
 	var mu sync.Mutex
-	s := aggregator{
+	agg := aggregator{
 		config: c,
 	}
 	bubble.Each(c.Runs, func(i int) {
@@ -115,9 +116,9 @@
 		r := fault.Run(c.sequence(i, b))
 		mu.Lock()
 		defer mu.Unlock()
-		s.add(r)
+		agg.add(r)
 	})
-	return s.result(), nil
+	return agg.result(), nil
 }
 
 // sequence returns the configuration of sequence i.
@@ -132,8 +133,8 @@
 	return f
 }
 
-// Limits on what a result includes of failed sequences. No cases are added once maxCases
-// is reached.
+// Limits on the cases and schedules of failed sequences in a result. The cases of a
+// sequence are added as long as there are fewer than maxCases.
 const (
 	maxCases     = 10
 	maxSchedules = 2
@@ -147,57 +148,57 @@
 	notRun, unknown int64
 }
 
-func (s *aggregator) add(r fault.Result) {
-	if s.recovery == nil {
-		s.recovery = map[string][]time.Duration{}
-		s.out.Faults = map[string]int{}
-		s.out.Violations = map[standin.Invariant]int{}
+func (a *aggregator) add(r fault.Result) {
+	if a.recovery == nil {
+		a.recovery = map[string][]time.Duration{}
+		a.out.Faults = map[string]int{}
+		a.out.Violations = map[standin.Invariant]int{}
 	}
-	s.out.Runs++
+	a.out.Runs++
 	if r.Err != nil {
-		s.out.Unfinished++
+		a.out.Unfinished++
 	}
 	if r.Err != nil || len(r.Cases) > 0 {
-		s.out.Failed++
-		s.keepFailure(r)
+		a.out.Failed++
+		a.keepFailure(r)
 	}
 	for k, n := range r.Faults {
-		s.out.Faults[k] += n
+		a.out.Faults[k] += n
 	}
 	for k, n := range r.Violations {
-		s.out.Violations[k] += n
+		a.out.Violations[k] += n
 	}
 	for k, d := range r.Recovery {
-		s.recovery[k] = append(s.recovery[k], d...)
+		a.recovery[k] = append(a.recovery[k], d...)
 	}
-	s.out.LostWithHall += r.LostWithHall
-	s.out.Requests += r.Done + r.NotRun + r.Unknown
-	s.notRun += r.NotRun
-	s.unknown += r.Unknown
-	if s.config.Progress != nil {
-		s.config.Progress(s.out.Runs, s.out.Failed)
+	a.out.LostWithHall += r.LostWithHall
+	a.out.Requests += r.Done + r.NotRun + r.Unknown
+	a.notRun += r.NotRun
+	a.unknown += r.Unknown
+	if a.config.Progress != nil {
+		a.config.Progress(a.out.Runs, a.out.Failed)
 	}
 }
 
 // keepFailure keeps the cases and the schedule of a failed sequence, within the limits.
-func (s *aggregator) keepFailure(r fault.Result) {
-	if len(s.out.Cases) < maxCases {
-		s.out.Cases = append(s.out.Cases, r.Cases...)
+func (a *aggregator) keepFailure(r fault.Result) {
+	if len(a.out.Cases) < maxCases {
+		a.out.Cases = append(a.out.Cases, r.Cases...)
 	}
-	if len(s.out.Schedules) < maxSchedules {
-		s.out.Schedules = append(s.out.Schedules, r.Schedule.String())
+	if len(a.out.Schedules) < maxSchedules {
+		a.out.Schedules = append(a.out.Schedules, r.Schedule.String())
 	}
 }
 
-func (s *aggregator) result() Result {
-	r := s.out
-	r.Seed = s.config.Seed
-	r.DisabledMechanism = s.config.DisabledMechanism
+func (a *aggregator) result() Result {
+	r := a.out
+	r.Seed = a.config.Seed
+	r.DisabledMechanism = a.config.DisabledMechanism
 	r.RecoveryMS = map[string]event.Quantiles{}
-	for k, d := range s.recovery {
+	for k, d := range a.recovery {
 		r.RecoveryMS[k] = event.QuantilesOf(d)
 	}
-	r.UnknownShare = float64(s.unknown) / float64(max(r.Requests, 1))
-	r.NotRunShare = float64(s.notRun) / float64(max(r.Requests, 1))
+	r.UnknownShare = float64(a.unknown) / float64(max(r.Requests, 1))
+	r.NotRunShare = float64(a.notRun) / float64(max(r.Requests, 1))
 	return r
 }
--- a/internal/bench/placebench/doc.go
+++ b/internal/bench/placebench/doc.go
@@ -1,4 +1,4 @@
 // Package placebench compares placement policies in a discrete-event simulation. Package
-// place, two baseline schedulers and a bound that no scheduler can beat get the same jobs
-// on the same simulated workers.
+// place and two baseline schedulers run the same jobs on the same simulated workers. An
+// upper bound is computed for the same jobs.
 package placebench
--- a/internal/bench/placebench/input.go
+++ b/internal/bench/placebench/input.go
@@ -15,7 +15,7 @@
 	at          time.Duration
 	job         spoolsill.Job
 	runtimes    []time.Duration
-	cancelAfter time.Duration // time after the arrival; 0 means never
+	cancelAfter time.Duration // time from arrival to cancellation; 0 means never
 }
 
 // An input is the workload and the workers, the same for all policies.
@@ -26,7 +26,7 @@
 	end      time.Duration
 }
 
-// workerCapacity is the capacity of each worker, as in the planned deployments.
+// workerCapacity is the capacity of each worker, that of the planned deployments.
 var workerCapacity = spoolsill.Resources{
 	Processors: 64 * spoolsill.Core,
 	Memory:     128 * spoolsill.GiB,
@@ -48,7 +48,7 @@
 }
 
 // A workKind describes one kind of work in the workload mix. weight is its fraction of
-// the jobs; tasks and cores are inclusive ranges.
+// all jobs; tasks and cores are inclusive ranges.
 type workKind struct {
 	name         string
 	weight       float64
@@ -155,8 +155,8 @@
 	return j, taskRuntimes
 }
 
-// makeInput draws jobs that load the workers to c.Load for c.Duration. It includes the
-// services that would already run at the start.
+// makeInput draws jobs that load the workers to c.Load for c.Duration, including the
+// services that already run at the start.
 func makeInput(c Config) input {
 	r := rand.New(rand.NewPCG(c.Seed, 11))
 	in := input{
@@ -208,8 +208,8 @@
 	return n
 }
 
-// addBulkCancel cancels, at the middle of the run, every second patient job that arrived
-// in the preceding twentieth of the run.
+// addBulkCancel cancels jobs in the middle of the run: about half of the patient jobs that
+// arrived in the preceding twentieth of the run.
 func (in *input) addBulkCancel(c Config) {
 	cancelTime := c.Duration / 2
 	for i := range in.arrivals {
@@ -232,7 +232,7 @@
 	return workloadMix[len(workloadMix)-1]
 }
 
-// coreSecondsPerJob estimates the mean work of a job of the mix from a sample.
+// coreSecondsPerJob estimates the mean core seconds of a job of the mix from a sample.
 func coreSecondsPerJob(seed uint64) float64 {
 	const sample = 20_000
 	r := rand.New(rand.NewPCG(seed, 13))
@@ -246,7 +246,7 @@
 	return sum / sample
 }
 
-// maxBacklogWorkers limits the workers of the utilization run, since the baseline
+// maxBacklogWorkers limits the number of workers of the backlog run, since the baseline
 // schedulers scan all workers for each waiting task.
 const maxBacklogWorkers = 110
 
--- a/internal/bench/placebench/policy.go
+++ b/internal/bench/placebench/policy.go
@@ -8,16 +8,16 @@
 	"github.com/spoolsill/spoolsill/place"
 )
 
-// A policy is a scheduler under test. It decides which task starts on which worker.
+// A policy is a scheduler under test.
 type policy interface {
 	submit(now time.Time, j spoolsill.Job)
 	cancel(now time.Time, id spoolsill.JobID)
 	report(now time.Time, p place.Report)
-	// decide returns the tasks to start and those to checkpoint or stop.
+	// decide returns the tasks to start and the tasks to checkpoint or stop.
 	decide(now time.Time) (starts []start, preempted []spoolsill.TaskID)
 }
 
-// A start is an attempt of a task on a worker.
+// A start is one attempt of a task on a worker.
 type start struct {
 	task    spoolsill.TaskID
 	attempt spoolsill.Attempt
@@ -37,8 +37,8 @@
 	}
 }
 
-func (o *placeScheduler) submit(now time.Time, j spoolsill.Job) {
-	err := o.state.Apply(place.Record{
+func (s *placeScheduler) submit(now time.Time, j spoolsill.Job) {
+	err := s.state.Apply(place.Record{
 		Kind: place.JobAdded,
 		At:   now.UnixMicro(),
 		Job:  &j,
@@ -48,19 +48,19 @@
 	}
 }
 
-func (o *placeScheduler) cancel(now time.Time, id spoolsill.JobID) {
-	o.state.Cancel(now, []spoolsill.JobID{id})
+func (s *placeScheduler) cancel(now time.Time, id spoolsill.JobID) {
+	s.state.Cancel(now, []spoolsill.JobID{id})
 }
 
-func (o *placeScheduler) report(now time.Time, p place.Report) {
-	o.state.Report(now, p)
+func (s *placeScheduler) report(now time.Time, p place.Report) {
+	s.state.Report(now, p)
 }
 
-func (o *placeScheduler) decide(now time.Time) ([]start, []spoolsill.TaskID) {
+func (s *placeScheduler) decide(now time.Time) ([]start, []spoolsill.TaskID) {
 	var starts []start
 	var preempted []spoolsill.TaskID
 	for {
-		records, full := o.state.Decide(now)
+		records, full := s.state.Decide(now)
 		for _, r := range records {
 			switch r.Kind {
 			case place.TaskPlaced:
--- a/internal/bench/placebench/run.go
+++ b/internal/bench/placebench/run.go
@@ -15,7 +15,7 @@
 type Config struct {
 	Seed    uint64
 	Workers int
-	// Load is the offered load as a fraction of the processors.
+	// Load is the offered load as a fraction of the processors of all workers.
 	Load float64
 	// Failing is the fraction of workers on which every task fails.
 	Failing  float64
@@ -24,9 +24,9 @@
 
 // Durations of the simulated workers and of the scheduling loop.
 const (
-	batchInterval  = 10 * time.Millisecond  // time from an event to the next decision, which batches events
-	maxReportDelay = time.Second            // the scheduler learns of an end after a uniform delay up to this
-	checkpointTime = 200 * time.Millisecond // time that a task takes to checkpoint
+	batchInterval  = 10 * time.Millisecond  // delay from an event to the next decision, so that decisions handle events in batches
+	maxReportDelay = time.Second            // ends are reported to the scheduler with a uniform delay up to this
+	checkpointTime = 200 * time.Millisecond // time to checkpoint a task
 	failureTime    = 20 * time.Millisecond  // time until a task on a failing worker fails
 )
 
@@ -107,7 +107,7 @@
 	return out
 }
 
-// upperBound returns a bound that no scheduler can beat: a single worker with the total
+// upperBound returns an upper bound for all schedulers: a single worker with the total
 // capacity, where ends are reported without delay, simulated separately for each kind of
 // work.
 func upperBound(in, backlog input, single []spoolsill.Worker) PolicyResult {
@@ -138,7 +138,7 @@
 	return p
 }
 
-// simulate runs one policy. delayFactor scales the delay with which ends are reported.
+// simulate simulates one policy. delayFactor scales the delay with which ends are reported.
 func simulate(in input, p policy, delayFactor float64) PolicyResult {
 	s := &sim{
 		in:          in,
@@ -181,8 +181,8 @@
 	report        PolicyResult
 
 	totalWorth, worthInTime float64
-	backlogCoreTime         float64 // processor time in use while there was a backlog
-	backlogTime             float64
+	backlogCoreTime         float64 // millicore seconds in use while there was a backlog
+	backlogTime             float64 // seconds
 	lastChange              time.Duration
 	processorsInUse         spoolsill.Millicores
 	waiting                 int
@@ -224,6 +224,7 @@
 	s.scheduleDecide()
 }
 
+// scheduleDecide schedules a decision after batchInterval, unless one is pending.
 func (s *sim) scheduleDecide() {
 	if s.decidePending {
 		return
@@ -232,6 +233,8 @@
 	s.loop.After(batchInterval, s.decide)
 }
 
+// decide lets the policy decide and carries out its decisions. It decides again after a
+// second at the latest.
 func (s *sim) decide() {
 	s.decidePending = false
 	s.accountUsage()
@@ -246,43 +249,43 @@
 			s.loop.After(checkpointTime, func() { s.checkpointed(r) })
 		}
 	}
-	for _, x := range starts {
-		s.startRun(x)
+	for _, st := range starts {
+		s.startRun(st)
 	}
 	s.loop.After(time.Second, s.scheduleDecide)
 }
 
-func (s *sim) startRun(x start) {
-	a := s.jobs[x.task.Job]
-	if old := s.running[x.task]; old != nil {
+func (s *sim) startRun(st start) {
+	a := s.jobs[st.task.Job]
+	if old := s.running[st.task]; old != nil {
 		s.report.Violations++
 	}
 	r := &run{
-		start: x,
+		start: st,
 		began: s.loop.Now(),
 	}
-	s.running[x.task] = r
-	s.used[x.worker] = s.used[x.worker].Add(a.job.Shape)
+	s.running[st.task] = r
+	s.used[st.worker] = s.used[st.worker].Add(a.job.Shape)
 	s.processorsInUse += a.job.Shape.Processors
-	if w, ok := s.capacity(x.worker); !ok || !s.used[x.worker].FitsIn(w) {
+	if w, ok := s.capacity(st.worker); !ok || !s.used[st.worker].FitsIn(w) {
 		s.report.Violations++
 	}
-	if _, ok := s.firstStart[x.task]; !ok {
-		s.firstStart[x.task] = s.loop.Now()
+	if _, ok := s.firstStart[st.task]; !ok {
+		s.firstStart[st.task] = s.loop.Now()
 		s.waiting--
 		s.waits[workKindName(a.job)] = append(s.waits[workKindName(a.job)], s.loop.Now()-a.at)
 	}
 	s.policy.report(s.loop.Time(), place.Report{
-		Task:    x.task,
-		Attempt: x.attempt,
+		Task:    st.task,
+		Attempt: st.attempt,
 		Outcome: place.Started,
 	})
-	if s.in.failing[x.worker] {
-		s.failures[x.task]++
+	if s.in.failing[st.worker] {
+		s.failures[st.task]++
 		s.loop.After(failureTime, func() { s.endRun(r, place.Failed) })
 		return
 	}
-	s.loop.After(a.runtimes[x.task.Index], func() { s.endRun(r, place.Exited) })
+	s.loop.After(a.runtimes[st.task.Index], func() { s.endRun(r, place.Exited) })
 }
 
 func (s *sim) capacity(id spoolsill.WorkerID) (spoolsill.Resources, bool) {
@@ -299,14 +302,14 @@
 	}
 	cores := float64(s.jobs[r.start.task.Job].job.Shape.Processors) / float64(spoolsill.Core)
 	s.report.PreemptedCoreSeconds += cores * checkpointTime.Seconds()
-	// The work done so far is preserved.
+	// The next attempt resumes from the checkpoint.
 	a := s.jobs[r.start.task.Job]
 	a.runtimes[r.start.task.Index] = max(a.runtimes[r.start.task.Index]-(s.loop.Now()-r.began), 50*time.Millisecond)
 	s.endRun(r, place.Checkpointed)
 }
 
-// endRun ends a run on its worker and reports it to the policy after a delay.
-func (s *sim) endRun(r *run, f place.Outcome) {
+// endRun ends a run on its worker and reports the outcome to the policy after a delay.
+func (s *sim) endRun(r *run, outcome place.Outcome) {
 	if r.ended {
 		return
 	}
@@ -316,42 +319,45 @@
 	s.used[r.start.worker] = s.used[r.start.worker].Sub(a.job.Shape)
 	s.processorsInUse -= a.job.Shape.Processors
 	delete(s.running, r.start.task)
-	if f == place.Exited {
+	if outcome == place.Exited {
 		s.creditWorth(a, r)
 	}
 	s.loop.After(s.reportDelay(r), func() {
 		s.policy.report(s.loop.Time(), place.Report{
 			Task:    r.start.task,
 			Attempt: r.start.attempt,
-			Outcome: f,
+			Outcome: outcome,
 		})
 		s.scheduleDecide()
 	})
 }
 
 // reportDelay returns the delay with which the end of a run is reported. The delays are
-// deterministic and spread evenly up to maxReportDelay, by multiples of the golden ratio.
+// deterministic: the fractional parts of multiples of the golden ratio spread them evenly
+// up to maxReportDelay.
 func (s *sim) reportDelay(r *run) time.Duration {
-	const golden = 0.6180339887
-	x := golden * float64(r.start.task.Index+int(r.began/time.Millisecond))
+	const goldenRatioConjugate = 0.6180339887
+	x := goldenRatioConjugate * float64(r.start.task.Index+int(r.began/time.Millisecond))
 	return time.Duration(float64(maxReportDelay) * s.delayFactor * (x - float64(int(x))))
 }
 
-// completionSlack is the maximum time from arrival to end, beyond the run time, for a
-// task to count as in time. Tasks of patient jobs have no limit.
+// completionSlack is the maximum time from arrival to end, less the run time, for a task to
+// count as in time. Tasks of patient jobs have no limit.
 const completionSlack = 10 * time.Second
 
+// creditWorth adds the task's share of its job's worth if the task ended in time.
 func (s *sim) creditWorth(a *arrival, r *run) {
 	i := r.start.task.Index
 	share := float64(a.job.Worth) / float64(a.job.Tasks)
-	late := s.loop.Now() - a.at - a.runtimes[i]
-	if a.job.Class == spoolsill.ClassPatient || late <= completionSlack {
+	delay := s.loop.Now() - a.at - a.runtimes[i]
+	if a.job.Class == spoolsill.ClassPatient || delay <= completionSlack {
 		s.worthInTime += share
 	}
 }
 
-// accountUsage accumulates the processors in use since the last call if there was a
-// backlog: more waiting tasks than a quarter of the workers, or any for the bound.
+// accountUsage accumulates the processor time used since the last call if there is a
+// backlog: more waiting tasks than a quarter of the workers or, for the upper bound, any
+// waiting task.
 func (s *sim) accountUsage() {
 	d := (s.loop.Now() - s.lastChange).Seconds()
 	s.lastChange = s.loop.Now()
@@ -375,8 +381,8 @@
 		P999:  q.P999 * 1000,
 	}
 	var sum time.Duration
-	for _, t := range s.decisionTimes {
-		sum += t
+	for _, d := range s.decisionTimes {
+		sum += d
 	}
 	if sum > 0 {
 		p.DecisionsPerSecond = float64(len(s.decisionTimes)) / sum.Seconds()
--- a/internal/bench/routebench/run.go
+++ b/internal/bench/routebench/run.go
@@ -17,7 +17,7 @@
 	Hosts   int
 	Runners int
 	Slots   int
-	// Load is the offered load as a fraction of the total slot time.
+	// Load is the offered load as a fraction of the capacity of all slots.
 	Load float64
 	// Failing is the fraction of runners that fail every request shortly after its start.
 	Failing  float64
@@ -65,8 +65,7 @@
 	caller      int
 }
 
-// generateRequests draws the arrival times, service times and other properties of the
-// requests from the seed.
+// generateRequests draws the requests from the seed.
 func generateRequests(c Config) []request {
 	r := rand.New(rand.NewPCG(c.Seed, 23))
 	gap := float64(meanServiceTime) / (float64(c.Runners*c.Slots) * c.Load)
@@ -157,8 +156,8 @@
 	report      PolicyResult
 }
 
-// A runner serves as many requests at once as it has slots. The queue is used by the
-// baseline routers only.
+// A runner serves at most as many requests at once as it has slots. Only the baseline
+// routers use the queue.
 type runner struct {
 	busy    int
 	failing bool
@@ -182,8 +181,7 @@
 	return s
 }
 
-// start starts request i on runner at and calls done when it ends, with whether it
-// failed.
+// start starts request i on the runner with index at, and calls done when the request ends.
 func (s *sim) start(i, at int, done func(failed bool)) {
 	r := s.runners[at]
 	r.busy++
@@ -230,14 +228,14 @@
 }
 
 // runBaseline routes each request on arrival, round-robin or to the runner with the
-// fewest outstanding requests of the host, and queues it at that runner. A failed
-// request is sent again, up to three times.
+// fewest outstanding requests of the host, and queues it at that runner. A failed request
+// is retried up to three times.
 func (s *sim) runBaseline(leastOutstanding bool) {
 	next := make([]int, s.config.Hosts)
 	outstanding := make([][]int, s.config.Hosts)
 	for h := range outstanding {
 		outstanding[h] = make([]int, len(s.runners))
-		next[h] = h * 7
+		next[h] = h * 7 // hosts start their round-robin at different runners
 	}
 	var send func(i, try int)
 	var startQueued func(at int)
@@ -284,10 +282,10 @@
 	s.loop.Run(s.requests[len(s.requests)-1].arrival + time.Minute)
 }
 
-// runBound computes the upper bound: one queue shared by all hosts, with service times
+// runBound simulates the upper bound: one queue shared by all hosts, with service times
 // known in advance and failing runners excluded. Requests are served in order of arrival
-// while capacity suffices. Otherwise the request with the most worth per service time
-// goes first, and requests that can't meet their deadline are dropped.
+// while capacity suffices. Otherwise the request with the highest worth per service time
+// is served first, and requests that can't meet their deadline are dropped.
 func (s *sim) runBound() {
 	var queue []int
 	slots := 0
@@ -323,7 +321,7 @@
 	s.runToEnd()
 }
 
-// selectNext returns the request to serve next and its index in queue. The index is -1
+// selectNext returns the request to serve next and its index in the queue. The index is -1
 // if no queued request can meet its deadline.
 func (s *sim) selectNext(queue []int, slots int) (i, k int) {
 	if s.config.Load < 1 || len(queue) < slots/8 {
@@ -346,6 +344,7 @@
 	return queue[k], k
 }
 
+// freeRunner returns the index of a runner that does not fail and has a free slot.
 func (s *sim) freeRunner() int {
 	for i, r := range s.runners {
 		if !r.failing && r.busy < s.config.Slots {
@@ -355,7 +354,7 @@
 	panic("routebench: no free runner")
 }
 
-// A routeHost simulates one host that runs package route.
+// A routeHost simulates one host that routes with package route.
 type routeHost struct {
 	s        *sim
 	index    int
@@ -386,14 +385,14 @@
 			state: route.NewState(c),
 		}
 	}
-	for _, o := range hosts {
-		o.perform(o.state.SetRunners(s.loop.Time(), list), hosts)
+	for _, rh := range hosts {
+		rh.perform(rh.state.SetRunners(s.loop.Time(), list), hosts)
 	}
 	for i, q := range s.requests {
 		s.loop.After(q.arrival, func() {
-			o := hosts[q.host]
+			rh := hosts[q.host]
 			now := s.loop.Time()
-			o.perform(o.state.Arrive(now, route.Arrival{
+			rh.perform(rh.state.Arrive(now, route.Arrival{
 				Ticket: route.Ticket(i + 1),
 				Request: spoolsill.Request{
 					Caller:   spoolsill.CallerID(fmt.Sprintf("c%d", q.caller)),
@@ -407,12 +406,13 @@
 	s.runToEnd()
 }
 
-func (o *routeHost) perform(actions []route.Action, hosts []*routeHost) {
-	s := o.s
+// perform carries out the actions of the host's state.
+func (h *routeHost) perform(actions []route.Action, hosts []*routeHost) {
+	s := h.s
 	for _, a := range actions {
 		switch a.Kind {
 		case route.Dispatch:
-			o.dispatch(a, hosts)
+			h.dispatch(a, hosts)
 		case route.Fail:
 			if a.Outcome == spoolsill.OutcomeNotRun {
 				s.report.NotRun++
@@ -420,69 +420,71 @@
 				s.report.Unknown++
 			}
 		case route.Borrow:
-			o.borrow(a.Count, 1, s.loop.Time(), hosts)
+			h.borrow(a.Count, 1, s.loop.Time(), hosts)
 		case route.Return:
 			s.messages++
 			to := hosts[int(a.To[1]-'0')]
 			s.loop.After(networkDelay, func() { to.perform(to.state.LoansReturned(s.loop.Time(), a.Loans), hosts) })
 		}
 	}
-	o.scheduleTick(hosts)
+	h.scheduleTick(hosts)
 }
 
-// borrow asks the other hosts for slots, one after another, until one grants a loan.
-func (o *routeHost) borrow(n, step int, asked time.Time, hosts []*routeHost) {
-	s := o.s
+// borrow asks the other hosts for n slots, one after another, until one grants a loan. The
+// first of them is the host step places after h.
+func (h *routeHost) borrow(n, step int, asked time.Time, hosts []*routeHost) {
+	s := h.s
 	if step == len(hosts) {
-		o.perform(o.state.LoansGranted(s.loop.Time(), asked, nil), hosts)
+		h.perform(h.state.LoansGranted(s.loop.Time(), asked, nil), hosts)
 		return
 	}
 	s.messages += 2
-	to := hosts[(o.index+step)%len(hosts)]
+	to := hosts[(h.index+step)%len(hosts)]
 	s.loop.After(networkDelay, func() {
 		loans := to.state.Lend(s.loop.Time(), n)
 		s.loop.After(networkDelay, func() {
 			if len(loans) == 0 {
-				o.borrow(n, step+1, s.loop.Time(), hosts)
+				h.borrow(n, step+1, s.loop.Time(), hosts)
 				return
 			}
-			o.perform(o.state.LoansGranted(s.loop.Time(), asked, loans), hosts)
+			h.perform(h.state.LoansGranted(s.loop.Time(), asked, loans), hosts)
 		})
 	})
 }
 
-func (o *routeHost) dispatch(a route.Action, hosts []*routeHost) {
+func (h *routeHost) dispatch(a route.Action, hosts []*routeHost) {
 	var at int
 	_, _ = fmt.Sscanf(string(a.Runner), "r%d", &at)
-	o.s.start(int(a.Ticket)-1, at, func(failed bool) {
+	h.s.start(int(a.Ticket)-1, at, func(failed bool) {
 		res := route.Answered
 		if failed {
 			res = route.Failed
 		}
-		o.perform(o.state.Finish(o.s.loop.Time(), a.Ticket, res), hosts)
+		h.perform(h.state.Finish(h.s.loop.Time(), a.Ticket, res), hosts)
 	})
 }
 
-// scheduleTick schedules the next call of Tick for when the state reports it due.
-func (o *routeHost) scheduleTick(hosts []*routeHost) {
-	if o.state.Waiting() == 0 {
+// scheduleTick calls Tick if requests are waiting, and schedules the next call for the
+// time that Tick returns.
+func (h *routeHost) scheduleTick(hosts []*routeHost) {
+	if h.state.Waiting() == 0 {
 		return
 	}
-	o.timerSeq++
-	seq := o.timerSeq
-	now := o.s.loop.Time()
-	actions, due := o.state.Tick(now)
+	h.timerSeq++
+	seq := h.timerSeq
+	now := h.s.loop.Time()
+	actions, due := h.state.Tick(now)
 	if len(actions) > 0 {
-		o.perform(actions, hosts)
+		h.perform(actions, hosts)
 		return
 	}
 	if due.IsZero() {
 		return
 	}
-	o.s.loop.After(max(due.Sub(now), time.Millisecond), func() {
-		if seq == o.timerSeq {
-			actions, _ := o.state.Tick(o.s.loop.Time())
-			o.perform(actions, hosts)
+	h.s.loop.After(max(due.Sub(now), time.Millisecond), func() {
+		if seq == h.timerSeq {
+			actions, _ := h.state.Tick(h.s.loop.Time())
+			h.perform(actions, hosts)
 		}
 	})
 }
--- a/internal/bench/storebench/run.go
+++ b/internal/bench/storebench/run.go
@@ -1,6 +1,5 @@
-// Package storebench measures the load that placement puts on the platform's table. It
-// runs the real hosts of several halls on virtual time against a table with a fixed
-// latency.
+// Package storebench measures the load of placement on the platform's table. It runs the
+// real hosts of several halls on virtual time against a fake table with a fixed latency.
 package storebench
 
 import (
@@ -25,9 +24,9 @@
 	Halls int
 	// Rate is the number of tasks submitted to each hall per second.
 	Rate int
-	// Store is the latency of a call of the table.
+	// Store is the latency of each call to the platform.
 	Store time.Duration
-	// Duration is the virtual time that is measured.
+	// Duration is the length of the measurement in virtual time.
 	Duration time.Duration
 }
 
@@ -51,7 +50,7 @@
 }
 
 func run(c Config) (Result, error) {
-	// Table calls in flight need this time to complete.
+	// Table calls in flight need up to this time to complete.
 	defer pause.For(context.Background(), time.Second)
 	var halls []spoolsill.HallID
 	for i := range c.Halls {
@@ -100,8 +99,8 @@
 	return measureLoad(ctx, c, cell, f, halls)
 }
 
-// measureLoad submits jobs to every hall, ten a second, for c.Duration and counts the
-// calls of the table in that time.
+// measureLoad submits ten jobs per second to each hall for c.Duration and counts the table
+// calls in that time.
 func measureLoad(ctx context.Context, c Config, cell *standin.Cell, f *fleet.Fleet, halls []spoolsill.HallID) (Result, error) {
 	client := f.OperatorClient()
 	defer client.HTTPClient.CloseIdleConnections()
@@ -109,21 +108,21 @@
 	bytes := cell.Platform.Table.BytesWritten()
 	began := time.Now()
 	var mu sync.Mutex
-	var commits []time.Duration
-	var failed error
+	var latencies []time.Duration
+	var submitErr error
 	var wg sync.WaitGroup
 	for _, h := range halls {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			const parts = 10 // jobs a second
+			const jobsPerSecond = 10
 			for n := 0; time.Since(began) < c.Duration; n++ {
-				next := time.Now().Add(time.Second / parts)
-				d, err := submit(ctx, client, h, n, c.Rate/parts)
+				next := time.Now().Add(time.Second / jobsPerSecond)
+				d, err := submit(ctx, client, h, n, c.Rate/jobsPerSecond)
 				mu.Lock()
-				commits = append(commits, d)
+				latencies = append(latencies, d)
 				if err != nil {
-					failed = err
+					submitErr = err
 				}
 				mu.Unlock()
 				pause.For(ctx, time.Until(next))
@@ -131,21 +130,21 @@
 		}()
 	}
 	wg.Wait()
-	s := time.Since(began).Seconds()
+	elapsed := time.Since(began).Seconds()
 	w, r := cell.Platform.Table.Counts()
 	starts := cell.TasksStarted()
 	return Result{
 		Halls:               c.Halls,
-		PlacementsPerSecond: float64(starts) / s,
-		WritesPerSecond:     float64(w-writes) / s,
-		ReadsPerSecond:      float64(r-reads) / s,
-		CommitMS:            event.QuantilesOf(commits),
+		PlacementsPerSecond: float64(starts) / elapsed,
+		WritesPerSecond:     float64(w-writes) / elapsed,
+		ReadsPerSecond:      float64(r-reads) / elapsed,
+		CommitMS:            event.QuantilesOf(latencies),
 		BytesPerPlacement:   float64(cell.Platform.Table.BytesWritten()-bytes) / float64(max(starts, 1)),
 		Violations:          cell.Truth.TotalViolations(),
-	}, failed
+	}, submitErr
 }
 
-// submit plans and confirms a job and returns the latency of the confirmation.
+// submit plans and confirms a batch job and returns the latency of the confirmation.
 func submit(ctx context.Context, c *api.Client, h spoolsill.HallID, n, tasks int) (time.Duration, error) {
 	p, err := c.Plan(ctx, api.PlanRequest{
 		Hall:   h,
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -45,8 +45,8 @@
 func (c *benchRoute) Run(s *session) error {
 	r := routebench.Run(routebench.Config(*c))
 	return s.print(r, func(w io.Writer) {
-		fmt.Fprintf(w, "seed %d, %d hosts, %d runners, load %.2f, %.0f%% of the runners fail everything\n\n", r.Seed, r.Hosts, r.Runners, r.Load, 100*r.Failing)
-		t := newTable(w, "policy", "wait p50 ms", "p99 ms", "p999 ms", "worth in time", "slots in use", "violations", "not run", "unknown", "lost twice", "messages/request")
+		fmt.Fprintf(w, "seed %d, %d hosts, %d runners, load %.2f, %.0f%% of the runners fail every request\n\n", r.Seed, r.Hosts, r.Runners, r.Load, 100*r.Failing)
+		t := newTable(w, "policy", "wait p50 ms", "p99 ms", "p999 ms", "worth in time", "slots in use", "violations", "not run", "unknown", "failed twice", "messages/request")
 		for _, p := range r.Policies {
 			q := p.WaitMS["request"]
 			t.addRow(p.Name, fmt.Sprintf("%.2f", q.P50), fmt.Sprintf("%.2f", q.P99), fmt.Sprintf("%.2f", q.P999), fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Utilization), fmt.Sprint(p.Violations), fmt.Sprint(p.NotRun), fmt.Sprint(p.Unknown), fmt.Sprintf("%.4f", p.FailedTwice), fmt.Sprintf("%.2f", p.MessagesPerRequest))
@@ -73,14 +73,14 @@
 		Duration: c.Duration,
 	})
 	return s.print(r, func(w io.Writer) {
-		fmt.Fprintf(w, "seed %d, %d workers, load %.2f, %.1f starts a second, %.0f%% of the workers fail everything\n\n", r.Seed, r.Workers, r.Load, r.StartsPerSecond, 100*r.Failing)
+		fmt.Fprintf(w, "seed %d, %d workers, load %.2f, %.1f starts a second, %.0f%% of the workers fail every task\n\n", r.Seed, r.Workers, r.Load, r.StartsPerSecond, 100*r.Failing)
 		t := newTable(w, "policy", "work", "starts", "wait p50 ms", "p99 ms", "p999 ms")
 		for _, p := range r.Policies {
 			addWaitRows(t, p.Name, p.WaitMS)
 		}
 		t.flush()
 		fmt.Fprintln(w)
-		t = newTable(w, "policy", "worth in time", "packing", "violations", "lost twice", "preempted core s", "unstarted", "decision p50 us", "p99 us", "decisions/s")
+		t = newTable(w, "policy", "worth in time", "packing", "violations", "failed twice", "preempted core s", "unstarted", "decision p50 us", "p99 us", "decisions/s")
 		for _, p := range r.Policies {
 			t.addRow(p.Name, fmt.Sprintf("%.3f", p.WorthInTime), fmt.Sprintf("%.3f", p.Utilization), fmt.Sprint(p.Violations), fmt.Sprintf("%.4f", p.FailedTwice), fmt.Sprintf("%.1f", p.PreemptedCoreSeconds), fmt.Sprint(p.Unstarted), fmt.Sprintf("%.1f", p.DecisionUS.P50), fmt.Sprintf("%.1f", p.DecisionUS.P99), fmt.Sprintf("%.0f", p.DecisionsPerSecond))
 		}
@@ -109,13 +109,13 @@
 	Move     time.Duration `help:"By how much each time of the schedule is moved at most." default:"1.5s"`
 }
 
-// Run runs random sequences of failures. It returns an error if a promise was violated.
+// Run runs random sequences of failures. It returns an error if an invariant was violated.
 func (c *benchFault) Run(s *session) error {
 	return s.runWithVirtualTime(c.run)
 }
 
-// runWithVirtualTime runs f in a process that can use virtual time and exits with f's
-// exit code. It does not return.
+// runWithVirtualTime runs f in [bubble.Main] and exits the process with the exit code for
+// f's error. It does not return.
 func (s *session) runWithVirtualTime(f func(s *session) error) error {
 	bubble.Main(func() int {
 		err := f(s)
@@ -199,7 +199,7 @@
 	Duration time.Duration `help:"Virtual time." default:"5s"`
 }
 
-// Run measures the load that placement puts on the table.
+// Run measures the load of placement on the table.
 func (c *benchStore) Run(s *session) error {
 	return s.runWithVirtualTime(c.run)
 }
@@ -218,7 +218,7 @@
 
 type benchCapacity struct{}
 
-// Run measures resource use at several cell sizes. It prints Markdown tables.
+// Run measures the resource usage of hosts at several sizes and prints Markdown tables.
 func (c *benchCapacity) Run(s *session) error {
 	return s.runWithVirtualTime(c.run)
 }
--- a/internal/cli/benchcell.go
+++ b/internal/cli/benchcell.go
@@ -15,7 +15,7 @@
 	Duration time.Duration `help:"Virtual time in which jobs come." default:"4m"`
 }
 
-// Run measures scheduling of a whole cell for each workload mix and seed.
+// Run simulates a complete cell for each workload mix and seed.
 func (c *benchCell) Run(s *session) error {
 	var results []cellbench.Result
 	for _, m := range cellbench.Mixes() {
@@ -26,7 +26,7 @@
 		}
 	}
 	return s.print(results, func(w io.Writer) {
-		t := newTable(w, "mix", "seed", "queue", "jobs", "worth", "in time", "late", "not served", "took p50 ms", "p99 ms")
+		t := newTable(w, "mix", "seed", "queue", "jobs", "worth", "in time", "late", "not served", "duration p50 ms", "p99 ms")
 		for _, r := range results {
 			for _, k := range r.Kinds {
 				t.addRow(r.Mix, fmt.Sprint(r.Seed), k.Name, fmt.Sprint(k.Jobs), fmt.Sprintf("%.3f", k.Worth), fmt.Sprintf("%.3f", k.InTime), fmt.Sprintf("%.3f", k.Late), fmt.Sprintf("%.3f", k.NotServed), fmt.Sprintf("%.0f", k.TookMS.P50), fmt.Sprintf("%.0f", k.TookMS.P99))
--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -73,11 +73,12 @@
 	case spoolsill.OutcomeNotRun:
 		return exitErrorf(ExitNotRun, "request %s did not run", c.Key)
 	default:
-		return exitErrorf(ExitUnknown, "request %s may have run; ask again with --key %s --issued %d", c.Key, c.Key, c.Issued)
+		return exitErrorf(ExitUnknown, "request %s may have run; repeat it with --key %s --issued %d", c.Key, c.Key, c.Issued)
 	}
 }
 
-// readBody returns the request body, from a file if the flag has the form @FILE.
+// readBody returns the request body. It reads it from a file if the flag has the form
+// @FILE.
 func (c *callCommand) readBody() ([]byte, error) {
 	if len(c.Body) == 0 || c.Body[0] != '@' {
 		return []byte(c.Body), nil
@@ -90,7 +91,7 @@
 }
 
 // send sends the request to the first host that accepts a connection. It tries the next
-// host only after a dial error: after any other error the request may have run, so the
+// host only after a dial error. After any other error the request may have run, so the
 // outcome is unknown.
 func (c *callCommand) send(s *session, body []byte) (callResult, error) {
 	var err error
@@ -139,7 +140,7 @@
 	h.Set(entry.HeaderUnrepeatable, strconv.FormatBool(c.Unrepeatable))
 }
 
-// parseResponse converts a response to a result. The outcome is unknown if the body is
+// parseResponse converts a response into a result. The outcome is unknown if the body is
 // incomplete or the outcome header is missing.
 func (c *callCommand) parseResponse(resp *http.Response) callResult {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
@@ -155,7 +156,7 @@
 	}
 	if err != nil || result.Outcome == "" {
 		result.Outcome = spoolsill.OutcomeUnknown
-		result.Cause = "the answer did not come whole"
+		result.Cause = "the response is incomplete or has no outcome"
 	}
 	return result
 }
@@ -166,7 +167,7 @@
 		fmt.Fprintf(w, " by runner %s", r.Runner)
 	}
 	if r.Replayed {
-		fmt.Fprint(w, ", the answer of the first request with this key")
+		fmt.Fprint(w, ", replayed from the first request with this key")
 	}
 	fmt.Fprintln(w)
 	if r.Outcome != spoolsill.OutcomeDone {
@@ -178,7 +179,7 @@
 		}
 		fmt.Fprintf(w, "%s: %s\n", r.Cause, r.Body)
 		if r.RetryAfter != "" {
-			fmt.Fprintf(w, "ask again after %s s\n", r.RetryAfter)
+			fmt.Fprintf(w, "retry after %s s\n", r.RetryAfter)
 		}
 		return
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,16 +18,16 @@
 // The exit codes of all commands.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1 // the command failed, or a run violated a promise
+	ExitFailed      = 1 // the command failed, or a run violated an invariant
 	ExitUsage       = 2 // invalid flags, settings, job file or request
-	ExitStale       = 3 // the plan or the base version of a configuration is out of date
+	ExitStale       = 3 // the plan, or the base version of a configuration, is out of date
 	ExitNotRun      = 4 // the request definitely did not run
 	ExitUnknown     = 5 // the operation may or may not have taken effect
 	ExitUnreachable = 6 // no entry host, or no holder of the hall's lease, is reachable
 	ExitNotFound    = 7 // the named job, request or worker does not exist
 )
 
-// A Command defines the flags and subcommands, as parsed by kong.
+// A Command defines the flags and subcommands. It is parsed by kong.
 type Command struct {
 	Hosts []string `help:"Entry hosts, as IP:port, tried in order." default:"127.0.0.1:7101" env:"SPOOLSILL_HOSTS" placeholder:"IP:PORT"`
 	JSON  bool     `help:"Print JSON instead of tables." name:"json"`
@@ -55,9 +55,9 @@
 
 const description = `Command line of Spoolsill, the scheduler of services, batch runs, gang jobs and single requests.
 
-Nothing changes until a plan is confirmed: "plan" shows what would change, "confirm" applies just that or says that the plan is stale. "submit", "cancel" and "drain" do both, with a question between (or --yes).`
+Nothing changes until a plan is confirmed: "plan" shows what would change, "confirm" applies exactly that or reports that the plan is stale. "submit", "cancel" and "drain" do both and ask before they confirm, unless --yes is given.`
 
-// An Env is the process environment that commands run in.
+// An Env holds the context and the standard streams of a command.
 type Env struct {
 	Context context.Context //nolint:containedctx // the Run methods that kong calls take no context
 	In      io.Reader
@@ -101,7 +101,7 @@
 	return ExitOK
 }
 
-// A session is passed to the Run method of each command.
+// A session holds what the Run methods of the commands share.
 type session struct {
 	env    Env
 	json   bool
@@ -140,8 +140,8 @@
 	}
 }
 
-// exitCodeByStatusCode maps the codes of [api.StatusError] to exit codes. Other codes
-// exit with ExitFailed.
+// exitCodeByStatusCode maps the codes of [api.StatusError] to exit codes. The exit code for
+// other codes is ExitFailed.
 var exitCodeByStatusCode = map[string]int{
 	"stale":       ExitStale,
 	"bad-input":   ExitUsage,
@@ -202,8 +202,8 @@
 	return string(b), nil
 }
 
-// confirmPrompt prints a question to standard error and reports whether the answer
-// read from standard input is yes.
+// confirmPrompt prints a question to standard error and reports whether the answer on
+// standard input is yes.
 func (s *session) confirmPrompt(question string) bool {
 	fmt.Fprintf(s.env.Err, "%s [y/N] ", question)
 	var answer string
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -73,7 +73,7 @@
 	InForce []spoolsill.HostID `json:"in_force"`
 }
 
-// Run prints the configuration versions and the hosts on which each is in force.
+// Run prints the versions of the configuration and the hosts on which each is in force.
 func (c *configHistory) Run(s *session) error {
 	h, err := s.client.ConfigHistory(s.ctx())
 	if err != nil {
@@ -113,8 +113,8 @@
 	return strings.Join(out, " ")
 }
 
-// withDrained returns the configuration text with the machine id added to or removed
-// from the list of drained machines.
+// withDrained returns the configuration text with a worker or runner added to or removed
+// from the list of drained ones.
 func withDrained(text, id string, drained bool) (string, error) {
 	d, err := config.Parse([]byte(text))
 	if err != nil {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -8,7 +8,7 @@
 	Seed uint64 `help:"Seed of the random choices." default:"1"`
 }
 
-// Run runs the demo. It returns an error if a promise was violated.
+// Run runs the demo. It returns an error if an invariant was violated.
 func (c *demoCommand) Run(s *session) error {
 	ok, err := demo.Run(s.ctx(), demo.Config{
 		Seed: c.Seed,
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,5 +1,5 @@
-// Package cli implements the spoolsill command line for callers and operators.
+// Package cli implements the spoolsill command for callers and operators.
 //
 // Commands that print structured results support --json. The exit codes are the
-// Exit constants of this package; docs/OPERATIONS.md lists them.
+// Exit constants of this package, which docs/OPERATIONS.md lists.
 package cli
--- a/internal/cli/losses.go
+++ b/internal/cli/losses.go
@@ -11,7 +11,8 @@
 	Logs []string `help:"Saved logs of the hosts, in any order." required:"" type:"existingfile" placeholder:"FILE"`
 }
 
-// Run prints, by queue, the number of jobs in time and the causes of the others.
+// Run prints the number of jobs of each queue that were in time, and the outcomes and
+// causes of the others.
 func (c *lossesCommand) Run(s *session) error {
 	lines, err := readLogs(c.Logs)
 	if err != nil {
@@ -19,7 +20,7 @@
 	}
 	queues := logloss.Summarize(lines)
 	return s.print(queues, func(w io.Writer) {
-		t := newTable(w, "queue", "jobs", "in time", "others", "what became of them", "why")
+		t := newTable(w, "queue", "jobs", "in time", "others", "final state", "why")
 		for _, q := range queues {
 			t.addRow(q.Name, fmt.Sprint(q.Jobs), fmt.Sprint(q.InTime), "", "", "")
 			for _, x := range q.Causes {
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -104,7 +104,7 @@
 			return req, nil
 		}
 	}
-	return req, exitErrorf(ExitNotFound, "worker %s is not known in any hall that answers", worker)
+	return req, exitErrorf(ExitNotFound, "worker %s is not known in any reachable hall", worker)
 }
 
 // showPlan requests a plan and prints it.
@@ -138,7 +138,7 @@
 	t.addRow("team quota in hall", formatQuota(p.Before), formatQuota(p.After))
 	t.addRow("tasks queued", fmt.Sprint(p.Before.Queued), fmt.Sprint(p.After.Queued))
 	t.flush()
-	fmt.Fprintf(w, "\nplan %s in hall %s, until %s\n", p.ID, p.Hall, p.Expires.Local().Format(time.TimeOnly))
+	fmt.Fprintf(w, "\nplan %s in hall %s, valid until %s\n", p.ID, p.Hall, p.Expires.Local().Format(time.TimeOnly))
 	fmt.Fprintf(w, "to apply it: spoolsill confirm --hall %s %s\n", p.Hall, p.ID)
 }
 
@@ -167,12 +167,12 @@
 		ID:   id,
 		Hall: h,
 	}, func(w io.Writer) {
-		fmt.Fprintf(w, "plan %s is in force in hall %s\n", id, h)
+		fmt.Fprintf(w, "plan %s was applied in hall %s\n", id, h)
 	})
 }
 
-// planAndConfirm requests a plan, prints it, and confirms it after the user agrees. With
-// yes set, it does not ask.
+// planAndConfirm requests a plan, prints it and confirms it. Unless yes is set, it first
+// asks the user.
 func (s *session) planAndConfirm(req api.PlanRequest, yes bool) error {
 	p, err := s.client.Plan(s.ctx(), req)
 	if err != nil {
@@ -223,8 +223,8 @@
 	Yes  bool             `help:"Confirm without a question." short:"y"`
 }
 
-// showDrainPlan prints the tasks that draining a worker would move. It prints nothing for an
-// ID that is not a worker: a runner has no tasks.
+// showDrainPlan prints the tasks that draining a worker would move. It prints nothing if
+// the ID is not a known worker, since a runner has no tasks.
 func (c *drainCommand) showDrainPlan(s *session) error {
 	req, err := s.drainRequest(c.Hall, spoolsill.WorkerID(c.ID))
 	if exitCode(err) == ExitNotFound {
@@ -236,8 +236,9 @@
 	return s.showPlan(req)
 }
 
-// Run adds a machine to the drained list of the configuration, or removes it with --undo.
-// A drained machine receives no new work, and the tasks of a drained worker are moved.
+// Run adds a worker or runner to the drained list of the configuration, or removes it with
+// --undo. A drained worker or runner receives no new work, and the tasks of a drained
+// worker are moved.
 func (c *drainCommand) Run(s *session) error {
 	if !c.Undo {
 		if err := c.showDrainPlan(s); err != nil {
@@ -269,6 +270,6 @@
 		return err
 	}
 	return s.print(a, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: configuration %d; tasks on it are checkpointed and move, running requests end by themselves\n", note, a.Version)
+		fmt.Fprintf(w, "%s: configuration %d; its tasks are checkpointed and moved, its requests in flight complete\n", note, a.Version)
 	})
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// formatStates returns the number of tasks in each state.
+// formatStates formats the number of tasks in each state.
 func formatStates(m map[spoolsill.TaskState]int) string {
 	parts := make([]string, 0, len(m))
 	for s, n := range m {
@@ -52,8 +52,8 @@
 	ID string `arg:"" help:"Job, task (job.index) or request key."`
 }
 
-// Run explains a job or task from the state of its hall. An ID that no hall knows as a
-// job is looked up in the timeline as a request key.
+// Run explains a job or task from the state of its hall. An ID that is not a known job is
+// looked up in the timeline as a request key.
 func (c *explainCommand) Run(s *session) error {
 	job := spoolsill.JobID(c.ID)
 	if t, err := spoolsill.ParseTaskID(c.ID); err == nil {
@@ -86,11 +86,12 @@
 	t.flush()
 }
 
-// formatAge returns the time elapsed since t.
+// formatAge formats the time since t.
 func formatAge(t time.Time) string {
 	return time.Since(t).Round(100 * time.Millisecond).String()
 }
 
+// explainRequest prints the events of a request.
 func (s *session) explainRequest(key string) error {
 	const limit = 1000
 	l, err := s.client.Timeline(s.ctx(), timeline.Filter{
@@ -100,7 +101,7 @@
 		return err
 	}
 	if len(l.Events) == 0 {
-		return exitErrorf(ExitNotFound, "%s is no job, and no host that answers remembers a request of that key", key)
+		return exitErrorf(ExitNotFound, "%s is not a known job, and no reachable host has events of a request with this key", key)
 	}
 	return s.print(l, func(w io.Writer) {
 		printEvents(w, l.Events)
@@ -160,7 +161,8 @@
 	})
 }
 
-// formatUptime returns the time since the host started, or "-" if it is unreachable.
+// formatUptime formats the time since the host started, or returns "-" if it is
+// unreachable.
 func formatUptime(h api.HostStatus) string {
 	if h.UnreachableReason != "" {
 		return "-"
@@ -168,7 +170,8 @@
 	return time.Since(h.Started).Round(time.Second).String()
 }
 
-// formatConfigVersion marks a version that may be out of date with a question mark.
+// formatConfigVersion formats the version of a host's configuration. A question mark means
+// that it may be out of date.
 func formatConfigVersion(h api.HostStatus) string {
 	if h.ConfigCurrent {
 		return fmt.Sprint(h.Config)
@@ -190,9 +193,9 @@
 	case h.Stopping:
 		return "stopping"
 	case h.Degraded:
-		return "degraded: the platform is silent"
+		return "degraded: the platform does not respond"
 	case !h.MembersKnown:
-		return "starting: no list of machines yet"
+		return "starting: no list of workers and runners yet"
 	default:
 		return "ready"
 	}
@@ -208,10 +211,10 @@
 	Follow  bool                 `help:"Go on with new events." short:"f"`
 }
 
-// followInterval is the polling interval of the timeline with --follow.
+// followInterval is the interval at which --follow polls the timeline.
 const followInterval = 500 * time.Millisecond
 
-// Run prints the merged events of all hosts, repeatedly with --follow.
+// Run prints the merged events of all hosts. With --follow, it polls for new events.
 func (c *timelineCommand) Run(s *session) error {
 	f := timeline.Filter{
 		Job:     c.Job,
--- a/internal/cli/story.go
+++ b/internal/cli/story.go
@@ -22,7 +22,7 @@
 	}
 	story := logstory.Story(all, c.ID)
 	if len(story) == 0 {
-		return fmt.Errorf("no line of %d names %s", len(all), c.ID)
+		return fmt.Errorf("none of %d log lines mentions %s", len(all), c.ID)
 	}
 	return logstory.Write(s.env.Out, story)
 }
@@ -32,7 +32,7 @@
 	Out  string   `help:"Where the picture (SVG) is written." required:"" placeholder:"FILE"`
 }
 
-// Run writes an SVG chart of the logs.
+// Run draws the logs as an SVG chart.
 func (c *pictureCommand) Run(_ *session) error {
 	all, err := readLogs(c.Logs)
 	if err != nil {
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -12,7 +12,7 @@
 	w *tabwriter.Writer
 }
 
-// newTable returns a table and writes its header row in upper case.
+// newTable returns a table with a header row, in upper case.
 func newTable(w io.Writer, headers ...string) table {
 	const padding = 2
 	t := table{
