--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -122,7 +122,7 @@
 			r, err := post(f, 0, "sheet", map[string]string{
 				entry.HeaderKey: key,
 			})
-			if err == nil && r.body == standin.Answer(spoolsill.RequestKey(key), []byte("sheet")) {
+			if err == nil && r.body == standin.ResponseBody(spoolsill.RequestKey(key), []byte("sheet")) {
 				mu.Lock()
 				defer mu.Unlock()
 				completed++
@@ -224,7 +224,7 @@
 			r, err := post(f, i%2, "points", head)
 			c.Assert(err, qt.IsNil)
 			c.Check(r.head.Get(entry.HeaderOutcome), qt.Equals, string(spoolsill.OutcomeDone))
-			c.Check(r.body, qt.Equals, standin.Answer("vake/once", []byte("points")))
+			c.Check(r.body, qt.Equals, standin.ResponseBody("vake/once", []byte("points")))
 			c.Check(r.head.Get(entry.HeaderReplayed) == "true", qt.Equals, i > 0)
 			pause.For(context.Background(), time.Second)
 		}
--- a/internal/bench/capacity/run.go
+++ b/internal/bench/capacity/run.go
@@ -57,7 +57,7 @@
 
 // A Result holds the measured points and the fitted costs.
 type Result struct {
-	AtRest  []Point `json:"at_rest"`
+	Idle    []Point `json:"at_rest"`
 	Loaded  []Point `json:"loaded"`
 	ByHosts []Point `json:"by_hosts"`
 	Slopes  []Slope `json:"slopes"`
@@ -82,7 +82,7 @@
 		if err != nil {
 			return r, err
 		}
-		r.AtRest = append(r.AtRest, p)
+		r.Idle = append(r.Idle, p)
 	}
 	for _, n := range startRates {
 		p, err := measurePoint(hallWorkers, 2, n)
@@ -101,12 +101,12 @@
 	workers := func(p Point) float64 { return float64(p.Workers) }
 	starts := func(p Point) float64 { return p.StartsPerSecond }
 	r.Slopes = []Slope{
-		fit("processor seconds a second of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.CPUShare }),
-		fit("heap bytes of a host, stand-ins included", "worker", r.AtRest, workers, func(p Point) float64 { return p.HeapBytes }),
-		fit("calls of workers a second", "worker", r.AtRest, workers, func(p Point) float64 { return p.WorkerCallsPerSecond }),
-		fit("table reads a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.TableReadsPerSecond }),
-		fit("table writes a second of a hall", "worker", r.AtRest, workers, func(p Point) float64 { return p.TableWritesPerSecond }),
-		fit("bytes a second a host sends to others", "worker", r.AtRest, workers, func(p Point) float64 { return p.PeerBytesPerSecond }),
+		fit("processor seconds a second of a host, stand-ins included", "worker", r.Idle, workers, func(p Point) float64 { return p.CPUShare }),
+		fit("heap bytes of a host, stand-ins included", "worker", r.Idle, workers, func(p Point) float64 { return p.HeapBytes }),
+		fit("calls of workers a second", "worker", r.Idle, workers, func(p Point) float64 { return p.WorkerCallsPerSecond }),
+		fit("table reads a second of a hall", "worker", r.Idle, workers, func(p Point) float64 { return p.TableReadsPerSecond }),
+		fit("table writes a second of a hall", "worker", r.Idle, workers, func(p Point) float64 { return p.TableWritesPerSecond }),
+		fit("bytes a second a host sends to others", "worker", r.Idle, workers, func(p Point) float64 { return p.PeerBytesPerSecond }),
 		fit("processor seconds a second of a host, stand-ins included", "start a second", r.Loaded, starts, func(p Point) float64 { return p.CPUShare }),
 		fit("table writes a second of a hall", "start a second", r.Loaded, starts, func(p Point) float64 { return p.TableWritesPerSecond }),
 		fit("table reads a second of a hall", "host", r.ByHosts, func(p Point) float64 { return float64(p.Hosts) }, func(p Point) float64 { return p.TableReadsPerSecond }),
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -236,7 +236,7 @@
 		}{
 			{
 				name:   "at rest, two hosts",
-				points: r.AtRest,
+				points: r.Idle,
 			},
 			{
 				name:   "starts, two hosts",
--- a/internal/fault/inject.go
+++ b/internal/fault/inject.go
@@ -244,7 +244,7 @@
 }
 
 func answersLost(_ context.Context, sim *simulation, s Step) func() {
-	sim.cell.Platform.Fault.DropAnswers(s.Answers)
+	sim.cell.Platform.Fault.DropResponses(s.Answers)
 	return func() {}
 }
 
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -255,7 +255,7 @@
 	outcome := spoolsill.Outcome(resp.Header.Get(entry.HeaderOutcome))
 	switch outcome {
 	case spoolsill.OutcomeDone:
-		if want := standin.Answer(req.key, req.body); string(body) != want {
+		if want := standin.ResponseBody(req.key, req.body); string(body) != want {
 			c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s got %q, want %q", req.key, body, want)
 		}
 	case spoolsill.OutcomeNotRun, spoolsill.OutcomeUnknown:
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -33,9 +33,9 @@
 	f.delay = d
 }
 
-// DropAnswers makes the server handle the next n calls but abort their
+// DropResponses makes the server handle the next n calls but abort their
 // connections instead of sending the responses.
-func (f *Fault) DropAnswers(n int) {
+func (f *Fault) DropResponses(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.responsesToDrop = n
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -102,7 +102,7 @@
 		pause.For(context.WithoutCancel(q.Context()), r.config.Work(k))
 	}
 	w.Header().Set("Content-Type", "text/plain")
-	_, _ = io.WriteString(w, Answer(k, body))
+	_, _ = io.WriteString(w, ResponseBody(k, body))
 }
 
 // recordInFlight updates the maximum number of requests in flight, and records a
@@ -136,9 +136,9 @@
 	return r.failAll
 }
 
-// Answer returns the body of every runner's response to a request. Callers
+// ResponseBody returns the body of every runner's response to a request. Callers
 // compare it with the received body to detect truncated and misrouted responses.
-func Answer(k spoolsill.RequestKey, body []byte) string {
+func ResponseBody(k spoolsill.RequestKey, body []byte) string {
 	h := fnv.New64a()
 	_, _ = h.Write(body)
 	return fmt.Sprintf("answer to %s over %d bytes %016x end", k, len(body), h.Sum64())
