--- a/peer/frame.go
+++ b/peer/frame.go
@@ -85,7 +85,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
 	if m.Kind < messageCall || m.Kind > messageError {
-		return nil, fmt.Errorf("%w: unknown message kind %d", ErrBadFrame, m.Kind)
+		return nil, fmt.Errorf("%w: kind %d", ErrBadFrame, m.Kind)
 	}
 	m.length = headerLength + int(n)
 	return &m, nil
--- a/recordlog/entry.go
+++ b/recordlog/entry.go
@@ -24,10 +24,10 @@
 
 // ErrDamaged is returned for an entry that has an invalid length or checksum, or that
 // cannot be decoded.
-var ErrDamaged = errors.New("recordlog: damaged entry")
+var ErrDamaged = errors.New("journal: damaged entry")
 
 // ErrNewerFormat is returned for an entry with a newer format version than [Format].
-var ErrNewerFormat = errors.New("recordlog: entry has a newer format")
+var ErrNewerFormat = errors.New("journal: entry has a newer format")
 
 // An Entry is a group of records that are written together. A snapshot is also encoded as
 // an Entry, whose Sequence is that of the last entry it covers.
