--- a/delegate/directory.go
+++ b/delegate/directory.go
@@ -16,10 +16,10 @@
 	// avoidTime is how long a host that left a call unanswered is avoided: as long as most
 	// problems of a single host last.
 	avoidTime = 3 * time.Second
-	// minHostsPerAvoided bounds the hosts that are avoided at once: at most one of so many.
-	// When more hosts leave calls unanswered, the fault is more likely with the caller: its
-	// own link or processor is saturated, and calls that it made itself would add to that
-	// load.
+	// minHostsPerAvoided bounds the hosts that are avoided at once: at most one in
+	// minHostsPerAvoided hosts, and none if more have failed. When more hosts leave calls
+	// unanswered, the fault is more likely with the caller: its own link or processor is
+	// saturated, and calls that it made itself would add to that load.
 	minHostsPerAvoided = 2
 	// minCores is the minimum weight of a host.
 	minCores = 0.05
--- a/delegate/doc.go
+++ b/delegate/doc.go
@@ -8,6 +8,6 @@
 // twice is bounded by its epoch, its run and its deadline on the worker's clock.
 //
 // The delegate of a worker is chosen by weighted rendezvous hashing among the hosts of its hall,
-// or among all hosts if the hall has none. When a host comes or goes, only its own workers
-// change their delegate.
+// or among all hosts if the hall has none. When a host is added or removed, only the workers
+// that it gets or had change their delegate.
 package delegate
