--- a/sched/advice.go
+++ b/sched/advice.go
@@ -11,14 +11,15 @@
 const (
 	// warmQueryDivisor limits the concurrent queries that keep the tickets of waiting stages
 	// valid to 1/warmQueryDivisor of those that the hosts can make: queries about new work
-	// take precedence. See docs/DECISIONS.md.
+	// take precedence. The value was tried on the grown deployments, see
+	// docs/DECISIONS.md.
 	warmQueryDivisor = 4
 	// ticketMargin is how much longer a ticket must be valid when a start is decided. It
 	// covers the write to the store, the call itself and some queueing.
 	ticketMargin = 200 * time.Millisecond
-	// queriesPerSlot bounds the queries in flight for each one that the hosts can make
-	// concurrently: one being answered and one queued. With more, the queries of the
-	// stages ranked first would be queued behind others.
+	// queriesPerSlot times the number of queries that the hosts can make concurrently
+	// bounds the queries in flight: one being answered and one queued. With more, the
+	// queries of the stages ranked first would be queued behind others.
 	queriesPerSlot = 2
 	// perWorkerCostShare limits what the workers of one query cost in total, as a share of
 	// the advisor's base cost, as far as minQueryWorkers allows.
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -53,7 +53,7 @@
 }
 
 // BenchmarkDecideFull measures a pass over 200 waiting stages in a full cell of 350
-// workers, as at peak load in the scaled-up deployments.
+// workers, as at peak load in the grown deployments.
 func BenchmarkDecideFull(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := fullState(350, 200, now)
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -47,9 +47,10 @@
 	return !w.listed && w.graceUntil.IsZero() && w.answeredAt.After(w.unlistedAt)
 }
 
-// recordLoss records that a worker is gone with its runs. If crashed is set, the worker is known
-// to have crashed. Otherwise it has been unreachable for longer than its lease, or may have been
-// decommissioned.
+// recordLoss counts the loss of a worker against the tasks of its runs. The argument crashed is
+// true if the worker's incarnation is known to have ended, in which case nothing is counted for a
+// worker that left as announced. It is false if the worker has only been unreachable for longer
+// than its lease, or may have been decommissioned.
 func (s *State) recordLoss(w *worker, rs []*run, crashed bool, reason string) {
 	if crashed && w.leftAsAnnounced() {
 		return
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -99,7 +99,8 @@
 	h.backoffUntil = now.Add(min(minBackoff<<min(h.failures-maxConsecutiveFailures, 8), maxBackoff))
 }
 
-// recordRejection counts a rejected start as a failure.
+// recordRejection counts a start that the worker rejected as unhealthy or did not answer as
+// a failure.
 func (h *health) recordRejection(now time.Time) {
 	h.recordFailure(now)
 }
--- a/sched/event.go
+++ b/sched/event.go
@@ -95,10 +95,10 @@
 // The outcomes of a start order.
 const (
 	StartAccepted         StartOutcome = iota // the worker has the run
-	StartRejected                             // rejected for another reason
+	StartRejected                             // certainly not started, for a reason that is not listed here
 	StartNoCapacity                           // rejected: not enough free capacity at the worker
 	StartNoTicket                             // rejected: the advisor's ticket was not valid
-	StartUnhealthy                            // the worker accepts no starts at the moment
+	StartUnhealthy                            // the worker accepts no starts at the moment, or no try reached it
 	StartOtherIncarnation                     // rejected: the incarnation that the order was for has ended
 	StartUnknown                              // no answer: the order may be carried out until its deadline
 )
--- a/sched/state.go
+++ b/sched/state.go
@@ -20,7 +20,7 @@
 	// EntriesAge is the maximum age of the workers' entries for starting tasks, since a
 	// worker's capacity may have shrunk meanwhile; 0 means no limit.
 	EntriesAge time.Duration
-	// Ahead is the offset of the times passed to the State from the time of day.
+	// Ahead is how far the times passed to the State are ahead of the time of day.
 	Ahead time.Duration
 	// SettleTime is the delay before anything is placed after the first worker has
 	// answered under this leadership, so that the other workers are known too. Without
--- a/sched/stuck.go
+++ b/sched/stuck.go
@@ -10,7 +10,7 @@
 	// that is ten times slower still progresses every second.
 	minStuckTime = 1500 * time.Millisecond
 	maxStuckTime = 4 * time.Second
-	// stuckShare is the same as a share of the expected run time.
+	// stuckShare is that time as a share of the expected run time, between the bounds.
 	stuckShare = 0.25
 )
 
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -340,9 +340,9 @@
 	s.deactivateIfUnused(w)
 }
 
-// dropRuns drops the runs of a worker that is known to have crashed, if crashed is set, or that
-// may be gone. The loss counts against their tasks: a task that crashes its workers never
-// reports an end, and would otherwise be restarted forever.
+// dropRuns drops the runs of a worker whose incarnation has ended, or that has been unreachable
+// for longer than its lease; crashed is as for recordLoss. The loss counts against their tasks: a
+// task that crashes its workers never reports an end, and would otherwise be restarted forever.
 func (s *State) dropRuns(w *worker, reason string, crashed bool) {
 	rs := sortedRuns(w)
 	s.recordLoss(w, rs, crashed, reason)
