--- a/leader/advice.go
+++ b/leader/advice.go
@@ -237,7 +237,7 @@
 	})
 }
 
-// workerIDs returns the ids of the workers.
+// workerIDs returns the worker ids, by which the advisor identifies incarnations.
 func workerIDs(incarnations []spoolsill.WorkerIncarnation) []spoolsill.WorkerID {
 	ids := make([]spoolsill.WorkerID, len(incarnations))
 	for i, incarnation := range incarnations {
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -123,6 +123,8 @@
 //	28.7725 run is gone, its address answers for another life, run 6
 //	28.7826 task placed, has room, run 7
 //	28.8238 task started, taken, run 7
+//
+// Two such tasks were started a third time after three workers had crashed with them.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachineCell(newCell(t.Context(), t, 8))
--- a/leader/renewer.go
+++ b/leader/renewer.go
@@ -54,7 +54,7 @@
 }
 
 // reconcileInterval is how often renewers are compared with the workers, and the hosts that can
-// ask the advisor are counted.
+// ask the advisor are counted. Workers and hosts that come or go are noticed with that delay.
 const reconcileInterval = 50 * time.Millisecond
 
 // reconcileRenewers starts and ends renewers as workers come and go.
