--- a/leader/slowresponse_test.go
+++ b/leader/slowresponse_test.go
@@ -15,7 +15,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Responses of all workers take 0.4 s, as on a saturated link, and the leader waits for them.
+// From some moment on the responses of all workers take 0.4 s instead of 2 ms, as on a link that
+// becomes saturated, and the leader waits for them.
 // If it retried orders because of late responses, the retries would load the link further, and
 // no start would ever be confirmed.
 func TestSlowResponsesCauseNoRetries(t *testing.T) {
--- a/leader/suspend_test.go
+++ b/leader/suspend_test.go
@@ -61,10 +61,10 @@
 	return w.Workers.Stop(ctx, s)
 }
 
-// A leader's machine is suspended at various moments of its work, twice in a row, each time for
-// less than a lease, and its monotonic clock does not count that time. After it resumes, it sends
-// nothing more in its epoch and returns [leader.ErrSuspended]. The next leader completes the work,
-// and nothing runs twice.
+// A leader's machine is suspended at various moments of its work, for 30 ms and right after that
+// for 5 s, and its monotonic clock does not count that time. After it resumes, it sends nothing
+// more in its epoch and returns [leader.ErrSuspended]. The next leader completes the work, and
+// nothing runs twice.
 func TestLeaderSendsNothingAfterSuspension(t *testing.T) {
 	for _, ms := range []int{0, 3, 7, 12, 19, 31, 140, 290} {
 		after := time.Duration(ms) * time.Millisecond
