--- a/node/admission.go
+++ b/node/admission.go
@@ -9,7 +9,7 @@
 )
 
 // maxWorkerLatency is the worker latency above which the leader sheds load. Workers
-// normally respond in 2 ms, and slowed-down hosts in about 20 ms.
+// respond in 2 ms, and in about 20 ms if the host is slowed down.
 const maxWorkerLatency = 120 * time.Millisecond
 
 // shedTTL is how long a host applies the last share reported by the leader: twice the
--- a/node/leaderconfig.go
+++ b/node/leaderconfig.go
@@ -9,8 +9,10 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// orderMargin is subtracted from the maximum age of the workers' entries, since an order
-// may be in flight for that long: two attempts of a start under normal conditions.
+// orderMargin is the time from the last check of a worker's free capacity until an order
+// based on it arrives: two attempts of a start under normal conditions, whose timeouts
+// package leader derives from the latency of the workers. It is subtracted from
+// Bounds.RoomKnown, which limits the age of the information at the arrival.
 const orderMargin = 500 * time.Millisecond
 
 const (
--- a/node/node.go
+++ b/node/node.go
@@ -54,9 +54,9 @@
 	// write, leases last twice as long: with 5 s, a store outage of 5.6 s terminated
 	// running tasks and cost 1.2% of the total worth of a day's jobs.
 	maxLease = 7 * time.Second
-	// settleTime is how long a new leader waits for workers to answer: 35 of 35 workers
-	// answered within 60 ms. Without the wait, work started 0.65 s later after a
-	// takeover.
+	// settleTime is how long a new leader starts no tasks after the first worker has
+	// answered, so that nearly all others have answered too: 35 of 35 workers did within
+	// 60 ms. Without the delay, work started 0.65 s later after a takeover.
 	settleTime = 80 * time.Millisecond
 	// maxHeaderBytes is the maximum size of a request header.
 	maxHeaderBytes = 16 << 10
@@ -453,8 +453,8 @@
 	n.metrics.RegisterGauge("spoolsill.store.reachable", "1 while the store answers this host", func() int64 { return boolToInt(n.health.reachable(n.clock.Now())) })
 }
 
-// suspects returns how many tasks are suspected of crashing workers and how many
-// workers crashed, or zeros if this host does not lead.
+// suspects returns how many tasks are suspected of crashing their workers and on how many
+// machines workers crashed in the last minute, or zeros if this host does not lead.
 func (n *Node) suspects() (tasks, crashed int64) {
 	if l := n.localLeader(); l != nil {
 		return l.Suspects()
--- a/node/peers.go
+++ b/node/peers.go
@@ -177,14 +177,14 @@
 	n.peers.SetAddress(c.Host, q.Address)
 	now := n.clock.Now()
 	n.hosts.record(c.Host, hostInfo{
-		lastHeartbeat:     now,
-		cores:             q.Cores,
-		hall:              q.Hall,
-		isDelegate:        q.Delegate,
-		cachesSpecs:       q.Specs,
-		readsSpecs:        q.StoredSpecs,
-		sendsIncarnations: q.Lives,
-		address:           q.Address,
+		lastHeartbeat:       now,
+		cores:               q.Cores,
+		hall:                q.Hall,
+		isDelegate:          q.Delegate,
+		cachesSpecs:         q.Specs,
+		readsStoredSpecs:    q.StoredSpecs,
+		reportsIncarnations: q.Lives,
+		address:             q.Address,
 	})
 	n.configs.recordOffer(c.Host, q.Held, now)
 	r := heartbeatReply{
@@ -333,14 +333,14 @@
 }
 
 type hostInfo struct {
-	lastHeartbeat     time.Time
-	cores             float64
-	hall              spoolsill.HallID
-	isDelegate        bool
-	cachesSpecs       bool
-	readsSpecs        bool
-	sendsIncarnations bool
-	address           string
+	lastHeartbeat       time.Time
+	cores               float64
+	hall                spoolsill.HallID
+	isDelegate          bool
+	cachesSpecs         bool
+	readsStoredSpecs    bool
+	reportsIncarnations bool
+	address             string
 }
 
 func (l *hostList) record(h spoolsill.HostID, info hostInfo) {
@@ -391,7 +391,7 @@
 func (l *hostList) readsStoredSpecs(h spoolsill.HostID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[h].readsSpecs
+	return l.seen[h].readsStoredSpecs
 }
 
 // reportsIncarnations reports whether a host, as a delegate, reports which incarnation of
@@ -399,7 +399,7 @@
 func (l *hostList) reportsIncarnations(h spoolsill.HostID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[h].sendsIncarnations
+	return l.seen[h].reportsIncarnations
 }
 
 func (l *hostList) count() int {
--- a/node/yield.go
+++ b/node/yield.go
@@ -25,9 +25,9 @@
 
 // A leaderFitness determines whether a host should keep the leadership. Hosts differ in
 // size, and the first one to start becomes the leader. With a leader on a fifth of a core
-// and a link of 10 Mbit/s, most of which was needed for other traffic, nearly all jobs
-// were late until another host led: a day that began this way earned 0.66 of the worth of
-// its jobs, compared with 0.75 and 0.78 in two runs led by a large host.
+// and a link of 10 Mbit/s, most of which the work of the cell needs, nearly all jobs were
+// late until another host led: a day that began this way earned 0.66 of the worth of its
+// jobs, compared with 0.75 and 0.78 in two runs led by a large host.
 type leaderFitness struct {
 	cores float64
 	link  spoolsill.Bytes // bytes a second; 0 if not set
