--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -156,8 +156,9 @@
 	})
 }
 
-// Hosts of releases without teams store jobs without a team, and forward jobs without the
-// team that another host has determined from the key.
+// Guards against Conflict for a client's retry of the same job during an upgrade: hosts of
+// releases without teams store jobs without a team, and forward jobs without the team that
+// another host has determined from the key.
 func TestAcceptSameJobOfReleaseWithoutTeams(t *testing.T) {
 	for _, tt := range []struct {
 		name                string
