--- a/place/gang.go
+++ b/place/gang.go
@@ -107,7 +107,8 @@
 const reservationInterval = time.Second
 
 // blocks reports whether the reservation prevents placing a task of j on w. It
-// never blocks jobs of class Urgent.
+// never blocks jobs of class Urgent. Services may not backfill, since they have no
+// expected end.
 func (r *reservation) blocks(j *job, w *worker, now time.Time, stats runtimeStats) bool {
 	if r.job == nil || r.job == j || j.spec.Class == spoolsill.ClassUrgent {
 		return false
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -288,8 +288,10 @@
 	return out
 }
 
-// preemptible reports whether v may be checkpointed for a task of j.
-// Unrepeatable tasks and tasks of gangs are never preempted.
+// preemptible reports whether v may be checkpointed for a task of j. It must be a
+// running, repeatable task of class Patient that is not part of a gang. Jobs of
+// class Urgent, and gangs of class Normal after Config.GangPatience, may preempt
+// any such task; other jobs only those of teams that are over their quota.
 func (d *decider) preemptible(j *job, v *task) bool {
 	p := &v.job.spec
 	if v.state != spoolsill.TaskRunning || p.Class != spoolsill.ClassPatient || p.Unrepeatable || p.Kind == spoolsill.KindGang {
--- a/place/snapshot.go
+++ b/place/snapshot.go
@@ -167,8 +167,9 @@
 }
 
 // Clone returns an independent copy of s. Of what is not part of a snapshot, it
-// copies the workers and quotas, but not the nominations, the reservation and
-// the failures of jobs and tasks.
+// copies the quotas and the workers with their health and nominated capacity,
+// but not which tasks are nominated, the reservation, and the failures of jobs
+// and tasks.
 func (s *State) Clone() *State {
 	c, err := Rebuild(s.config, s.Snapshot(time.Time{}))
 	if err != nil {
--- a/place/state.go
+++ b/place/state.go
@@ -41,7 +41,8 @@
 	GangPatience time.Duration
 	// FinishedJobs is how many finished jobs are retained.
 	FinishedJobs int
-	// Decisions bounds the number of records of one Decide call.
+	// Decisions is the number of records at which a Decide call stops. The last
+	// decision, for example on a gang, may exceed it.
 	Decisions int
 	// NoReservation disables reservations for gangs, for benchmarks and tests.
 	NoReservation bool
