--- a/route/loan.go
+++ b/route/loan.go
@@ -68,7 +68,7 @@
 }
 
 // Lend handles a request of another host for n slots. It lends at most half of
-// the usable own slots, and none while requests are queued here.
+// the usable own slots, rounded up, and none while requests are queued here.
 func (s *State) Lend(now time.Time, n int) []Loan {
 	if s.draining || s.Waiting() > 0 || s.config.NoLoans {
 		return nil
