--- a/holder/driver.go
+++ b/holder/driver.go
@@ -81,7 +81,8 @@
 }
 
 // requestRenewal makes run send the next renewal within the normal interval, if
-// it is scheduled later because the worker was idle.
+// it is scheduled later because the worker was idle. It is called when a task is
+// started, so that the worker soon reports on the task.
 func (d *driver) requestRenewal() {
 	select {
 	case d.renewSoon <- struct{}{}:
--- a/holder/snapshot.go
+++ b/holder/snapshot.go
@@ -50,8 +50,8 @@
 	}()
 }
 
-// writeSnapshot writes the writeSnapshot object, then the row that refers to it, and
-// deletes the journal rows that the writeSnapshot covers.
+// writeSnapshot writes the snapshot e to an object, then the row that names the
+// object, and deletes the journal rows that the snapshot covers.
 func (t *tenure) writeSnapshot(e recordlog.Entry) error {
 	b, err := recordlog.Encode(e)
 	if err != nil {
