--- a/entry/members.go
+++ b/entry/members.go
@@ -133,7 +133,7 @@
 }
 
 // recordRunnerCall counts the calls that a runner did not answer. Answered calls
-// are ignored.
+// are ignored, so they do not reset the count.
 func (h *Host) recordRunnerCall(id spoolsill.RunnerID, answered bool) {
 	if answered {
 		return
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -72,14 +72,14 @@
 	gauge("spoolsill.requests.running", "requests at runners", func(g gaugeValues) int64 { return g.running })
 	gauge("spoolsill.lease.held", "1 while this host holds its hall's lease", func(g gaugeValues) int64 { return g.held })
 	gauge("spoolsill.config.version", "version of the configuration in force", func(g gaugeValues) int64 { return g.version })
-	gauge("spoolsill.platform.silent", "1 while the platform does not answer", func(g gaugeValues) int64 { return g.silent })
+	gauge("spoolsill.platform.silent", "1 while the platform does not answer", func(g gaugeValues) int64 { return g.unavailable })
 	gauge("spoolsill.claims", "claims of request keys remembered", func(g gaugeValues) int64 { return g.claims })
 	gauge("spoolsill.peer.sent", "bytes sent to other hosts", func(g gaugeValues) int64 { return g.sent })
 	gauge("spoolsill.peer.received", "bytes received from other hosts", func(g gaugeValues) int64 { return g.received })
 }
 
 type gaugeValues struct {
-	waiting, running, held, version, silent, claims, sent, received int64
+	waiting, running, held, version, unavailable, claims, sent, received int64
 }
 
 func (h *Host) readGauges() gaugeValues {
@@ -89,14 +89,14 @@
 	claims := h.ledger.Len()
 	h.mu.Unlock()
 	return gaugeValues{
-		waiting:  int64(s.Waiting),
-		running:  int64(s.Running),
-		held:     boolValue(s.HoldsLease),
-		version:  int64(s.Config),
-		silent:   boolValue(s.Degraded),
-		claims:   int64(claims),
-		sent:     int64(sent),
-		received: int64(received),
+		waiting:     int64(s.Waiting),
+		running:     int64(s.Running),
+		held:        boolValue(s.HoldsLease),
+		version:     int64(s.Config),
+		unavailable: boolValue(s.Degraded),
+		claims:      int64(claims),
+		sent:        int64(sent),
+		received:    int64(received),
 	}
 }
 
