--- a/recordlog/copies.go
+++ b/recordlog/copies.go
@@ -18,8 +18,8 @@
 }
 
 // Add stores entries that the holder of the given epoch has copied, and drops those of
-// earlier epochs. If a later epoch is known, or if there would be more than [MaxCopies]
-// entries, it stores and drops nothing and returns false.
+// earlier epochs. If a later epoch is known, or if the stored and the new entries together
+// exceed [MaxCopies], it stores and drops nothing and returns false.
 func (c *Copies) Add(epoch spoolsill.Epoch, entries []Entry) bool {
 	if epoch < c.epoch || len(c.entries)+len(entries) > MaxCopies {
 		return false
