--- a/peer/network_test.go
+++ b/peer/network_test.go
@@ -40,22 +40,22 @@
 	}
 }
 
-func (l *network) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (n *network) dial(ctx context.Context, _ string) (net.Conn, error) {
 	local, remote := net.Pipe()
 	c := &callerConn{
 		Conn: local,
-		rate: l.rate,
+		rate: n.rate,
 	}
-	l.mu.Lock()
-	l.conns = append(l.conns, c)
-	l.mu.Unlock()
-	if l.stalled.Load() {
+	n.mu.Lock()
+	n.conns = append(n.conns, c)
+	n.mu.Unlock()
+	if n.stalled.Load() {
 		return c, nil
 	}
 	select {
-	case l.accepted <- remote:
+	case n.accepted <- remote:
 		return c, nil
-	case <-l.closed:
+	case <-n.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -63,39 +63,39 @@
 }
 
 // silence makes all current connections deliver nothing more to the calling side.
-func (l *network) silence() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, e := range l.conns {
+func (n *network) silence() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, e := range n.conns {
 		e.silent.Store(true)
 	}
 }
 
 // dials returns the number of connections opened.
-func (l *network) dials() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.conns)
+func (n *network) dials() int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return len(n.conns)
 }
 
 // Accept implements [net.Listener].
-func (l *network) Accept() (net.Conn, error) {
+func (n *network) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accepted:
+	case c := <-n.accepted:
 		return c, nil
-	case <-l.closed:
+	case <-n.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements [net.Listener].
-func (l *network) Close() error {
-	l.once.Do(func() { close(l.closed) })
+func (n *network) Close() error {
+	n.once.Do(func() { close(n.closed) })
 	return nil
 }
 
 // Addr implements [net.Listener].
-func (l *network) Addr() net.Addr {
+func (n *network) Addr() net.Addr {
 	return &net.TCPAddr{}
 }
 
@@ -120,8 +120,8 @@
 	}
 }
 
-// nodesOver returns a calling node and a node that serves as host "b", connected by l.
-func nodesOver(t *testing.T, l *network, c peer.Config) (a, b *peer.Node) {
+// nodesOver returns a calling node and a node that serves as host "b", connected by n.
+func nodesOver(t *testing.T, n *network, c peer.Config) (a, b *peer.Node) {
 	c.Host = "b"
 	b = peer.NewNode(c)
 	a = peer.NewNode(peer.Config{
@@ -129,13 +129,13 @@
 		Addresses: map[spoolsill.HostID]string{
 			"b": "b",
 		},
-		Dial: l.dial,
+		Dial: n.dial,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if err := b.Serve(ctx, l); err != nil {
+		if err := b.Serve(ctx, n); err != nil {
 			t.Error(err)
 		}
 	}()
--- a/peer/server.go
+++ b/peer/server.go
@@ -130,8 +130,9 @@
 	errWritePending = errors.New("peer: write still in progress")
 )
 
-// writeChunkSize is the number of bytes written under one deadline. A slow connection that
-// makes progress gets as much time as a long message needs.
+// writeChunkSize is the number of bytes written under one deadline. A deadline for each chunk
+// rather than for the whole message gives a slow connection the time that a long message
+// needs.
 const writeChunkSize = 64 << 10
 
 // A connWriter writes messages to a connection, one at a time.
@@ -213,9 +214,9 @@
 	return encodeMessage(m)
 }
 
-// write writes a frame. It fails when the write makes no progress for
-// DefaultWriteTimeout, or at end unless that is zero, and returns the part of the frame that
-// was not written. The caller holds w.mu.
+// write writes a frame in chunks of writeChunkSize. It fails when a chunk takes longer than
+// DefaultWriteTimeout, or at deadline unless that is zero, and returns the part of the frame
+// that was not written. The caller holds w.mu.
 func (w *connWriter) write(frame []byte, deadline time.Time) ([]byte, error) {
 	to := countingWriter{
 		node: w.node,
--- a/peer/silence.go
+++ b/peer/silence.go
@@ -17,9 +17,10 @@
 // errSilent is reported for a connection that is dropped because of silenceTimeout.
 var errSilent = errors.New("peer: connection is silent")
 
-// hasShortTimeout reports whether a call's timeout is so short that a healthy host answers
-// it within milliseconds. A timeout of any other call says nothing about the
-// connection, since its handler may still be running.
+// hasShortTimeout reports whether a call's timeout is at most silenceTimeout. Callers set
+// such a timeout only for calls that a healthy host answers within milliseconds. That a call
+// with a longer timeout expires says nothing about the connection, since its handler may
+// still be running.
 func hasShortTimeout(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
 	return ok && time.Until(deadline) <= silenceTimeout
@@ -41,8 +42,9 @@
 	s.lastReceived = now
 }
 
-// callTimedOut records that a call written at the given time timed out, and reports whether
-// the connection has been silent for silenceTimeout.
+// callTimedOut records that a call written at the given time timed out. It reports whether
+// silenceTimeout has passed since the first call was written that timed out without any data
+// received since.
 func (s *silenceDetector) callTimedOut(written, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/peer/timeout_test.go
+++ b/peer/timeout_test.go
@@ -123,10 +123,10 @@
 func TestCallTimesOutWhenServerDoesNotRead(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		l := newNetwork(0)
-		a, b := nodesOver(t, l, peer.Config{})
+		n := newNetwork(0)
+		a, b := nodesOver(t, n, peer.Config{})
 		peer.Handle(b, "echo", echo)
-		l.stalled.Store(true)
+		n.stalled.Store(true)
 		start := time.Now()
 		// No byte of these calls is written, so they were certainly not received.
 		for i := range 4 {
@@ -134,7 +134,7 @@
 			qt.Check(t, errors.Is(err, peer.ErrUnreachable), qt.IsTrue)
 			qt.Check(t, time.Since(start), qt.Equals, time.Duration(i+1)*timeout)
 		}
-		l.stalled.Store(false)
+		n.stalled.Store(false)
 		_, err := callWithin[reply](t, a, timeout, "echo", request{})
 		qt.Check(t, err, qt.IsNil)
 	})
@@ -144,10 +144,10 @@
 // the connection must be closed after the write timeout.
 func TestReplyTimesOutWhenCallerDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newNetwork(0)
-		_, b := nodesOver(t, l, peer.Config{})
+		n := newNetwork(0)
+		_, b := nodesOver(t, n, peer.Config{})
 		peer.Handle(b, "echo", echo)
-		c, err := l.dial(t.Context(), "b")
+		c, err := n.dial(t.Context(), "b")
 		qt.Assert(t, err, qt.IsNil)
 		for i := range 3 {
 			_, err = c.Write(frame(t, legacyCall{
@@ -184,8 +184,8 @@
 // fail.
 func TestTooLongMessageKeepsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newNetwork(0)
-		a, b := nodesOver(t, l, peer.Config{})
+		n := newNetwork(0)
+		a, b := nodesOver(t, n, peer.Config{})
 		peer.Handle(b, "large", func(context.Context, peer.Caller, request) ([]byte, error) {
 			return make([]byte, peer.MaxFrame), nil
 		})
@@ -193,7 +193,7 @@
 		qt.Check(t, peer.IsCode(err, peer.CodeInternal), qt.IsTrue, qt.Commentf("%v", err))
 		_, err = callWithin[reply](t, a, time.Second, "large", make([]byte, peer.MaxFrame))
 		qt.Check(t, errors.Is(err, peer.ErrUnreachable), qt.IsTrue, qt.Commentf("%v", err))
-		qt.Check(t, l.dials(), qt.Equals, 1)
+		qt.Check(t, n.dials(), qt.Equals, 1)
 	})
 }
 
@@ -207,8 +207,8 @@
 		recoveryTime = time.Second + 2*(timeout+interval)
 	)
 	synctest.Test(t, func(t *testing.T) {
-		l := newNetwork(0)
-		a, b := nodesOver(t, l, peer.Config{})
+		n := newNetwork(0)
+		a, b := nodesOver(t, n, peer.Config{})
 		peer.Handle(b, "echo", echo)
 		peer.Handle(b, "slow", func(ctx context.Context, _ peer.Caller, q request) (reply, error) {
 			pause.For(context.WithoutCancel(ctx), 5*timeout)
@@ -220,8 +220,8 @@
 			_, err = callWithin[reply](t, a, timeout, "echo", request{})
 			qt.Assert(t, err, qt.IsNil)
 		}
-		qt.Check(t, l.dials(), qt.Equals, 1)
-		l.silence()
+		qt.Check(t, n.dials(), qt.Equals, 1)
+		n.silence()
 		start := time.Now()
 		for time.Since(start) < time.Minute {
 			if _, err := callWithin[reply](t, a, timeout, "echo", request{}); err == nil {
@@ -230,7 +230,7 @@
 			pause.For(t.Context(), interval)
 		}
 		qt.Check(t, time.Since(start) < recoveryTime, qt.IsTrue, qt.Commentf("answered after %s", time.Since(start)))
-		qt.Check(t, l.dials(), qt.Equals, 2)
+		qt.Check(t, n.dials(), qt.Equals, 2)
 	})
 }
 
@@ -268,15 +268,15 @@
 // and must be handled without one, and they must be able to decode calls that carry one.
 func TestCallsWithoutTimeoutOfOlderHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newNetwork(0)
-		_, b := nodesOver(t, l, peer.Config{})
+		n := newNetwork(0)
+		_, b := nodesOver(t, n, peer.Config{})
 		hasDeadline := true
 		peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q request) (reply, error) {
 			_, hasDeadline = ctx.Deadline()
 			pause.For(ctx, time.Minute)
 			return reply(q), ctx.Err()
 		})
-		c, err := l.dial(t.Context(), "b")
+		c, err := n.dial(t.Context(), "b")
 		qt.Assert(t, err, qt.IsNil)
 		_, err = c.Write(frame(t, legacyCall{
 			Kind:   1,
@@ -347,13 +347,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := newNetwork(0)
-				_, b := nodesOver(t, l, peer.Config{})
+				n := newNetwork(0)
+				_, b := nodesOver(t, n, peer.Config{})
 				peer.Handle(b, "wait", func(ctx context.Context, _ peer.Caller, q request) (reply, error) {
 					pause.For(ctx, 3*idle+time.Second)
 					return reply(q), ctx.Err()
 				})
-				x, err := l.dial(t.Context(), "b")
+				x, err := n.dial(t.Context(), "b")
 				qt.Assert(t, err, qt.IsNil)
 				start := time.Now()
 				for i, piece := range c.pieces {
@@ -383,19 +383,19 @@
 // idle: an idle link must dial a new one before that.
 func TestIdleLinkDialsNewConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newNetwork(0)
-		a, b := nodesOver(t, l, peer.Config{})
+		n := newNetwork(0)
+		a, b := nodesOver(t, n, peer.Config{})
 		peer.Handle(b, "echo", echo)
 		for range 20 {
 			_, err := callWithin[reply](t, a, time.Second, "echo", request{})
 			qt.Assert(t, err, qt.IsNil)
 			pause.For(t.Context(), 10*time.Second)
 		}
-		qt.Check(t, l.dials(), qt.Equals, 1)
+		qt.Check(t, n.dials(), qt.Equals, 1)
 		pause.For(t.Context(), 50*time.Second)
 		_, err := callWithin[reply](t, a, time.Second, "echo", request{})
 		qt.Check(t, err, qt.IsNil)
-		qt.Check(t, l.dials(), qt.Equals, 2)
+		qt.Check(t, n.dials(), qt.Equals, 2)
 	})
 }
 
@@ -492,12 +492,12 @@
 func TestSilentConnectionIsReplacedWithOneSecondTimeouts(t *testing.T) {
 	const timeout = time.Second
 	synctest.Test(t, func(t *testing.T) {
-		l := newNetwork(0)
-		a, b := nodesOver(t, l, peer.Config{})
+		n := newNetwork(0)
+		a, b := nodesOver(t, n, peer.Config{})
 		peer.Handle(b, "echo", echo)
 		_, err := callWithin[reply](t, a, timeout, "echo", request{})
 		qt.Assert(t, err, qt.IsNil)
-		l.silence()
+		n.silence()
 		start := time.Now()
 		for time.Since(start) < time.Minute {
 			if _, err := callWithin[reply](t, a, timeout, "echo", request{}); err == nil {
@@ -505,6 +505,6 @@
 			}
 		}
 		qt.Check(t, time.Since(start) <= 2*timeout, qt.IsTrue, qt.Commentf("answered after %s", time.Since(start)))
-		qt.Check(t, l.dials(), qt.Equals, 2)
+		qt.Check(t, n.dials(), qt.Equals, 2)
 	})
 }
