--- a/lease/rapid_test.go
+++ b/lease/rapid_test.go
@@ -317,48 +317,48 @@
 }
 
 func TestFirstLeaseIsAcquiredImmediately(t *testing.T) {
-	w := newSimulation(2, lease.Config{})
-	w.run(2 * time.Second)
-	qt.Assert(t, w.holder(), qt.IsNotNil)
+	s := newSimulation(2, lease.Config{})
+	s.run(2 * time.Second)
+	qt.Assert(t, s.holder(), qt.IsNotNil)
 }
 
 func TestDeadHolderIsReplacedWithinTenSeconds(t *testing.T) {
-	w := newSimulation(2, lease.Config{})
-	w.run(20 * time.Second)
-	w.holder().paused = true
-	w.run(10 * time.Second)
-	qt.Assert(t, w.holder(), qt.IsNotNil)
+	s := newSimulation(2, lease.Config{})
+	s.run(20 * time.Second)
+	s.holder().paused = true
+	s.run(10 * time.Second)
+	qt.Assert(t, s.holder(), qt.IsNotNil)
 }
 
 func TestHolderKeepsLeaseDuringTableOutage(t *testing.T) {
 	c := qt.New(t)
-	w := newSimulation(3, lease.Config{})
-	w.run(20 * time.Second)
-	h := w.holder()
-	w.setTable(false)
+	s := newSimulation(3, lease.Config{})
+	s.run(20 * time.Second)
+	h := s.holder()
+	s.setTable(false)
 	for range 60 {
-		w.run(10 * time.Second)
-		c.Assert(w.holder(), qt.Equals, h)
+		s.run(10 * time.Second)
+		c.Assert(s.holder(), qt.Equals, h)
 	}
-	w.setTable(true)
-	w.run(20 * time.Second)
-	c.Assert(w.holder(), qt.Equals, h)
+	s.setTable(true)
+	s.run(20 * time.Second)
+	c.Assert(s.holder(), qt.Equals, h)
 }
 
 func TestTableOutageWithDeadHostEndsLease(t *testing.T) {
 	c := qt.New(t)
-	w := newSimulation(2, lease.Config{})
-	w.run(20 * time.Second)
-	h := w.holder()
-	for _, x := range w.hosts {
+	s := newSimulation(2, lease.Config{})
+	s.run(20 * time.Second)
+	h := s.holder()
+	for _, x := range s.hosts {
 		x.paused = x != h
 	}
-	w.setTable(false)
-	w.run(20 * time.Second)
-	c.Assert(w.holder(), qt.IsNil)
-	w.setTable(true)
-	w.run(5 * time.Second)
-	c.Assert(w.holder(), qt.Equals, h)
+	s.setTable(false)
+	s.run(20 * time.Second)
+	c.Assert(s.holder(), qt.IsNil)
+	s.setTable(true)
+	s.run(5 * time.Second)
+	c.Assert(s.holder(), qt.Equals, h)
 }
 
 // Guards against an expired lease that is extended by promises: the holder is paused while
@@ -366,38 +366,38 @@
 // unreachable for both.
 func TestExpiredLeaseIsNotExtendedByPromises(t *testing.T) {
 	c := qt.New(t)
-	w := newSimulation(2, lease.Config{})
-	w.run(20 * time.Second)
-	old := w.holder()
+	s := newSimulation(2, lease.Config{})
+	s.run(20 * time.Second)
+	old := s.holder()
 	old.paused = true
-	w.run(10 * time.Second)
-	next := w.holder()
+	s.run(10 * time.Second)
+	next := s.holder()
 	c.Assert(next, qt.IsNotNil)
-	w.setTable(false)
-	w.start(next)
+	s.setTable(false)
+	s.start(next)
 	old.paused = false
-	w.run(10 * time.Second)
-	c.Assert(w.holder(), qt.IsNil)
+	s.run(10 * time.Second)
+	c.Assert(s.holder(), qt.IsNil)
 }
 
 func TestReleasedLeaseIsAcquiredWithinSeconds(t *testing.T) {
 	c := qt.New(t)
-	w := newSimulation(2, lease.Config{})
-	w.run(20 * time.Second)
-	h := w.holder()
+	s := newSimulation(2, lease.Config{})
+	s.run(20 * time.Second)
+	h := s.holder()
 	h.keeper.Release()
-	w.run(2500 * time.Millisecond)
+	s.run(2500 * time.Millisecond)
 	c.Assert(h.keeper.Released(), qt.IsTrue)
-	c.Assert(w.holder(), qt.IsNotNil)
-	c.Assert(w.holder(), qt.Not(qt.Equals), h)
+	c.Assert(s.holder(), qt.IsNotNil)
+	c.Assert(s.holder(), qt.Not(qt.Equals), h)
 }
 
 func TestLeaseIsAcquiredAfterAllHostsRestart(t *testing.T) {
-	w := newSimulation(2, lease.Config{})
-	w.run(20 * time.Second)
-	for _, h := range w.hosts {
-		w.start(h)
+	s := newSimulation(2, lease.Config{})
+	s.run(20 * time.Second)
+	for _, h := range s.hosts {
+		s.start(h)
 	}
-	w.run(10 * time.Second)
-	qt.Assert(t, w.holder(), qt.IsNotNil)
+	s.run(10 * time.Second)
+	qt.Assert(t, s.holder(), qt.IsNotNil)
 }
