--- a/sched/advice.go
+++ b/sched/advice.go
@@ -11,8 +11,7 @@
 const (
 	// warmQueryDivisor limits the concurrent queries that keep the tickets of waiting stages
 	// valid to 1/warmQueryDivisor of those that the hosts can make: queries about new work
-	// take precedence. The value was tried on the grown deployments, see
-	// docs/DECISIONS.md.
+	// take precedence. See docs/DECISIONS.md.
 	warmQueryDivisor = 4
 	// ticketMargin is how much longer a ticket must be valid when a start is decided. It
 	// covers the write to the store, the call itself and some queueing.
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -36,8 +36,7 @@
 	// gangReserveFactor is the number of times that a waiting gang must fit into the total
 	// capacity of the workers reserved for it. Reserving just enough workers for one fit
 	// makes it wait for the last of their runs to end; reserving all usable workers
-	// leaves capacity idle. The value was tried on the grown deployments, see
-	// docs/DECISIONS.md.
+	// leaves capacity idle. See docs/DECISIONS.md.
 	gangReserveFactor = 3
 	// reserveDivisor limits reservations. Once 1/reserveDivisor of the ready workers are
 	// reserved, further gangs reserve none, and large tasks never reserve more than that.
