--- a/internal/cli/call.go
+++ b/internal/cli/call.go
@@ -156,7 +156,7 @@
 	}
 	if err != nil || result.Outcome == "" {
 		result.Outcome = spoolsill.OutcomeUnknown
-		result.Cause = "the response is incomplete or has no outcome"
+		result.Cause = "the answer did not come whole"
 	}
 	return result
 }
