--- a/leader/advice_test.go
+++ b/leader/advice_test.go
@@ -103,7 +103,7 @@
 
 // Guards against a backlog of queries while hosts are idle, which comes about when responses
 // spend more time in transit than the advisor needs to compute them.
-func TestSlowAdvisorResponsesDoNotDelayQuestions(t *testing.T) {
+func TestSlowAdvisorResponsesDoNotDelayQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newCell(t.Context(), t, 4)
 		defer x.end()
