--- a/entry/host.go
+++ b/entry/host.go
@@ -363,9 +363,8 @@
 	return n
 }
 
-// PlatformUnresponsive reports whether the platform did not respond to recent
-// calls.
-func (h *Host) PlatformUnresponsive() bool {
+// PlatformUnavailable reports whether the platform did not respond to recent calls.
+func (h *Host) PlatformUnavailable() bool {
 	return h.platform.Unavailable()
 }
 
--- a/internal/fault/inject.go
+++ b/internal/fault/inject.go
@@ -192,7 +192,7 @@
 	// A host that stops writes its unsaved jobs to the platform or copies them to
 	// the other host. They can be lost only if the platform is still unresponsive
 	// when the stop ends.
-	if sim.fleet.Host(i).PlatformUnresponsive() {
+	if sim.fleet.Host(i).PlatformUnavailable() {
 		sim.operator.markLost(i)
 	}
 	return func() { sim.restartHost(i) }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -353,7 +353,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.hosts {
-		if m.state == Running && m.settings.OwnHall().ID == hall && m.host.PlatformUnresponsive() {
+		if m.state == Running && m.settings.OwnHall().ID == hall && m.host.PlatformUnavailable() {
 			return true
 		}
 	}
