--- a/leader/leader.go
+++ b/leader/leader.go
@@ -265,10 +265,10 @@
 	return l.jobsAsOf, l.jobsAsOfChanged
 }
 
-// WaitingJobs returns the number of waiting jobs of a queue. The second result is false
-// when it is not known: before all jobs are loaded, and while the leader can't read from
-// the store which jobs other hosts have accepted.
-func (l *Leader) WaitingJobs(q sched.QueueID) (int, bool) {
+// PendingJobs returns the number of accepted jobs of a queue that have not started. The
+// second result is false when it is not known: before all jobs are loaded, and while the
+// leader can't read from the store which jobs other hosts have accepted.
+func (l *Leader) PendingJobs(q sched.QueueID) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting[q], l.jobsKnown && l.config.Clock.Since(l.jobsAsOf) < maxCountAge
--- a/node/jobs.go
+++ b/node/jobs.go
@@ -362,7 +362,7 @@
 // CountWaiting implements [platform.JobService].
 func (n *Node) CountWaiting(ctx context.Context, q sched.QueueID) (int, platform.Outcome, error) {
 	if l := n.localLeader(); l != nil {
-		w, ok := l.WaitingJobs(q)
+		w, ok := l.PendingJobs(q)
 		return w, knownOutcome(ok), nil
 	}
 	h, ok := n.reachableLeader()
--- a/node/peers.go
+++ b/node/peers.go
@@ -270,7 +270,7 @@
 	if l == nil {
 		return waitingReply{}, errNotLeading
 	}
-	w, ok := l.WaitingJobs(q.Queue)
+	w, ok := l.PendingJobs(q.Queue)
 	return waitingReply{
 		Known:   ok,
 		Waiting: w,
