--- a/agent/client.go
+++ b/agent/client.go
@@ -14,9 +14,9 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// ErrNotExecuted is returned when the agent certainly did not execute the
-// request: it rejected it, or no connection could be opened.
-var ErrNotExecuted = errors.New("agent: refused")
+// ErrNotRun is returned when the agent certainly did not execute the request: it
+// rejected it, or no connection could be opened.
+var ErrNotRun = errors.New("agent: refused")
 
 // ErrUnknownOutcome is returned when the agent may have executed the request.
 var ErrUnknownOutcome = errors.New("agent: answer lost")
@@ -167,7 +167,7 @@
 		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	if response.StatusCode == http.StatusConflict {
-		return fmt.Errorf("%w: %.200s", ErrNotExecuted, b)
+		return fmt.Errorf("%w: %.200s", ErrNotRun, b)
 	}
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("%w: status %d", ErrUnknownOutcome, response.StatusCode)
@@ -181,13 +181,12 @@
 	return nil
 }
 
-// classifyError wraps err in [ErrNotExecuted] if the connection could not be
-// opened, since the agent cannot have received the request then, and otherwise in
-// [ErrUnknownOutcome].
+// classifyError wraps err in [ErrNotRun] if the connection could not be opened, since
+// the agent cannot have received the request then, and otherwise in [ErrUnknownOutcome].
 func classifyError(err error) error {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
-		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
+		return fmt.Errorf("%w: %w", ErrNotRun, err)
 	}
 	return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 }
--- a/holder/driver.go
+++ b/holder/driver.go
@@ -395,7 +395,7 @@
 		delete(d.pendingStarts, r)
 		d.ackedStarts[r] = d.t.h.readClocks()
 		d.report(r, place.Started)
-	case errors.Is(err, agent.ErrNotExecuted):
+	case errors.Is(err, agent.ErrNotRun):
 		delete(d.pendingStarts, r)
 		d.report(r, place.Refused)
 	default:
