--- a/leader/chain.go
+++ b/leader/chain.go
@@ -212,11 +212,11 @@
 // observe records the latency of an answered attempt. Rises are weighted more than falls:
 // needless attempts would slow down a slow store further.
 func (c *Chain) observe(took time.Duration) {
-	weight := time.Duration(8)
+	divisor := time.Duration(8)
 	if took > c.commitLatency {
-		weight = 2
+		divisor = 2
 	}
-	c.commitLatency += (took - c.commitLatency) / weight
+	c.commitLatency += (took - c.commitLatency) / divisor
 }
 
 // resolve records the outcome of a write. If its condition failed but the leader row equals the
--- a/leader/latency.go
+++ b/leader/latency.go
@@ -36,11 +36,11 @@
 func (e *latencyEstimator) observe(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	weight := time.Duration(16)
+	divisor := time.Duration(16)
 	if d > e.average {
-		weight = 4
+		divisor = 4
 	}
-	e.average += (d - e.average) / weight
+	e.average += (d - e.average) / divisor
 }
 
 // orderTimeout returns how long to wait for the response to an order.
