--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -29,7 +29,7 @@
 	Skew time.Duration
 }
 
-// An Owner identifies the dispatch that claimed a key. Incarnation tells apart
+// An Owner identifies the dispatch that claimed a key. Incarnation distinguishes
 // the processes that ran on the same host, Nonce the dispatches of one process.
 type Owner struct {
 	Host        spoolsill.HostID      `msgpack:"h"`
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -178,7 +178,7 @@
 	x.c.Assert(p.Rows, qt.HasLen, 0)
 }
 
-// stopFirstLeader stops the leader that sent the order, for good.
+// stopFirstLeader permanently stops the leader that sent the order.
 func (x *lateCell) stopFirstLeader() {
 	x.cancels[0]()
 	x.hosts.Wait()
--- a/route/runner.go
+++ b/route/runner.go
@@ -122,7 +122,7 @@
 
 // eject excludes a failing runner from new requests for a while. The share of
 // runners ejected at once is bounded: if more of them fail, a failing runner
-// can't be told from the others.
+// can't be distinguished from the others.
 func (s *State) eject(r *runner, now time.Time) {
 	if s.config.NoEject || now.Before(r.ejectedUntil) {
 		return
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -222,8 +222,7 @@
 
 // trialCost returns the cost of starting a task at a worker that results from the risk
 // of crashes, as a factor on the run time. Suspect tasks are started on different workers, so
-// that a second crash tells which of them caused it, and where a crash takes few other runs
-// down.
+// that a second crash shows which of them caused it, and where a crash ends few other runs.
 func (d *decider) trialCost(t *task, w *worker) float64 {
 	level := t.evidence.suspicion()
 	if level == noSuspicion && len(w.trials) == 0 {
--- a/sched/crash_test.go
+++ b/sched/crash_test.go
@@ -251,7 +251,7 @@
 	x.c.Assert(x.jobState(), qt.Equals, sched.Failed)
 }
 
-// Guards against failing a lasting task because it loses a worker now and then
+// Guards against failing a lasting task because it occasionally loses a worker
 // throughout its lifetime.
 func TestLastingTaskSurvivesOccasionalLosses(t *testing.T) {
 	x := newCell(t)
@@ -301,7 +301,7 @@
 }
 
 // The suspect tasks of one crash are started on different workers, even where one worker
-// has fewer runs at risk than the others, so that the next crash tells which of them
+// has fewer runs at risk than the others, so that the next crash shows which of them
 // caused it.
 func TestSuspectTasksStartOnDifferentWorkers(t *testing.T) {
 	x := newCell(t)
--- a/sched/crashload_test.go
+++ b/sched/crashload_test.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// loseRacks takes the last n machines down for good.
+// loseRacks takes the last n machines down permanently.
 func (f *crashLoad) loseRacks(n int) {
 	for m := len(f.incarnations) - n; m < len(f.incarnations); m++ {
 		f.takeDown(m, permanentDowntime)
--- a/sched/event.go
+++ b/sched/event.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// EndKind tells how a run ended.
+// An EndKind describes how a run ended.
 type EndKind uint8
 
 // The ways in which a run ends.
--- a/sched/evidence.go
+++ b/sched/evidence.go
@@ -26,7 +26,7 @@
 	lossLimit = 5
 	// A run clears its task of suspicion when it lasts twice as long as the task's
 	// earlier runs together, but at least minClearTime. maxClearTime is enough in any
-	// case, since a lasting task loses a worker now and then for as long as it runs.
+	// case, since a lasting task occasionally loses a worker for as long as it runs.
 	minClearTime = 10 * time.Second
 	maxClearTime = time.Minute
 )
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -56,8 +56,8 @@
 		from = r.workers
 	}
 	if !d.fitsEmptyWorkers(g, from) {
-		// A reservation would be in vain, and the reserved workers might be the only ones
-		// that other stages can use.
+		// A reservation would not let the gang start, and the reserved workers might be the
+		// only ones that other stages can use.
 		g.reserved = nil
 		return
 	}
