--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -34,7 +34,7 @@
 	var f flags
 	k := kong.Parse(&f,
 		kong.Name("soak"),
-		kong.Description("Harms hosts from outside and checks their promises."),
+		kong.Description("Injects faults into hosts and their network, and checks that the cell's guarantees hold."),
 	)
 	k.FatalIfErrorf(run(f))
 }
@@ -62,13 +62,13 @@
 	err = g.Wait()
 	close(failed)
 	if err == nil && len(failed) > 0 {
-		return fmt.Errorf("promises were broken with %d seeds, logs are in %s", len(failed), f.Dir)
+		return fmt.Errorf("guarantees were violated with %d seeds; logs are in %s", len(failed), f.Dir)
 	}
 	return err
 }
 
-// runSeed runs one seed and prints the result. It removes the files of a run without
-// violations.
+// runSeed executes the run of one seed and prints the result. It removes the files of a run
+// without violations.
 func runSeed(ctx context.Context, f flags, binary string, seed uint64, failed chan<- uint64) error {
 	if err := ctx.Err(); err != nil {
 		return err
--- a/internal/cellfake/advisor.go
+++ b/internal/cellfake/advisor.go
@@ -11,11 +11,11 @@
 // An Advisor issues a ticket for every worker and stage. It implements [leader.Advisor].
 type Advisor struct {
 	HostIDs []spoolsill.HostID
-	// Cut is the host whose queries get no answer.
+	// Cut is the host whose queries get no answer; empty means none.
 	Cut spoolsill.HostID
-	// OnQuery, if not nil, is called for each query, by several goroutines at once.
+	// OnQuery, if not nil, is called for each query. Calls may be concurrent.
 	OnQuery func(stage sched.StageID)
-	// Takes is added to the latency of each answer.
+	// Takes is extra latency of each answer.
 	Takes time.Duration
 }
 
--- a/internal/cellfake/capacity.go
+++ b/internal/cellfake/capacity.go
@@ -6,8 +6,8 @@
 	"github.com/spoolsill/spoolsill"
 )
 
-// A capacityState is the number of runs that a worker can hold, if it differs from the
-// default. The zero value stands for the default.
+// A capacityState is the number of runs that a worker can hold, if that was changed. The
+// zero value stands for the default.
 type capacityState struct {
 	changed   bool
 	current   int
@@ -15,29 +15,29 @@
 	reducedAt time.Time
 }
 
-// SetCapacity changes the number of runs that a worker can hold. Present runs continue.
+// SetCapacity changes the number of runs that a worker can hold. Active runs go on.
 func (f *Workers) SetCapacity(id spoolsill.WorkerID, runs int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := &f.workers[id].capacity
-	was := r.allowed(f.Capacity, f.CapacityGrace)
-	r.changed = true
-	r.current = runs
-	if runs < was {
-		r.former = was
-		r.reducedAt = time.Now()
+	c := &f.workers[id].capacity
+	before := c.allowed(f.Capacity, f.CapacityGrace)
+	c.changed = true
+	c.current = runs
+	if runs < before {
+		c.former = before
+		c.reducedAt = time.Now()
 	}
 }
 
-// allowed returns the capacity that a start is checked against. For a time of grace after
-// a reduction this is the former capacity, since the leader may not have read the new one.
-func (r *capacityState) allowed(defaultCapacity int, grace time.Duration) int {
+// allowed returns the capacity that a start is checked against. Within the grace period
+// after a reduction this is the former capacity, since the leader may not know the new one.
+func (c *capacityState) allowed(defaultCapacity int, grace time.Duration) int {
 	switch {
-	case !r.changed:
+	case !c.changed:
 		return defaultCapacity
-	case !r.reducedAt.IsZero() && time.Since(r.reducedAt) < grace:
-		return max(r.current, r.former)
+	case !c.reducedAt.IsZero() && time.Since(c.reducedAt) < grace:
+		return max(c.current, c.former)
 	default:
-		return r.current
+		return c.current
 	}
 }
--- a/internal/cellfake/crash.go
+++ b/internal/cellfake/crash.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	// freeCrashes is how many workers a task may crash before its further starts are
-	// counted; the counted start with the number forbiddenStart is a violation.
-	freeCrashes    = 3
-	forbiddenStart = 3
+	// crashThreshold is the number of workers that a task crashes before its starts are
+	// counted. The counted start with the number firstForbiddenStart is a violation.
+	crashThreshold      = 3
+	firstForbiddenStart = 3
 )
 
 // crashTracker counts how often tasks that crash their workers are started.
 type crashTracker struct {
-	crashed map[sched.TaskID]int // workers that each task has crashed
-	starts  map[sched.TaskID]int // starts of each task after freeCrashes
+	crashCounts map[sched.TaskID]int // number of workers that each task has crashed
+	startCounts map[sched.TaskID]int // number of starts of each task after crashThreshold crashes
 }
 
-// recordStart records a start, and reports whether it is a violation.
+// recordStart records a start, and reports whether it is the first forbidden one.
 func (c *crashTracker) recordStart(t sched.TaskID) bool {
-	if c.crashed[t] < freeCrashes {
+	if c.crashCounts[t] < crashThreshold {
 		return false
 	}
-	c.starts[t]++
-	return c.starts[t] == forbiddenStart
+	c.startCounts[t]++
+	return c.startCounts[t] == firstForbiddenStart
 }
 
 // CrashCount returns how many workers a task has crashed.
 func (f *Workers) CrashCount(t sched.TaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.crashTracker.crashed[t]
+	return f.crashTracker.crashCounts[t]
 }
 
 // Crash ends a worker's incarnation without notice and returns the runs that are lost with
@@ -69,41 +69,41 @@
 }
 
 // Restart starts a new incarnation of a worker under the same id and address, and crashes
-// the current one if that still runs. The new one has no state of the former: its sequence
-// numbers and its clock start over. Delayed orders for the former incarnation reach it.
+// the current one if that still runs. The new one starts without state: its sequence numbers
+// and its clock start over. Delayed orders for the former incarnation may reach it.
 func (f *Workers) Restart(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	former := f.workers[id]
-	f.crash(former) // may have been restarted since its crash
+	f.crash(former) // it may run, for instance if it was restarted since its last crash
 	w := newWorker(id, 0)
 	w.born = max(w.born, former.born+1)
 	w.capacity = former.capacity
 	f.workers[id] = w
-	return w.life()
+	return w.incarnation()
 }
 
 // CurrentLife returns the latest incarnation of a worker.
 func (f *Workers) CurrentLife(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.workers[id].life()
+	return f.workers[id].incarnation()
 }
 
-// scheduleCrash schedules the crash of w if r is to crash its worker.
+// scheduleCrash schedules the crash of w if CrashAfter says that r crashes its worker.
 func (f *Workers) scheduleCrash(w *worker, r sched.RunID) {
 	if f.CrashAfter == nil {
 		return
 	}
-	after, crashes := f.CrashAfter(r)
+	delay, crashes := f.CrashAfter(r)
 	if !crashes {
 		return
 	}
-	time.AfterFunc(after, func() {
+	time.AfterFunc(delay, func() {
 		f.mu.Lock()
 		var lost []sched.RunID
 		if _, runs := w.running[r]; runs {
-			f.crashTracker.crashed[r.Task]++
+			f.crashTracker.crashCounts[r.Task]++
 			lost = f.crash(w)
 		}
 		f.mu.Unlock()
@@ -113,16 +113,16 @@
 	})
 }
 
-// checkCrashStarts records a violation if r is one start too many of a task that crashes
-// its workers.
-func (f *Workers) checkCrashStarts(w *worker, r sched.RunID) {
+// checkStartAfterCrashes records a violation if a task that crashes its workers is started
+// too often.
+func (f *Workers) checkStartAfterCrashes(w *worker, r sched.RunID) {
 	if f.crashTracker.recordStart(r.Task) {
-		f.violations = append(f.violations, fmt.Sprintf("%s#%d started at %s, the third start after %d workers had crashed under it", r.Task, r.Number, w.id, freeCrashes))
+		f.violations = append(f.violations, fmt.Sprintf("%s#%d started at %s, the third start after it had crashed %d workers", r.Task, r.Number, w.id, crashThreshold))
 	}
 }
 
-// otherLifeReply is the answer at the address of a worker that was replaced.
-func otherLifeReply() leader.Reply {
+// otherIncarnationReply is the answer at the address of a worker that was replaced.
+func otherIncarnationReply() leader.Reply {
 	return leader.Reply{
 		Kind: leader.OtherIncarnation,
 		Err:  errors.New("cellfake: the address answers for another worker"),
--- a/internal/cellfake/store.go
+++ b/internal/cellfake/store.go
@@ -11,7 +11,7 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A StoreFault is the way in which one transaction fails.
+// A StoreFault is a way in which a transaction fails.
 type StoreFault uint8
 
 // The faults of a transaction.
@@ -20,13 +20,13 @@
 	StoreRefuse               // refused without effect
 	StoreLoseReply            // applied, but the answer is lost
 	StoreLate                 // applied later if its conditions still hold; the answer is lost
-	StoreReset                // not applied; the connection is reset at once
+	StoreReset                // not applied; the connection is reset immediately
 )
 
 // lateDelay is the delay after which a [StoreLate] transaction is applied.
 const lateDelay = 3 * time.Second
 
-// callLatency is the latency of a call without faults.
+// callLatency is the latency of a call without faults or extra latency.
 const callLatency = 5 * time.Millisecond
 
 // maxPageRows is the largest number of rows in a page of a listing.
@@ -39,7 +39,7 @@
 	version      store.Version
 	rows         map[store.Key]store.Row
 	changes      []store.Row
-	droppedUpTo  store.Version // changes up to this version are dropped
+	droppedUpTo  store.Version // changes up to this version were dropped
 	changed      chan struct{}
 	listLatency  map[string]time.Duration // added to each listing, by table
 	extraLatency time.Duration            // added to each call, see SetExtraLatency
@@ -49,7 +49,7 @@
 }
 
 // SetFault sets the function that chooses the fault of each transaction; nil means no
-// faults. f is called by several goroutines at once.
+// faults. Calls of f may be concurrent.
 func (s *Store) SetFault(f func(t store.Transaction) StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,10 +59,10 @@
 // faultFor returns the fault of a transaction.
 func (s *Store) faultFor(t store.Transaction) StoreFault {
 	s.mu.Lock()
-	f, away := s.fault, s.unavailable
+	f, refuse := s.fault, s.unavailable
 	s.mu.Unlock()
 	switch {
-	case away:
+	case refuse:
 		return StoreRefuse
 	case f == nil:
 		return StoreOK
@@ -72,15 +72,14 @@
 }
 
 // SetFeedStalled stalls or resumes the change feeds. The platform's feeds may stall for a
-// second; the changes made meanwhile are delivered after it.
+// second; changes of that time are delivered afterwards.
 func (s *Store) SetFeedStalled(stalled bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.feedStalled = stalled
 }
 
-// SetUnavailable makes the store refuse all transactions, listings and feeds, or ends
-// that.
+// SetUnavailable sets whether the store refuses all transactions, listings and feeds.
 func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,17 +103,17 @@
 	}
 }
 
-// SetExtraLatency adds to the latency of transactions and listings. While it is not 0,
-// the transactions of a partition are applied one at a time, including those whose callers
-// have given up.
-func (s *Store) SetExtraLatency(by time.Duration) {
+// SetExtraLatency sets an extra latency of transactions and listings. While it is not 0, the
+// transactions of a partition are applied one at a time, including those whose callers have
+// given up.
+func (s *Store) SetExtraLatency(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.extraLatency = by
+	s.extraLatency = d
 }
 
-// queueTransaction returns the latency of a transaction that is sent now, behind those
-// that are queued in its partition.
+// queueTransaction returns the latency of a transaction that is sent now and waits for
+// those that are queued in its partition.
 func (s *Store) queueTransaction(t store.Transaction) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,16 +121,17 @@
 		return callLatency
 	}
 	now := time.Now()
-	part := partitionOf(t)
+	partition := partitionOf(t)
 	end := now
-	if s.queueEnds[part].After(now) {
-		end = s.queueEnds[part]
+	if s.queueEnds[partition].After(now) {
+		end = s.queueEnds[partition]
 	}
 	end = end.Add(callLatency + s.extraLatency)
-	s.queueEnds[part] = end
+	s.queueEnds[partition] = end
 	return end.Sub(now)
 }
 
+// partitionOf returns the partition of the first row that a transaction writes.
 func partitionOf(t store.Transaction) string {
 	switch {
 	case len(t.Puts) > 0:
@@ -143,11 +143,11 @@
 	}
 }
 
-// SetListLatency adds to the latency of each listing of a table.
-func (s *Store) SetListLatency(table string, by time.Duration) {
+// SetListLatency sets an extra latency of each listing of a table.
+func (s *Store) SetListLatency(table string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listLatency[table] = by
+	s.listLatency[table] = d
 }
 
 func (s *Store) listLatencyOf(table string) time.Duration {
@@ -156,13 +156,13 @@
 	return s.listLatency[table] + s.extraLatency
 }
 
-// DropHistory drops the history of changes, as the platform may at any time.
+// DropHistory drops the history of changes, as the platform may do at any time.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = nil
 	s.droppedUpTo = s.version
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
 // Put writes rows as the platform itself does, without faults or latency.
@@ -181,11 +181,11 @@
 
 // Commit implements [store.Store].
 func (s *Store) Commit(ctx context.Context, t store.Transaction) (store.Result, error) {
-	begun := time.Now()
-	took := s.queueTransaction(t)
-	if err := sleep(ctx, took); err != nil {
+	start := time.Now()
+	latency := s.queueTransaction(t)
+	if err := sleep(ctx, latency); err != nil {
 		// A transaction is applied even if its caller has given up.
-		time.AfterFunc(took-time.Since(begun), func() { s.apply(t) })
+		time.AfterFunc(latency-time.Since(start), func() { s.apply(t) })
 		return store.Result{}, fmt.Errorf("%w: %w", store.ErrUnknownOutcome, err)
 	}
 	switch s.faultFor(t) {
@@ -206,6 +206,7 @@
 	}
 }
 
+// apply applies a transaction if its conditions hold.
 func (s *Store) apply(t store.Transaction) store.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,14 +242,15 @@
 			Deleted: true,
 		})
 	}
-	s.wakeLocked()
+	s.notifyLocked()
 	return store.Result{
 		Applied: true,
 		Version: s.version,
 	}
 }
 
-func (s *Store) wakeLocked() {
+// notifyLocked wakes the feeds that wait for changes. The caller holds s.mu.
+func (s *Store) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -290,15 +292,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen := map[string]bool{}
-	var parts []string
+	var partitions []string
 	for k := range s.rows {
 		if k.Table == table && !seen[k.Partition] {
 			seen[k.Partition] = true
-			parts = append(parts, k.Partition)
+			partitions = append(partitions, k.Partition)
 		}
 	}
-	slices.Sort(parts)
-	return parts, nil
+	slices.Sort(partitions)
+	return partitions, nil
 }
 
 // Feed implements [store.Store].
@@ -327,6 +329,8 @@
 	}
 }
 
+// changesAfter returns the changes of a table after a version, and a channel that is closed
+// at the next change of any table.
 func (s *Store) changesAfter(table string, after store.Version) (store.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -349,7 +353,7 @@
 	return c, s.changed, nil
 }
 
-// sleep waits for d, or returns the error of ctx if that ends first.
+// sleep waits for d, or until ctx ends, whose error it returns then.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -13,7 +13,7 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// An OrderFault is the way in which one order to a worker fails.
+// An OrderFault is a way in which an order to a worker fails.
 type OrderFault uint8
 
 // The faults of an order.
@@ -21,57 +21,57 @@
 	OrderOK        OrderFault = iota
 	OrderLoseReply            // carried out, but the answer is lost
 	OrderDrop                 // lost before it is carried out
-	OrderLate                 // carried out after LateBy; the answer is lost
+	OrderLate                 // carried out after [Workers.LateBy]; the answer is lost
 )
 
 // minLateBy is the shortest delay of an [OrderLate] order.
 const minLateBy = 2 * time.Second
 
-// errNoReply is the error of an order whose answer is lost.
+// errNoReply is the error of an order that gets no answer.
 var errNoReply = errors.New("cellfake: no answer")
 
 // Workers are the workers of a cell. They check the orders that they receive and record
 // violations. They implement [leader.Workers].
 type Workers struct {
-	// Lease is the longest lease that a worker grants. RunResult returns the duration of a
-	// run and how it ends; nil means that each run is done after a second.
-	Lease     time.Duration
+	// Lease is the longest lease that a worker grants.
+	Lease time.Duration
+	// RunResult returns the duration of a run and how it ends; nil means that each run is
+	// done after a second.
 	RunResult func(r sched.RunID) (time.Duration, sched.EndKind)
 	// Fault chooses the fault of each order; nil means no faults.
 	Fault func(w spoolsill.WorkerID) OrderFault
-	// LateBy is the delay of [OrderLate] orders; it is at least 2 s, the shortest that the
-	// platform documents.
+	// LateBy is the delay of [OrderLate] orders. Orders are delayed by at least 2 s, the
+	// shortest delay that the platform documents.
 	LateBy time.Duration
-	// LateAtOnce delivers late orders for a former incarnation to the next one even
-	// before that has answered two renewals; otherwise such orders are dropped. The answer
-	// to the first renewal tells the leader of the new incarnation, so a fence that makes
-	// it refuse those orders can't arrive before the second.
+	// LateAtOnce delivers late orders for a former incarnation to the next one even before
+	// that one has answered two renewals. Otherwise orders are dropped until then: the
+	// leader learns of the new incarnation from the answer to the first renewal, so that
+	// only the second one can carry a fence that makes the worker refuse such orders.
 	LateAtOnce bool
-	// Flow returns the time between the first and the last byte of a worker's answer
-	// to a renewal; nil means none. It is called by several goroutines at once.
+	// Flow returns the time from the first to the last byte of a worker's answer to a
+	// renewal; nil means none. Calls may be concurrent.
 	Flow func(w spoolsill.WorkerID) time.Duration
-	// Delay returns the delay of the first byte of a worker's answer; nil means none.
-	// It is called by several goroutines at once.
+	// Delay returns the delay of the first byte of a worker's answer; nil means none. Calls
+	// may be concurrent.
 	Delay func(w spoolsill.WorkerID) time.Duration
-	// OnStartOrder, if not nil, is called for each start order with the lock of the Workers
+	// OnStartOrder, if not nil, is called for each start order, with the lock of the Workers
 	// held.
 	OnStartOrder func(o sched.StartOrder)
-	// Began, if not nil, is called for each run that starts with the lock of the
-	// Workers held. The remark is empty, or tells that the order was for a former
-	// incarnation.
+	// Began, if not nil, is called for each run that starts, with the lock of the Workers
+	// held. The remark is empty unless the order was sent to a former incarnation.
 	Began func(l spoolsill.WorkerIncarnation, r sched.RunID, remark string)
-	// Capacity is the number of runs that a worker can hold; a start beyond it is a
-	// violation. 0 means that this is not checked.
+	// Capacity is the number of runs that a worker can hold. A start beyond it is a
+	// violation; 0 means no check.
 	Capacity int
-	// CapacityGrace is for how long after a reduction a worker's former capacity still
-	// applies to the check.
+	// CapacityGrace is how long the check applies a worker's former capacity after a
+	// reduction.
 	CapacityGrace time.Duration
 	// Clock is the clock of the leaders; nil means the system's.
 	Clock *clock.Clock
-	// CrashAfter reports whether a run crashes its worker, and how long after its start;
-	// nil means that none does. OnCrash, if not nil, is called after each such crash with
-	// the runs that are lost.
-	CrashAfter func(r sched.RunID) (after time.Duration, crashes bool)
+	// CrashAfter returns whether a run crashes its worker, and how long after its start; nil
+	// means that none does. OnCrash, if not nil, is called after each such crash with the
+	// runs that are lost.
+	CrashAfter func(r sched.RunID) (delay time.Duration, crashes bool)
 	OnCrash    func(w spoolsill.WorkerID, lost []sched.RunID)
 
 	mu           sync.Mutex
@@ -83,22 +83,22 @@
 }
 
 type worker struct {
-	id           spoolsill.WorkerID
-	born         spoolsill.StartTime
-	clockStart   time.Time
-	unreachable  bool
-	capacity     capacityState
-	crashed      bool // this incarnation has ended
-	replaced     bool // another worker has its address
-	misdelivered bool // the order being carried out was sent to a former incarnation
-	answers      int  // renewals answered
-	fence        spoolsill.Epoch
-	deadline     sched.ClockMillis
-	running      map[sched.RunID]progress
-	highest      map[sched.TaskID]sched.RunNumber
-	ended        []sched.End
-	sequence     uint64
-	changed      chan struct{}
+	id               spoolsill.WorkerID
+	born             spoolsill.StartTime
+	clockStart       time.Time
+	unreachable      bool
+	capacity         capacityState
+	crashed          bool // this incarnation has ended
+	replaced         bool // another worker has its address
+	misdelivered     bool // the current order was sent to a former incarnation
+	renewalsAnswered int  // renewals answered
+	fence            spoolsill.Epoch
+	deadline         sched.ClockMillis
+	running          map[sched.RunID]activeRun
+	highestNumber    map[sched.TaskID]sched.RunNumber
+	ended            []sched.End
+	sequence         uint64
+	changed          chan struct{}
 }
 
 // NewWorkers returns workers with the given ids.
@@ -108,8 +108,8 @@
 		workers: map[spoolsill.WorkerID]*worker{},
 		done:    map[sched.TaskID]bool{},
 		crashTracker: crashTracker{
-			crashed: map[sched.TaskID]int{},
-			starts:  map[sched.TaskID]int{},
+			crashCounts: map[sched.TaskID]int{},
+			startCounts: map[sched.TaskID]int{},
 		},
 	}
 	for _, id := range ids {
@@ -129,16 +129,16 @@
 func newWorker(id spoolsill.WorkerID, clock time.Duration) *worker {
 	now := time.Now()
 	return &worker{
-		id:         id,
-		born:       spoolsill.StartTime(now.UnixMilli()),
-		clockStart: now.Add(-clock),
-		running:    map[sched.RunID]progress{},
-		highest:    map[sched.TaskID]sched.RunNumber{},
-		changed:    make(chan struct{}),
+		id:            id,
+		born:          spoolsill.StartTime(now.UnixMilli()),
+		clockStart:    now.Add(-clock),
+		running:       map[sched.RunID]activeRun{},
+		highestNumber: map[sched.TaskID]sched.RunNumber{},
+		changed:       make(chan struct{}),
 	}
 }
 
-func (w *worker) life() spoolsill.WorkerIncarnation {
+func (w *worker) incarnation() spoolsill.WorkerIncarnation {
 	return spoolsill.WorkerIncarnation{
 		Worker: w.id,
 		Born:   w.born,
@@ -148,8 +148,8 @@
 // clockStep is the difference between the clocks of workers added in turn.
 const clockStep = 17 * time.Minute
 
-// SetUnreachable makes a worker unreachable, or reachable again. Meanwhile its runs go on
-// until its lease expires.
+// SetUnreachable sets whether a worker is unreachable. The runs of an unreachable worker go
+// on until its lease expires.
 func (f *Workers) SetUnreachable(id spoolsill.WorkerID, unreachable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,14 +176,14 @@
 }
 
 // RunningOf returns how many runs are active of the jobs for which chosen returns true.
-func (f *Workers) RunningOf(chosen func(id spoolsill.JobID) bool) int {
+func (f *Workers) RunningOf(match func(id spoolsill.JobID) bool) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, w := range f.workers {
 		f.expireLease(w)
 		for r := range w.running {
-			if chosen(r.Task.Stage.Job) {
+			if match(r.Task.Stage.Job) {
 				n++
 			}
 		}
@@ -191,54 +191,57 @@
 	return n
 }
 
-// A progress is the start and the duration of a run.
-type progress struct {
-	began time.Time
-	took  time.Duration
+// An activeRun is a run that has not ended, with its start and its duration.
+type activeRun struct {
+	startTime time.Time
+	duration  time.Duration
 }
 
-func (p progress) percent() int {
-	return int(min(100*time.Since(p.began)/p.took, 100))
+func (a activeRun) percent() int {
+	return int(min(100*time.Since(a.startTime)/a.duration, 100))
 }
 
+// clock returns the time since the start of the worker's clock.
 func (w *worker) clock() sched.ClockMillis {
 	return sched.ClockMillis(time.Since(w.clockStart).Milliseconds())
 }
 
-// deliver applies the faults to an order. It returns the worker if the order is to be
-// carried out now and answered, and otherwise nil and the reply that the caller gets.
-func (f *Workers) deliver(ctx context.Context, id spoolsill.WorkerID, carryOut func(*worker)) (*worker, leader.Reply) {
+// deliver applies the faults to an order. It returns the worker if the caller has to execute
+// the order and answer it, and otherwise nil and the reply to the order.
+func (f *Workers) deliver(ctx context.Context, id spoolsill.WorkerID, execute func(*worker)) (*worker, leader.Reply) {
 	if err := sleep(ctx, time.Millisecond); err != nil {
 		return nil, noAnswer(err)
 	}
 	f.mu.Lock()
 	w := f.workers[id]
-	cut := w == nil || w.unreachable || w.crashed
+	lost := w == nil || w.unreachable || w.crashed
 	replaced := w != nil && w.replaced && !w.unreachable
 	f.mu.Unlock()
 	if replaced {
-		return nil, otherLifeReply()
+		return nil, otherIncarnationReply()
 	}
 	fault := OrderOK
 	if f.Fault != nil {
 		fault = f.Fault(id)
 	}
-	if cut {
+	if lost {
 		fault = OrderDrop
 	}
 	switch fault {
 	case OrderOK:
 		return w, leader.Reply{}
 	case OrderLoseReply:
-		f.withLock(w, carryOut)
+		f.withLock(w, execute)
 	case OrderLate:
-		time.AfterFunc(max(f.LateBy, minLateBy), func() { f.withCurrentLife(w, carryOut) })
+		time.AfterFunc(max(f.LateBy, minLateBy), func() { f.withCurrentIncarnation(w, execute) })
 	case OrderDrop:
 	}
 	<-ctx.Done()
 	return nil, noAnswer(errNoReply)
 }
 
+// withLock calls g with the lock held, once the runs of an expired lease have ended. It does
+// nothing for an incarnation that has crashed.
 func (f *Workers) withLock(w *worker, g func(*worker)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,15 +252,15 @@
 	g(w)
 }
 
-// withCurrentLife calls g like withLock, for a late order: with the current incarnation of
-// the worker, which may be another one than the order was sent to.
-func (f *Workers) withCurrentLife(sentTo *worker, g func(*worker)) {
+// withCurrentIncarnation is like withLock for a late order. It calls g with the current
+// incarnation of the worker, which may be another one than the order was sent to.
+func (f *Workers) withCurrentIncarnation(sentTo *worker, g func(*worker)) {
 	f.mu.Lock()
-	now := f.workers[sentTo.id]
+	current := f.workers[sentTo.id]
 	f.mu.Unlock()
-	f.withLock(now, func(w *worker) {
+	f.withLock(current, func(w *worker) {
 		w.misdelivered = w != sentTo
-		if w.misdelivered && w.answers < 2 && !f.LateAtOnce {
+		if w.misdelivered && w.renewalsAnswered < 2 && !f.LateAtOnce {
 			return
 		}
 		defer func() { w.misdelivered = false }()
@@ -275,6 +278,7 @@
 	}
 }
 
+// endRun ends an active run, so that the worker reports its end until that is acknowledged.
 func (f *Workers) endRun(w *worker, r sched.RunID, k sched.EndKind) {
 	if _, ok := w.running[r]; !ok {
 		return
@@ -299,7 +303,7 @@
 	return true
 }
 
-func (f *Workers) fenced(w *worker) leader.Reply {
+func (f *Workers) fencedReply(w *worker) leader.Reply {
 	return leader.Reply{
 		Kind:  leader.Fenced,
 		Clock: w.clock(),
@@ -311,38 +315,38 @@
 func (f *Workers) Renew(ctx context.Context, r leader.Renewal) (sched.Heartbeat, leader.Reply) {
 	sent := f.Clock.Now()
 	renew := func(w *worker) { f.renew(w, r) }
-	begin, cancel := withReplyDeadline(ctx, r.Wait, r.Timeout)
+	replyCtx, cancel := withReplyDeadline(ctx, r.Wait, r.Timeout)
 	defer cancel()
-	w, reply := f.deliver(begin, r.Worker, renew)
+	w, reply := f.deliver(replyCtx, r.Worker, renew)
 	if w == nil {
 		return sched.Heartbeat{}, reply
 	}
 	f.withLock(w, renew)
-	f.waitForEnd(begin, w, r)
-	if begin.Err() != nil {
-		return sched.Heartbeat{}, noAnswer(begin.Err())
+	f.waitForEnd(replyCtx, w, r)
+	if replyCtx.Err() != nil {
+		return sched.Heartbeat{}, noAnswer(replyCtx.Err())
 	}
 	h, reply := f.heartbeat(w, r, sent)
-	if err := f.delayReply(begin, w, f.Delay); err != nil {
+	if err := f.delayReply(replyCtx, w, f.Delay); err != nil {
 		return sched.Heartbeat{}, noAnswer(err)
 	}
 	if err := f.delayReply(ctx, w, f.Flow); err != nil {
 		return sched.Heartbeat{}, noAnswer(err)
 	}
-	f.withLock(w, func(w *worker) { w.answers++ })
+	f.withLock(w, func(w *worker) { w.renewalsAnswered++ })
 	return h, reply
 }
 
 // delayReply waits for the delay of a worker's answer, unless ctx ends first.
-func (f *Workers) delayReply(ctx context.Context, w *worker, takes func(spoolsill.WorkerID) time.Duration) error {
-	if takes == nil {
+func (f *Workers) delayReply(ctx context.Context, w *worker, delay func(spoolsill.WorkerID) time.Duration) error {
+	if delay == nil {
 		return nil
 	}
-	return sleep(ctx, takes(w.id))
+	return sleep(ctx, delay(w.id))
 }
 
-// withReplyDeadline returns a context that ends when the answer to a call must have begun:
-// the timeout counts from the end of the wait that the call asks for, 0 means none.
+// withReplyDeadline returns a context that ends when the answer to a call must have begun.
+// The timeout starts after the wait that the call asks for; 0 means no timeout.
 func withReplyDeadline(ctx context.Context, wait, timeout time.Duration) (context.Context, context.CancelFunc) {
 	if timeout == 0 {
 		return context.WithCancel(ctx)
@@ -357,7 +361,7 @@
 	}
 }
 
-// heartbeat returns the current answer of a worker to a renewal.
+// heartbeat returns the answer of a worker to a renewal.
 func (f *Workers) heartbeat(w *worker, r leader.Renewal, sent time.Time) (sched.Heartbeat, leader.Reply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -365,19 +369,19 @@
 		return sched.Heartbeat{}, noAnswer(errNoReply)
 	}
 	if r.Fence < w.fence {
-		return sched.Heartbeat{}, f.fenced(w)
+		return sched.Heartbeat{}, f.fencedReply(w)
 	}
 	f.expireLease(w)
 	h := sched.Heartbeat{
-		WorkerIncarnation: w.life(),
+		WorkerIncarnation: w.incarnation(),
 		Sent:              sent,
 		Clock:             w.clock(),
 		Ended:             append([]sched.End(nil), w.ended...),
 	}
-	for x, p := range w.running {
+	for id, a := range w.running {
 		h.Running = append(h.Running, sched.RunningTask{
-			Run:     x,
-			Percent: p.percent(),
+			Run:     id,
+			Percent: a.percent(),
 		})
 	}
 	return h, leader.Reply{
@@ -386,12 +390,13 @@
 	}
 }
 
+// renew carries out a renewal: it extends the lease and drops the acknowledged ends.
 func (f *Workers) renew(w *worker, r leader.Renewal) {
 	if !w.acceptFence(r.Fence) {
 		return
 	}
-	most := w.clock() + sched.ClockMillis(f.Lease.Milliseconds())
-	w.deadline = max(w.deadline, min(r.Deadline, most))
+	latest := w.clock() + sched.ClockMillis(f.Lease.Milliseconds())
+	w.deadline = max(w.deadline, min(r.Deadline, latest))
 	for len(w.ended) > 0 && w.ended[0].Sequence <= r.LastAcked {
 		if w.ended[0].Kind == sched.EndDone {
 			f.done[w.ended[0].Run.Task] = true
@@ -400,12 +405,14 @@
 	}
 }
 
+// waitForEnd waits until the worker has an end to report, for at most as long as the renewal
+// asks for.
 func (f *Workers) waitForEnd(ctx context.Context, w *worker, r leader.Renewal) {
 	f.mu.Lock()
 	changed := w.changed
-	any := len(w.ended) > 0
+	hasEnds := len(w.ended) > 0
 	f.mu.Unlock()
-	if any || r.Wait == 0 {
+	if hasEnds || r.Wait == 0 {
 		return
 	}
 	t := time.NewTimer(r.Wait)
@@ -423,9 +430,9 @@
 	defer cancel()
 	reply := noAnswer(errNoReply)
 	start := func(w *worker) { reply = f.start(w, o) }
-	w, lost := f.deliver(ctx, o.Worker, start)
+	w, faultReply := f.deliver(ctx, o.Worker, start)
 	if w == nil {
-		return lost
+		return faultReply
 	}
 	f.withLock(w, start)
 	if err := f.delayReply(ctx, w, f.Delay); err != nil {
@@ -440,7 +447,7 @@
 	}
 	k := f.startKind(w, o)
 	if k == leader.Fenced {
-		return f.fenced(w)
+		return f.fencedReply(w)
 	}
 	w.deadline = max(w.deadline, min(o.Deadline, w.clock()+sched.ClockMillis(f.Lease.Milliseconds())))
 	return leader.Reply{
@@ -449,6 +456,7 @@
 	}
 }
 
+// startKind carries out a start order, and returns the kind of its reply.
 func (f *Workers) startKind(w *worker, o leader.Start) leader.ReplyKind {
 	if !w.acceptFence(o.Fence) {
 		return leader.Fenced
@@ -460,50 +468,51 @@
 	if _, ok := w.running[r]; ok {
 		return leader.Accepted
 	}
-	if w.highest[r.Task] >= r.Number {
+	if w.highestNumber[r.Task] >= r.Number {
 		return leader.RunEnded
 	}
-	w.highest[r.Task] = r.Number
+	w.highestNumber[r.Task] = r.Number
 	f.startRun(w, r)
 	return leader.Accepted
 }
 
+// startRun starts a run, and records the violations of guarantees by the start.
 func (f *Workers) startRun(w *worker, r sched.RunID) {
 	f.starts++
 	if f.Began != nil {
-		f.Began(w.life(), r, w.lateOrderRemark())
+		f.Began(w.incarnation(), r, w.lateOrderRemark())
 	}
-	f.checkCrashStarts(w, r)
+	f.checkStartAfterCrashes(w, r)
 	if f.done[r.Task] {
 		f.violations = append(f.violations, fmt.Sprintf("%s#%d started after its end was acknowledged%s", r.Task, r.Number, w.lateOrderRemark()))
 	}
-	for _, o := range f.workers {
-		f.expireLease(o)
-		for x := range o.running {
-			if x.Task == r.Task {
-				f.violations = append(f.violations, fmt.Sprintf("%s runs at %s as #%d and at %s as #%d%s", r.Task, o.id, x.Number, w.id, r.Number, w.lateOrderRemark()))
+	for _, other := range f.workers {
+		f.expireLease(other)
+		for otherRun := range other.running {
+			if otherRun.Task == r.Task {
+				f.violations = append(f.violations, fmt.Sprintf("%s runs at %s as #%d and at %s as #%d%s", r.Task, other.id, otherRun.Number, w.id, r.Number, w.lateOrderRemark()))
 			}
 		}
 	}
 	if f.Capacity > 0 && len(w.running) >= w.capacity.allowed(f.Capacity, f.CapacityGrace) {
-		f.violations = append(f.violations, fmt.Sprintf("%s#%d started at %s, which has no room", r.Task, r.Number, w.id))
+		f.violations = append(f.violations, fmt.Sprintf("%s#%d started at %s, which is at capacity", r.Task, r.Number, w.id))
 	}
-	took, kind := time.Second, sched.EndDone
+	duration, kind := time.Second, sched.EndDone
 	if f.RunResult != nil {
-		took, kind = f.RunResult(r)
+		duration, kind = f.RunResult(r)
 	}
-	w.running[r] = progress{
-		began: time.Now(),
-		took:  took,
+	w.running[r] = activeRun{
+		startTime: time.Now(),
+		duration:  duration,
 	}
-	time.AfterFunc(took, func() {
+	time.AfterFunc(duration, func() {
 		f.withLock(w, func(w *worker) { f.endRun(w, r, kind) })
 	})
 	f.scheduleCrash(w, r)
 }
 
-// lateOrderRemark describes an order that was sent to a former incarnation; it is empty for
-// any other order.
+// lateOrderRemark returns a remark on the current order if that was sent to a former
+// incarnation, and otherwise an empty string.
 func (w *worker) lateOrderRemark() string {
 	if !w.misdelivered {
 		return ""
@@ -522,15 +531,15 @@
 			Clock: w.clock(),
 		}
 		if !w.acceptFence(o.Fence) {
-			reply = f.fenced(w)
+			reply = f.fencedReply(w)
 			return
 		}
-		w.highest[o.Run.Task] = max(w.highest[o.Run.Task], o.Run.Number)
+		w.highestNumber[o.Run.Task] = max(w.highestNumber[o.Run.Task], o.Run.Number)
 		f.endRun(w, o.Run, sched.EndStopped)
 	}
-	w, lost := f.deliver(ctx, o.Worker, stop)
+	w, faultReply := f.deliver(ctx, o.Worker, stop)
 	if w == nil {
-		return lost
+		return faultReply
 	}
 	f.withLock(w, stop)
 	if err := f.delayReply(ctx, w, f.Delay); err != nil {
--- a/internal/fault/doc.go
+++ b/internal/fault/doc.go
@@ -4,11 +4,11 @@
 // and workers.
 //
 // A seed determines a [Schedule]: the kind, target, start and duration of each
-// failure. Callers, operators, runners and workers use random sources of their
-// own that are derived from the seed. Runs of the same seed can still differ in
-// the order in which goroutines that are runnable at the same time execute, in
-// map iteration order, in the host that first acquires a hall's lease, and in
-// the random choices of the hosts (retry delays, polls, heartbeats, order of
-// peers). The result of a run that violated a guarantee therefore contains the
-// schedule, so that it can be run again until the violation recurs.
+// failure. Callers, operators, runners and workers use separate random sources
+// that are derived from the seed. Runs of the same seed can still differ in the
+// order in which runnable goroutines execute, in map iteration order, in which
+// host first acquires a hall's lease, and in the random choices of the hosts
+// (retry delays, polls, heartbeats, order of peers). The result of a run that
+// violated a guarantee therefore contains the schedule, so that it can be run
+// again until the violation recurs.
 package fault
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -13,11 +13,11 @@
 	"github.com/spoolsill/spoolsill/timeline"
 )
 
-// sequences is the number of random schedules that CI runs.
-const sequences = 32
+// scheduleCount is the number of random schedules that CI runs.
+const scheduleCount = 32
 
-func TestPromisesHoldUnderRandomFailures(t *testing.T) {
-	n := sequences
+func TestGuaranteesHoldUnderRandomFailures(t *testing.T) {
+	n := scheduleCount
 	if testing.Short() {
 		n = 4
 	}
@@ -53,11 +53,11 @@
 // maxSeeds bounds the search for a schedule that violates a guarantee.
 const maxSeeds = 200
 
-// TestDisabledMechanismsBreakPromises disables one mechanism at a time: some schedule
+// TestDisabledMechanismsViolateGuarantees disables one mechanism at a time: some schedule
 // must then violate a guarantee. Mechanisms that take hundreds of schedules to
 // detect are left to "spoolsill bench fault --break" and to the property tests of
 // packages lease and config; docs/PROMISES.md lists them.
-func TestDisabledMechanismsBreakPromises(t *testing.T) {
+func TestDisabledMechanismsViolateGuarantees(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs many schedules")
 	}
@@ -94,15 +94,15 @@
 			},
 		},
 	}
-	for _, x := range tests {
-		t.Run(x.name, func(t *testing.T) {
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range maxSeeds {
 				var r fault.Result
 				synctest.Test(t, func(*testing.T) {
 					r = fault.Run(fault.Config{
 						Seed:  uint64(seed),
-						Break: x.breaks,
+						Break: tt.breaks,
 					})
 				})
 				if len(r.Cases) > 0 {
--- a/internal/fault/inject.go
+++ b/internal/fault/inject.go
@@ -45,9 +45,9 @@
 // injectFailures starts each failure of the schedule at its time and returns
 // after the configured duration. Failures may overlap.
 func (sim *simulation) injectFailures(ctx context.Context) {
-	began := time.Now()
+	start := time.Now()
 	for _, s := range sim.schedule.Steps {
-		pause.For(ctx, time.Until(began.Add(time.Duration(s.At))))
+		pause.For(ctx, time.Until(start.Add(time.Duration(s.At))))
 		if ctx.Err() != nil {
 			return
 		}
@@ -57,7 +57,7 @@
 			sim.inject(ctx, s)
 		}()
 	}
-	pause.For(ctx, time.Until(began.Add(sim.config.Duration)))
+	pause.For(ctx, time.Until(start.Add(sim.config.Duration)))
 }
 
 // inject injects the failure of a step and ends it after its duration.
@@ -75,7 +75,7 @@
 	sim.recordEvent("failure ends: " + s.Kind)
 }
 
-// recordEvent adds a fault event to the timeline of the first host.
+// recordEvent adds a fault event to the timeline of the first host of the fleet.
 func (sim *simulation) recordEvent(text string) {
 	sim.fleet.Host(0).Ring().Add(timeline.Event{
 		Kind: timeline.KindFault,
@@ -139,11 +139,11 @@
 
 // measureRecovery records how long a hall is without a holder.
 func (sim *simulation) measureRecovery(ctx context.Context, kind string, hall spoolsill.HallID) {
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
 		if _, ok := sim.fleet.Holder(hall); ok {
 			sim.mu.Lock()
-			sim.result.Recovery[kind] = append(sim.result.Recovery[kind], time.Since(began))
+			sim.result.Recovery[kind] = append(sim.result.Recovery[kind], time.Since(start))
 			sim.mu.Unlock()
 			return
 		}
@@ -151,15 +151,17 @@
 	}
 }
 
+// killHost kills a host, whose memory is lost, and returns a function that restarts it.
 func (sim *simulation) killHost(i int) func() {
 	sim.operator.markLost(i)
 	sim.fleet.Kill(i)
 	return func() { sim.restartHost(i) }
 }
 
+// restartHost starts a host again. A host that can't restart is a violation.
 func (sim *simulation) restartHost(i int) {
 	if err := sim.fleet.Restart(i); err != nil {
-		sim.cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s can't restart: %s", sim.fleet.HostID(i), err)
+		sim.cell.Truth.RecordViolation(standin.InvariantPlannedStop, "host %s could not be restarted: %s", sim.fleet.HostID(i), err)
 	}
 }
 
@@ -198,6 +200,7 @@
 	return func() { sim.restartHost(i) }
 }
 
+// pauseNode suspends the network connections of a node.
 func (sim *simulation) pauseNode(name string) func() {
 	sim.cell.Network.SetPaused(name, true)
 	return func() { sim.cell.Network.SetPaused(name, false) }
@@ -220,6 +223,7 @@
 	return sim.pauseHost(i)
 }
 
+// pauseHost pauses a host, which then counts as lost if the platform is unresponsive.
 func (sim *simulation) pauseHost(i int) func() {
 	sim.markLostIfUnresponsive(i)
 	return sim.pauseNode(string(sim.fleet.HostID(i)))
@@ -248,7 +252,8 @@
 	return func() {}
 }
 
-func (sim *simulation) cut(pairs ...[2]string) func() {
+// partition cuts the connections between pairs of nodes or places.
+func (sim *simulation) partition(pairs ...[2]string) func() {
 	for _, p := range pairs {
 		sim.cell.Network.SetPartitioned(p[0], p[1], true)
 	}
@@ -260,38 +265,38 @@
 }
 
 func hallCutFromPlatform(_ context.Context, sim *simulation, s Step) func() {
-	return sim.cut([2]string{string(halls[s.Hall]), standin.PlatformPlace})
+	return sim.partition([2]string{string(halls[s.Hall]), standin.PlatformPlace})
 }
 
 func hallCutOff(_ context.Context, sim *simulation, _ Step) func() {
 	h := string(halls[0])
-	return sim.cut([2]string{h, string(halls[1])}, [2]string{h, standin.PlatformPlace})
+	return sim.partition([2]string{h, string(halls[1])}, [2]string{h, standin.PlatformPlace})
 }
 
 func hostCutFromPlatform(_ context.Context, sim *simulation, s Step) func() {
-	return sim.cut([2]string{string(sim.fleet.HostID(s.Host)), standin.PlatformPlace})
+	return sim.partition([2]string{string(sim.fleet.HostID(s.Host)), standin.PlatformPlace})
 }
 
 // hostCutFromHost cuts the connection between the two hosts of a hall.
 func hostCutFromHost(_ context.Context, sim *simulation, s Step) func() {
 	i := s.Hall * hostsPerHall
 	sim.markLostIfUnresponsive(i)
-	return sim.cut([2]string{string(sim.fleet.HostID(i)), string(sim.fleet.HostID(i + 1))})
+	return sim.partition([2]string{string(sim.fleet.HostID(i)), string(sim.fleet.HostID(i + 1))})
 }
 
 func (sim *simulation) worker(s Step) spoolsill.WorkerID {
-	l := sim.cell.Platform.Members().Workers
-	return l[s.Machine%len(l)].ID
+	workers := sim.cell.Platform.Members().Workers
+	return workers[s.Machine%len(workers)].ID
 }
 
 func (sim *simulation) runner(s Step) spoolsill.RunnerID {
-	l := sim.cell.Platform.Members().Runners
-	return l[s.Machine%len(l)].ID
+	runners := sim.cell.Platform.Members().Runners
+	return runners[s.Machine%len(runners)].ID
 }
 
 func workerCut(_ context.Context, sim *simulation, s Step) func() {
 	id := sim.worker(s)
-	return sim.cut([2]string{string(id), string(halls[0])}, [2]string{string(id), string(halls[1])})
+	return sim.partition([2]string{string(id), string(halls[0])}, [2]string{string(id), string(halls[1])})
 }
 
 func workerPauses(_ context.Context, sim *simulation, s Step) func() {
@@ -299,18 +304,18 @@
 }
 
 func workerFails(_ context.Context, sim *simulation, s Step) func() {
-	x := sim.cell.Workers[sim.worker(s)]
-	x.FailAll(true)
-	return func() { x.FailAll(false) }
+	w := sim.cell.Workers[sim.worker(s)]
+	w.FailAll(true)
+	return func() { w.FailAll(false) }
 }
 
 func runnerFails(_ context.Context, sim *simulation, s Step) func() {
-	x := sim.cell.Runners[sim.runner(s)]
-	x.FailAll(true)
-	return func() { x.FailAll(false) }
+	r := sim.cell.Runners[sim.runner(s)]
+	r.FailAll(true)
+	return func() { r.FailAll(false) }
 }
 
 func runnerCut(_ context.Context, sim *simulation, s Step) func() {
 	id := sim.runner(s)
-	return sim.cut([2]string{string(id), string(halls[0])}, [2]string{string(id), string(halls[1])})
+	return sim.partition([2]string{string(id), string(halls[0])}, [2]string{string(id), string(halls[1])})
 }
--- a/internal/fault/operator.go
+++ b/internal/fault/operator.go
@@ -14,8 +14,8 @@
 	"github.com/spoolsill/spoolsill/internal/standin"
 )
 
-// An unsavedJob is a job that may exist only in the memory of its hall's hosts,
-// with the hosts that have been lost since it was confirmed.
+// An unsavedJob is a job that may exist only in the memory of its hall's hosts.
+// It includes the hosts that were lost since the job was confirmed.
 type unsavedJob struct {
 	hall      spoolsill.HallID
 	lostHosts map[int]bool
@@ -53,6 +53,7 @@
 	o.client.HTTPClient.CloseIdleConnections()
 }
 
+// run submits and cancels jobs and changes the configuration until ctx ends.
 func (o *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch o.random.IntN(8) {
@@ -90,14 +91,14 @@
 func (o *operator) submit(ctx context.Context) {
 	hall := halls[o.random.IntN(len(halls))]
 	id, text := o.newJob(hall)
-	p, err := o.client.Plan(ctx, api.PlanRequest{
+	plan, err := o.client.Plan(ctx, api.PlanRequest{
 		Hall:   hall,
 		Submit: text,
 	})
 	if err != nil {
 		return
 	}
-	o.confirm(ctx, id, hall, p.ID)
+	o.confirm(ctx, id, hall, plan.ID)
 }
 
 // submitConcurrently makes two plans that compete for the same capacity and
@@ -107,7 +108,7 @@
 	var wg sync.WaitGroup
 	for range 2 {
 		id, text := o.newJob(hall)
-		p, err := o.client.Plan(ctx, api.PlanRequest{
+		plan, err := o.client.Plan(ctx, api.PlanRequest{
 			Hall:   hall,
 			Submit: text,
 		})
@@ -118,7 +119,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				o.confirm(ctx, id, hall, p.ID)
+				o.confirm(ctx, id, hall, plan.ID)
 			}()
 		}
 	}
@@ -130,13 +131,13 @@
 func (o *operator) confirm(ctx context.Context, id spoolsill.JobID, hall spoolsill.HallID, plan spoolsill.PlanID) {
 	for range 4 {
 		err := o.client.Confirm(ctx, hall, plan)
-		var r *api.StatusError
+		var statusErr *api.StatusError
 		switch {
 		case err == nil:
 			o.add(o.confirmed, id)
 			o.trackUnsaved(id, hall)
 			return
-		case errors.As(err, &r) && r.Code == "stale":
+		case errors.As(err, &statusErr) && statusErr.Code == "stale":
 			o.add(o.refused, id)
 			return
 		}
@@ -165,42 +166,44 @@
 func (o *operator) markLost(i int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, m := range o.unsaved {
-		if m.hall == o.sim.fleet.Hall(i) {
-			m.lostHosts[i] = true
+	for _, job := range o.unsaved {
+		if job.hall == o.sim.fleet.Hall(i) {
+			job.lostHosts[i] = true
 		}
 	}
 }
 
-func (o *operator) add(m map[spoolsill.JobID]bool, id spoolsill.JobID) {
+// add adds a job to a set that is guarded by mu.
+func (o *operator) add(set map[spoolsill.JobID]bool, id spoolsill.JobID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	m[id] = true
+	set[id] = true
 }
 
+// cancel cancels a random job of a random hall.
 func (o *operator) cancel(ctx context.Context) {
 	hall := halls[o.random.IntN(len(halls))]
-	l, err := o.client.Jobs(ctx, hall)
-	if err != nil || len(l.Jobs) == 0 {
+	jobs, err := o.client.Jobs(ctx, hall)
+	if err != nil || len(jobs.Jobs) == 0 {
 		return
 	}
-	p, err := o.client.Plan(ctx, api.PlanRequest{
+	plan, err := o.client.Plan(ctx, api.PlanRequest{
 		Hall:   hall,
-		Cancel: []spoolsill.JobID{l.Jobs[o.random.IntN(len(l.Jobs))].ID},
+		Cancel: []spoolsill.JobID{jobs.Jobs[o.random.IntN(len(jobs.Jobs))].ID},
 	})
 	if err != nil {
 		return
 	}
-	_ = o.client.Confirm(ctx, hall, p.ID)
+	_ = o.client.Confirm(ctx, hall, plan.ID)
 }
 
 func (o *operator) changeConfig(ctx context.Context) {
-	r, err := o.client.Config(ctx)
+	current, err := o.client.Config(ctx)
 	if err != nil {
 		return
 	}
-	a, err := o.client.PutConfig(ctx, api.PutConfigRequest{
-		BaseVersion: r.Version,
+	accepted, err := o.client.PutConfig(ctx, api.PutConfigRequest{
+		BaseVersion: current.Version,
 		Author:      "operator",
 		Text:        fmt.Sprintf("caller_rate_per_second = %d\n", 1000+o.random.IntN(1000)),
 	})
@@ -209,7 +212,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.newestConfig = max(o.newestConfig, a.Version)
+	o.newestConfig = max(o.newestConfig, accepted.Version)
 }
 
 // newestConfigVersion returns the highest configuration version that was
@@ -224,33 +227,33 @@
 // all hosts of their hall, that no cancelled job has a running task, and that
 // no job of a plan refused as stale is known.
 func (o *operator) checkJobs(ctx context.Context) error {
-	l, err := o.client.Jobs(ctx, "")
+	jobs, err := o.client.Jobs(ctx, "")
 	if err != nil {
 		return err
 	}
 	known := map[spoolsill.JobID]api.Job{}
-	for _, j := range l.Jobs {
-		known[j.ID] = j
+	for _, job := range jobs.Jobs {
+		known[job.ID] = job
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id := range o.confirmed {
-		j, ok := known[id]
+		job, ok := known[id]
 		if !ok && len(o.unsaved[id].lostHosts) == hostsPerHall {
 			o.sim.result.LostWithHall++
 			continue
 		}
 		if !ok {
-			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was confirmed and is not known", id)
+			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was confirmed but is not known", id)
 			continue
 		}
-		if j.Cancelled && j.States[spoolsill.TaskRunning] > 0 {
-			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was cancelled and runs: %v", id, j.States)
+		if job.Cancelled && job.States[spoolsill.TaskRunning] > 0 {
+			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was cancelled but is running: %v", id, job.States)
 		}
 	}
 	for id := range o.refused {
 		if _, ok := known[id]; ok && !o.confirmed[id] {
-			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "job %s was refused as stale and is known", id)
+			o.sim.cell.Truth.RecordViolation(standin.InvariantDurability, "the plan of job %s was refused as stale, but the job is known", id)
 		}
 	}
 	return nil
--- a/internal/fault/run.go
+++ b/internal/fault/run.go
@@ -40,9 +40,9 @@
 // A Result is the outcome of a run.
 type Result struct {
 	Schedule   Schedule
-	Faults     map[string]int
+	Faults     map[string]int // number of injected failures by kind
 	Violations map[standin.Invariant]int
-	Cases      []string
+	Cases      []string // descriptions of violations
 	Done       int64
 	NotRun     int64
 	Unknown    int64
@@ -222,7 +222,7 @@
 		}()
 	}
 	for i := range callerCount {
-		startLoad(func(work context.Context) { sim.runCaller(ctx, work, i) })
+		startLoad(func(callerCtx context.Context) { sim.runCaller(ctx, callerCtx, i) })
 	}
 	startLoad(sim.operator.run)
 	sim.injectFailures(ctx)
@@ -264,7 +264,7 @@
 	for ctx.Err() == nil {
 		for id, v := range sim.fleet.ConfigVersions() {
 			if v < last[id] && v != 0 {
-				sim.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s goes from configuration %d back to %d", id, last[id], v)
+				sim.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s reverted from configuration %d to %d", id, last[id], v)
 			}
 			last[id] = v
 		}
@@ -287,7 +287,7 @@
 	newest := sim.operator.newestConfigVersion()
 	for id, v := range sim.fleet.ConfigVersions() {
 		if v < newest {
-			sim.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s has configuration %d, %d was accepted", id, v, newest)
+			sim.cell.Truth.RecordViolation(standin.InvariantConfig, "host %s has configuration %d, but %d was accepted", id, v, newest)
 		}
 	}
 	return sim.operator.checkJobs(ctx)
--- a/internal/fault/schedule.go
+++ b/internal/fault/schedule.go
@@ -97,10 +97,10 @@
 func (s Schedule) Jitter(seed uint64, by time.Duration) Schedule {
 	r := rand.New(rand.NewPCG(seed, jitterStream))
 	var out Schedule
-	for _, x := range s.Steps {
-		x.At = settings.Duration(max(0, time.Duration(x.At)+randomDuration(r, -by, by)))
-		x.Duration = x.Duration/2 + settings.Duration(randomDuration(r, 0, time.Duration(x.Duration)))
-		out.Steps = append(out.Steps, x)
+	for _, step := range s.Steps {
+		step.At = settings.Duration(max(0, time.Duration(step.At)+randomDuration(r, -by, by)))
+		step.Duration = step.Duration/2 + settings.Duration(randomDuration(r, 0, time.Duration(step.Duration)))
+		out.Steps = append(out.Steps, step)
 	}
 	out.sort()
 	return out
@@ -119,8 +119,8 @@
 	if err := d.Decode(&s); err != nil {
 		return Schedule{}, fmt.Errorf("fault: schedule: %w", err)
 	}
-	for i, x := range s.Steps {
-		if err := x.validate(); err != nil {
+	for i, step := range s.Steps {
+		if err := step.validate(); err != nil {
 			return Schedule{}, fmt.Errorf("fault: schedule: step %d: %w", i+1, err)
 		}
 	}
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -69,7 +69,8 @@
 	}
 }
 
-func (b *Balancer) pick() (string, bool) {
+// pickReady returns the address of a random ready host, or false if there is none.
+func (b *Balancer) pickReady() (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.ready) == 0 {
@@ -78,6 +79,7 @@
 	return b.ready[rand.IntN(len(b.ready))], true
 }
 
+// probe reports whether a host answers a readiness probe with status 200.
 func (b *Balancer) probe(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 	defer cancel()
@@ -173,18 +175,19 @@
 	case last == spoolsill.OutcomeDone:
 		c.Done.Add(1)
 		if runs == 0 {
-			c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s is done and never ran", req.key)
+			c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s was reported as done but never ran", req.key)
 		}
 	case mayHaveRun:
 		c.Unknown.Add(1)
 	default:
 		c.NotRun.Add(1)
 		if runs > 0 {
-			c.truth.RecordViolation(standin.InvariantNotRun, "request %s is called not run and ran %d times", req.key, runs)
+			c.truth.RecordViolation(standin.InvariantNotRun, "request %s was reported as not run but ran %d times", req.key, runs)
 		}
 	}
 }
 
+// A request is a request of a caller, which keeps its key over all attempts.
 type request struct {
 	key          spoolsill.RequestKey
 	unrepeatable bool
@@ -197,12 +200,12 @@
 
 // attempt sends a request once and returns its outcome.
 func (c *Callers) attempt(ctx context.Context, req request) spoolsill.Outcome {
-	to, ok := c.balancer.pick()
+	address, ok := c.balancer.pickReady()
 	if !ok {
 		return spoolsill.OutcomeNotRun
 	}
 	c.Attempts.Add(1)
-	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+"/v1/call/"+string(c.fleet.config.Service.ID)+"/mark", bytes.NewReader(req.body))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/call/"+string(c.fleet.config.Service.ID)+"/mark", bytes.NewReader(req.body))
 	if err != nil {
 		return spoolsill.OutcomeNotRun
 	}
@@ -217,12 +220,12 @@
 	}
 	resp, err := c.client.Do(httpReq)
 	if err != nil {
-		return c.classifyError(ctx, to, req, err)
+		return c.classifyError(ctx, address, req, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return c.classifyError(ctx, to, req, err)
+		return c.classifyError(ctx, address, req, err)
 	}
 	return c.checkResponse(req, resp, body)
 }
@@ -230,17 +233,18 @@
 // classifyError returns the outcome of a request that failed with a transport
 // error. If the connection could not be established, the request did not run. It
 // reports a violation if a planned stop of the host cut the request off.
-func (c *Callers) classifyError(ctx context.Context, to string, req request, err error) spoolsill.Outcome {
+func (c *Callers) classifyError(ctx context.Context, address string, req request, err error) spoolsill.Outcome {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return spoolsill.OutcomeNotRun
 	}
-	if ctx.Err() == nil && c.stoppedAsPlanned(to) {
+	if ctx.Err() == nil && c.stoppedAsPlanned(address) {
 		c.truth.RecordViolation(standin.InvariantPlannedStop, "request %s was cut off by a planned stop: %s", req.key, err)
 	}
 	return spoolsill.OutcomeUnknown
 }
 
+// stoppedAsPlanned reports whether a planned stop of the host at an address has begun.
 func (c *Callers) stoppedAsPlanned(address string) bool {
 	all, states := c.fleet.States()
 	for i, a := range all {
@@ -251,6 +255,8 @@
 	return false
 }
 
+// checkResponse returns the outcome of a request according to the response, and
+// reports a violation if it has a wrong body or no outcome.
 func (c *Callers) checkResponse(req request, resp *http.Response, body []byte) spoolsill.Outcome {
 	outcome := spoolsill.Outcome(resp.Header.Get(entry.HeaderOutcome))
 	switch outcome {
@@ -260,7 +266,7 @@
 		}
 	case spoolsill.OutcomeNotRun, spoolsill.OutcomeUnknown:
 	default:
-		c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s got an answer without outcome: status %d", req.key, resp.StatusCode)
+		c.truth.RecordViolation(standin.InvariantWholeAnswer, "request %s got an answer without an outcome: status %d", req.key, resp.StatusCode)
 		return spoolsill.OutcomeUnknown
 	}
 	return outcome
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -142,6 +142,7 @@
 	return s, listeners, nil
 }
 
+// hostNode returns the network node of a host.
 func hostNode(id spoolsill.HostID, hall spoolsill.HallID) standin.Node {
 	return standin.Node{
 		Name:  string(id),
@@ -149,6 +150,7 @@
 	}
 }
 
+// startHost starts a new incarnation of a host.
 func (f *Fleet) startHost(m *managedHost, httpListener, peerListener net.Listener) {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
@@ -213,6 +215,7 @@
 	<-m.done
 }
 
+// setState sets the state of the host with index i and returns the host.
 func (f *Fleet) setState(i int, s State) *managedHost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -236,12 +239,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.hosts[i]
-	at := hostNode(m.settings.Host.ID, m.settings.OwnHall().ID)
-	httpListener, err := f.config.Cell.Network.Listen(at, m.settings.Host.HTTPAddress)
+	node := hostNode(m.settings.Host.ID, m.settings.OwnHall().ID)
+	httpListener, err := f.config.Cell.Network.Listen(node, m.settings.Host.HTTPAddress)
 	if err != nil {
 		return err
 	}
-	peerListener, err := f.config.Cell.Network.Listen(at, m.settings.Host.PeerAddress)
+	peerListener, err := f.config.Cell.Network.Listen(node, m.settings.Host.PeerAddress)
 	if err != nil {
 		_ = httpListener.Close()
 		return err
@@ -265,13 +268,13 @@
 func (f *Fleet) States() ([]string, []State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var a []string
-	var s []State
+	var addresses []string
+	var states []State
 	for _, m := range f.hosts {
-		a = append(a, m.settings.Host.HTTPAddress)
-		s = append(s, m.state)
+		addresses = append(addresses, m.settings.Host.HTTPAddress)
+		states = append(states, m.state)
 	}
-	return a, s
+	return addresses, states
 }
 
 // ConfigVersions returns the version of the configuration in force at each
@@ -310,9 +313,9 @@
 
 // OperatorClient returns an API client that tries all hosts.
 func (f *Fleet) OperatorClient() *api.Client {
-	a, _ := f.States()
+	addresses, _ := f.States()
 	return &api.Client{
-		Hosts:      a,
+		Hosts:      addresses,
 		HTTPClient: f.HTTPClient(),
 	}
 }
@@ -334,13 +337,14 @@
 	}
 }
 
-func (f *Fleet) allReady(h api.Hosts) bool {
+// allReady reports whether all hosts are ready and each hall has a holder.
+func (f *Fleet) allReady(list api.Hosts) bool {
 	holders := 0
-	for _, x := range h.Hosts {
-		if x.UnreachableReason != "" || !x.MembersKnown {
+	for _, host := range list.Hosts {
+		if host.UnreachableReason != "" || !host.MembersKnown {
 			return false
 		}
-		if x.Placing {
+		if host.Placing {
 			holders++
 		}
 	}
--- a/internal/fleet/takeover_test.go
+++ b/internal/fleet/takeover_test.go
@@ -93,10 +93,10 @@
 func waitForJobs(ctx context.Context, t *testing.T, c *api.Client) []spoolsill.JobID {
 	t.Helper()
 	for ctx.Err() == nil {
-		l, err := c.Jobs(ctx, hall)
-		if err == nil && len(l.UnavailableHalls) == 0 {
+		jobs, err := c.Jobs(ctx, hall)
+		if err == nil && len(jobs.UnavailableHalls) == 0 {
 			var ids []spoolsill.JobID
-			for _, j := range l.Jobs {
+			for _, j := range jobs.Jobs {
 				ids = append(ids, j.ID)
 			}
 			return ids
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// rounds is the number of attempts at the takeover. In about one of three rounds
-// the former holder keeps the hall, because the restarted host promises not to
-// take the lease before it has read it.
+// rounds is the number of times that the takeover is attempted. In about one of
+// three rounds the former holder keeps the hall, because the restarted host
+// promises not to take the lease before it has read it.
 const rounds = 6
 
 // TestTakeoverRecoversUnsavedJobs guards against the loss of a job that the
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -11,8 +11,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// lateStartTime is how long after a job was reported as completed a delayed start of its
-// tasks may still arrive: the platform allows a second.
+// lateStartTime is how long after a job was reported as completed a delayed start order for
+// one of its tasks may still take effect: the platform allows a second.
 const lateStartTime = time.Second
 
 // A Checker records what clients were told of their jobs and which runs workers have
@@ -21,7 +21,7 @@
 	mu         sync.Mutex
 	jobs       map[spoolsill.JobID]*jobRecord
 	violations []string
-	began      time.Time
+	startTime  time.Time
 	// configAckedAt is when the store acknowledged each configuration.
 	configAckedAt map[int]time.Time
 	hostFaults    map[string]*faultHistory // by host
@@ -30,38 +30,39 @@
 // A jobRecord is what the checker knows of one job.
 type jobRecord struct {
 	steps           []step
-	mayStart        bool // an attempt to submit the job may have succeeded
-	tries           int
+	mayStart        bool // a submission may have succeeded
+	submissions     int
 	accepted        bool
-	cancelSent      bool // a cancellation was sent
-	cancelAcked     bool // a cancellation was acknowledged
-	reportedMissing bool // the accepted job was reported as unknown
-	finalState      string
+	cancelSent      bool   // a cancellation was sent
+	cancelAcked     bool   // a cancellation was acknowledged
+	reportedMissing bool   // the accepted job was reported as unknown
+	finalState      string // empty until a final state is reported
 	finalAt         time.Time
 	// earliestDone is the earliest end of a successful run of each task.
 	earliestDone map[sched.TaskID]time.Time
 	starts       int
-	// failures counts the failing runs of each step, lostRuns the runs of each task that
+	// failures counts the runs of each step that fail, lostRuns the runs of each task that
 	// were lost with a crashed worker.
 	failures map[int]int
 	lostRuns map[sched.TaskID]int
 }
 
-// NewChecker returns a checker without records.
+// NewChecker returns a Checker without records.
 func NewChecker() *Checker {
 	return &Checker{
 		jobs:          map[spoolsill.JobID]*jobRecord{},
-		began:         time.Now(),
+		startTime:     time.Now(),
 		configAckedAt: map[int]time.Time{},
 		hostFaults:    map[string]*faultHistory{},
 	}
 }
 
-func (c *Checker) violation(format string, args ...any) {
-	c.violations = append(c.violations, fmt.Sprintf("%7.3f s: ", time.Since(c.began).Seconds())+fmt.Sprintf(format, args...))
+// recordViolation adds a violation with the time since the start. The caller holds c.mu.
+func (c *Checker) recordViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%7.3f s: ", time.Since(c.startTime).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// Violations returns a copy of the violations that were found.
+// Violations returns the violations that were found, in order.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,17 +78,17 @@
 		r = &jobRecord{
 			steps:        steps,
 			earliestDone: map[sched.TaskID]time.Time{},
-
-			failures: map[int]int{},
-			lostRuns: map[sched.TaskID]int{},
+			failures:     map[int]int{},
+			lostRuns:     map[sched.TaskID]int{},
 		}
 		c.jobs[id] = r
 	}
-	r.tries++
+	r.submissions++
 	r.mayStart = true
 }
 
-// isRefusal reports whether a status means that this submission never leads to a run.
+// isRefusal reports whether a status means that the submission it answers will never lead
+// to a run.
 func isRefusal(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
@@ -100,11 +101,11 @@
 	switch {
 	case status == http.StatusOK:
 		r.accepted = true
-	case isRefusal(status) && r.tries == 1:
+	case isRefusal(status) && r.submissions == 1:
 		r.mayStart = false
 	}
 	if status == http.StatusNotFound || status == http.StatusGone {
-		c.violation("submission of %s was answered with status %d", id, status)
+		c.recordViolation("submission of %s was answered with status %d", id, status)
 	}
 }
 
@@ -139,16 +140,16 @@
 	switch {
 	case state == "gone" && r.accepted && !r.reportedMissing:
 		r.reportedMissing = true
-		c.violation("%s was accepted and is shown as unknown", id)
+		c.recordViolation("%s was accepted and is shown as unknown", id)
 	case state == sched.Cancelled.String() && !r.cancelSent:
-		c.violation("%s is shown as cancelled, but was not cancelled", id)
+		c.recordViolation("%s is shown as cancelled, but was not cancelled", id)
 	case state == sched.Completed.String():
 		c.checkCompleted(id, r)
 	case state == sched.Failed.String() && !r.mayFail():
-		c.violation("%s is shown as failed without cause", id)
+		c.recordViolation("%s is shown as failed without cause", id)
 	}
 	if isFinal(r.finalState) && state != r.finalState {
-		c.violation("%s was %s and is shown as %s", id, r.finalState, state)
+		c.recordViolation("%s was %s and is shown as %s", id, r.finalState, state)
 	}
 	if isFinal(state) && !isFinal(r.finalState) {
 		r.finalState = state
@@ -157,10 +158,11 @@
 }
 
 const (
-	// maxAttempts is how often a task may fail according to the configuration.
-	// minCrashesToFail is the number of worker crashes after which the platform allows a
-	// task to be failed.
-	maxAttempts      = 3
+	// maxAttempts is the number of failed runs after which a task fails according to the
+	// configuration.
+	maxAttempts = 3
+	// minCrashesToFail is the number of workers that have to crash under a task before the
+	// platform allows its job to fail.
 	minCrashesToFail = 2
 )
 
@@ -183,9 +185,9 @@
 func (c *Checker) RunsLost(runs []sched.RunID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range runs {
-		if r := c.jobs[x.Task.Stage.Job]; r != nil {
-			r.lostRuns[x.Task]++
+	for _, id := range runs {
+		if r := c.jobs[id.Task.Stage.Job]; r != nil {
+			r.lostRuns[id.Task]++
 		}
 	}
 }
@@ -205,35 +207,35 @@
 	for i, s := range r.steps {
 		// The end of one task is enough for a gang.
 		if done[i] < s.Count && (!s.Gang || done[i] == 0) {
-			c.violation("%s is shown as completed with %d of %d tasks of step %d done", id, done[i], s.Count, i)
+			c.recordViolation("%s is shown as completed with %d of %d tasks of step %d done", id, done[i], s.Count, i)
 		}
 	}
 }
 
-// RunStarted records and checks that a worker has started a run, with its duration and the
-// kind of its end unless it is ended from outside.
-func (c *Checker) RunStarted(x sched.RunID, took time.Duration, k sched.EndKind) {
+// RunStarted records and checks that a worker has started a run. The duration and the kind
+// of end are those that the run has if it is not stopped or lost before.
+func (c *Checker) RunStarted(id sched.RunID, duration time.Duration, kind sched.EndKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id := x.Task.Stage.Job
-	r := c.jobs[id]
+	job := id.Task.Stage.Job
+	r := c.jobs[job]
 	if r == nil {
-		c.violation("%s#%d was started, but its job was not submitted", x.Task, x.Number)
+		c.recordViolation("%s#%d was started, but its job was not submitted", id.Task, id.Number)
 		return
 	}
 	r.starts++
-	if k == sched.EndFailed {
-		r.failures[x.Task.Stage.Step]++
+	if kind == sched.EndFailed {
+		r.failures[id.Task.Stage.Step]++
 	}
 	if !r.mayStart {
-		c.violation("%s#%d was started, but its job was refused", x.Task, x.Number)
+		c.recordViolation("%s#%d was started, but its job was refused", id.Task, id.Number)
 	}
 	if r.finalState == sched.Completed.String() && time.Since(r.finalAt) > lateStartTime {
-		c.violation("%s#%d was started after its job was completed", x.Task, x.Number)
+		c.recordViolation("%s#%d was started after its job was completed", id.Task, id.Number)
 	}
-	end := time.Now().Add(took)
-	if at, ok := r.earliestDone[x.Task]; k == sched.EndDone && (!ok || end.Before(at)) {
-		r.earliestDone[x.Task] = end
+	end := time.Now().Add(duration)
+	if at, ok := r.earliestDone[id.Task]; kind == sched.EndDone && (!ok || end.Before(at)) {
+		r.earliestDone[id.Task] = end
 	}
 }
 
@@ -264,28 +266,28 @@
 	return ids
 }
 
-// JobsNotEnded records a violation for each job that has not ended in time.
+// JobsNotEnded records a violation for each of the given jobs, which have not ended in time.
 func (c *Checker) JobsNotEnded(ids []spoolsill.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
-		c.violation("%s was accepted and has not ended: %d starts, cancelled %v", id, c.jobs[id].starts, c.jobs[id].cancelSent)
+		c.recordViolation("%s was accepted and has not ended: %d starts, cancelled: %v", id, c.jobs[id].starts, c.jobs[id].cancelSent)
 	}
 }
 
-// CancelledRunsActive records the violation that runs of cancelled jobs go on.
+// CancelledRunsActive records the violation that runs of cancelled jobs are still active.
 func (c *Checker) CancelledRunsActive(runs int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violation("%d runs of cancelled jobs go on", runs)
+	c.recordViolation("%d runs of cancelled jobs are still active", runs)
 }
 
-// ConfigReverted records the violation that a host went back to an older configuration than
-// it had in force.
-func (c *Checker) ConfigReverted(host string, version, shows int) {
+// ConfigReverted records the violation that a host has an older configuration in force than
+// before.
+func (c *Checker) ConfigReverted(host string, from, to int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violation("host %s had configuration %d in force and shows %d", host, version, shows)
+	c.recordViolation("host %s reverted from configuration %d to %d", host, from, to)
 }
 
 // UnknownKeyServed records the violation that a host served a call with a key that was
@@ -293,15 +295,15 @@
 func (c *Checker) UnknownKeyServed(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violation("host %s served a call with a key that was never configured", host)
+	c.recordViolation("host %s served a call with a key that was never configured", host)
 }
 
-// Failed records a violation for an error of the run: a host that exited unexpectedly or
-// could not be started, or a write to the store's fake that failed.
-func (c *Checker) Failed(err error) {
+// RecordError records an error of the run as a violation: a host that exited unexpectedly or
+// could not be started, or a failed write to the fake store.
+func (c *Checker) RecordError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violation("%s", err)
+	c.recordViolation("%s", err)
 }
 
 // Counts returns how many jobs were submitted, accepted and reported as ended, and how many
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -29,29 +29,30 @@
 
 // A client submits jobs, polls their states and cancels some, over persistent connections.
 type client struct {
-	number  int
-	random  *rand.Rand
-	hosts   []string // addresses
-	checker *Checker
-	http    *http.Client
-	created int
-	open    []submission
+	number     int
+	random     *rand.Rand
+	hosts      []string // addresses
+	checker    *Checker
+	httpClient *http.Client
+	jobCount   int
+	open       []submission
 
 	randomMu sync.Mutex // guards random where several goroutines choose a host
 }
 
+// A submission is the id of a submitted job and the path of the calls about it.
 type submission struct {
 	id   spoolsill.JobID
 	path string
 }
 
-func newClient(number int, seed uint64, hosts []string, j *Checker) *client {
+func newClient(number int, seed uint64, hosts []string, c *Checker) *client {
 	return &client{
 		number:  number,
-		random:  rand.New(rand.NewPCG(seed, uint64(number))), //nolint:gosec // a seed is to give the same plan each time
+		random:  rand.New(rand.NewPCG(seed, uint64(number))), //nolint:gosec // a seed has to give the same plan each time
 		hosts:   hosts,
-		checker: j,
-		http: &http.Client{
+		checker: c,
+		httpClient: &http.Client{
 			Transport: &http.Transport{
 				MaxIdleConnsPerHost: 1,
 			},
@@ -61,7 +62,7 @@
 }
 
 func (c *client) run(ctx context.Context) {
-	defer c.http.CloseIdleConnections()
+	defer c.httpClient.CloseIdleConnections()
 	for ctx.Err() == nil {
 		switch n := c.random.IntN(10); {
 		case n < 5:
@@ -75,44 +76,44 @@
 	}
 }
 
-// call makes one call at a random host; status 0 means that there was no
-// complete answer.
+// call makes one call to a random host. Status 0 means that there was no complete answer.
 func (c *client) call(ctx context.Context, method, path, body string) (int, string) {
-	return c.callAt(ctx, c.anyHost(), method, path, body)
+	return c.callAt(ctx, c.randomHost(), method, path, body)
 }
 
-// anyHost returns a random host. It is safe for concurrent use.
-func (c *client) anyHost() string {
+// randomHost returns a random host. It is safe for concurrent use.
+func (c *client) randomHost() string {
 	c.randomMu.Lock()
 	defer c.randomMu.Unlock()
 	return c.hosts[c.random.IntN(len(c.hosts))]
 }
 
+// callAt makes one call to a host, like call.
 func (c *client) callAt(ctx context.Context, host, method, path, body string) (int, string) {
 	return c.callWithKey(ctx, clientKey, host, method, path, body)
 }
 
-// callWithKey makes one call at a host with a key.
+// callWithKey makes one call to a host with a key, like call.
 func (c *client) callWithKey(ctx context.Context, key, host, method, path, body string) (int, string) {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+host+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+host+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
 	}
-	r.Host = wire.Domain
-	r.Header.Set("Authorization", "Bearer "+key)
-	p, err := c.http.Do(r)
+	req.Host = wire.Domain
+	req.Header.Set("Authorization", "Bearer "+key)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = p.Body.Close() }()
-	b, err := io.ReadAll(p.Body)
+	defer func() { _ = resp.Body.Close() }()
+	b, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	return p.StatusCode, string(b)
+	return resp.StatusCode, string(b)
 }
 
-// A step is a step of a job, as clients encode it.
+// A step is a step of a job in the encoding that clients use.
 type step struct {
 	Count       int   `json:"count"`
 	CPU         int   `json:"cpu"`
@@ -124,7 +125,7 @@
 }
 
 const (
-	// One of longRunningEvery jobs runs until it is cancelled.
+	// On average, one of longRunningEvery jobs runs until it is cancelled.
 	longRunningEvery = 50
 	// longRunningPrefix is the prefix of the ids of such jobs.
 	longRunningPrefix = "f"
@@ -134,15 +135,15 @@
 	return strings.HasPrefix(string(id), longRunningPrefix)
 }
 
-// newJob returns a job of one or two steps.
+// newJob returns a random job of one or two steps, with its encoding and its steps.
 func (c *client) newJob() (submission, string, []step) {
-	c.created++
-	h := submission{
-		id: spoolsill.JobID(fmt.Sprintf("%08x%08x", c.number, c.created)),
+	c.jobCount++
+	sub := submission{
+		id: spoolsill.JobID(fmt.Sprintf("%08x%08x", c.number, c.jobCount)),
 	}
 	steps := []step{c.newStep()}
 	if c.random.IntN(longRunningEvery) == 0 {
-		h.id = spoolsill.JobID(fmt.Sprintf("%s%07x%08x", longRunningPrefix, c.number, c.created))
+		sub.id = spoolsill.JobID(fmt.Sprintf("%s%07x%08x", longRunningPrefix, c.number, c.jobCount))
 		steps = []step{
 			{
 				Count:       1,
@@ -151,19 +152,19 @@
 			},
 		}
 	} else if c.random.IntN(3) == 0 {
-		s := c.newStep()
-		s.AfterRev = []int{0}
-		steps = append(steps, s)
+		second := c.newStep()
+		second.AfterRev = []int{0}
+		steps = append(steps, second)
 	}
-	h.path = queues[c.random.IntN(len(queues))] + string(h.id)
+	sub.path = queues[c.random.IntN(len(queues))] + string(sub.id)
 	b, err := json.Marshal(map[string]any{
-		"spec":  "work of " + string(h.id),
+		"spec":  "work of " + string(sub.id),
 		"steps": steps,
 	})
 	if err != nil {
-		panic(err) // the map above can be encoded
+		panic(err) // cannot happen: the map has only values that can be encoded
 	}
-	return h, string(b), steps
+	return sub, string(b), steps
 }
 
 func (c *client) newStep() step {
@@ -176,12 +177,12 @@
 }
 
 func (c *client) submit(ctx context.Context) {
-	h, body, steps := c.newJob()
-	c.open = append(c.open, h)
+	sub, body, steps := c.newJob()
+	c.open = append(c.open, sub)
 	for range maxSubmits {
-		c.checker.SubmitSent(h.id, steps)
-		status, _ := c.call(ctx, http.MethodPost, h.path, body)
-		c.checker.SubmitAnswered(h.id, status)
+		c.checker.SubmitSent(sub.id, steps)
+		status, _ := c.call(ctx, http.MethodPost, sub.path, body)
+		c.checker.SubmitAnswered(sub.id, status)
 		if status == http.StatusOK || isRefusal(status) {
 			return
 		}
@@ -203,8 +204,8 @@
 
 // stateOf queries the state of a job; it is empty if the query fails or there is no such
 // job.
-func (c *client) stateOf(ctx context.Context, h submission) string {
-	status, body := c.call(ctx, http.MethodGet, h.path, "")
+func (c *client) stateOf(ctx context.Context, sub submission) string {
+	status, body := c.call(ctx, http.MethodGet, sub.path, "")
 	switch status {
 	case http.StatusOK:
 		var s struct {
@@ -213,10 +214,10 @@
 		if err := json.Unmarshal([]byte(body), &s); err != nil {
 			return ""
 		}
-		c.checker.StateReported(h.id, s.State)
+		c.checker.StateReported(sub.id, s.State)
 		return s.State
 	case http.StatusGone:
-		c.checker.StateReported(h.id, "gone")
+		c.checker.StateReported(sub.id, "gone")
 	}
 	return ""
 }
@@ -229,11 +230,11 @@
 }
 
 // cancelJob cancels a job and reports whether that was acknowledged or the job is unknown.
-func (c *client) cancelJob(ctx context.Context, h submission) bool {
-	c.checker.CancelSent(h.id)
-	status, _ := c.call(ctx, http.MethodDelete, h.path, "")
+func (c *client) cancelJob(ctx context.Context, sub submission) bool {
+	c.checker.CancelSent(sub.id)
+	status, _ := c.call(ctx, http.MethodDelete, sub.path, "")
 	if status == http.StatusOK {
-		c.checker.CancelAcked(h.id)
+		c.checker.CancelAcked(sub.id)
 	}
 	return status == http.StatusOK || status == http.StatusGone
 }
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -9,14 +9,15 @@
 // history.
 //
 // With some seeds, each host has a [Link], and an operator repeatedly adds many routes to
-// the configuration. Calls to the store then pass through the link of the host, and calls
-// to the leader through the links of both hosts. Calls of the leader to other hosts, which
-// tell it their addresses themselves, and calls of clients and to workers use no link.
+// the configuration. Calls to the store then use the link of the host, and calls to the
+// leader the links of both hosts. Calls from the leader to other hosts use no link, since
+// hosts tell the leader the addresses that they listen on, nor do calls from clients and to
+// workers.
 //
 // A [Checker] records what clients were told and which runs workers started, and reports
-// violations. It does not check how fast work is done, only that all of it ends after the
-// last fault, and that a configuration is in force within configTime at each host without
-// a fault.
+// violations. It does not check how fast work is done. It checks that all work ends after
+// the last fault, and that a configuration is in force within configTime at each host that
+// no fault affects.
 //
 // The plan of a run is derived from its seed. Processes and the network are real, so two
 // runs of a seed are similar but not identical.
--- a/internal/soak/export_test.go
+++ b/internal/soak/export_test.go
@@ -17,17 +17,17 @@
 // Constants for tests.
 const (
 	ConfigTime    = configTime
-	PieceBytes    = pieceBytes
+	ChunkBytes    = chunkBytes
 	PeerPort      = peerPort
 	FirstLinkPort = firstLinkPort
 )
 
-// Carry exposes carry to tests.
-func (p Path) Carry(ctx context.Context, bytes int, back bool) bool {
-	return p.carry(ctx, bytes, back)
+// Transfer exposes transfer to tests.
+func (p Path) Transfer(ctx context.Context, bytes int, toCaller bool) bool {
+	return p.transfer(ctx, bytes, toCaller)
 }
 
 // NewStoreView exposes newStoreView to tests.
-func NewStoreView(host int, storeAt string) http.Handler {
-	return newStoreView(host, storeAt)
+func NewStoreView(host int, storeAddress string) http.Handler {
+	return newStoreView(host, storeAddress)
 }
--- a/internal/soak/fault.go
+++ b/internal/soak/fault.go
@@ -14,68 +14,68 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A fault is a kind of fault that is injected for some time.
+// A fault is a kind of fault that is injected for a limited time.
 type fault struct {
-	name  string
-	begin func(x *run, ctx context.Context) (heal func())
-	// affectsStore tells that the fault affects the store, and so all hosts.
+	name   string
+	inject func(x *run, ctx context.Context) (heal func())
+	// affectsStore is true if the fault affects the store, and so all hosts.
 	affectsStore bool
 }
 
-// faults are all kinds of fault, each with the same probability.
+// faults lists the kinds of fault, which are equally probable.
 var faults = []fault{
-	{name: "kill", begin: (*run).kill},
-	{name: "kill-leader", begin: (*run).killLeader},
-	{name: "kill-all", begin: (*run).killAll},
-	{name: "stop", begin: (*run).stop},
-	{name: "pause", begin: (*run).pause},
-	{name: "pause-leader", begin: (*run).pauseLeader},
-	{name: "reload", begin: (*run).reload},
-	{name: "store-of-host", begin: (*run).disruptStoreOfHost},
-	{name: "store", begin: (*run).disruptStore, affectsStore: true},
-	{name: "advisor-of-host", begin: (*run).disruptAdvisorOfHost},
-	{name: "worker", begin: (*run).disruptWorker},
-	{name: "worker-leaves", begin: (*run).withdrawWorker},
-	{name: "lost-writes", begin: (*run).loseWrites, affectsStore: true},
-	{name: "late-writes", begin: (*run).delayWrites, affectsStore: true},
-	{name: "turned-away", begin: (*run).rejectStoreCalls, affectsStore: true},
-	{name: "history-gone", begin: (*run).dropStoreHistory, affectsStore: true},
-	{name: "lost-orders", begin: (*run).loseOrders},
-	{name: "late-orders", begin: (*run).delayOrders},
-	{name: "config", begin: (*run).configure},
-	{name: "cancel-at-take-over", begin: (*run).cancelDuringFailover},
+	{name: "kill", inject: (*run).killRandomHost},
+	{name: "kill-leader", inject: (*run).killLeader},
+	{name: "kill-all", inject: (*run).killAllHosts},
+	{name: "stop", inject: (*run).stopRandomHost},
+	{name: "pause", inject: (*run).pauseRandomHost},
+	{name: "pause-leader", inject: (*run).pauseLeader},
+	{name: "reload", inject: (*run).reloadHosts},
+	{name: "store-of-host", inject: (*run).disruptStoreOfHost},
+	{name: "store", inject: (*run).disruptStore, affectsStore: true},
+	{name: "advisor-of-host", inject: (*run).disruptAdvisorOfHost},
+	{name: "worker", inject: (*run).disruptWorker},
+	{name: "worker-leaves", inject: (*run).withdrawWorker},
+	{name: "lost-writes", inject: (*run).loseWrites, affectsStore: true},
+	{name: "late-writes", inject: (*run).delayWrites, affectsStore: true},
+	{name: "turned-away", inject: (*run).rejectStoreCalls, affectsStore: true},
+	{name: "history-gone", inject: (*run).dropStoreHistory, affectsStore: true},
+	{name: "lost-orders", inject: (*run).loseOrders},
+	{name: "late-orders", inject: (*run).delayOrders},
+	{name: "config", inject: (*run).addConfigVersion},
+	{name: "cancel-at-take-over", inject: (*run).cancelDuringFailover},
 }
 
 const (
-	// maxFaultGap is the longest time between the beginnings of two faults, maxFaultTime
-	// the longest duration of one: several overlap, and some outlast leases.
+	// maxFaultGap is the longest time between the starts of two successive faults, and
+	// maxFaultTime the longest duration of one. Faults overlap, and some outlast leases.
 	maxFaultGap  = 900 * time.Millisecond
 	maxFaultTime = 5 * time.Second
 )
 
-// injectFaults begins random faults for d, and returns once all have ended.
+// injectFaults starts random faults for d, and returns once all have ended.
 func (x *run) injectFaults(ctx context.Context, d time.Duration) {
-	var healing sync.WaitGroup
-	defer healing.Wait()
+	var active sync.WaitGroup
+	defer active.Wait()
 	for end := time.Now().Add(d); time.Now().Before(end) && ctx.Err() == nil; {
 		f := faults[x.random.IntN(len(faults))]
-		last := time.Duration(x.random.Int64N(int64(maxFaultTime)))
-		x.logEvent("begins: %s", f.name)
-		heal := f.begin(x, ctx)
+		duration := time.Duration(x.random.Int64N(int64(maxFaultTime)))
+		x.logEvent("fault begins: %s", f.name)
+		heal := f.inject(x, ctx)
 		if f.affectsStore {
 			heal = x.reportFault(heal, x.hosts...)
 		}
-		healing.Go(func() {
-			wait(ctx, last)
+		active.Go(func() {
+			wait(ctx, duration)
 			heal()
-			x.logEvent("heals: %s", f.name)
+			x.logEvent("fault ends: %s", f.name)
 		})
 		wait(ctx, time.Duration(x.random.Int64N(int64(maxFaultGap))))
 	}
 }
 
-// reportFault tells the checker that a fault of hosts has begun, and returns a heal
-// function that also reports its end.
+// reportFault reports to the checker that a fault of the given hosts has begun. It returns
+// a function that calls heal and reports the end of the fault.
 func (x *run) reportFault(heal func(), hosts ...*Process) func() {
 	for _, p := range hosts {
 		x.checker.FaultBegins(p.Settings.Host)
@@ -92,40 +92,41 @@
 func (x *run) logEvent(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	_, _ = fmt.Fprintf(x.eventLog, "%7.3f s: "+format+"\n", append([]any{time.Since(x.began).Seconds()}, args...)...)
+	_, _ = fmt.Fprintf(x.eventLog, "%7.3f s: "+format+"\n", append([]any{time.Since(x.startTime).Seconds()}, args...)...)
 }
 
-func (x *run) anyHost() *Process {
+func (x *run) randomHost() *Process {
 	return x.hosts[x.random.IntN(len(x.hosts))]
 }
 
-func (x *run) restart(p *Process) {
+// startHost starts a host unless it runs.
+func (x *run) startHost(p *Process) {
 	if err := p.Start(); err != nil {
-		x.checker.Failed(err)
+		x.checker.RecordError(err)
 	}
 }
 
-func (x *run) killOne(p *Process) func() {
-	x.logEvent("kills %s", p.Settings.Host)
+func (x *run) killHost(p *Process) func() {
+	x.logEvent("killing %s", p.Settings.Host)
 	ended := p.Signal(syscall.SIGKILL)
 	return x.reportFault(func() {
 		<-ended
-		x.restart(p)
+		x.startHost(p)
 	}, p)
 }
 
-func (x *run) kill(context.Context) func() {
-	return x.killOne(x.anyHost())
+func (x *run) killRandomHost(context.Context) func() {
+	return x.killHost(x.randomHost())
 }
 
 func (x *run) killLeader(context.Context) func() {
-	return x.killOne(x.leader())
+	return x.killHost(x.leader())
 }
 
-func (x *run) killAll(context.Context) func() {
+func (x *run) killAllHosts(context.Context) func() {
 	var heals []func()
 	for _, p := range x.hosts {
-		heals = append(heals, x.killOne(p))
+		heals = append(heals, x.killHost(p))
 	}
 	return func() {
 		for _, heal := range heals {
@@ -134,10 +135,11 @@
 	}
 }
 
-// stop stops a host gracefully. The host may be paused meanwhile.
-func (x *run) stop(context.Context) func() {
-	p := x.anyHost()
-	x.logEvent("stops %s", p.Settings.Host)
+// stopRandomHost stops a host gracefully. The host is killed if it does not end, for
+// instance because another fault has paused it.
+func (x *run) stopRandomHost(context.Context) func() {
+	p := x.randomHost()
+	x.logEvent("stopping %s", p.Settings.Host)
 	ended := p.Signal(syscall.SIGTERM)
 	return x.reportFault(func() {
 		select {
@@ -145,35 +147,35 @@
 		case <-time.After(p.Settings.StopGrace):
 			<-p.Signal(syscall.SIGKILL)
 		}
-		x.restart(p)
+		x.startHost(p)
 	}, p)
 }
 
-func (x *run) pauseOne(p *Process) func() {
-	x.logEvent("pauses %s", p.Settings.Host)
+func (x *run) pauseHost(p *Process) func() {
+	x.logEvent("pausing %s", p.Settings.Host)
 	p.Signal(syscall.SIGSTOP)
 	return x.reportFault(func() { p.Signal(syscall.SIGCONT) }, p)
 }
 
-func (x *run) pause(context.Context) func() {
-	return x.pauseOne(x.anyHost())
+func (x *run) pauseRandomHost(context.Context) func() {
+	return x.pauseHost(x.randomHost())
 }
 
 func (x *run) pauseLeader(context.Context) func() {
-	return x.pauseOne(x.leader())
+	return x.pauseHost(x.leader())
 }
 
-func (x *run) reload(context.Context) func() {
+func (x *run) reloadHosts(context.Context) func() {
 	for _, p := range x.hosts {
 		p.Signal(syscall.SIGHUP)
 	}
 	return func() {}
 }
 
-// disruptProxies sets proxies to a random mode other than Pass.
-func (x *run) disruptProxies(what string, proxies ...*Proxy) func() {
+// disruptProxies sets proxies to the same random mode other than Pass.
+func (x *run) disruptProxies(target string, proxies ...*Proxy) func() {
 	m := Mode(1 + x.random.IntN(int(OneWay)))
-	x.logEvent("%s: %s", what, m)
+	x.logEvent("%s: %s", target, m)
 	for _, p := range proxies {
 		p.Set(m)
 	}
@@ -186,16 +188,16 @@
 
 func (x *run) disruptStoreOfHost(context.Context) func() {
 	i := x.random.IntN(len(x.hosts))
-	return x.reportFault(x.disruptProxies("store of "+x.hosts[i].Settings.Host, x.stores[i]), x.hosts[i])
+	return x.reportFault(x.disruptProxies("store of "+x.hosts[i].Settings.Host, x.storeProxies[i]), x.hosts[i])
 }
 
 func (x *run) disruptStore(context.Context) func() {
-	return x.disruptProxies("store", x.stores...)
+	return x.disruptProxies("store", x.storeProxies...)
 }
 
 func (x *run) disruptAdvisorOfHost(context.Context) func() {
 	i := x.random.IntN(len(x.hosts))
-	return x.disruptProxies("advisor of "+x.hosts[i].Settings.Host, x.advisors[i])
+	return x.disruptProxies("advisor of "+x.hosts[i].Settings.Host, x.advisorProxies[i])
 }
 
 func (x *run) disruptWorker(context.Context) func() {
@@ -203,8 +205,8 @@
 	return x.disruptProxies("worker "+string(m.current().ID), m.proxy)
 }
 
-// cancelDuringFailover cancels long-running jobs while the leader is killed and answers of
-// some workers are held back: the next leader has to stop their tasks.
+// cancelDuringFailover cancels the long-running jobs while the leader is killed and the
+// answers of some workers are held back: the next leader has to stop the tasks.
 func (x *run) cancelDuringFailover(ctx context.Context) func() {
 	var addresses []string
 	for _, p := range x.hosts {
@@ -219,26 +221,26 @@
 	}
 	heals = append(heals, x.killLeader(ctx))
 	for _, id := range x.checker.LongRunningJobs() {
-		x.logEvent("cancels %s", id)
+		x.logEvent("cancelling %s", id)
 		go c.cancelJob(ctx, submission{
 			id:   id,
 			path: queues[0] + string(id),
 		})
 	}
 	return func() {
-		c.http.CloseIdleConnections()
+		c.httpClient.CloseIdleConnections()
 		for _, heal := range heals {
 			heal()
 		}
 	}
 }
 
-// failoverCutWorkers is how many times cancelDuringFailover picks a worker whose answers
-// are held back.
+// failoverCutWorkers is how many times cancelDuringFailover picks a random worker whose
+// answers are held back. It may pick the same one again.
 const failoverCutWorkers = 4
 
-// withdrawWorker deletes the entry of a worker that goes on running, as happens during an
-// outage of the store, or marks it as draining.
+// withdrawWorker deletes the entry of a running worker, as happens in an outage of the
+// store, or marks the worker as draining.
 func (x *run) withdrawWorker(context.Context) func() {
 	m := x.machines[x.random.IntN(len(x.machines))]
 	e := m.current()
@@ -253,7 +255,7 @@
 
 func (x *run) putEntry(e wire.WorkerEntry) {
 	if err := wire.PutWorker(x.store, e); err != nil {
-		x.checker.Failed(err)
+		x.checker.RecordError(err)
 	}
 }
 
@@ -341,8 +343,9 @@
 	return cellfake.OrderOK
 }
 
-// configure makes a small change of the configuration.
-func (x *run) configure(context.Context) func() {
+// addConfigVersion writes the next configuration, which adds only the route that marks its
+// version.
+func (x *run) addConfigVersion(context.Context) func() {
 	x.changeConfig(0)
 	return func() {}
 }
--- a/internal/soak/hostfaults.go
+++ b/internal/soak/hostfaults.go
@@ -5,17 +5,17 @@
 )
 
 // configTime is how long a host may take to have a configuration in force, from the
-// acknowledgement by the store or from the host's last fault: twice the bound of the
-// largest deployments, since the hosts share the processors of one machine. A slow link
-// needs 3.2 s for four documents of the largest size, as many as are written in quick
+// acknowledgement by the store or the end of the host's last fault. It is twice the limit of
+// the largest deployments, since the hosts share the processors of one machine. A slow link
+// needs 3.2 s for four documents of the largest size, which is how many are written in quick
 // succession.
 const configTime = 6 * time.Second
 
-// A faultHistory is what a checker knows of the faults of one host.
+// A faultHistory is what a Checker knows of the faults of one host.
 type faultHistory struct {
-	active      int // faults that have not ended
-	lastHealed  time.Time
-	lastMissing int // the newest version reported as not in force
+	activeFaults   int // number of faults that have not ended
+	lastFaultEnd   time.Time
+	newestReported int // newest version that was reported as missing
 }
 
 // ConfigAcked records when the store acknowledged a configuration.
@@ -25,32 +25,32 @@
 	c.configAckedAt[version] = at
 }
 
-// FaultBegins records that a fault of a host, of its connections to the store or of the
-// store has begun.
+// FaultBegins records that a fault has begun that affects a host, its connections to the
+// store, or the store.
 func (c *Checker) FaultBegins(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.faultsOf(host).active++
+	c.faultsOf(host).activeFaults++
 }
 
-// FaultEnds records that one fault has ended.
+// FaultEnds records that a fault reported by FaultBegins has ended.
 func (c *Checker) FaultEnds(host string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.faultsOf(host)
-	t.active--
-	t.lastHealed = at
+	h := c.faultsOf(host)
+	h.activeFaults--
+	h.lastFaultEnd = at
 }
 
 func (c *Checker) faultsOf(host string) *faultHistory {
-	t := c.hostFaults[host]
-	if t == nil {
-		t = &faultHistory{
-			lastHealed: c.began,
+	h := c.hostFaults[host]
+	if h == nil {
+		h = &faultHistory{
+			lastFaultEnd: c.startTime,
 		}
-		c.hostFaults[host] = t
+		c.hostFaults[host] = h
 	}
-	return t
+	return h
 }
 
 // ConfigMissing records that the answer of a host to a request sent at the given time shows
@@ -59,14 +59,14 @@
 func (c *Checker) ConfigMissing(host string, version int, sent time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.faultsOf(host)
+	h := c.faultsOf(host)
 	since := c.configAckedAt[version]
-	if t.lastHealed.After(since) {
-		since = t.lastHealed
+	if h.lastFaultEnd.After(since) {
+		since = h.lastFaultEnd
 	}
-	if t.active > 0 || sent.Sub(since) <= configTime || version <= t.lastMissing {
+	if h.activeFaults > 0 || sent.Sub(since) <= configTime || version <= h.newestReported {
 		return
 	}
-	t.lastMissing = version
-	c.violation("host %s does not have configuration %d in force, %.1f s after it was acknowledged and %.1f s after the last harm", host, version, sent.Sub(c.configAckedAt[version]).Seconds(), sent.Sub(t.lastHealed).Seconds())
+	h.newestReported = version
+	c.recordViolation("host %s does not have configuration %d in force, %.1f s after it was acknowledged and %.1f s after the end of the last fault of the host", host, version, sent.Sub(c.configAckedAt[version]).Seconds(), sent.Sub(h.lastFaultEnd).Seconds())
 }
--- a/internal/soak/hostfaults_test.go
+++ b/internal/soak/hostfaults_test.go
@@ -20,7 +20,7 @@
 	)
 	tests := map[string]struct {
 		violations int
-		play       func(c *soak.Checker, acked time.Time)
+		record     func(c *soak.Checker, acked time.Time)
 	}{
 		"in time": {0, func(c *soak.Checker, acked time.Time) {
 			c.ConfigMissing(host, 1, acked.Add(soon))
@@ -62,13 +62,13 @@
 			c.ConfigMissing(host, 1, acked.Add(late))
 		}},
 	}
-	for name, x := range tests {
+	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := soak.NewChecker()
 			acked := time.Now()
 			c.ConfigAcked(1, acked)
-			x.play(c, acked)
-			qt.Assert(t, c.Violations(), qt.HasLen, x.violations)
+			tt.record(c, acked)
+			qt.Assert(t, c.Violations(), qt.HasLen, tt.violations)
 		})
 	}
 }
--- a/internal/soak/keys.go
+++ b/internal/soak/keys.go
@@ -13,10 +13,10 @@
 	// clientKey is the key of the clients' team, and foreignKey that of another one.
 	clientKey  = "key-of-clients"
 	foreignKey = "key-of-others"
-	// noKey is in no configuration.
-	noKey = "key-of-nobody"
+	// unknownKey is never configured.
+	unknownKey = "key-of-nobody"
 	// Each configuration adds a key, which is valid for keyLifetime configurations: more
-	// than may be written while a call is under way.
+	// than can be written while a call is in flight.
 	keyLifetime = 4
 	// quotaCores is the quota of the clients' team: half of the capacity of the usual
 	// twelve workers.
@@ -49,21 +49,21 @@
 	}
 }
 
-// keysOutdated reports whether a host rejects the key that a version added, or serves a
-// key that the version dropped. Serving a key that was never configured is a violation
-// whatever version the host has.
+// keysOutdated reports whether a host rejects the key that a version added, or accepts the
+// key that it dropped. It records a violation if the host accepts a key that was never
+// configured, whatever version the host has in force.
 func (x *run) keysOutdated(ctx context.Context, c *client, p *Process, version int) bool {
-	if x.countStatus(ctx, c, p, noKey) == http.StatusOK {
+	if x.jobCountStatus(ctx, c, p, unknownKey) == http.StatusOK {
 		x.checker.UnknownKeyServed(p.Settings.Host)
 	}
 	dropped := version - keyLifetime
-	return x.countStatus(ctx, c, p, versionKey(version)) == http.StatusUnauthorized ||
-		dropped > 0 && x.countStatus(ctx, c, p, versionKey(dropped)) == http.StatusOK
+	return x.jobCountStatus(ctx, c, p, versionKey(version)) == http.StatusUnauthorized ||
+		dropped > 0 && x.jobCountStatus(ctx, c, p, versionKey(dropped)) == http.StatusOK
 }
 
-// countStatus queries the number of waiting jobs at a host with a key, and returns the
+// jobCountStatus queries the number of waiting jobs at a host with a key, and returns the
 // status.
-func (x *run) countStatus(ctx context.Context, c *client, p *Process, key string) int {
+func (x *run) jobCountStatus(ctx context.Context, c *client, p *Process, key string) int {
 	status, _ := c.callWithKey(ctx, key, p.Settings.ClientAddress, http.MethodGet, "/patient/", "")
 	return status
 }
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -6,7 +6,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Rates of links, in bits per second: those of the smallest and the largest
+// The rates of links in bits per second, which are those of the smallest and of the largest
 // machines that hosts are known to run on.
 const (
 	slowLink = 10e6
@@ -15,25 +15,25 @@
 
 const (
 	bitsPerByte = 8
-	// windowBytes is the read buffer of connections over a link: the initial window of
-	// TCP. On loopback it would grow to megabytes, and a link would hardly slow its
-	// senders.
-	windowBytes = 64 << 10
+	// readBufferBytes is the size of the read buffer of connections over a link, the initial
+	// window of TCP. On loopback the buffer would grow to megabytes, and a link would hardly
+	// slow its senders.
+	readBufferBytes = 64 << 10
 )
 
-// A Link is the network link of a host. All connections of the host share its rate, which
+// A Link is the network link of a host. The connections of the host share its rate, which
 // applies to each direction separately. It is safe for concurrent use.
 type Link struct {
 	up   *rate.Limiter
 	down *rate.Limiter
 }
 
-// NewLink returns a link with a rate.
+// NewLink returns a link with the given rate.
 func NewLink(bitsPerSecond float64) *Link {
 	bytesPerSecond := rate.Limit(bitsPerSecond / bitsPerByte)
 	return &Link{
-		up:   rate.NewLimiter(bytesPerSecond, pieceBytes),
-		down: rate.NewLimiter(bytesPerSecond, pieceBytes),
+		up:   rate.NewLimiter(bytesPerSecond, chunkBytes),
+		down: rate.NewLimiter(bytesPerSecond, chunkBytes),
 	}
 }
 
@@ -48,11 +48,12 @@
 	return p.Caller != nil || p.Target != nil
 }
 
-// carry waits for the transfer of at most pieceBytes from the caller to the target, or
-// back. It returns false if ctx ends first.
-func (p Path) carry(ctx context.Context, bytes int, back bool) bool {
+// transfer waits for as long as the links take to transfer at most chunkBytes, from the
+// target to the caller if toCaller is true and from the caller to the target otherwise. It
+// returns false if ctx ends first.
+func (p Path) transfer(ctx context.Context, bytes int, toCaller bool) bool {
 	from, to := p.Caller, p.Target
-	if back {
+	if toCaller {
 		from, to = to, from
 	}
 	if from != nil && from.up.WaitN(ctx, bytes) != nil {
--- a/internal/soak/link_test.go
+++ b/internal/soak/link_test.go
@@ -11,37 +11,37 @@
 	"github.com/spoolsill/spoolsill/internal/soak"
 )
 
-// Connections share the rate of a link in each direction; the two directions are independent.
+// Connections share the rate of a link in each direction. The directions are independent.
 func TestLinkIsSharedByItsConnections(t *testing.T) {
 	const (
-		pieces    = 6
-		pieceRate = 8 * soak.PieceBytes // bits per second
+		chunks    = 6
+		chunkRate = 8 * soak.ChunkBytes // bits per second
 	)
 	tests := map[string]struct {
-		back [2]bool // for each of two connections
-		want time.Duration
+		toCaller [2]bool // for each of two connections
+		want     time.Duration
 	}{
-		// The first piece of a direction does not wait.
-		"one direction":  {[2]bool{false, false}, (2*pieces - 1) * time.Second},
-		"two directions": {[2]bool{false, true}, (pieces - 1) * time.Second},
+		// The first chunk of a direction does not wait.
+		"one direction":  {[2]bool{false, false}, (2*chunks - 1) * time.Second},
+		"two directions": {[2]bool{false, true}, (chunks - 1) * time.Second},
 	}
-	for name, x := range tests {
+	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				p := soak.Path{
-					Caller: soak.NewLink(pieceRate),
+					Caller: soak.NewLink(chunkRate),
 				}
-				begun := time.Now()
+				start := time.Now()
 				var wg sync.WaitGroup
-				for _, back := range x.back {
+				for _, toCaller := range tt.toCaller {
 					wg.Go(func() {
-						for range pieces {
-							qt.Check(t, p.Carry(t.Context(), soak.PieceBytes, back), qt.IsTrue)
+						for range chunks {
+							qt.Check(t, p.Transfer(t.Context(), soak.ChunkBytes, toCaller), qt.IsTrue)
 						}
 					})
 				}
 				wg.Wait()
-				qt.Assert(t, time.Since(begun).Round(time.Millisecond), qt.Equals, x.want)
+				qt.Assert(t, time.Since(start).Round(time.Millisecond), qt.Equals, tt.want)
 			})
 		})
 	}
@@ -50,13 +50,13 @@
 func TestPathIsAsFastAsItsSlowerLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := soak.Path{
-			Caller: soak.NewLink(100 * 8 * soak.PieceBytes),
-			Target: soak.NewLink(8 * soak.PieceBytes),
+			Caller: soak.NewLink(100 * 8 * soak.ChunkBytes),
+			Target: soak.NewLink(8 * soak.ChunkBytes),
 		}
-		begun := time.Now()
+		start := time.Now()
 		for range 3 {
-			qt.Assert(t, p.Carry(t.Context(), soak.PieceBytes, false), qt.IsTrue)
+			qt.Assert(t, p.Transfer(t.Context(), soak.ChunkBytes, false), qt.IsTrue)
 		}
-		qt.Assert(t, time.Since(begun).Round(time.Millisecond), qt.Equals, 2*time.Second)
+		qt.Assert(t, time.Since(start).Round(time.Millisecond), qt.Equals, 2*time.Second)
 	})
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,7 +14,7 @@
 	"github.com/spoolsill/spoolsill/internal/standin/wire"
 )
 
-// metricsPort is the port of each host's metrics.
+// metricsPort is the port of the metrics of every host.
 const metricsPort = 9464
 
 // A Process runs a host, and can start it again after it has ended. It signals only
@@ -27,14 +27,14 @@
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd // nil while the host does not run
-	ended  chan struct{}
+	exited chan struct{}
 	starts int
-	// unexpected has the errors of processes that ended without a signal to do so.
-	unexpected error
-	terminated bool // the present process was sent SIGTERM or SIGKILL
+	// unexpectedExits joins the errors of processes that ended without SIGTERM or SIGKILL.
+	unexpectedExits error
+	terminated      bool // the current process was sent SIGTERM or SIGKILL
 }
 
-// NewProcess returns a Process that has not been started.
+// NewProcess returns a Process that is not running yet.
 func NewProcess(binary, dir string, s wire.HostSettings) *Process {
 	return &Process{
 		Settings: s,
@@ -63,11 +63,11 @@
 		return err
 	}
 	defer func() { _ = log.Close() }()
-	c := exec.Command(p.binary, "--metrics", strconv.Itoa(metricsPort)) //nolint:gosec // the binary under test, named by whoever starts the soak
+	c := exec.Command(p.binary, "--metrics", strconv.Itoa(metricsPort)) //nolint:gosec // the binary under test is chosen by the caller
 	c.Env = append(os.Environ(), "SPOOLSILL_BOOT="+file)
 	c.Stdout = log
 	c.Stderr = log
-	// The kernel kills the host if the soak dies.
+	// The kernel kills the host if this process dies.
 	c.SysProcAttr = &syscall.SysProcAttr{
 		Pdeathsig: syscall.SIGKILL,
 	}
@@ -75,41 +75,43 @@
 		return fmt.Errorf("start %s: %w", p.Settings.Host, err)
 	}
 	p.cmd = c
-	p.ended = make(chan struct{})
+	p.exited = make(chan struct{})
 	p.starts++
 	p.terminated = false
-	go p.await(c, p.ended)
+	go p.waitForExit(c, p.exited)
 	return nil
 }
 
-func (p *Process) await(c *exec.Cmd, ended chan struct{}) {
+// waitForExit waits until a process has ended, and then closes exited.
+func (p *Process) waitForExit(c *exec.Cmd, exited chan struct{}) {
 	err := c.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.terminated {
-		p.unexpected = errors.Join(p.unexpected, fmt.Errorf("host %s exited unexpectedly: %w", p.Settings.Host, err))
+		p.unexpectedExits = errors.Join(p.unexpectedExits, fmt.Errorf("host %s exited unexpectedly: %w", p.Settings.Host, err))
 	}
 	p.cmd = nil
-	close(ended)
+	close(exited)
 }
 
-// StartCount returns how often the host was started.
+// StartCount returns how many times the host was started.
 func (p *Process) StartCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.starts
 }
 
-// UnexpectedExits returns the joined errors of processes that ended without being told to.
+// UnexpectedExits returns the joined errors of processes that ended without SIGTERM or
+// SIGKILL, or nil.
 func (p *Process) UnexpectedExits() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.unexpected
+	return p.unexpectedExits
 }
 
 // Signal sends a signal to the host if it runs, and returns a channel that is closed once
 // that process has ended.
-func (p *Process) Signal(s syscall.Signal) (ended <-chan struct{}) {
+func (p *Process) Signal(s syscall.Signal) (exited <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -121,7 +123,7 @@
 		p.terminated = true
 	}
 	_ = p.cmd.Process.Signal(s)
-	return p.ended
+	return p.exited
 }
 
 // Stop stops the host gracefully, also if it is paused, and kills it if it has not ended
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -28,12 +28,12 @@
 }
 
 const (
-	// addedDelay is the delay of each piece of data in mode Delay.
+	// addedDelay is the delay of each chunk in mode Delay.
 	addedDelay = 300 * time.Millisecond
-	// pieceBytes is the largest piece of data that is forwarded at once.
-	pieceBytes = 16 << 10
-	// silencePoll is the interval at which held-back data checks the mode.
-	silencePoll = 20 * time.Millisecond
+	// chunkBytes is the largest amount of data that is forwarded at once.
+	chunkBytes = 16 << 10
+	// modePollInterval is the interval at which the mode is checked while data is held back.
+	modePollInterval = 20 * time.Millisecond
 )
 
 // A Proxy forwards TCP connections to a target and injects network faults. It is safe for
@@ -138,22 +138,22 @@
 	}
 	defer p.untrack(out)
 	if p.path.limited() {
-		_ = in.SetReadBuffer(windowBytes)
-		_ = out.SetReadBuffer(windowBytes)
+		_ = in.SetReadBuffer(readBufferBytes)
+		_ = out.SetReadBuffer(readBufferBytes)
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pump(ctx, in, out, false) })
-	wg.Go(func() { p.pump(ctx, out, in, true) })
+	wg.Go(func() { p.forward(ctx, in, out, false) })
+	wg.Go(func() { p.forward(ctx, out, in, true) })
 	wg.Wait()
 }
 
-// pump forwards one direction until either side ends.
-func (p *Proxy) pump(ctx context.Context, from, to *net.TCPConn, answers bool) {
+// forward forwards one direction of a connection until either side ends.
+func (p *Proxy) forward(ctx context.Context, from, to *net.TCPConn, toCaller bool) {
 	defer func() { _ = to.CloseWrite() }()
-	b := make([]byte, pieceBytes)
+	b := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(b)
-		if n > 0 && !p.pass(ctx, b[:n], to, answers) {
+		if n > 0 && !p.forwardChunk(ctx, b[:n], to, toCaller) {
 			return
 		}
 		if err != nil {
@@ -162,17 +162,18 @@
 	}
 }
 
-// pass forwards one piece according to the mode. Data that is held back is forwarded once
-// the mode allows it, as after a network partition.
-func (p *Proxy) pass(ctx context.Context, b []byte, to *net.TCPConn, answers bool) bool {
-	if !p.path.carry(ctx, len(b), answers) {
+// forwardChunk forwards one chunk according to the mode, and returns false if the connection
+// can't be used any more. Data that is held back is forwarded once the mode allows it, as
+// after a network partition.
+func (p *Proxy) forwardChunk(ctx context.Context, b []byte, to *net.TCPConn, toCaller bool) bool {
+	if !p.path.transfer(ctx, len(b), toCaller) {
 		return false
 	}
 	if p.currentMode() == Delay {
 		wait(ctx, addedDelay)
 	}
-	for m := p.currentMode(); m == Silence || m == OneWay && answers; m = p.currentMode() {
-		if !wait(ctx, silencePoll) {
+	for m := p.currentMode(); m == Silence || m == OneWay && toCaller; m = p.currentMode() {
+		if !wait(ctx, modePollInterval) {
 			return false
 		}
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -25,17 +25,17 @@
 type Config struct {
 	// Binary is the spoolsill-host to run.
 	Binary string
-	// Dir is the directory of the run's settings, logs and event log.
+	// Dir is the directory for the settings and logs of the hosts and for the event log.
 	Dir  string
 	Seed uint64
 	// Duration is how long faults are injected; 0 means 20 s.
 	Duration time.Duration
-	// Hosts, Workers and Clients are the number of each; 0 means 5, 12 and 12.
+	// Hosts, Workers and Clients are the numbers of each; 0 means 5, 12 and 12.
 	Hosts   int
 	Workers int
 	Clients int
 	// Troubled adds faults of workers: tasks that crash their workers, changes of the
-	// workers' capacity, and entries of another writer in their table.
+	// capacity of workers, and entries that another writer puts into their table.
 	Troubled bool
 }
 
@@ -45,9 +45,9 @@
 	Accepted   int
 	Ended      int
 	RunStarts  int
-	HostStarts int // starts of host processes
-	Crashes    int // restarts of workers that crashed
-	Broken     []string
+	HostStarts int      // starts of host processes
+	Crashes    int      // restarts of workers that crashed
+	Broken     []string // violations of guarantees
 }
 
 // String returns a summary of the result.
@@ -56,30 +56,30 @@
 }
 
 const (
-	// lease is the longest lease that a worker grants.
-	lease = 4 * time.Second
-	// workerCapacity is the usual number of tasks that a worker can hold.
+	// workerLease is the longest lease that a worker grants.
+	workerLease = 4 * time.Second
+	// workerCapacity is the number of tasks that a worker can usually hold.
 	workerCapacity = 4
-	// settleTime is how long accepted jobs may take to end after the last fault. It
-	// bounds the run and is no check of speed.
+	// settleTime is how long accepted jobs may take to end after the last fault. It bounds
+	// the run and does not check speed.
 	settleTime = time.Minute
-	// pollInterval is the interval of repeated queries.
+	// pollInterval is the time between repeated queries.
 	pollInterval = 200 * time.Millisecond
 	// startupTime is how long hosts have to start before the first fault.
 	startupTime = 2 * time.Second
-	// A run of a task takes minTaskTime and up to taskSpread more: some longer than all
-	// attempts of a start order, so that a wrong second run overlaps the first one.
-	// failureRate is the share of runs that fail.
-	minTaskTime = 100 * time.Millisecond
-	taskSpread  = 1900 * time.Millisecond
+	// A run of a task takes minTaskTime and up to maxExtraTaskTime more. Some runs take
+	// longer than all attempts to send a start order, so that a wrong second run overlaps
+	// the first one.
+	minTaskTime      = 100 * time.Millisecond
+	maxExtraTaskTime = 1900 * time.Millisecond
+	// failureRate is the share of the runs of tasks that fail.
 	failureRate = 0.03
-	// longTaskTime is longer than a whole run of the soak. cancelTime is how long tasks
-	// may run on after the faults have ended and their cancellation was acknowledged: the
-	// platform allows some four seconds.
+	// longTaskTime is longer than a whole run of the soak.
 	longTaskTime = time.Hour
-	cancelTime   = 6 * time.Second
-	// The ports of a host. They are the same for all hosts, which have different IP
-	// addresses.
+	// cancelTime is how long tasks may still run once the faults have ended and their
+	// cancellation was acknowledged. The platform allows about four seconds.
+	cancelTime = 6 * time.Second
+	// The ports of a host. All hosts use the same ports at different IP addresses.
 	clientPort = 7700
 	readyPort  = 7701
 	peerPort   = 7702
@@ -88,16 +88,16 @@
 // A run is the state of one run of the soak.
 type run struct {
 	config         Config
-	ctx            context.Context //nolint:containedctx // of the whole run; faults outlive the functions that begin them
+	ctx            context.Context //nolint:containedctx // of the whole run: faults outlive the functions that inject them
 	random         *rand.Rand
-	began          time.Time
+	startTime      time.Time
 	checker        *Checker
 	store          *cellfake.Store
 	workers        *cellfake.Workers
 	machines       []*machine
 	hosts          []*Process
-	stores         []*Proxy // by host
-	advisors       []*Proxy
+	storeProxies   []*Proxy // by host
+	advisorProxies []*Proxy // by host
 	operatorRandom *rand.Rand
 	links          []*Link // by host; nil without rate limits
 
@@ -110,8 +110,8 @@
 	// writeFaultRate and orderFaultRate are the shares of writes and orders that fail.
 	writeFaultRate float64
 	orderFaultRate float64
-	version        int // the newest configuration that the store has acknowledged
-	addedRoutes    int // routes that the operator has added to the configuration
+	version        int // newest configuration that the store has acknowledged
+	addedRoutes    int // number of routes that the operator has added to the configuration
 }
 
 // Run executes one run. All processes that it starts have ended when it returns.
@@ -120,15 +120,15 @@
 	ctx, cancel := context.WithTimeout(ctx, startupTime+c.Duration+finalAddTime+2*settleTime)
 	defer cancel()
 	x := &run{
-		config:   c,
-		ctx:      ctx,
-		random:   rand.New(rand.NewPCG(c.Seed, 1)), //nolint:gosec // a seed is to give the same plan each time
-		began:    time.Now(),
-		checker:  NewChecker(),
-		store:    cellfake.NewStore(),
-		workers:  cellfake.NewWorkers(lease),
-		eventLog: &bytes.Buffer{},
-		version:  1,
+		config:    c,
+		ctx:       ctx,
+		random:    rand.New(rand.NewPCG(c.Seed, 1)), //nolint:gosec // a seed has to give the same plan each time
+		startTime: time.Now(),
+		checker:   NewChecker(),
+		store:     cellfake.NewStore(),
+		workers:   cellfake.NewWorkers(workerLease),
+		eventLog:  &bytes.Buffer{},
+		version:   1,
 	}
 	x.planLinks()
 	if err := x.setUp(); err != nil {
@@ -155,8 +155,8 @@
 	return c
 }
 
-// ip returns the n-th loopback address of this run. Runs of other seeds or processes use
-// other addresses as far as the ranges allow.
+// ip returns the n-th loopback address of this run. Runs with other seeds or in other
+// processes use other addresses as far as the ranges allow.
 func (x *run) ip(n int) string {
 	const first, nets = 20, 200
 	return fmt.Sprintf("127.%d.%d.%d", first+os.Getpid()%nets, x.config.Seed%nets, n+1)
@@ -170,7 +170,7 @@
 	x.workers.Fault = x.orderFaultFor
 	x.workers.Capacity = workerCapacity
 	x.workers.CapacityGrace = capacityGrace
-	x.workers.RunResult = x.work
+	x.workers.RunResult = x.runResult
 	x.workers.CrashAfter = func(r sched.RunID) (time.Duration, bool) { return crashAfter, crashesWorkers(r.Task.Stage.Job) }
 	x.workers.OnCrash = x.workerCrashed
 	if err := x.putConfig(x.version, x.addedRoutes); err != nil {
@@ -181,27 +181,28 @@
 			return err
 		}
 	}
-	storeAt, err := x.serve(wire.StoreHandler(x.store))
+	storeAddress, err := x.serve(wire.StoreHandler(x.store))
 	if err != nil {
 		return err
 	}
-	advisorAt, err := x.serve(wire.AdvisorHandler(&cellfake.Advisor{}))
+	advisorAddress, err := x.serve(wire.AdvisorHandler(&cellfake.Advisor{}))
 	if err != nil {
 		return err
 	}
-	if err := x.linkHosts(); err != nil {
+	if err := x.startLinkProxies(); err != nil {
 		return err
 	}
 	for i := range x.config.Hosts {
-		if err := x.addHost(i, storeAt, advisorAt); err != nil {
+		if err := x.addHost(i, storeAddress, advisorAddress); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// work chooses the duration and the end of a run, and records its start.
-func (x *run) work(r sched.RunID) (time.Duration, sched.EndKind) {
+// runResult chooses the duration and the kind of end of a run of a task, and reports its
+// start to the checker.
+func (x *run) runResult(r sched.RunID) (time.Duration, sched.EndKind) {
 	if isLongRunning(r.Task.Stage.Job) {
 		x.checker.RunStarted(r, longTaskTime, sched.EndDone)
 		return longTaskTime, sched.EndDone
@@ -210,7 +211,7 @@
 		x.checker.RunStarted(r, longTaskTime, sched.EndDone)
 		return longTaskTime, sched.EndDone
 	}
-	d := minTaskTime + rand.N(taskSpread)
+	d := minTaskTime + rand.N(maxExtraTaskTime)
 	k := sched.EndDone
 	if rand.Float64() < failureRate {
 		k = sched.EndFailed
@@ -239,7 +240,7 @@
 	return l.Addr().String(), nil
 }
 
-// startProxy starts a proxy for a target, and returns it and its address.
+// startProxy starts a proxy for a target, and returns the proxy and its address.
 func (x *run) startProxy(target string, path Path) (*Proxy, string, error) {
 	l, err := x.listen()
 	if err != nil {
@@ -253,11 +254,11 @@
 	x.workers.Add(id)
 	m := &machine{}
 	m.activeID.Store(&id)
-	at, err := x.serve(x.serveMachine(m))
+	target, err := x.serve(x.serveMachine(m))
 	if err != nil {
 		return err
 	}
-	p, address, err := x.startProxy(at, Path{})
+	p, address, err := x.startProxy(target, Path{})
 	if err != nil {
 		return err
 	}
@@ -278,21 +279,21 @@
 	return wire.PutWorker(x.store, m.entry)
 }
 
-func (x *run) addHost(i int, storeAt, advisorAt string) error {
+func (x *run) addHost(i int, storeAddress, advisorAddress string) error {
 	var path Path
 	if x.addsRoutes() {
-		view, err := x.serve(newStoreView(i, storeAt))
+		view, err := x.serve(newStoreView(i, storeAddress))
 		if err != nil {
 			return err
 		}
-		storeAt = view
+		storeAddress = view
 		path.Caller = x.links[i]
 	}
-	s, storeProxy, err := x.startProxy(storeAt, path)
+	storeProxy, storeProxyAddress, err := x.startProxy(storeAddress, path)
 	if err != nil {
 		return err
 	}
-	a, advisorProxy, err := x.startProxy(advisorAt, Path{})
+	advisorProxy, advisorProxyAddress, err := x.startProxy(advisorAddress, Path{})
 	if err != nil {
 		return err
 	}
@@ -303,21 +304,21 @@
 		IP:             ip,
 		ClientAddress:  net.JoinHostPort(ip, fmt.Sprint(clientPort)),
 		ReadyAddress:   net.JoinHostPort(ip, fmt.Sprint(readyPort)),
-		StoreAddress:   storeProxy,
-		AdvisorAddress: advisorProxy,
+		StoreAddress:   storeProxyAddress,
+		AdvisorAddress: advisorProxyAddress,
 		PeerPort:       peerPort,
 		Cores:          1,
 		MemoryMB:       284,
-		Lease:          lease,
+		Lease:          workerLease,
 		StopGrace:      6 * time.Second,
 	})
 	x.hosts = append(x.hosts, p)
-	x.stores = append(x.stores, s)
-	x.advisors = append(x.advisors, a)
+	x.storeProxies = append(x.storeProxies, storeProxy)
+	x.advisorProxies = append(x.advisorProxies, advisorProxy)
 	return p.Start()
 }
 
-// leader returns the leader according to the store, or a random host if the store names
+// leader returns the host that leads according to the store, or a random host if there is
 // none.
 func (x *run) leader() *Process {
 	h, _, err := leader.ReadHead(x.ctx, x.store)
@@ -328,67 +329,69 @@
 			}
 		}
 	}
-	return x.anyHost()
+	return x.randomHost()
 }
 
+// execute runs the clients and injects the faults, and then checks that all work ends.
 func (x *run) execute(ctx context.Context) error {
 	wait(ctx, startupTime)
-	working, stop := context.WithCancel(ctx)
+	workCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
 	var addresses []string
 	for _, p := range x.hosts {
 		addresses = append(addresses, p.Settings.ClientAddress)
-		wg.Go(func() { x.watchConfig(working, p) })
-		wg.Go(func() { x.watchNewest(working, p) })
+		wg.Go(func() { x.watchForReverts(workCtx, p) })
+		wg.Go(func() { x.watchForMissing(workCtx, p) })
 	}
 	var clients []*client
 	for i := range x.config.Clients {
 		c := newClient(i, x.config.Seed, addresses, x.checker)
 		clients = append(clients, c)
-		wg.Go(func() { c.run(working) })
+		wg.Go(func() { c.run(workCtx) })
 	}
 	x.injectAndReconfigure(ctx, addresses)
 	stop()
 	wg.Wait()
 	c := newClient(len(clients), x.config.Seed, addresses, x.checker)
 	x.cancelLongRunning(ctx, c)
-	x.settle(ctx, c)
+	x.waitForJobs(ctx, c)
 	return ctx.Err()
 }
 
-// injectAndReconfigure injects faults, while the operator adds routes if the run has that.
-// After the faults it starts all hosts that are down, and lets the operator finish.
+// injectAndReconfigure injects faults, with faults of workers and added routes if the run
+// has those. After the last fault it starts the hosts that are down, and the operator adds
+// the remaining routes.
 func (x *run) injectAndReconfigure(ctx context.Context, hosts []string) {
-	operating, stop := context.WithCancel(ctx)
+	operatorCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var wg sync.WaitGroup
 	if x.config.Troubled {
-		wg.Go(func() { x.injectWorkerFaults(operating, hosts) })
+		wg.Go(func() { x.injectWorkerFaults(operatorCtx, hosts) })
 	}
 	if x.addsRoutes() {
-		wg.Go(func() { x.addRoutes(operating) })
+		wg.Go(func() { x.addRoutes(operatorCtx) })
 	}
 	x.injectFaults(ctx, x.config.Duration)
 	stop()
 	wg.Wait()
 	for _, p := range x.hosts {
-		x.restart(p)
+		x.startHost(p)
 	}
 	if x.addsRoutes() {
 		x.finishAddingRoutes(ctx)
 	}
 }
 
-// cancelLongRunning cancels the long-running jobs, and checks that no task of a cancelled
-// job runs on.
+// cancelLongRunning cancels the long-running jobs that have not ended, and checks that the
+// tasks of cancelled jobs end.
 func (x *run) cancelLongRunning(ctx context.Context, c *client) {
 	for _, id := range x.checker.OpenJobs() {
-		h := submission{
+		sub := submission{
 			id:   id,
 			path: queues[0] + string(id),
 		}
-		for isLongRunning(id) && !c.cancelJob(ctx, h) && wait(ctx, pollInterval) {
+		for isLongRunning(id) && !c.cancelJob(ctx, sub) && wait(ctx, pollInterval) {
 			continue
 		}
 	}
@@ -400,9 +403,10 @@
 	x.checker.CancelledRunsActive(x.workers.RunningOf(x.checker.IsCancelAcked))
 }
 
-// settle polls the accepted jobs until all have ended, for at most settleTime.
-func (x *run) settle(ctx context.Context, c *client) {
-	defer c.http.CloseIdleConnections()
+// waitForJobs polls the accepted jobs until all have ended. It records a violation for each
+// that has not ended after settleTime.
+func (x *run) waitForJobs(ctx context.Context, c *client) {
+	defer c.httpClient.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, settleTime)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -438,7 +442,7 @@
 	for _, p := range x.hosts {
 		r.HostStarts += p.StartCount()
 		if err := p.UnexpectedExits(); err != nil {
-			x.checker.Failed(err)
+			x.checker.RecordError(err)
 		}
 	}
 	r.Jobs, r.Accepted, r.Ended, r.RunStarts = x.checker.Counts()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -18,30 +18,32 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// seeds are run by CI: one that found nothing, and every seed that has found a violation,
-// with its cause.
+// seeds are the seeds that CI runs: one that has found nothing, and each one that has found
+// a violation, with its cause.
 var seeds = []uint64{
-	1,   // reads of a large configuration were cut off on slow links and started over
-	4,   // kills all hosts, the leader and single hosts
-	7,   // a leader's answers to a newly started host filled its slow link
+	1,   // reads of a large configuration over slow links timed out and started over
+	4,   // no violation; kills all hosts, the leader and single hosts
+	7,   // a leader's answers to a newly started host saturated its slow link
 	102, // a leader that had been paused reported a completed job as running
-	905, // a stop that no worker received was not sent again
-	// A leader in doubt had not been told of a job, and reported it as unknown.
+	905, // a stop order that no worker received was not sent again
+	// A leader that a host suspected to be lost was not notified of a job that the host had
+	// accepted, and reported the job as unknown.
 	1011,
 }
 
-// troubled are seeds that are run with faults of workers as well, see [soak.Config].
-var troubled = []uint64{
+// workerFaultSeeds are the seeds that CI runs with faults of workers, see [soak.Config].
+var workerFaultSeeds = []uint64{
 	3000, // four tasks that crash their workers, 14 starts of hosts
-	3039, // a host was told to reload its settings just after its start, and exited
+	3039, // a host that was told to reload its settings just after its start exited
 }
 
-// seedsAtOnce is the number of concurrent runs: one uses half a processor and waits most of
-// the time.
-const seedsAtOnce = 2
+// maxConcurrentSeeds is the number of concurrent runs. A run uses half a processor and waits
+// most of the time.
+const maxConcurrentSeeds = 2
 
-// TestPromisesHoldWhileHostsAreHarmed runs real processes. Its result does not depend on
-// their speed, except for the six seconds within which a host must apply a configuration.
+// TestPromisesHoldWhileHostsAreHarmed checks the guarantees while faults are injected into
+// real processes. The result does not depend on their speed, except that a host must have a
+// configuration in force within six seconds.
 func TestPromisesHoldWhileHostsAreHarmed(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs real processes")
@@ -50,22 +52,22 @@
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/spoolsill/spoolsill/cmd/spoolsill-host").CombinedOutput()
 	qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", out))
 	var g errgroup.Group
-	g.SetLimit(seedsAtOnce)
-	check := func(seeds []uint64, troubled bool) {
+	g.SetLimit(maxConcurrentSeeds)
+	check := func(seeds []uint64, workerFaults bool) {
 		for _, seed := range seeds {
 			g.Go(func() error {
-				checkSeed(t, binary, seed, troubled)
+				checkSeed(t, binary, seed, workerFaults)
 				return nil
 			})
 		}
 	}
 	check(seeds, false)
-	check(troubled, true)
+	check(workerFaultSeeds, true)
 	qt.Assert(t, g.Wait(), qt.IsNil)
 }
 
-// checkSeed executes the run of one seed. It keeps the logs of a failed run.
-func checkSeed(t *testing.T, binary string, seed uint64, troubled bool) {
+// checkSeed executes the run of one seed. It keeps the files of a failed run.
+func checkSeed(t *testing.T, binary string, seed uint64, workerFaults bool) {
 	dir, err := os.MkdirTemp("", "soak")
 	if !qt.Check(t, err, qt.IsNil) {
 		return
@@ -75,14 +77,14 @@
 		Dir:      dir,
 		Seed:     seed,
 		Duration: 8 * time.Second,
-		Troubled: troubled,
+		Troubled: workerFaults,
 	})
 	t.Logf("seed %d: %s", seed, r)
-	well := qt.Check(t, err, qt.IsNil)
-	well = qt.Check(t, r.Broken, qt.HasLen, 0, qt.Commentf("logs of seed %d are in %s", seed, dir)) && well
-	well = qt.Check(t, r.Accepted > 0, qt.IsTrue) && well
-	well = qt.Check(t, r.Crashes > 0, qt.Equals, troubled) && well
-	if well {
+	passed := qt.Check(t, err, qt.IsNil)
+	passed = qt.Check(t, r.Broken, qt.HasLen, 0, qt.Commentf("logs of seed %d are in %s", seed, dir)) && passed
+	passed = qt.Check(t, r.Accepted > 0, qt.IsTrue) && passed
+	passed = qt.Check(t, r.Crashes > 0, qt.Equals, workerFaults) && passed
+	if passed {
 		qt.Check(t, os.RemoveAll(dir), qt.IsNil)
 	}
 }
@@ -99,9 +101,9 @@
 	}
 	tests := map[string]struct {
 		violations int
-		play       func(c *soak.Checker)
+		record     func(c *soak.Checker)
 	}{
-		"all is well": {0, func(c *soak.Checker) {
+		"no violation": {0, func(c *soak.Checker) {
 			c.SubmitAnswered(id, http.StatusOK)
 			c.RunStarted(first, 0, sched.EndDone)
 			c.StateReported(id, "completed")
@@ -132,7 +134,7 @@
 			c.RunStarted(first, 0, sched.EndFailed)
 			c.StateReported(id, "completed")
 		}},
-		"cancelled by nobody": {1, func(c *soak.Checker) {
+		"cancelled without a request": {1, func(c *soak.Checker) {
 			c.SubmitAnswered(id, http.StatusOK)
 			c.StateReported(id, "cancelled")
 		}},
@@ -163,23 +165,23 @@
 			c.StateReported(id, "failed")
 			c.StateReported(id, "running")
 		}},
-		"never ends": {1, func(c *soak.Checker) {
+		"not ended": {1, func(c *soak.Checker) {
 			c.SubmitAnswered(id, http.StatusOK)
 			c.JobsNotEnded(c.OpenJobs())
 		}},
 	}
-	for name, x := range tests {
+	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := soak.NewChecker()
 			c.SubmitSent(id, soak.OneTask())
-			x.play(c)
-			qt.Assert(t, c.Violations(), qt.HasLen, x.violations)
+			tt.record(c)
+			qt.Assert(t, c.Violations(), qt.HasLen, tt.violations)
 		})
 	}
 }
 
-// A proxy forwards a call, resets one, and forwards data that was held back once the mode
-// allows it.
+// A proxy forwards calls with and without a delay, resets connections, and forwards the data
+// that it has held back once the mode allows it.
 func TestProxyModes(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/soak/view.go
+++ b/internal/soak/view.go
@@ -18,15 +18,16 @@
 // others. Each further host has the next port.
 const firstLinkPort = 7710
 
-// A storeView is a reverse proxy of the store for one host. It replaces the leader's address
-// by that of the proxy between the two hosts, so that calls to the leader use both links.
+// A storeView is a reverse proxy of the store for one host. It replaces the address of the
+// leader by that of the proxy between the two hosts, so that calls to the leader use the
+// links of both.
 type storeView struct {
 	host  int
 	store http.Handler
 }
 
-// newStoreView returns the view of a host on the store at an address.
-func newStoreView(host int, storeAt string) *storeView {
+// newStoreView returns the view that a host has of the store at an address.
+func newStoreView(host int, storeAddress string) *storeView {
 	v := &storeView{
 		host: host,
 	}
@@ -34,10 +35,10 @@
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.SetURL(&url.URL{
 				Scheme: "http",
-				Host:   storeAt,
+				Host:   storeAddress,
 			})
 		},
-		// The store breaks a connection whose answer is lost.
+		// A lost answer ends the connection without a response, as at the store itself.
 		ErrorHandler:   func(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) },
 		ModifyResponse: v.modify,
 	}
@@ -49,6 +50,7 @@
 	v.store.ServeHTTP(w, r)
 }
 
+// modify rewrites the body of an answer of the store.
 func (v *storeView) modify(r *http.Response) error {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// rewrite replaces the leader's address in an answer that has the leader's row.
+// rewrite replaces the leader's address in an answer that contains the leader's row.
 func (v *storeView) rewrite(body []byte) ([]byte, error) {
 	name, err := json.Marshal(leader.HeadKey.Name)
 	if err != nil {
@@ -73,15 +75,15 @@
 	if !bytes.Contains(body, name) {
 		return body, nil
 	}
-	var a struct {
+	var answer struct {
 		Rows []map[string]json.RawMessage `json:"rows"`
 		More bool                         `json:"more"`
 		Ver  json.RawMessage              `json:"ver"`
 	}
-	if err := json.Unmarshal(body, &a); err != nil {
+	if err := json.Unmarshal(body, &answer); err != nil {
 		return nil, fmt.Errorf("answer of the store: %w", err)
 	}
-	for _, r := range a.Rows {
+	for _, r := range answer.Rows {
 		if !bytes.Equal(r["key"], name) {
 			continue
 		}
@@ -89,11 +91,11 @@
 			return nil, err
 		}
 	}
-	return json.Marshal(a)
+	return json.Marshal(answer)
 }
 
-// rewriteValue replaces the peer port by this host's link port. Both have the same number
-// of digits, so the lengths in the encoded value stay valid.
+// rewriteValue replaces the peer port by the port of this host's proxies. Both have the same
+// number of digits, so that the lengths in the encoded value stay valid.
 func (v *storeView) rewriteValue(row map[string]json.RawMessage) error {
 	if row["value"] == nil {
 		return nil
@@ -112,21 +114,21 @@
 	return fmt.Append(nil, ":", port)
 }
 
-// linkHosts starts a proxy for each ordered pair of hosts.
-func (x *run) linkHosts() error {
-	for i := range x.links {
-		for k := range x.links {
-			if i == k {
+// startLinkProxies starts a proxy for each ordered pair of hosts, if the hosts have links.
+func (x *run) startLinkProxies() error {
+	for caller := range x.links {
+		for target := range x.links {
+			if caller == target {
 				continue
 			}
-			ip := x.ip(k + 1)
-			l, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(firstLinkPort+i)))
+			ip := x.ip(target + 1)
+			l, err := net.Listen("tcp", net.JoinHostPort(ip, strconv.Itoa(firstLinkPort+caller)))
 			if err != nil {
 				return err
 			}
 			NewProxy(x.ctx, l, net.JoinHostPort(ip, strconv.Itoa(peerPort)), Path{
-				Caller: x.links[i],
-				Target: x.links[k],
+				Caller: x.links[caller],
+				Target: x.links[target],
 			})
 		}
 	}
--- a/internal/soak/view_test.go
+++ b/internal/soak/view_test.go
@@ -16,14 +16,14 @@
 	"github.com/spoolsill/spoolsill/store"
 )
 
-// A host that reads the leader's row gets the address of the proxy between the two.
+// A host that reads the leader's row gets the address of the proxy between the two hosts.
 func TestHostReadsLeaderAddressOfLink(t *testing.T) {
 	s := cellfake.NewStore()
-	at := httptest.NewServer(wire.StoreHandler(s))
-	defer at.Close()
-	seen := httptest.NewServer(soak.NewStoreView(3, at.Listener.Addr().String()))
-	defer seen.Close()
-	c := platform.NewStore(seen.Listener.Addr().String(), nil)
+	backend := httptest.NewServer(wire.StoreHandler(s))
+	defer backend.Close()
+	view := httptest.NewServer(soak.NewStoreView(3, backend.Listener.Addr().String()))
+	defer view.Close()
+	c := platform.NewStore(view.Listener.Addr().String(), nil)
 	h, _, err := leader.ReadHead(t.Context(), c)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, h, qt.Equals, leader.Head{})
--- a/internal/soak/workerfaults.go
+++ b/internal/soak/workerfaults.go
@@ -19,20 +19,20 @@
 
 const (
 	// workerFaultStream is the random stream of a seed for the faults of workers. It is
-	// separate from that of the other faults, whose plan does not depend on it.
+	// separate from that of the other faults, so that their plan does not depend on it.
 	workerFaultStream = 14
-	// maxWorkerFaultGap is the longest time between two of them.
+	// maxWorkerFaultGap is the longest time between two faults of workers.
 	maxWorkerFaultGap = 700 * time.Millisecond
-	// crashStream is the random stream for crashes of workers that no task causes,
-	// maxCrashGap the longest time between two of them.
+	// crashStream is the random stream of a seed for crashes of workers that no task causes,
+	// and maxCrashGap the longest time between two of these.
 	crashStream = 15
 	maxCrashGap = 5 * time.Second
-	// crashingPrefix is the prefix of the ids of jobs whose task crashes its workers,
-	// crashAfter the start of each run.
+	// crashingPrefix is the prefix of the ids of jobs whose task crashes its workers, and
+	// crashAfter the time from the start of such a task to the crash.
 	crashingPrefix = "c"
 	crashAfter     = 10 * time.Millisecond
 	// A crashed worker restarts at once, after shortRestart, or after minRestart to
-	// maxRestart. If it keeps its id, its new entry is delayed by up to maxEntryDelay.
+	// maxRestart. If it keeps its id, its new entry is written up to maxEntryDelay later.
 	shortRestart  = 50 * time.Millisecond
 	minRestart    = time.Second
 	maxRestart    = 4 * time.Second
@@ -43,8 +43,8 @@
 	// of an entry of another writer.
 	maxCapacityTime = 6 * time.Second
 	maxInvalidTime  = 3 * time.Second
-	// capacityGrace is the time within which a leader must know of a reduced capacity,
-	// by the bounds in the hosts' settings: three seconds and a worker's heartbeat.
+	// capacityGrace is the time within which a leader must know of a reduced capacity. The
+	// limits in the settings of the hosts allow three seconds and a worker's heartbeat.
 	capacityGrace = 4500 * time.Millisecond
 )
 
@@ -52,7 +52,7 @@
 	return strings.HasPrefix(string(id), crashingPrefix)
 }
 
-// invalidEntries are entries that no worker writes: malformed ones and one of another
+// invalidEntries are entries that no worker writes: malformed ones, and one of another
 // service.
 var invalidEntries = []string{
 	"\x00\xff\xfe",
@@ -65,7 +65,7 @@
 	`{"service":"elsewhere","addr":"127.0.0.1:1","zone":"z","state":"ready","capacity":{"cpu":64000,"memMb":65536},"labels":["a"]}`,
 }
 
-// A machine runs one worker after another, at the same address.
+// A machine runs one worker after another at the same address.
 type machine struct {
 	proxy    *Proxy
 	activeID atomic.Pointer[spoolsill.WorkerID] // of the worker that answers at the address
@@ -73,7 +73,7 @@
 	mu       sync.Mutex
 	entry    wire.WorkerEntry // of the newest worker
 	restarts int
-	down     bool // the worker has crashed and not restarted
+	down     bool // the newest worker has crashed and not restarted
 }
 
 // current returns the entry of the machine's newest worker.
@@ -83,7 +83,7 @@
 	return m.entry
 }
 
-// crashCount returns how many crashes were followed by a restart.
+// crashCount returns the number of crashes after which a worker was started again.
 func (m *machine) crashCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,14 +97,14 @@
 	})
 }
 
-// workerCrashed records a crash and restarts the worker after a while, under the same id or
-// a new one.
+// workerCrashed records a crash. The worker is restarted after a random time, under the same
+// id or a new one.
 func (x *run) workerCrashed(id spoolsill.WorkerID, lost []sched.RunID) {
 	x.logEvent("%s crashes with %d runs", id, len(lost))
 	x.checker.RunsLost(lost)
 	for _, m := range x.machines {
 		if m.current().ID == id && m.markDown() {
-			go x.restartMachine(m, rand.New(rand.NewPCG(rand.Uint64(), 0))) //nolint:gosec // no secret
+			go x.restartMachine(m, rand.New(rand.NewPCG(rand.Uint64(), 0))) //nolint:gosec // not security-relevant
 			return
 		}
 	}
@@ -115,15 +115,15 @@
 func (m *machine) markDown() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	was := m.down
+	wasDown := m.down
 	m.down = true
-	return !was
+	return !wasDown
 }
 
-// crashPeriodically crashes workers at random times until ctx ends.
-func (x *run) crashPeriodically(ctx context.Context) {
+// crashAtRandomTimes crashes workers at random times until ctx ends.
+func (x *run) crashAtRandomTimes(ctx context.Context) {
 	r := rand.New(rand.NewPCG(x.config.Seed, crashStream)) //nolint:gosec // a seed is to give the same plan each time
-	for wait(ctx, between(r, 0, maxCrashGap)) {
+	for wait(ctx, randomDuration(r, 0, maxCrashGap)) {
 		x.crashWorkers(1 + r.IntN(len(x.machines)))
 	}
 }
@@ -136,13 +136,15 @@
 	}
 }
 
+// restartMachine starts a worker on a machine after a random time. The worker has the id of
+// the crashed one or a new id.
 func (x *run) restartMachine(m *machine, r *rand.Rand) {
-	after := []time.Duration{0, shortRestart, between(r, minRestart, maxRestart)}[r.IntN(3)]
-	if !wait(x.ctx, after) {
+	delay := []time.Duration{0, shortRestart, randomDuration(r, minRestart, maxRestart)}[r.IntN(3)]
+	if !wait(x.ctx, delay) {
 		return
 	}
 	if r.IntN(2) == 0 {
-		x.restartWorker(m, between(r, 0, maxEntryDelay))
+		x.restartWorker(m, randomDuration(r, 0, maxEntryDelay))
 		return
 	}
 	m.mu.Lock()
@@ -160,55 +162,55 @@
 }
 
 // restartWorker restarts a machine's worker under the same id, and writes its entry after
-// a delay unless it has restarted again by then.
-func (x *run) restartWorker(m *machine, late time.Duration) {
+// entryDelay unless the worker has restarted again by then.
+func (x *run) restartWorker(m *machine, entryDelay time.Duration) {
 	m.mu.Lock()
 	m.restarts++
 	m.down = false
-	born := x.workers.Restart(m.entry.ID)
-	m.entry.Born = born.Born
+	incarnation := x.workers.Restart(m.entry.ID)
+	m.entry.Born = incarnation.Born
 	m.mu.Unlock()
-	x.logEvent("%s restarts", born)
-	if !wait(x.ctx, late) {
+	x.logEvent("%s restarts", incarnation)
+	if !wait(x.ctx, entryDelay) {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.entry.Born == born.Born {
+	if m.entry.Born == incarnation.Born {
 		x.putEntry(m.entry)
 	}
 }
 
 // injectWorkerFaults injects crashes of workers, changes of their capacity and entries of
-// another writer until ctx ends, and returns once the capacity and the entries are restored.
+// another writer until ctx ends, and returns once capacity and entries are restored.
 func (x *run) injectWorkerFaults(ctx context.Context, hosts []string) {
 	r := rand.New(rand.NewPCG(x.config.Seed, workerFaultStream)) //nolint:gosec // a seed is to give the same plan each time
 	c := newClient(x.config.Clients+2, x.config.Seed, hosts, x.checker)
-	defer c.http.CloseIdleConnections()
-	var healing sync.WaitGroup
-	defer healing.Wait()
-	healing.Go(func() { x.crashPeriodically(ctx) })
-	for made := 0; ctx.Err() == nil; wait(ctx, between(r, 0, maxWorkerFaultGap)) {
+	defer c.httpClient.CloseIdleConnections()
+	var active sync.WaitGroup
+	defer active.Wait()
+	active.Go(func() { x.crashAtRandomTimes(ctx) })
+	for submitted := 0; ctx.Err() == nil; wait(ctx, randomDuration(r, 0, maxWorkerFaultGap)) {
 		switch r.IntN(4) {
 		case 0:
-			if made < maxCrashingJobs {
-				made++
-				healing.Go(func() { c.submitCrashing(ctx, made) })
+			if submitted < maxCrashingJobs {
+				submitted++
+				active.Go(func() { c.submitCrashingJob(ctx, submitted) })
 			}
 		case 1:
 			m := x.machines[r.IntN(len(x.machines))]
-			runs, last := r.IntN(workerCapacity+1), between(r, 0, maxCapacityTime)
-			healing.Go(func() { x.changeCapacity(ctx, m, runs, last) })
+			capacity, duration := r.IntN(workerCapacity+1), randomDuration(r, 0, maxCapacityTime)
+			active.Go(func() { x.changeCapacity(ctx, m, capacity, duration) })
 		default:
 			m := x.machines[r.IntN(len(x.machines))]
-			value, over, last := invalidEntries[r.IntN(len(invalidEntries))], r.IntN(3) == 0, between(r, 0, maxInvalidTime)
-			healing.Go(func() { x.writeInvalidEntry(ctx, m, value, over, last) })
+			value, overwrite, duration := invalidEntries[r.IntN(len(invalidEntries))], r.IntN(3) == 0, randomDuration(r, 0, maxInvalidTime)
+			active.Go(func() { x.writeInvalidEntry(ctx, m, value, overwrite, duration) })
 		}
 	}
 }
 
-// submitCrashing submits a job whose task crashes its workers.
-func (c *client) submitCrashing(ctx context.Context, n int) {
+// submitCrashingJob submits a job whose task crashes its workers.
+func (c *client) submitCrashingJob(ctx context.Context, n int) {
 	id := spoolsill.JobID(fmt.Sprintf("%s%07x%08x", crashingPrefix, c.number, n))
 	steps := []step{
 		{
@@ -227,26 +229,27 @@
 	}
 }
 
-// changeCapacity changes the capacity of a machine for a while.
-func (x *run) changeCapacity(ctx context.Context, m *machine, runs int, last time.Duration) {
-	set := func(runs int) {
+// changeCapacity changes the capacity of a machine for the given time.
+func (x *run) changeCapacity(ctx context.Context, m *machine, capacity int, duration time.Duration) {
+	set := func(capacity int) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.entry.Capacity.Processors = spoolsill.Millicores(runs) * spoolsill.Core
-		x.workers.SetCapacity(m.entry.ID, runs)
+		m.entry.Capacity.Processors = spoolsill.Millicores(capacity) * spoolsill.Core
+		x.workers.SetCapacity(m.entry.ID, capacity)
 		x.putEntry(m.entry)
-		x.logEvent("%s has room for %d", m.entry.ID, runs)
+		x.logEvent("%s has capacity for %d runs", m.entry.ID, capacity)
 	}
-	set(runs)
-	wait(ctx, last)
+	set(capacity)
+	wait(ctx, duration)
 	set(workerCapacity)
 }
 
-// writeInvalidEntry writes an entry that no worker writes, under a new id or over the
-// machine's entry, and undoes that after a while.
-func (x *run) writeInvalidEntry(ctx context.Context, m *machine, value string, over bool, last time.Duration) {
+// writeInvalidEntry writes an entry that no worker writes, under an id of its own or, if
+// overwrite is true, over the machine's entry. After the given time it removes the entry or
+// restores the machine's.
+func (x *run) writeInvalidEntry(ctx context.Context, m *machine, value string, overwrite bool, duration time.Duration) {
 	id := spoolsill.WorkerID("strange-" + m.current().Machine)
-	if over {
+	if overwrite {
 		id = m.current().ID
 	}
 	x.logEvent("another writer writes entry %s", id)
@@ -257,8 +260,8 @@
 		},
 		Value: []byte(value),
 	})
-	wait(ctx, last)
-	if !over {
+	wait(ctx, duration)
+	if !overwrite {
 		wire.DeleteWorker(x.store, id)
 		return
 	}
