--- a/internal/cellfake/crash.go
+++ b/internal/cellfake/crash.go
@@ -83,8 +83,8 @@
 	return w.incarnation()
 }
 
-// CurrentLife returns the latest incarnation of a worker.
-func (f *Workers) CurrentLife(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
+// CurrentIncarnation returns the latest incarnation of a worker.
+func (f *Workers) CurrentIncarnation(id spoolsill.WorkerID) spoolsill.WorkerIncarnation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[id].incarnation()
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -163,20 +163,20 @@
 	return f.violations
 }
 
-// Starts returns how many runs have started.
-func (f *Workers) Starts() int {
+// StartCount returns how many runs have started.
+func (f *Workers) StartCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts
 }
 
-// Running returns how many runs are active on all workers.
-func (f *Workers) Running() int {
-	return f.RunningOf(func(spoolsill.JobID) bool { return true })
+// RunningCount returns how many runs are active on all workers.
+func (f *Workers) RunningCount() int {
+	return f.RunningCountOf(func(spoolsill.JobID) bool { return true })
 }
 
-// RunningOf returns how many runs are active of the jobs for which chosen returns true.
-func (f *Workers) RunningOf(match func(id spoolsill.JobID) bool) int {
+// RunningCountOf returns how many runs are active of the jobs for which chosen returns true.
+func (f *Workers) RunningCountOf(match func(id spoolsill.JobID) bool) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -265,7 +265,7 @@
 	m.proxy = p
 	m.entry = wire.WorkerEntry{
 		ID:      id,
-		Born:    x.workers.CurrentLife(id).StartTime,
+		Born:    x.workers.CurrentIncarnation(id).StartTime,
 		Address: address,
 		Machine: "m" + string(id),
 		Rack:    "r1-1",
@@ -396,11 +396,11 @@
 		}
 	}
 	for end := time.Now().Add(cancelTime); time.Now().Before(end); {
-		if x.workers.RunningOf(x.checker.IsCancelAcked) == 0 || !wait(ctx, pollInterval) {
+		if x.workers.RunningCountOf(x.checker.IsCancelAcked) == 0 || !wait(ctx, pollInterval) {
 			return
 		}
 	}
-	x.checker.CancelledRunsActive(x.workers.RunningOf(x.checker.IsCancelAcked))
+	x.checker.CancelledRunsActive(x.workers.RunningCountOf(x.checker.IsCancelAcked))
 }
 
 // waitForJobs polls the accepted jobs until all have ended. It records a violation for each
--- a/internal/soak/workerfaults.go
+++ b/internal/soak/workerfaults.go
@@ -154,7 +154,7 @@
 	m.restarts++
 	m.entry.ID = spoolsill.WorkerID(fmt.Sprintf("%s-%d", m.entry.Machine, m.restarts))
 	x.workers.Replace(old, m.entry.ID)
-	m.entry.Born = x.workers.CurrentLife(m.entry.ID).StartTime
+	m.entry.Born = x.workers.CurrentIncarnation(m.entry.ID).StartTime
 	m.activeID.Store(&m.entry.ID)
 	wire.DeleteWorker(x.store, old)
 	x.putEntry(m.entry)
--- a/leader/crash_test.go
+++ b/leader/crash_test.go
@@ -60,7 +60,7 @@
 func (m *machineCell) listIncarnation(id spoolsill.WorkerID, machine string) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
-		Born:    m.workers.CurrentLife(id).StartTime,
+		Born:    m.workers.CurrentIncarnation(id).StartTime,
 		Machine: machine,
 		Service: "work",
 		Address: string(id),
--- a/leader/fixture_test.go
+++ b/leader/fixture_test.go
@@ -80,7 +80,7 @@
 func (x *cell) listWorker(id spoolsill.WorkerID) {
 	b, err := json.Marshal(sched.Worker{
 		ID:      id,
-		Born:    x.workers.CurrentLife(id).StartTime,
+		Born:    x.workers.CurrentIncarnation(id).StartTime,
 		Service: "work",
 		Address: string(id),
 		Capacity: spoolsill.Resources{
--- a/leader/latestart_test.go
+++ b/leader/latestart_test.go
@@ -201,7 +201,7 @@
 // waitUntilNoRuns waits until no run is left, for at most a minute.
 func (x *lateCell) waitUntilNoRuns() {
 	begun := time.Now()
-	for x.workers.Running() > 0 && time.Since(begun) < time.Minute {
+	for x.workers.RunningCount() > 0 && time.Since(begun) < time.Minute {
 		pause.For(x.ctx, 10*time.Millisecond)
 	}
 }
@@ -365,9 +365,9 @@
 				pause.For(x.ctx, 500*time.Millisecond)
 				x.c.Assert(x.late.heldCount(), qt.Equals, 1)
 				c.beforeStart(x)
-				starts := x.workers.Starts()
+				starts := x.workers.StartCount()
 				x.late.release(x.ctx)
-				x.c.Assert(x.workers.Starts() > starts, qt.Equals, !c.mustNotStart)
+				x.c.Assert(x.workers.StartCount() > starts, qt.Equals, !c.mustNotStart)
 				started := time.Now()
 				if c.afterStart != nil {
 					c.afterStart(x)
--- a/leader/leader_test.go
+++ b/leader/leader_test.go
@@ -37,7 +37,7 @@
 			Steps: []sched.Step{step(1, 1)},
 		})
 		pause.For(x.ctx, 3*time.Second)
-		x.c.Assert(x.workers.Starts(), qt.Equals, 0)
+		x.c.Assert(x.workers.StartCount(), qt.Equals, 0)
 		l.SetConfig(4, queues(), nil)
 		pause.For(x.ctx, 3*time.Second)
 		x.assertCompleted(l, []spoolsill.JobID{"j"})
@@ -150,7 +150,7 @@
 			Steps: []sched.Step{step(1, 1)},
 		})
 		pause.For(x.ctx, time.Second)
-		x.c.Assert(x.workers.Starts(), qt.Equals, 1)
+		x.c.Assert(x.workers.StartCount(), qt.Equals, 1)
 		x.workers.SetUnreachable("w0", true)
 		x.store.Delete(workerKey("w0"))
 		pause.For(x.ctx, time.Second)
@@ -175,13 +175,13 @@
 		x.cancels[0]()
 		x.hosts.Wait()
 		pause.For(x.ctx, 2*time.Second) // the tasks end meanwhile
-		starts := x.workers.Starts()
+		starts := x.workers.StartCount()
 		x.store.SetListLatency(jobstore.JobsTable, 300*time.Millisecond)
 		l := x.lead("b")
 		pause.For(x.ctx, 20*time.Second)
 		x.assertCompleted(l, ids)
 		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
-		x.c.Assert(x.workers.Starts() >= starts, qt.IsTrue)
+		x.c.Assert(x.workers.StartCount() >= starts, qt.IsTrue)
 	})
 }
 
@@ -266,7 +266,7 @@
 		x.c.Assert(err, qt.IsNil)
 		x.c.Assert(p.Rows, qt.HasLen, 0)
 		// A client submits a job again after its end: it is the same job and does not run again.
-		starts := x.workers.Starts()
+		starts := x.workers.StartCount()
 		x.submit(sched.Job{
 			ID:    ids[0],
 			Queue: "plain",
@@ -276,7 +276,7 @@
 		x.assertCompleted(x.lead("b"), nil)
 		pause.For(x.ctx, 3*time.Second)
 		x.assertCompleted(x.leaders[1], ids)
-		x.c.Assert(x.workers.Starts(), qt.Equals, starts)
+		x.c.Assert(x.workers.StartCount(), qt.Equals, starts)
 		s, known, err := jobstore.ReadState(x.ctx, x.store, ids[0])
 		x.c.Assert(err, qt.IsNil)
 		x.c.Assert(known, qt.IsTrue)
@@ -328,7 +328,7 @@
 		pause.For(x.ctx, 20*time.Second)
 		x.assertCompleted(l, ids)
 
-		starts := x.workers.Starts()
+		starts := x.workers.StartCount()
 		x.store.SetListLatency(jobstore.ProgressTable, load)
 		l = x.lead("b")
 		begun = time.Now()
@@ -339,6 +339,6 @@
 		x.store.SetListLatency(jobstore.ProgressTable, 0)
 		pause.For(x.ctx, 5*time.Second)
 		x.assertCompleted(l, ids)
-		x.c.Check(x.workers.Starts(), qt.Equals, starts)
+		x.c.Check(x.workers.StartCount(), qt.Equals, starts)
 	})
 }
--- a/leader/restart_test.go
+++ b/leader/restart_test.go
@@ -70,7 +70,7 @@
 		after := x.submitTasks("after", 12)
 		pause.For(x.ctx, 4*time.Second)
 		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
-		x.c.Check(x.workers.Starts(), qt.Equals, len(before)+len(after))
+		x.c.Check(x.workers.StartCount(), qt.Equals, len(before)+len(after))
 		x.assertCompleted(l, after)
 	})
 }
--- a/leader/restartmodel_test.go
+++ b/leader/restartmodel_test.go
@@ -98,7 +98,7 @@
 			pause.For(m.ctx, downtime)
 			restarted := m.workers.Restart(id)
 			pause.For(m.ctx, entry)
-			if m.workers.CurrentLife(id) == restarted {
+			if m.workers.CurrentIncarnation(id) == restarted {
 				m.listWorker(id)
 			}
 		})
--- a/leader/slowheartbeat_test.go
+++ b/leader/slowheartbeat_test.go
@@ -35,14 +35,14 @@
 			Steps: []sched.Step{step(1, 1)},
 		})
 		pause.For(x.ctx, 500*time.Millisecond)
-		x.c.Assert(x.workers.Starts(), qt.Equals, 1)
+		x.c.Assert(x.workers.StartCount(), qt.Equals, 1)
 		saturated.Store(true)
 		x.workers.Add(other)
 		x.listWorker(other)
 		pause.For(x.ctx, 12*time.Second)
 		s, _ := l.Status("j")
 		x.c.Check(s.State, qt.Equals, sched.Completed)
-		x.c.Check(x.workers.Starts(), qt.Equals, 1)
+		x.c.Check(x.workers.StartCount(), qt.Equals, 1)
 		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
--- a/leader/slowresponse_test.go
+++ b/leader/slowresponse_test.go
@@ -59,7 +59,7 @@
 		}
 		pause.For(x.ctx, 6*time.Second)
 		x.assertCompleted(l, ids)
-		x.c.Check(x.workers.Starts(), qt.Equals, jobs*tasks)
+		x.c.Check(x.workers.StartCount(), qt.Equals, jobs*tasks)
 		// Besides the starts, a worker gets at most one heartbeat in 0.4 s.
 		maxCalls := int64(jobs*tasks*5/4 + workers*16*5/2)
 		calls := callCount.Load() - before
--- a/node/delegated_test.go
+++ b/node/delegated_test.go
@@ -59,7 +59,7 @@
 		ids := x.submitMany(1, 20, 0, 1, 2, 3)
 		pause.For(x.ctx, 6*time.Second)
 		x.assertCompleted(x.leader(), ids)
-		x.c.Check(x.workers.Starts(), qt.Equals, 40)
+		x.c.Check(x.workers.StartCount(), qt.Equals, 40)
 		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
@@ -95,7 +95,7 @@
 					set(x, h, false)
 					pause.For(x.ctx, time.Second)
 				}
-				x.c.Check(x.workers.Starts(), qt.Equals, 2*(next-1))
+				x.c.Check(x.workers.StartCount(), qt.Equals, 2*(next-1))
 				x.c.Check(x.workers.Violations(), qt.HasLen, 0)
 			})
 		})
@@ -246,6 +246,6 @@
 		pause.For(x.ctx, 8*time.Second)
 		x.assertCompleted(x.leader(), after)
 		x.c.Check(x.workers.Violations(), qt.HasLen, 0)
-		x.c.Check(x.workers.Starts(), qt.Equals, 48)
+		x.c.Check(x.workers.StartCount(), qt.Equals, 48)
 	})
 }
--- a/node/large_bench_test.go
+++ b/node/large_bench_test.go
@@ -59,7 +59,7 @@
 			}
 			calls.Wait()
 			pause.For(x.ctx, 2*time.Second)
-			b.ReportMetric(float64(x.workers.Starts())/duration.Seconds(), "starts/s")
+			b.ReportMetric(float64(x.workers.StartCount())/duration.Seconds(), "starts/s")
 		})
 	}
 }
--- a/node/loading_test.go
+++ b/node/loading_test.go
@@ -80,6 +80,6 @@
 		x.c.Check(took < 150*time.Millisecond, qt.IsTrue, qt.Commentf("answered after %v", took))
 		x.c.Assert(x.call(other, http.MethodPost, "/q/"+jobID(2000), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, 20*time.Second)
-		x.c.Check(x.workers.Running() > 0, qt.IsTrue)
+		x.c.Check(x.workers.RunningCount() > 0, qt.IsTrue)
 	})
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -142,7 +142,7 @@
 	id := spoolsill.WorkerID(workerName(i))
 	x.c.Assert(wire.PutWorker(x.store, wire.WorkerEntry{
 		ID:      id,
-		Born:    x.workers.CurrentLife(id).StartTime,
+		Born:    x.workers.CurrentIncarnation(id).StartTime,
 		Address: workerAddress(i),
 		Machine: "m" + string(id),
 		Rack:    "r1-1",
@@ -325,7 +325,7 @@
 		for i := range 3 {
 			x.c.Assert(x.state((i+1)%3, jobID(i)), qt.Equals, completed)
 		}
-		x.c.Assert(x.workers.Starts(), qt.Equals, 6)
+		x.c.Assert(x.workers.StartCount(), qt.Equals, 6)
 		x.c.Assert(x.workers.Violations(), qt.HasLen, 0)
 	})
 }
--- a/node/notify_test.go
+++ b/node/notify_test.go
@@ -27,16 +27,16 @@
 		x.network.SetPaused("w0", true)
 		x.c.Assert(x.call(other, http.MethodPost, "/q/"+jobID(1), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, 600*time.Millisecond)
-		x.c.Assert(x.workers.Starts(), qt.Equals, 0)
+		x.c.Assert(x.workers.StartCount(), qt.Equals, 0)
 		x.network.SetPaused("w0", false)
 		pause.For(x.ctx, 2*time.Millisecond)
 		x.network.SetPaused(hostName(old), true)
 		defer x.network.SetPaused(hostName(old), false)
-		x.c.Assert(x.workers.Running(), qt.Equals, 2)
+		x.c.Assert(x.workers.RunningCount(), qt.Equals, 2)
 		r := x.callBy(x.newClient(), other, http.MethodDelete, "/q/"+jobID(1), "")
 		x.c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%v", r))
 		cancelled := time.Now()
-		for x.workers.Running() > 0 && time.Since(cancelled) < time.Minute {
+		for x.workers.RunningCount() > 0 && time.Since(cancelled) < time.Minute {
 			pause.For(x.ctx, 10*time.Millisecond)
 		}
 		took := time.Since(cancelled)
@@ -54,11 +54,11 @@
 		other := (x.leader() + 1) % len(x.hosts)
 		x.c.Assert(x.call(other, http.MethodPost, "/q/"+jobID(1), body).status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, 2*time.Second)
-		x.c.Assert(x.workers.Running(), qt.Equals, 2)
+		x.c.Assert(x.workers.RunningCount(), qt.Equals, 2)
 		x.store.SetFeedStalled(true)
 		x.c.Assert(x.call(other, http.MethodDelete, "/q/"+jobID(1), "").status, qt.Equals, http.StatusOK)
 		pause.For(x.ctx, time.Second)
-		x.c.Assert(x.workers.Running(), qt.Equals, 0)
+		x.c.Assert(x.workers.RunningCount(), qt.Equals, 0)
 	})
 }
 
