--- a/internal/fault/schedule_test.go
+++ b/internal/fault/schedule_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// jitteredRuns is the number of jittered jitteredRuns of a schedule in CI.
+// jitteredRuns is the number of jittered runs of a schedule in CI.
 const jitteredRuns = 24
 
 // runJittered runs the schedule of a file repeatedly, with each start moved by up
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// A request is a request of a caller, which keeps its key over all attempts.
+// A request is sent by one caller and keeps its key over all attempts.
 type request struct {
 	key          spoolsill.RequestKey
 	unrepeatable bool
