--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
 // Command soak runs hosts as separate processes, injects faults into them and their
-// network, and checks meanwhile that the cell's guarantees hold. See docs/OPERATIONS.md.
+// network, and checks meanwhile that the cell's invariants hold. See docs/OPERATIONS.md.
 package main
 
 import (
--- a/internal/cellfake/doc.go
+++ b/internal/cellfake/doc.go
@@ -2,5 +2,5 @@
 // calls: the platform's store, its workers and the advisor. The fakes implement the
 // guarantees that the platform documents (versions, conditions, leases, fences, ends that
 // are reported until they are acknowledged) and fail in the ways that it documents. The
-// fake workers record each violation of a guarantee by the cell.
+// fake workers record each violation of an invariant by the cell.
 package cellfake
--- a/internal/cellfake/workers.go
+++ b/internal/cellfake/workers.go
@@ -476,7 +476,7 @@
 	return leader.Accepted
 }
 
-// startRun starts a run, and records the violations of guarantees by the start.
+// startRun starts a run, and records the violations of invariants by the start.
 func (f *Workers) startRun(w *worker, r sched.RunID) {
 	f.starts++
 	if f.Began != nil {
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -16,7 +16,7 @@
 // scheduleCount is the number of random schedules that CI runs.
 const scheduleCount = 32
 
-func TestGuaranteesHoldUnderRandomFailures(t *testing.T) {
+func TestInvariantsHoldUnderRandomFailures(t *testing.T) {
 	n := scheduleCount
 	if testing.Short() {
 		n = 4
@@ -36,7 +36,7 @@
 	}
 }
 
-// logResult logs a result, with the events if a guarantee was violated or the run
+// logResult logs a result, with the events if an invariant was violated or the run
 // failed.
 func logResult(t *testing.T, r fault.Result) {
 	t.Log(r)
@@ -50,14 +50,14 @@
 	}
 }
 
-// maxSeeds bounds the search for a schedule that violates a guarantee.
+// maxSeeds bounds the search for a schedule that violates an invariant.
 const maxSeeds = 200
 
-// TestDisabledMechanismsViolateGuarantees disables one mechanism at a time: some schedule
-// must then violate a guarantee. Mechanisms that take hundreds of schedules to
+// TestDisabledMechanismsViolateInvariants disables one mechanism at a time: some schedule
+// must then violate an invariant. Mechanisms that take hundreds of schedules to
 // detect are left to "spoolsill bench fault --break" and to the property tests of
 // packages lease and config; docs/PROMISES.md lists them.
-func TestDisabledMechanismsViolateGuarantees(t *testing.T) {
+func TestDisabledMechanismsViolateInvariants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs many schedules")
 	}
--- a/internal/fault/run.go
+++ b/internal/fault/run.go
@@ -293,8 +293,8 @@
 	return sim.operator.checkJobs(ctx)
 }
 
-// String returns a readable summary of the result. It includes the schedule if a
-// guarantee was violated or the run failed.
+// String returns a readable summary of the result. It includes the schedule if an
+// invariant was violated or the run failed.
 func (r Result) String() string {
 	s := fmt.Sprintf("done %d, not run %d, unknown %d, faults %v, broken %v, cases %v, err %v", r.Done, r.NotRun, r.Unknown, r.Faults, r.Violations, r.Cases, r.Err)
 	if len(r.Cases) == 0 && r.Err == nil {
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -16,7 +16,7 @@
 const lateStartTime = time.Second
 
 // A Checker records what clients were told of their jobs and which runs workers have
-// started, and reports violations of the cell's guarantees. It is safe for concurrent use.
+// started, and reports violations of the cell's invariants. It is safe for concurrent use.
 type Checker struct {
 	mu         sync.Mutex
 	jobs       map[spoolsill.JobID]*jobRecord
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,6 +1,6 @@
 // Package soak runs hosts as separate processes, injects faults into them and their
 // network, and checks meanwhile that clients and workers see no violation of the cell's
-// guarantees.
+// invariants.
 //
 // Each host reaches the store and the advisor through proxies of its own, and each worker
 // is reached through a proxy. A [Proxy] delays data, resets connections, or holds data back
--- a/internal/soak/hostfaults_test.go
+++ b/internal/soak/hostfaults_test.go
@@ -9,7 +9,7 @@
 	"github.com/spoolsill/spoolsill/internal/soak"
 )
 
-// A host that lacks a configuration violates a guarantee only configTime after the
+// A host that lacks a configuration violates an invariant only configTime after the
 // acknowledgement and after its last fault.
 func TestCheckerFindsMissingConfigurations(t *testing.T) {
 	const (
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -47,7 +47,7 @@
 	RunStarts  int
 	HostStarts int      // starts of host processes
 	Crashes    int      // restarts of workers that crashed
-	Broken     []string // violations of guarantees
+	Broken     []string // violations of invariants
 }
 
 // String returns a summary of the result.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -41,7 +41,7 @@
 // most of the time.
 const maxConcurrentSeeds = 2
 
-// TestPromisesHoldWhileHostsAreHarmed checks the guarantees while faults are injected into
+// TestPromisesHoldWhileHostsAreHarmed checks the invariants while faults are injected into
 // real processes. The result does not depend on their speed, except that a host must have a
 // configuration in force within six seconds.
 func TestPromisesHoldWhileHostsAreHarmed(t *testing.T) {
