--- a/leader/slowresponse_test.go
+++ b/leader/slowresponse_test.go
@@ -15,7 +15,8 @@
 	"github.com/spoolsill/spoolsill/sched"
 )
 
-// Responses of all workers take 0.4 s, as on a saturated link, and the leader waits for them.
+// From some moment on the responses of all workers take 0.4 s instead of 2 ms, as on a link that
+// becomes saturated, and the leader waits for them.
 // If it retried orders because of late responses, the retries would load the link further, and
 // no start would ever be confirmed.
 func TestSlowResponsesCauseNoRetries(t *testing.T) {
@@ -58,7 +59,7 @@
 		}
 		pause.For(x.ctx, 6*time.Second)
 		x.assertCompleted(l, ids)
-		x.c.Check(x.workers.Starts(), qt.Equals, jobs*tasks)
+		x.c.Check(x.workers.StartCount(), qt.Equals, jobs*tasks)
 		// Besides the starts, a worker gets at most one heartbeat in 0.4 s.
 		maxCalls := int64(jobs*tasks*5/4 + workers*16*5/2)
 		calls := callCount.Load() - before
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -19,7 +19,8 @@
 
 const headerLength = 4
 
-// ErrBadFrame is returned for a frame that is too long or can't be decoded.
+// ErrBadFrame is passed to [Config].Report for a received frame that is too long or can't
+// be decoded. The error of a call that is too long to be sent wraps it and [ErrUnreachable].
 var ErrBadFrame = errors.New("peer: bad frame")
 
 type messageKind uint8
@@ -84,7 +85,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrBadFrame, err)
 	}
 	if m.Kind < messageCall || m.Kind > messageError {
-		return nil, fmt.Errorf("%w: unknown message kind %d", ErrBadFrame, m.Kind)
+		return nil, fmt.Errorf("%w: kind %d", ErrBadFrame, m.Kind)
 	}
 	m.length = headerLength + int(n)
 	return &m, nil
--- a/sched/advice.go
+++ b/sched/advice.go
@@ -16,9 +16,9 @@
 	// ticketMargin is how much longer a ticket must be valid when a start is decided. It
 	// covers the write to the store, the call itself and some queueing.
 	ticketMargin = 200 * time.Millisecond
-	// queriesPerSlot bounds the queries in flight for each one that the hosts can make
-	// concurrently: one being answered and one queued. With more, the queries of the
-	// stages ranked first would be queued behind others.
+	// queriesPerSlot times the number of queries that the hosts can make concurrently
+	// bounds the queries in flight: one being answered and one queued. With more, the
+	// queries of the stages ranked first would be queued behind others.
 	queriesPerSlot = 2
 	// perWorkerCostShare limits what the workers of one query cost in total, as a share of
 	// the advisor's base cost, as far as minQueryWorkers allows.
--- a/sched/crash.go
+++ b/sched/crash.go
@@ -47,9 +47,10 @@
 	return !w.listed && w.graceUntil.IsZero() && w.answeredAt.After(w.unlistedAt)
 }
 
-// recordLoss records that a worker is gone with its runs. If crashed is set, the worker is known
-// to have crashed. Otherwise it has been unreachable for longer than its lease, or may have been
-// decommissioned.
+// recordLoss counts the loss of a worker against the tasks of its runs. The argument crashed is
+// true if the worker's incarnation is known to have ended, in which case nothing is counted for a
+// worker that left as announced. It is false if the worker has only been unreachable for longer
+// than its lease, or may have been decommissioned.
 func (s *State) recordLoss(w *worker, rs []*run, crashed bool, reason string) {
 	if crashed && w.leftAsAnnounced() {
 		return
@@ -109,8 +110,8 @@
 	})
 }
 
-// retractLosses drops the losses that were recorded while a worker was silent. It is called when
-// the worker answers again.
+// retractLosses drops the losses that were recorded while a worker did not respond. It is called
+// when the worker answers again.
 func (s *State) retractLosses(w *worker) {
 	for _, t := range s.suspects {
 		if t.evidence.retract(w.incarnation()) {
@@ -221,8 +222,7 @@
 
 // trialCost returns the cost of starting a task at a worker that results from the risk
 // of crashes, as a factor on the run time. Suspect tasks are started on different workers, so
-// that a second crash tells which of them caused it, and where a crash takes few other runs
-// down.
+// that a second crash shows which of them caused it, and where a crash ends few other runs.
 func (d *decider) trialCost(t *task, w *worker) float64 {
 	level := t.evidence.suspicion()
 	if level == noSuspicion && len(w.trials) == 0 {
--- a/sched/workers.go
+++ b/sched/workers.go
@@ -340,9 +340,9 @@
 	s.deactivateIfUnused(w)
 }
 
-// dropRuns drops the runs of a worker that is known to have crashed, if crashed is set, or that
-// may be gone. The loss counts against their tasks: a task that crashes its workers never
-// reports an end, and would otherwise be restarted forever.
+// dropRuns drops the runs of a worker whose incarnation has ended, or that has been unreachable
+// for longer than its lease; crashed is as for recordLoss. The loss counts against their tasks: a
+// task that crashes its workers never reports an end, and would otherwise be restarted forever.
 func (s *State) dropRuns(w *worker, reason string, crashed bool) {
 	rs := sortedRuns(w)
 	s.recordLoss(w, rs, crashed, reason)
@@ -405,7 +405,8 @@
 }
 
 // acceptsStarts reports whether something new may be started at w now. Its lease must have been
-// renewed: a worker that answers again after a silence may be about to end all its runs.
+// renewed: a worker that answers again after it did not respond for a while may be about to end
+// all its runs.
 func (w *worker) acceptsStarts(now time.Time) bool {
 	return w.present(now) && !w.entryInvalid && !w.Draining && !w.dead && len(w.unknownRuns) == 0 &&
 		now.Sub(w.answeredAt) < maxAnswerAge && !w.unresponsive && !now.Before(w.backoffUntil) &&
